--- a/Makefile
+++ b/Makefile
@@ -64,6 +64,11 @@
 		go test -count=1 -timeout $$(( 2 * $(SECONDS) + 240 ))s ./test -run 'SoakFreshSeeds' -v -args -soak $(SECONDS) -fleet-soak $(SECONDS); \
 	fi
 
+GOPLS_VERSION = v0.23.0 # newest release that builds with the toolchain of go.mod
+.PHONY: tools
+tools: ## gopls, for renames; not part of the check
+	go install golang.org/x/tools/gopls@$(GOPLS_VERSION)
+
 .PHONY: long
 long: ## scenarios that take minutes
 	go test -count=1 ./test -run TestLongScenarios -args -long
