--- a/place/mix_test.go
+++ b/place/mix_test.go
@@ -166,8 +166,8 @@
 	x := rand.New(rand.NewPCG(3, 4))
 	p := place.Planner{Tempo: place.TempoOf(6 * time.Second)}
 	prefills, decodes := place.Pool{Model: "m", Role: work.RolePrefill}, place.Pool{Model: "m", Role: work.RoleDecode}
-	roles := []work.Role{work.RolePrefill, work.RolePrefill, work.RolePrefill, work.RolePrefill, work.RoleDecode, work.RoleDecode, work.RoleDecode, work.RoleDecode, work.RoleDecode}
-	back := make([]int, len(roles))
+	engineRoles := []work.Role{work.RolePrefill, work.RolePrefill, work.RolePrefill, work.RolePrefill, work.RoleDecode, work.RoleDecode, work.RoleDecode, work.RoleDecode, work.RoleDecode}
+	back := make([]int, len(engineRoles))
 	now, decode, short := time.Now(), 0.0, 0.0
 	var m place.Mix
 	var number fence.Number
@@ -185,7 +185,7 @@
 			v.Demand[prefills] = r * decode
 		}
 		serving := 0
-		for n, r := range roles {
+		for n, r := range engineRoles {
 			v.Engines = append(v.Engines, place.Engine{
 				Host: work.Host(rune('a' + n)), Pool: place.Pool{Model: "m", Role: r}, Changing: second < back[n], Since: now,
 			})
@@ -196,7 +196,7 @@
 		short += max(0, decode/0.9-float64(serving))
 		for _, o := range p.Plan(now, v, func(time.Time) (fence.Number, error) { number++; return number, nil }) {
 			n := int(o.Host[0] - 'a')
-			roles[n], back[n] = o.To.Role, second+6
+			engineRoles[n], back[n] = o.To.Role, second+6
 		}
 	}
 	return short
