--- a/admin/admin.go
+++ b/admin/admin.go
@@ -35,10 +35,10 @@
 	"github.com/pkg/errors"
 
 	"jacinthworks/check"
+	"jacinthworks/domain"
 	"jacinthworks/editor"
 	"jacinthworks/story"
 	"jacinthworks/table"
-	"jacinthworks/work"
 )
 
 // The paths of the interface.
@@ -84,18 +84,18 @@
 
 // StorySource finds the story of a request; ErrNoStory when there is none.
 type StorySource interface {
-	Story(ctx context.Context, id work.RequestID) (story.Account, error)
+	Story(ctx context.Context, id domain.RequestID) (story.Account, error)
 }
 
 // Drainer makes a host take no new work; ErrNoHost when there is no such host.
 type Drainer interface {
-	Drain(ctx context.Context, host work.Host, by string) error
+	Drain(ctx context.Context, host domain.Host, by string) error
 }
 
 // Status is the state of the hosts as the host that answers knows it.
 type Status struct {
 	// Host is the one that answers.
-	Host work.Host `json:"host"`
+	Host domain.Host `json:"host"`
 	// Version is the newest version of the table it knows of.
 	Version table.Version `json:"table_version"`
 	Hosts   []HostStatus  `json:"hosts"`
@@ -103,11 +103,11 @@
 
 // HostStatus is what is known of one host.
 type HostStatus struct {
-	Host    work.Host    `json:"host"`
-	Zone    work.Zone    `json:"zone"`
-	Role    work.Role    `json:"role"`
-	Service work.Service `json:"service,omitempty"`
-	State   HostState    `json:"state"`
+	Host    domain.Host    `json:"host"`
+	Zone    domain.Zone    `json:"zone"`
+	Role    domain.Role    `json:"role"`
+	Service domain.Service `json:"service,omitempty"`
+	State   HostState      `json:"state"`
 	// Version is the table's version in force there, since Since; zero for
 	// hosts that hold no table.
 	Version table.Version `json:"table_version,omitempty"`
--- a/admin/client.go
+++ b/admin/client.go
@@ -16,10 +16,10 @@
 	"github.com/pkg/errors"
 
 	"jacinthworks/conf"
+	"jacinthworks/domain"
 	"jacinthworks/editor"
 	"jacinthworks/story"
 	"jacinthworks/table"
-	"jacinthworks/work"
 )
 
 // ErrUnreachable says that no answer came. Anything sent may have arrived.
@@ -109,7 +109,7 @@
 }
 
 // Story gives the account of a request.
-func (c *Client) Story(ctx context.Context, id work.RequestID) (story.Account, error) {
+func (c *Client) Story(ctx context.Context, id domain.RequestID) (story.Account, error) {
 	var a story.Account
 	err := c.call(ctx, http.MethodGet, pathRequests+url.PathEscape(string(id)), nil, nil, &a)
 	return a, err
@@ -123,7 +123,7 @@
 }
 
 // Drain makes a host take no new work.
-func (c *Client) Drain(ctx context.Context, host work.Host) error {
+func (c *Client) Drain(ctx context.Context, host domain.Host) error {
 	return c.call(ctx, http.MethodPost, pathDrain, nil, drainRequest{Host: host}, &drainRequest{})
 }
 
--- a/admin/client_test.go
+++ b/admin/client_test.go
@@ -8,9 +8,9 @@
 	"github.com/pkg/errors"
 	"github.com/stretchr/testify/require"
 
+	"jacinthworks/domain"
 	"jacinthworks/editor"
 	"jacinthworks/table"
-	"jacinthworks/work"
 )
 
 func TestTheClientReadsWhatTheServerSays(t *testing.T) {
@@ -25,14 +25,14 @@
 
 	a, err := b.client.Story(t.Context(), "entry-1.1.7")
 	require.NoError(t, err)
-	require.Equal(t, work.DidRun, a.Ran)
+	require.Equal(t, domain.DidRun, a.Ran)
 	_, err = b.client.Story(t.Context(), "entry/1?x")
 	var p *Problem
 	require.ErrorAs(t, err, &p)
 	require.Equal(t, 404, p.Status)
 
 	require.NoError(t, b.client.Drain(t.Context(), "side-1"))
-	require.Equal(t, work.Host("side-1"), b.host.drained)
+	require.Equal(t, domain.Host("side-1"), b.host.drained)
 }
 
 func TestTheClientGivesOutcomes(t *testing.T) {
--- a/admin/fake_test.go
+++ b/admin/fake_test.go
@@ -12,11 +12,11 @@
 	"github.com/stretchr/testify/require"
 
 	"jacinthworks/conf"
+	"jacinthworks/domain"
 	"jacinthworks/editor"
-	"jacinthworks/plat"
+	"jacinthworks/infra"
 	"jacinthworks/story"
 	"jacinthworks/table"
-	"jacinthworks/work"
 )
 
 const (
@@ -27,52 +27,52 @@
 
 // objects is a fake object API that holds the table and can be down.
 type objects struct {
-	plat.Objects // the calls that nothing here makes
+	infra.Objects // the calls that nothing here makes
 
 	mu      sync.Mutex
-	version plat.Version
+	version infra.Version
 	value   []byte
 	down    bool
 }
 
-func (o *objects) Get(context.Context, string) (plat.Object, error) {
+func (o *objects) Get(context.Context, string) (infra.Object, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.down {
-		return plat.Object{}, plat.ErrRefused
+		return infra.Object{}, infra.ErrRefused
 	}
-	return plat.Object{Version: o.version, Value: o.value}, nil
+	return infra.Object{Version: o.version, Value: o.value}, nil
 }
 
-func (o *objects) Put(_ context.Context, _ string, value []byte, at plat.Version) (plat.Version, error) {
+func (o *objects) Put(_ context.Context, _ string, value []byte, at infra.Version) (infra.Version, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.down {
-		return 0, plat.ErrRefused
+		return 0, infra.ErrRefused
 	}
 	if at != o.version {
-		return 0, plat.ErrConflict
+		return 0, infra.ErrConflict
 	}
 	o.version, o.value = at+1, value
 	return o.version, nil
 }
 
 // host answers for the rest of an entry.
-type host struct{ drained work.Host }
+type host struct{ drained domain.Host }
 
 func (h *host) Status(context.Context) (Status, error) {
 	return Status{Host: "entry-1", Version: 1, Hosts: []HostStatus{{Host: "entry-1", Zone: "salt-lake", State: HostServing, Version: 1,
-		Since: time.Date(2026, 12, 2, 9, 0, 0, 0, time.UTC)}, {Host: "side-1", Zone: "salt-lake", Role: work.RoleDecode, Service: "appraiser-lm", State: HostSilent}}}, nil
+		Since: time.Date(2026, 12, 2, 9, 0, 0, 0, time.UTC)}, {Host: "side-1", Zone: "salt-lake", Role: domain.RoleDecode, Service: "appraiser-lm", State: HostSilent}}}, nil
 }
 
-func (h *host) Story(_ context.Context, id work.RequestID) (story.Account, error) {
+func (h *host) Story(_ context.Context, id domain.RequestID) (story.Account, error) {
 	if id != "entry-1.1.7" {
 		return story.Account{}, ErrNoStory
 	}
-	return story.Account{Request: id, State: story.StateAnswered, Ran: work.DidRun}, nil
+	return story.Account{Request: id, State: story.StateAnswered, Ran: domain.DidRun}, nil
 }
 
-func (h *host) Drain(_ context.Context, target work.Host, _ string) error {
+func (h *host) Drain(_ context.Context, target domain.Host, _ string) error {
 	if target != "side-1" {
 		return ErrNoHost
 	}
@@ -80,7 +80,7 @@
 	return nil
 }
 
-func row(kind work.Kind, team string) table.Row {
+func row(kind domain.Kind, team string) table.Row {
 	return table.Row{Service: "appraiser-lm", Zone: table.AnyZone, Kind: kind, Team: team, Weight: 1, InFlight: 8,
 		Deadline: table.Duration(time.Minute)}
 }
@@ -112,6 +112,6 @@
 	return b
 }
 
-func weightEdit(kind work.Kind, weight table.Value) table.Edit {
+func weightEdit(kind domain.Kind, weight table.Value) table.Edit {
 	return table.Edit{ID: "e-1", Changes: []table.Change{table.Set(row(kind, "").Key(), table.Cell{Column: "weight", Value: weight})}}
 }
--- a/admin/orders.go
+++ b/admin/orders.go
@@ -7,9 +7,9 @@
 
 	"github.com/pkg/errors"
 
+	"jacinthworks/domain"
 	"jacinthworks/engine"
 	"jacinthworks/table"
-	"jacinthworks/work"
 )
 
 // ErrNotYours says that none of the operator's teams owns a row of the service.
@@ -23,7 +23,7 @@
 // OrderRequest is an order to the engine beside a side.
 type OrderRequest struct {
 	// Host is the side's name.
-	Host work.Host `json:"host"`
+	Host domain.Host `json:"host"`
 	// Kind is load or adapter, Value what to load.
 	Kind  engine.OrderKind `json:"kind"`
 	Value string           `json:"value"`
@@ -38,7 +38,7 @@
 
 // Orderer passes an order on; ErrNoHost when there is no such side.
 type Orderer interface {
-	Order(ctx context.Context, o OrderRequest, by table.Operator) (OrderGiven, error)
+	SendOrder(ctx context.Context, o OrderRequest, by table.Operator) (OrderGiven, error)
 }
 
 func (s *Server) order(w http.ResponseWriter, r *http.Request, by table.Operator) {
@@ -51,7 +51,7 @@
 		writeProblem(w, problem(http.StatusBadRequest, "needs host, kind (load or adapter) and value"))
 		return
 	}
-	given, err := s.Orders.Order(r.Context(), o, by)
+	given, err := s.Orders.SendOrder(r.Context(), o, by)
 	s.log().Info("order", "operator", by.Name, "target", o.Host, "kind", o.Kind, "value", o.Value, "fence", given.Fence, "err", err)
 	switch {
 	case errors.Is(err, ErrNoHost):
@@ -65,8 +65,8 @@
 	}
 }
 
-// Order gives an order to the engine beside a side.
-func (c *Client) Order(ctx context.Context, o OrderRequest) (OrderGiven, error) {
+// SendOrder gives an order to the engine beside a side.
+func (c *Client) SendOrder(ctx context.Context, o OrderRequest) (OrderGiven, error) {
 	var given OrderGiven
 	err := c.call(ctx, http.MethodPost, pathOrders, nil, o, &given)
 	return given, err
--- a/admin/server.go
+++ b/admin/server.go
@@ -12,8 +12,8 @@
 	"github.com/pkg/errors"
 
 	"jacinthworks/conf"
+	"jacinthworks/domain"
 	"jacinthworks/table"
-	"jacinthworks/work"
 )
 
 // defaultMaxBody holds an edit of every cell of the largest table: a cell
@@ -98,7 +98,7 @@
 }
 
 func (s *Server) story(w http.ResponseWriter, r *http.Request, _ table.Operator) {
-	a, err := s.Stories.Story(r.Context(), work.RequestID(r.PathValue("id")))
+	a, err := s.Stories.Story(r.Context(), domain.RequestID(r.PathValue("id")))
 	switch {
 	case errors.Is(err, ErrNoStory):
 		writeProblem(w, problem(http.StatusNotFound, "no story of this request was found"))
@@ -111,7 +111,7 @@
 
 // drainRequest is the body of POST /admin/v1/drain.
 type drainRequest struct {
-	Host work.Host `json:"host"`
+	Host domain.Host `json:"host"`
 }
 
 func (s *Server) drain(w http.ResponseWriter, r *http.Request, by table.Operator) {
--- a/admit/admit.go
+++ b/admit/admit.go
@@ -14,13 +14,13 @@
 //
 //	decode := admit.Ledger{Limits: admit.Limits{Requests: 16, Tokens: 400_000}}
 //	key := admit.Key{Request: id, Attempt: 1}
-//	err := decode.Reserve(now, key, admit.Need{Requests: 1, Tokens: 9_000}, now.Add(admit.Hold))
-//	err = decode.Renew(now, key, now.Add(admit.Hold)) // while the prefill lasts
+//	err := decode.Reserve(now, key, admit.Demand{Requests: 1, Tokens: 9_000}, now.Add(admit.ReservationTTL))
+//	err = decode.Renew(now, key, now.Add(admit.ReservationTTL)) // while the prefill lasts
 //	err = decode.Confirm(now, key, deadline)          // the engine has the work
 //	decode.Release(key)                               // the engine is rid of it
 //
 // A second Ledger bounds the prefills that wait at a prefill engine, counted in
-// tokens (see PrefillQueue and Limits.Ahead):
+// tokens (see MaxPrefillQueueTime and Limits.QueuedOnly):
 //
 //	prefill := admit.Ledger{Limits: admit.Limits{Requests: 64, Tokens: 10_000, Ahead: true}}
 //
@@ -40,35 +40,35 @@
 
 	"github.com/pkg/errors"
 
-	"jacinthworks/work"
+	"jacinthworks/domain"
 )
 
-// Hold is how long a decode reservation lasts without renewal. An entry renews
+// ReservationTTL is how long a decode reservation lasts without renewal. An entry renews
 // at a third of it, so that two lost renewals do not end a live reservation,
 // and an entry that dies keeps a slot for no longer than a short prefill takes.
-const Hold = 3 * time.Second
+const ReservationTTL = 3 * time.Second
 
-// PrefillQueue is how much work may wait at a prefill engine, as time at its
+// MaxPrefillQueueTime is how much work may wait at a prefill engine, as time at its
 // measured rate. Two entries that each keep one request on the way need about
 // one mean prefill (0.3 s to 0.6 s at today's sizes); what waits beyond that
 // is better off in the entries' fair queues, where it can still be overtaken.
-const PrefillQueue = 500 * time.Millisecond
+const MaxPrefillQueueTime = 500 * time.Millisecond
 
 // ErrUnknown says that there is no such reservation: it was never made, has
 // ended by itself or was released.
 var ErrUnknown = errors.New("admit: no such reservation")
 
-// ErrOtherNeed says that the key already holds a reservation of another size.
-var ErrOtherNeed = errors.New("admit: reservation held with another need")
+// ErrDemandMismatch says that the key already holds a reservation of another size.
+var ErrDemandMismatch = errors.New("admit: reservation held with another need")
 
 // Key names a reservation. Repeated calls with one key are idempotent.
 type Key struct {
-	Request work.RequestID `json:"request"`
-	Attempt work.Attempt   `json:"attempt"`
+	Request domain.RequestID `json:"request"`
+	Attempt domain.Attempt   `json:"attempt"`
 }
 
-// Need is the room that one request takes.
-type Need struct {
+// Demand is the room that one request takes.
+type Demand struct {
 	// Requests counts slots; 1 for a decode.
 	Requests int `json:"requests"`
 	// Tokens is KV memory for a decode (prompt and answer), work for a prefill.
@@ -79,14 +79,14 @@
 type Limits struct {
 	Requests int `json:"requests"`
 	Tokens   int `json:"tokens"`
-	// Ahead makes Tokens bound what is reserved before a need and not the need
+	// QueuedOnly makes Tokens bound what is reserved before a need and not the need
 	// itself, which may then be of any size. For prefill queues: a prompt
 	// longer than the bound has to pass when nothing waits.
-	Ahead bool `json:"ahead,omitempty"`
+	QueuedOnly bool `json:"ahead,omitempty"`
 }
 
-// Room is what a ledger reports.
-type Room struct {
+// Capacity is what a ledger reports.
+type Capacity struct {
 	// FreeRequests and FreeTokens are neither held nor confirmed; they are
 	// negative after the limits were lowered below what is in use.
 	FreeRequests int `json:"free_requests"`
@@ -96,34 +96,34 @@
 	Confirmed int `json:"confirmed"`
 }
 
-// Short says what there was too little of.
-type Short string
+// Shortage says what there was too little of.
+type Shortage string
 
 // The kinds of room that can be short.
 const (
-	ShortRequests Short = "slots"
-	ShortTokens   Short = "memory"
-	// ShortEver says that the need exceeds the limits of the empty engine: it
+	ShortageRequests Shortage = "slots"
+	ShortageTokens   Shortage = "memory"
+	// ShortageEngineSize says that the need exceeds the limits of the empty engine: it
 	// is of no use to wait.
-	ShortEver Short = "engine_size"
+	ShortageEngineSize Shortage = "engine_size"
 )
 
 // Refusal is the error of a Reserve that found too little room. Nothing was
 // reserved.
 type Refusal struct {
-	Short Short
-	Need  Need
-	Room  Room
+	Shortage Shortage
+	Demand   Demand
+	Capacity Capacity
 }
 
 // Error says what was short and by how much.
 func (r *Refusal) Error() string {
 	return fmt.Sprintf("admit: too little %s: need %d requests, %d tokens; free %d, %d",
-		r.Short, r.Need.Requests, r.Need.Tokens, r.Room.FreeRequests, r.Room.FreeTokens)
+		r.Shortage, r.Demand.Requests, r.Demand.Tokens, r.Capacity.FreeRequests, r.Capacity.FreeTokens)
 }
 
 type reservation struct {
-	need      Need
+	need      Demand
 	until     time.Time
 	confirmed bool
 }
@@ -135,7 +135,7 @@
 	Limits Limits
 
 	held map[Key]*reservation
-	used Need
+	used Demand
 	// first is no later than the earliest end of an unconfirmed reservation,
 	// so that most calls need not look for ended ones.
 	first time.Time
@@ -143,18 +143,18 @@
 
 // Reserve takes room until the given time. A repeated call with the same need
 // takes no more room and extends the time if it is later. The error is a
-// *Refusal, or ErrOtherNeed.
-func (l *Ledger) Reserve(now time.Time, k Key, n Need, until time.Time) error {
+// *Refusal, or ErrDemandMismatch.
+func (l *Ledger) Reserve(now time.Time, k Key, n Demand, until time.Time) error {
 	l.sweep(now)
 	if r, ok := l.held[k]; ok {
 		if r.need != n {
-			return ErrOtherNeed
+			return ErrDemandMismatch
 		}
 		r.extend(until)
 		return nil
 	}
 	if short := l.short(n); short != "" {
-		return &Refusal{Short: short, Need: n, Room: l.room()}
+		return &Refusal{Shortage: short, Demand: n, Capacity: l.room()}
 	}
 	if l.held == nil {
 		l.held = make(map[Key]*reservation)
@@ -217,14 +217,14 @@
 	return keys
 }
 
-// Room reports the room that is free at the given time.
-func (l *Ledger) Room(now time.Time) Room {
+// Capacity reports the room that is free at the given time.
+func (l *Ledger) Capacity(now time.Time) Capacity {
 	l.sweep(now)
 	return l.room()
 }
 
-func (l *Ledger) room() Room {
-	r := Room{
+func (l *Ledger) room() Capacity {
+	r := Capacity{
 		FreeRequests: l.Limits.Requests - l.used.Requests,
 		FreeTokens:   l.Limits.Tokens - l.used.Tokens,
 	}
@@ -239,18 +239,18 @@
 }
 
 // short says what is missing for the need, or nothing.
-func (l *Ledger) short(n Need) Short {
+func (l *Ledger) short(n Demand) Shortage {
 	tokens := n.Tokens
-	if l.Limits.Ahead {
+	if l.Limits.QueuedOnly {
 		tokens = 0
 	}
 	switch {
 	case n.Requests > l.Limits.Requests || tokens > l.Limits.Tokens:
-		return ShortEver
+		return ShortageEngineSize
 	case l.used.Requests+n.Requests > l.Limits.Requests:
-		return ShortRequests
+		return ShortageRequests
 	case l.used.Tokens+tokens > l.Limits.Tokens:
-		return ShortTokens
+		return ShortageTokens
 	}
 	return ""
 }
--- a/assign/assign.go
+++ b/assign/assign.go
@@ -33,33 +33,33 @@
 // Engine is one that may be given work.
 type Engine struct {
 	ID string
-	// Cost is the time that it costs beside the work before: to reach it, or to try
+	// ExtraLatency is the time that it costs beside the work before: to reach it, or to try
 	// again where it fails.
-	Cost time.Duration
+	ExtraLatency time.Duration
 }
 
 // Work is what is to be given.
 type Work struct {
 	Tokens int
-	// Each is the time that an engine takes for a token.
-	Each time.Duration
-	// Within is when the work is over, whether its end is told or not.
-	Within time.Duration
+	// PerToken is the time that an engine takes for a token.
+	PerToken time.Duration
+	// TTL is when the work is over, whether its end is told or not.
+	TTL time.Duration
 }
 
 // Ticket names work that was given; zero is none.
 type Ticket uint64
 
-// Given is the answer to a request for an engine.
-type Given struct {
+// Assignment is the answer to a request for an engine.
+type Assignment struct {
 	Engine string `json:"engine"`
 	Ticket Ticket `json:"ticket"`
-	// Ahead is the time until the engine begins with it.
-	Ahead time.Duration `json:"ahead"`
+	// QueueDelay is the time until the engine begins with it.
+	QueueDelay time.Duration `json:"ahead"`
 }
 
 // Found says whether there was an engine.
-func (g Given) Found() bool { return g.Ticket != 0 }
+func (g Assignment) Found() bool { return g.Ticket != 0 }
 
 // Tracker knows what the engines of a pool were given. The zero value is empty and ready
 // to use; it must not be copied. It is safe for concurrent use; its lock is a leaf.
@@ -91,27 +91,27 @@
 
 // Assign gives work to the engine that will be done with it first; none where there
 // are no engines.
-func (k *Tracker) Assign(now time.Time, engines []Engine, w Work, random *rand.Rand) Given {
+func (k *Tracker) Assign(now time.Time, engines []Engine, w Work, random *rand.Rand) Assignment {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.sweep(now)
 	best, least := -1, time.Duration(0)
 	for i, e := range engines {
-		score := e.Cost + time.Duration(k.tokens[e.ID])*w.Each + time.Duration(random.Int64N(int64(alike)))
+		score := e.ExtraLatency + time.Duration(k.tokens[e.ID])*w.PerToken + time.Duration(random.Int64N(int64(alike)))
 		if best < 0 || score < least {
 			best, least = i, score
 		}
 	}
 	if best < 0 {
-		return Given{}
+		return Assignment{}
 	}
 	id := engines[best].ID
-	ahead := time.Duration(k.tokens[id]) * w.Each
+	ahead := time.Duration(k.tokens[id]) * w.PerToken
 	if k.last == 0 {
 		k.last = Ticket(random.Uint64() >> ticketSpare)
 	}
 	k.add(now, id, w)
-	return Given{Engine: id, Ticket: k.last, Ahead: ahead}
+	return Assignment{Engine: id, Ticket: k.last, QueueDelay: ahead}
 }
 
 func (k *Tracker) add(now time.Time, id string, w Work) {
@@ -119,12 +119,12 @@
 		k.given, k.tokens = make(map[Ticket]given), make(map[string]int)
 	}
 	k.last++
-	k.given[k.last] = given{engine: id, tokens: w.Tokens, until: now.Add(w.Within)}
+	k.given[k.last] = given{engine: id, tokens: w.Tokens, until: now.Add(w.TTL)}
 	k.tokens[id] += w.Tokens
 }
 
-// End notes the end of work, once.
-func (k *Tracker) End(t Ticket) {
+// Finish notes the end of work, once.
+func (k *Tracker) Finish(t Ticket) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.end(t)
--- a/assign/assign_test.go
+++ b/assign/assign_test.go
@@ -74,14 +74,14 @@
 	trackers := make([]Tracker, 26)
 	alone := replay(own, random, func(now time.Time, tokens int) (int, func(time.Time)) {
 		k := &trackers[random.IntN(len(trackers))]
-		g := k.Assign(now, own.engines, Work{Tokens: tokens, Each: each, Within: time.Minute}, random)
-		return index(own, g), func(time.Time) { k.End(g.Ticket) }
+		g := k.Assign(now, own.engines, Work{Tokens: tokens, PerToken: each, TTL: time.Minute}, random)
+		return index(own, g), func(time.Time) { k.Finish(g.Ticket) }
 	})
 	all, random := newPool(11), rand.New(rand.NewPCG(1, 1))
 	var k Tracker
 	together := replay(all, random, func(now time.Time, tokens int) (int, func(time.Time)) {
-		g := k.Assign(now, all.engines, Work{Tokens: tokens, Each: each, Within: time.Minute}, random)
-		return index(all, g), func(time.Time) { k.End(g.Ticket) }
+		g := k.Assign(now, all.engines, Work{Tokens: tokens, PerToken: each, TTL: time.Minute}, random)
+		return index(all, g), func(time.Time) { k.Finish(g.Ticket) }
 	})
 	at := func(d []time.Duration, part float64) time.Duration { return d[int(part*float64(len(d)))] }
 	t.Logf("each by itself: half %v, nine tenths %v; by one tracker: %v, %v", at(alone, 0.5), at(alone, 0.9), at(together, 0.5), at(together, 0.9))
@@ -89,7 +89,7 @@
 	require.Less(t, at(together, 0.9), at(alone, 0.9)/2)
 }
 
-func index(p *pool, g Given) int {
+func index(p *pool, g Assignment) int {
 	return slices.IndexFunc(p.engines, func(e Engine) bool { return e.ID == g.Engine })
 }
 
@@ -99,20 +99,20 @@
 	var k Tracker
 	random := rand.New(rand.NewPCG(1, 1))
 	two := []Engine{{ID: "a"}, {ID: "b"}}
-	first := k.Assign(began, two, Work{Tokens: 50_000, Each: each, Within: time.Second}, random)
+	first := k.Assign(began, two, Work{Tokens: 50_000, PerToken: each, TTL: time.Second}, random)
 	for range 3 {
-		g := k.Assign(began, two, Work{Tokens: 5_000, Each: each, Within: time.Second}, random)
+		g := k.Assign(began, two, Work{Tokens: 5_000, PerToken: each, TTL: time.Second}, random)
 		require.NotEqual(t, first.Engine, g.Engine)
-		k.End(g.Ticket)
-		k.End(g.Ticket) // told twice
+		k.Finish(g.Ticket)
+		k.Finish(g.Ticket) // told twice
 	}
 	later := began.Add(2 * time.Second)
 	seen := make(map[string]bool)
 	for range 50 {
-		g := k.Assign(later, two, Work{Tokens: 5_000, Each: each, Within: time.Second}, random)
-		require.Zero(t, g.Ahead)
+		g := k.Assign(later, two, Work{Tokens: 5_000, PerToken: each, TTL: time.Second}, random)
+		require.Zero(t, g.QueueDelay)
 		seen[g.Engine] = true
-		k.End(g.Ticket)
+		k.Finish(g.Ticket)
 	}
 	require.Len(t, seen, 2)
 	require.False(t, k.Assign(later, nil, Work{}, random).Found())
@@ -123,8 +123,8 @@
 func TestNearEnginesAreWorthAShortWait(t *testing.T) {
 	var k Tracker
 	random := rand.New(rand.NewPCG(1, 1))
-	engines := []Engine{{ID: "near"}, {ID: "far", Cost: 15 * time.Millisecond}}
-	w := Work{Tokens: 500, Each: each, Within: time.Second}
+	engines := []Engine{{ID: "near"}, {ID: "far", ExtraLatency: 15 * time.Millisecond}}
+	w := Work{Tokens: 500, PerToken: each, TTL: time.Second}
 	require.Equal(t, "near", k.Assign(began, engines, w, random).Engine)
 	require.Equal(t, "near", k.Assign(began, engines, w, random).Engine)
 	require.Equal(t, "far", k.Assign(began, engines, w, random).Engine)
--- a/assign/shard.go
+++ b/assign/shard.go
@@ -7,7 +7,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"jacinthworks/work"
+	"jacinthworks/domain"
 )
 
 // Shard is a part of the prefill engines of a service, which has a tracker of its own.
@@ -16,10 +16,10 @@
 // tracks all of them is asked and told by every other one for each prompt.
 // Prompts are drawn over the shards at random, which is even enough among dozens of engines.
 type Shard struct {
-	Service work.Service `json:"service"`
-	// Of is the number of shards, a power of two; Number is this one's, from zero.
-	Of     int `json:"of"`
-	Number int `json:"number"`
+	Service domain.Service `json:"service"`
+	// Count is the number of shards, a power of two; Number is this one's, from zero.
+	Count int `json:"of"`
+	Index int `json:"number"`
 }
 
 const (
@@ -29,30 +29,30 @@
 	shardsMost = 1 << 12
 )
 
-// ShardOf draws one of the shards into which so many engines are divided. A power of
+// PickShard draws one of the shards into which so many engines are divided. A power of
 // two leaves most engines where they are as their number grows.
-func ShardOf(service work.Service, engines int, random *rand.Rand) Shard {
-	p := Shard{Service: service, Of: 1}
-	for p.Of*shardMost < engines {
-		p.Of *= 2
+func PickShard(service domain.Service, engines int, random *rand.Rand) Shard {
+	p := Shard{Service: service, Count: 1}
+	for p.Count*shardMost < engines {
+		p.Count *= 2
 	}
-	p.Number = random.IntN(p.Of)
+	p.Index = random.IntN(p.Count)
 	return p
 }
 
-// Has says whether an engine is in the shard.
-func (p Shard) Has(id string) bool {
-	return xxhash.Sum64String(id)%uint64(p.Of) == uint64(p.Number)
+// Contains says whether an engine is in the shard.
+func (p Shard) Contains(id string) bool {
+	return xxhash.Sum64String(id)%uint64(p.Count) == uint64(p.Index)
 }
 
-// Sound says whether another process can have drawn the shard.
-func (p Shard) Sound() bool {
-	return p.Of > 0 && p.Of <= shardsMost && p.Number >= 0 && p.Number < p.Of
+// Valid says whether another process can have drawn the shard.
+func (p Shard) Valid() bool {
+	return p.Count > 0 && p.Count <= shardsMost && p.Index >= 0 && p.Index < p.Count
 }
 
 // Key is by which the process is found that tracks it.
 func (p Shard) Key() string {
-	return "load/" + string(p.Service) + "/" + strconv.Itoa(p.Number) + "/" + strconv.Itoa(p.Of)
+	return "load/" + string(p.Service) + "/" + strconv.Itoa(p.Index) + "/" + strconv.Itoa(p.Count)
 }
 
 // Trackers are what one process keeps of the engines' work for all. The zero value is
@@ -62,8 +62,8 @@
 	of map[Shard]*Tracker
 }
 
-// Tracker gives that of a shard.
-func (t *Trackers) Tracker(p Shard) *Tracker {
+// For gives that of a shard.
+func (t *Trackers) For(p Shard) *Tracker {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.of == nil {
--- a/assign/shard_test.go
+++ b/assign/shard_test.go
@@ -16,19 +16,19 @@
 	for _, engines := range []int{1, 10, 64, 65, 300, 1050} {
 		drawn := make(map[Shard]int)
 		for range 4000 {
-			drawn[ShardOf("model", engines, random)]++
+			drawn[PickShard("model", engines, random)]++
 		}
 		in := make(map[Shard]int)
 		for n := range engines {
 			for g := range drawn {
-				if g.Has(fmt.Sprintf("i-%d", n)) {
+				if g.Contains(fmt.Sprintf("i-%d", n)) {
 					in[g]++
 				}
 			}
 		}
 		total := 0
 		for g, n := range in {
-			require.True(t, g.Sound())
+			require.True(t, g.Valid())
 			require.Less(t, n, 2*shardMost)
 			require.InDelta(t, 4000/len(drawn), drawn[g], 200)
 			total += n
@@ -36,7 +36,7 @@
 		require.Equal(t, engines, total)
 		require.Equal(t, engines <= shardMost, len(drawn) == 1)
 	}
-	require.False(t, Shard{Of: 0}.Sound())
-	require.False(t, Shard{Of: 4, Number: 4}.Sound())
-	require.False(t, Shard{Of: 1 << 20}.Sound())
+	require.False(t, Shard{Count: 0}.Valid())
+	require.False(t, Shard{Count: 4, Index: 4}.Valid())
+	require.False(t, Shard{Count: 1 << 20}.Valid())
 }
--- a/bench/app.go
+++ b/bench/app.go
@@ -4,8 +4,8 @@
 	"math/rand/v2"
 	"time"
 
+	"jacinthworks/domain"
 	"jacinthworks/route"
-	"jacinthworks/work"
 )
 
 // appWorkers is how many calls an application server runs at once; appQueue is
@@ -20,8 +20,8 @@
 type appServer struct {
 	c       *clock
 	random  *rand.Rand
-	host    work.Host
-	zone    work.Zone
+	host    domain.Host
+	zone    domain.Zone
 	slow    float64
 	dead    bool
 	running []*request
@@ -92,7 +92,7 @@
 	e.pump()
 }
 
-func (w *world) appAt(h work.Host) *appServer {
+func (w *world) appAt(h domain.Host) *appServer {
 	for _, a := range w.apps {
 		if a.host == h {
 			return a
--- a/bench/decode.go
+++ b/bench/decode.go
@@ -5,15 +5,15 @@
 	"time"
 
 	"jacinthworks/admit"
-	"jacinthworks/work"
+	"jacinthworks/domain"
 )
 
 // decodeEngine gives tokens to all requests in its batch at once; each request
 // makes the gap longer for all.
 type decodeEngine struct {
 	c    *clock
-	host work.Host
-	zone work.Zone
+	host domain.Host
+	zone domain.Zone
 	slow float64
 	dead bool
 	// batch has a place in memory: in decode, or with its transfer under way.
--- a/bench/deployment.go
+++ b/bench/deployment.go
@@ -4,14 +4,14 @@
 	"math/rand/v2"
 	"time"
 
+	"jacinthworks/domain"
 	"jacinthworks/table"
-	"jacinthworks/work"
 )
 
 // deployment is one of the users' sites: its sizes and its mix of work.
 type deployment struct {
 	name  string
-	zones []work.Zone
+	zones []domain.Zone
 	// prefills and decodes are engines in each zone.
 	prefills, decodes int
 	kinds             []kind
@@ -60,7 +60,7 @@
 func tollygunge() deployment {
 	return deployment{
 		name:  "tollygunge",
-		zones: []work.Zone{"salt-lake", "new-town", "howrah"}, prefills: 2, decodes: 1,
+		zones: []domain.Zone{"salt-lake", "new-town", "howrah"}, prefills: 2, decodes: 1,
 		callers: 24, prefixes: 300,
 		kinds: []kind{
 			{share: 30, minPrompt: 10_000, maxPrompt: 50_000, minOutput: 120, maxOutput: 240, shared: 60,
@@ -80,7 +80,7 @@
 func registry() deployment {
 	return deployment{
 		name:  "registry",
-		zones: []work.Zone{"nyarugenge-hall", "gasabo-hall", "kicukiro-hall"}, prefills: 2, decodes: 1,
+		zones: []domain.Zone{"nyarugenge-hall", "gasabo-hall", "kicukiro-hall"}, prefills: 2, decodes: 1,
 		callers: 24, prefixes: 60,
 		kinds: []kind{
 			{share: 25, minPrompt: 8000, maxPrompt: 24_000, minOutput: 120, maxOutput: 240, shared: 80,
@@ -101,7 +101,7 @@
 // on which are served, and longer than real ones, which changes nothing but the
 // number of events.
 func wallapp() deployment {
-	row := func(k work.Kind, priority int) table.Row {
+	row := func(k domain.Kind, priority int) table.Row {
 		return table.Row{Kind: k, Priority: priority, Idempotent: priority < 8, Deadline: target(2 * time.Second)}
 	}
 	const takes = 200 * time.Millisecond
--- a/bench/engine.go
+++ b/bench/engine.go
@@ -6,16 +6,16 @@
 	"time"
 
 	"jacinthworks/admit"
+	"jacinthworks/domain"
 	"jacinthworks/route"
-	"jacinthworks/work"
 )
 
 // prefillEngine fills prompts one after the other.
 type prefillEngine struct {
 	c      *clock
 	random *rand.Rand
-	host   work.Host
-	zone   work.Zone
+	host   domain.Host
+	zone   domain.Zone
 	// slow is how many times slower than its peers the engine is; zero is one.
 	slow  float64
 	dead  bool
@@ -138,7 +138,7 @@
 
 // link is a shared link that passes transfers one after the other.
 type link struct {
-	path route.Path
+	path route.ZonePair
 	rate float64
 	free time.Time
 }
--- a/bench/entry.go
+++ b/bench/entry.go
@@ -6,9 +6,9 @@
 	"time"
 
 	"jacinthworks/admit"
+	"jacinthworks/domain"
 	"jacinthworks/queue"
 	"jacinthworks/route"
-	"jacinthworks/work"
 )
 
 // entry is one entry host's decisions for the service.
@@ -17,20 +17,20 @@
 	off     string
 	random  *rand.Rand
 	queue   queue.Queue
-	model   route.Model
-	apps    route.Apps
-	pace    queue.Pace
-	waiting map[work.RequestID]*request
+	model   route.EngineSelector
+	apps    route.AppSelector
+	pace    queue.LatencyEstimator
+	waiting map[domain.RequestID]*request
 	// lapse is the time of the next look at lapsed items.
 	lapse time.Time
 }
 
 func newEntry(w *world, off string, seed uint64) *entry {
-	e := &entry{w: w, off: off, waiting: make(map[work.RequestID]*request)}
+	e := &entry{w: w, off: off, waiting: make(map[domain.RequestID]*request)}
 	e.random = rand.New(rand.NewPCG(seed, 2))
-	e.queue.Limits.Items = 200
+	e.queue.Limits.MaxItems = 200
 	if off == "short_only" {
-		e.model.Prefills.ShortOnly = -1
+		e.model.Prefills.ShortOnlyEvery = -1
 	}
 	return e
 }
@@ -38,26 +38,26 @@
 // job is the request as routing sees it.
 func (e *entry) job(r *request) route.Job {
 	j := route.Job{
-		Prompt:              r.prompt,
-		Output:              r.output,
+		PromptTokens:        r.prompt,
+		MaxOutputTokens:     r.output,
 		Prefix:              r.prefix,
 		PrefixTokens:        r.prefixTokens,
 		KVBytes:             int64(r.prompt) * kvBytes,
-		KVLife:              kvLife,
-		FirstToken:          time.Duration(r.kind.row.FirstToken),
+		KVLifetime:          kvLife,
+		FirstTokenTarget:    time.Duration(r.kind.row.FirstToken),
 		TokenGap:            time.Duration(r.kind.row.TokenGap),
-		LongestWait:         admit.PrefillQueue,
+		MaxQueueWait:        admit.MaxPrefillQueueTime,
 		WastedPrefillWeight: r.kind.row.WastedPrefillWeight,
 	}
 	switch e.off {
 	case "cache_belief":
 		j.Prefix = 0
 	case "kv_life":
-		j.KVLife = 0
+		j.KVLifetime = 0
 	case "token_gap":
 		j.TokenGap = 0
 	case "prefill_bound":
-		j.LongestWait = 0
+		j.MaxQueueWait = 0
 	}
 	return j
 }
@@ -65,17 +65,17 @@
 // item is the request as the queue sees it.
 func (e *entry) item(r *request) queue.Item {
 	i := queue.Item{
-		ID:         r.id,
-		Account:    r.caller.account,
-		Key:        r.key,
-		Priority:   r.kind.row.Priority,
-		Prompt:     r.prompt,
-		Output:     r.output,
-		FirstToken: r.firstTarget(), // for a plain call its deadline
-		Deadline:   r.deadline(),
-		MayWait:    r.kind.row.MayWait,
-	}
-	i.ToFirstToken, i.ToEnd = e.pace.Estimate(i.Prompt, i.Output)
+		ID:                 r.id,
+		Account:            r.caller.account,
+		Key:                r.key,
+		Priority:           r.kind.row.Priority,
+		PromptTokens:       r.prompt,
+		MaxOutputTokens:    r.output,
+		FirstTokenDeadline: r.firstTarget(), // for a plain call its deadline
+		Deadline:           r.deadline(),
+		MayWait:            r.kind.row.MayWait,
+	}
+	i.FirstTokenLatency, i.TotalLatency = e.pace.Estimate(i.PromptTokens, i.MaxOutputTokens)
 	return e.withoutOne(i)
 }
 
@@ -83,26 +83,26 @@
 func (e *entry) withoutOne(i queue.Item) queue.Item {
 	switch e.off {
 	case "refusal":
-		i.FirstToken, i.Deadline = time.Time{}, time.Time{}
+		i.FirstTokenDeadline, i.Deadline = time.Time{}, time.Time{}
 	case "fair_queueing":
 		i.Account = ""
 	case "priority":
 		i.Priority = 0
 	case "yielding":
 		if i.MayWait { // without a target the item is as patient, but never yields
-			i.MayWait, i.FirstToken = false, time.Time{}
+			i.MayWait, i.FirstTokenDeadline = false, time.Time{}
 		}
 	case "hot_key":
 		i.Key = 0
 	case "lanes":
-		i.Prompt, i.Output = 0, i.Cost()/queue.OutputCost
+		i.PromptTokens, i.MaxOutputTokens = 0, i.Cost()/queue.OutputTokenCost
 	}
 	return i
 }
 
 func (e *entry) arrive(r *request) {
 	e.waiting[r.id] = r
-	v := e.queue.Arrive(e.w.now, e.item(r), e.random)
+	v := e.queue.Enqueue(e.w.now, e.item(r), e.random)
 	if v.Refusal != nil {
 		e.refuse(r.id, v.Refusal)
 	}
@@ -112,7 +112,7 @@
 	e.pump()
 }
 
-func (e *entry) refuse(id work.RequestID, f *queue.Refusal) {
+func (e *entry) refuse(id domain.RequestID, f *queue.Refusal) {
 	r := e.waiting[id]
 	delete(e.waiting, id)
 	r.retryAfter = f.RetryAfter
@@ -124,13 +124,13 @@
 
 // pump hands over what there is room for.
 func (e *entry) pump() {
-	lapsed := e.queue.Lapsed(e.w.now, e.random)
+	lapsed := e.queue.RemoveExpired(e.w.now, e.random)
 	for n := range lapsed {
 		e.refuse(lapsed[n].Item.ID, &lapsed[n].Refusal)
 	}
 	longest := queue.AnyPrompt
 	for {
-		i, ok := e.queue.Next(e.w.now, longest)
+		i, ok := e.queue.Dequeue(e.w.now, longest)
 		if !ok {
 			break
 		}
@@ -139,18 +139,18 @@
 			delete(e.waiting, i.ID)
 			continue
 		}
-		e.queue.Return(e.w.now, i)
-		if i.Prompt < queue.LongPrompt {
+		e.queue.Requeue(e.w.now, i)
+		if i.PromptTokens < queue.LongPromptTokens {
 			break
 		}
-		longest = queue.LongPrompt - 1
+		longest = queue.LongPromptTokens - 1
 	}
 	e.watch()
 }
 
 // watch looks again when the next item lapses.
 func (e *entry) watch() {
-	next, ok := e.queue.NextLapse()
+	next, ok := e.queue.NextExpiry()
 	if !ok || !e.lapse.Before(e.w.now) && !next.Before(e.lapse) {
 		return
 	}
@@ -172,10 +172,10 @@
 		if !ok {
 			return false
 		}
-		if !e.reserve(r, pair, j.Prompt-g.Chosen.Cached) {
+		if !e.reserve(r, pair, j.PromptTokens-g.Chosen.Cached) {
 			continue
 		}
-		r.pair, r.left, r.toFill = pair, e.w.now, j.Prompt
+		r.pair, r.left, r.toFill = pair, e.w.now, j.PromptTokens
 		if e.off != "own_counts" {
 			e.model.Started(e.w.now, pair, j)
 		}
@@ -187,13 +187,13 @@
 
 // reserve takes room at both sides, for a prefill of the given tokens. A refusal carries the exact room, which is
 // taken as a report.
-func (e *entry) reserve(r *request, pair route.Pair, fill int) bool {
+func (e *entry) reserve(r *request, pair route.EnginePair, fill int) bool {
 	p, d := e.w.prefillAt(pair.Prefill), e.w.decodeAt(pair.Decode)
 	key := admit.Key{Request: r.id, Attempt: r.attempt}
 	until := r.deadline()
 	var short *admit.Refusal
 	if e.off != "reservations" {
-		err := d.ledger.Reserve(e.w.now, key, admit.Need{Requests: 1, Tokens: r.prompt + r.output}, until)
+		err := d.ledger.Reserve(e.w.now, key, admit.Demand{Requests: 1, Tokens: r.prompt + r.output}, until)
 		if errors.As(err, &short) {
 			e.model.Decodes.Update(d.host, d.zone, e.w.now, d.report())
 			return false
@@ -201,7 +201,7 @@
 	}
 	if e.off != "prefill_bound" {
 		p.ledger.Limits = p.limits()
-		err := p.ledger.Reserve(e.w.now, key, admit.Need{Requests: 1, Tokens: fill}, until)
+		err := p.ledger.Reserve(e.w.now, key, admit.Demand{Requests: 1, Tokens: fill}, until)
 		if errors.As(err, &short) {
 			d.ledger.Release(key)
 			e.model.Prefills.Update(p.host, p.zone, e.w.now, p.report())
--- a/bench/load.go
+++ b/bench/load.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"time"
 
-	"jacinthworks/work"
+	"jacinthworks/domain"
 )
 
 // The times of a run. What is sent in the window from warm to stop is judged.
@@ -24,7 +24,7 @@
 
 // caller is an account.
 type caller struct {
-	account work.Account
+	account domain.Account
 	honours bool
 	// extra is a caller that a scenario adds, whose own goodput is not judged.
 	extra bool
@@ -42,7 +42,7 @@
 	l := &load{w: w, random: rand.New(rand.NewPCG(seed, 3)), tally: t}
 	for n := range w.deployment.callers {
 		l.callers = append(l.callers, &caller{
-			account: work.Account(fmt.Sprintf("caller-%02d", n)), honours: n%impatient != 0,
+			account: domain.Account(fmt.Sprintf("caller-%02d", n)), honours: n%impatient != 0,
 		})
 	}
 	return l
--- a/bench/naive.go
+++ b/bench/naive.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"jacinthworks/work"
+	"jacinthworks/domain"
 )
 
 // maxAttempts bounds how often one send is filled, under every policy.
@@ -14,10 +14,10 @@
 type naive struct {
 	w                   *world
 	nextFill, nextToken int
-	lost                map[work.Host]bool
+	lost                map[domain.Host]bool
 }
 
-func newNaive(w *world) *naive { return &naive{w: w, lost: make(map[work.Host]bool)} }
+func newNaive(w *world) *naive { return &naive{w: w, lost: make(map[domain.Host]bool)} }
 
 func (n *naive) arrive(r *request) {
 	if len(n.w.apps) > 0 {
@@ -74,7 +74,7 @@
 	n.arrive(r)
 }
 
-func (n *naive) down(h work.Host, lost []*request) {
+func (n *naive) down(h domain.Host, lost []*request) {
 	n.lost[h] = true
 	for _, r := range lost {
 		n.evicted(r)
--- a/bench/request.go
+++ b/bench/request.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
+	"jacinthworks/domain"
 	"jacinthworks/route"
-	"jacinthworks/work"
 )
 
 // outcome is what a caller received for one send.
@@ -20,10 +20,10 @@
 
 // request is one send of a caller.
 type request struct {
-	id      work.RequestID
+	id      domain.RequestID
 	caller  *caller
 	kind    *kind
-	attempt work.Attempt
+	attempt domain.Attempt
 	prompt  int
 	output  int
 	// prefix names the document; key is the hash of the body.
@@ -45,7 +45,7 @@
 	prefill *prefillEngine
 	decode  *decodeEngine
 	app     *appServer
-	pair    route.Pair
+	pair    route.EnginePair
 	// filled counts prompt tokens that engines filled for the request.
 	filled int
 	done   func(r *request)
--- a/bench/scenario.go
+++ b/bench/scenario.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"jacinthworks/work"
+	"jacinthworks/domain"
 )
 
 // Times of what happens within a run.
@@ -140,7 +140,7 @@
 	body := l.w.deployment.draw(l.random, 2)
 	crowd := make([]*caller, hotKeyCallers)
 	for n := range crowd {
-		crowd[n] = &caller{account: work.Account(fmt.Sprintf("crowd-%02d", n)), honours: true, extra: true}
+		crowd[n] = &caller{account: domain.Account(fmt.Sprintf("crowd-%02d", n)), honours: true, extra: true}
 	}
 	return func() *request {
 		r := *body
--- a/bench/side.go
+++ b/bench/side.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"jacinthworks/admit"
+	"jacinthworks/domain"
 	"jacinthworks/route"
-	"jacinthworks/work"
 )
 
 // Reports are made every reportEvery and arrive reportLag later.
@@ -29,12 +29,12 @@
 type sides struct {
 	w       *world
 	entries []*entry
-	owner   map[work.RequestID]*entry
-	lost    map[work.Host]bool
+	owner   map[domain.RequestID]*entry
+	lost    map[domain.Host]bool
 }
 
 func newSides(w *world, off string, seed uint64) *sides {
-	s := &sides{w: w, owner: make(map[work.RequestID]*entry), lost: make(map[work.Host]bool)}
+	s := &sides{w: w, owner: make(map[domain.RequestID]*entry), lost: make(map[domain.Host]bool)}
 	for n := range entries {
 		s.entries = append(s.entries, newEntry(w, off, seed+uint64(n)<<32))
 	}
@@ -169,7 +169,7 @@
 	delete(e.waiting, r.id)
 }
 
-func (s *sides) down(h work.Host, lost []*request) {
+func (s *sides) down(h domain.Host, lost []*request) {
 	s.lost[h] = true
 	for _, e := range s.entries {
 		e.model.Prefills.Remove(h)
@@ -182,8 +182,8 @@
 }
 
 func (e *prefillEngine) limits() admit.Limits {
-	bound := int(admit.PrefillQueue.Seconds() * e.rateMeasured())
-	return admit.Limits{Requests: 64, Tokens: bound + e.progress(), Ahead: true}
+	bound := int(admit.MaxPrefillQueueTime.Seconds() * e.rateMeasured())
+	return admit.Limits{Requests: 64, Tokens: bound + e.progress(), QueuedOnly: true}
 }
 
 func (e *prefillEngine) rateMeasured() float64 {
@@ -205,7 +205,7 @@
 }
 
 func (e *decodeEngine) report() route.DecodeReport {
-	room := e.ledger.Room(e.c.now)
+	room := e.ledger.Capacity(e.c.now)
 	held := decodeSlots - room.FreeRequests
 	if held < len(e.batch) { // without reservations only the batch shows
 		room.FreeRequests, room.FreeTokens = decodeSlots-len(e.batch), decodeMemory-e.used()
@@ -221,7 +221,7 @@
 	}
 }
 
-func (w *world) prefillAt(h work.Host) *prefillEngine {
+func (w *world) prefillAt(h domain.Host) *prefillEngine {
 	for _, e := range w.prefills {
 		if e.host == h {
 			return e
@@ -230,7 +230,7 @@
 	return nil
 }
 
-func (w *world) decodeAt(h work.Host) *decodeEngine {
+func (w *world) decodeAt(h domain.Host) *decodeEngine {
 	for _, e := range w.decodes {
 		if e.host == h {
 			return e
--- a/bench/tally.go
+++ b/bench/tally.go
@@ -66,7 +66,7 @@
 func (t *tally) count(r *request, good int) {
 	t.sends++
 	t.good += good
-	t.goodCost += good * queue.Item{Prompt: r.prompt, Output: r.output}.Cost()
+	t.goodCost += good * queue.Item{PromptTokens: r.prompt, MaxOutputTokens: r.output}.Cost()
 	if r.outcome == refused {
 		t.refused++
 	}
--- a/bench/world.go
+++ b/bench/world.go
@@ -5,8 +5,8 @@
 	"math/rand/v2"
 	"time"
 
+	"jacinthworks/domain"
 	"jacinthworks/route"
-	"jacinthworks/work"
 )
 
 // detection is how long a lost engine goes unnoticed, under every policy.
@@ -26,7 +26,7 @@
 	// gone is called when the caller's deadline passed.
 	gone(r *request)
 	// down is called when an engine is known to be lost, with its requests.
-	down(h work.Host, lost []*request)
+	down(h domain.Host, lost []*request)
 }
 
 // world is one run: a deployment's engines and links under one policy.
@@ -51,17 +51,17 @@
 	for _, z := range d.zones {
 		for n := range d.apps {
 			w.apps = append(w.apps, &appServer{
-				c: w.clock, random: w.random, zone: z, host: work.Host(fmt.Sprintf("app-%s-%d", z, n)), ended: w.answered,
+				c: w.clock, random: w.random, zone: z, host: domain.Host(fmt.Sprintf("app-%s-%d", z, n)), ended: w.answered,
 			})
 		}
 		for n := range d.prefills {
-			e := &prefillEngine{c: w.clock, random: w.random, zone: z, host: work.Host(fmt.Sprintf("prefill-%s-%d", z, n))}
+			e := &prefillEngine{c: w.clock, random: w.random, zone: z, host: domain.Host(fmt.Sprintf("prefill-%s-%d", z, n))}
 			e.cache.changed = func(uint64, int, bool) {}
 			e.filled = func(r *request, evict time.Time) { w.policy.filled(r, evict) }
 			w.prefills = append(w.prefills, e)
 		}
 		for n := range d.decodes {
-			e := &decodeEngine{c: w.clock, zone: z, host: work.Host(fmt.Sprintf("decode-%s-%d", z, n)), settled: epoch}
+			e := &decodeEngine{c: w.clock, zone: z, host: domain.Host(fmt.Sprintf("decode-%s-%d", z, n)), settled: epoch}
 			e.ended = w.answered
 			w.decodes = append(w.decodes, e)
 		}
@@ -70,7 +70,7 @@
 			if to == z {
 				rate = inZoneRate
 			}
-			w.links = append(w.links, &link{path: route.Path{From: z, To: to}, rate: rate})
+			w.links = append(w.links, &link{path: route.ZonePair{From: z, To: to}, rate: rate})
 		}
 	}
 	return w
@@ -79,7 +79,7 @@
 // send takes in a request and ends it at its deadline.
 func (w *world) send(r *request) {
 	w.ids++
-	r.id = work.RequestID(fmt.Sprintf("r%07d", w.ids))
+	r.id = domain.RequestID(fmt.Sprintf("r%07d", w.ids))
 	r.sent = w.now
 	r.attempt = 1
 	w.at(r.deadline(), func() { w.end(r, gone) })
@@ -122,7 +122,7 @@
 
 // transfer asks the decode engine to import the request's cache.
 func (w *world) transfer(r *request, evict time.Time) {
-	path := route.Path{From: r.prefill.zone, To: r.decode.zone}
+	path := route.ZonePair{From: r.prefill.zone, To: r.decode.zone}
 	for _, l := range w.links {
 		if l.path == path {
 			r.decode.take(&arrival{r: r, evict: evict, path: l, lost: w.policy.evicted})
@@ -132,7 +132,7 @@
 }
 
 // loseZone loses every engine of the zone, or only the first prefill engine.
-func (w *world) loseZone(z work.Zone, all bool) {
+func (w *world) loseZone(z domain.Zone, all bool) {
 	if len(w.apps) > 0 {
 		w.loseApp()
 		return
--- a/claim/adopt.go
+++ b/claim/adopt.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Adopt takes a newer record. An owner goes on at its new epoch, but hands its
+// Apply takes a newer record. An owner goes on at its new epoch, but hands its
 // table to rank 0 if that is another process and live says so, or if it is no
 // member itself. Under the first record ever, rank 0 starts at once. In every
 // other case the caller decides when to Start. A nil live stands for "no": the
 // answer decides where the shard is owned and never whether a key runs twice.
-func (o *Owner) Adopt(rec Record, live func(Process) bool, now time.Time) error {
+func (o *Owner) Apply(rec Record, live func(Process) bool, now time.Time) error {
 	for _, p := range replaced(rec) {
-		o.Lost(p, now)
+		o.MarkLost(p, now)
 	}
 	if len(rec.Members) == 0 {
 		return nil
--- a/claim/bench_test.go
+++ b/claim/bench_test.go
@@ -9,14 +9,14 @@
 
 	"github.com/stretchr/testify/require"
 
-	"jacinthworks/work"
+	"jacinthworks/domain"
 )
 
 // benchAsk gives a claim as entries send it: a UUID as key and a request id
 // with the entry's name.
-func benchAsk(i int, runner Process) ClaimAsk {
-	return ClaimAsk{Key: Key{Account: "tollygunge", Name: fmt.Sprintf("%032x-key", i)},
-		Try:  Try{Request: work.RequestID("entry-12.1764700000." + strconv.Itoa(i)), Attempt: 1},
+func benchAsk(i int, runner Process) Request {
+	return Request{Key: Key{Account: "tollygunge", Name: fmt.Sprintf("%032x-key", i)},
+		Try:  AttemptID{Request: domain.RequestID("entry-12.1764700000." + strconv.Itoa(i)), Attempt: 1},
 		Body: Body(i), Runner: runner}
 }
 
@@ -29,7 +29,7 @@
 
 func BenchmarkClaim(b *testing.B) {
 	o, runner := benchOwner(b)
-	asks := make([]ClaimAsk, b.N)
+	asks := make([]Request, b.N)
 	for i := range asks {
 		asks[i] = benchAsk(i, runner)
 	}
@@ -47,7 +47,7 @@
 	list := make([]Dispatch, b.N)
 	for i := range list {
 		ask := benchAsk(i, r.Self)
-		list[i] = Dispatch{Stamp: Stamp{Key: ask.Key, Epoch: Epoch{1, 0}}, Try: ask.Try, Body: ask.Body, To: r.Self}
+		list[i] = Dispatch{Token: Token{Key: ask.Key, Epoch: Epoch{1, 0}}, Try: ask.Try, Body: ask.Body, To: r.Self}
 	}
 	b.ReportAllocs()
 	b.ResetTimer()
@@ -116,7 +116,7 @@
 	runners := f.record.Eligible(0)
 	var replies []FenceReply
 	for i, p := range runners {
-		r := FenceReply{Epoch: Epoch{1, 1}, Runner: p, Before: Epoch{1, 0}, Vouched: 1}
+		r := FenceReply{Epoch: Epoch{1, 1}, Runner: p, Before: Epoch{1, 0}, RestoredVersion: 1}
 		for j := range 341 {
 			ask := benchAsk(i*341+j, p)
 			r.Entries = append(r.Entries, Entry{Key: ask.Key, Try: ask.Try, Runner: p, State: StateRan})
@@ -150,7 +150,7 @@
 func BenchmarkLearn(b *testing.B) {
 	f := newFleet(b, 9)
 	for range MaxPast {
-		next := f.record.Succeed(f.record.Members)
+		next := f.record.Next(f.record.Members)
 		next.Version = f.record.Version + 1
 		f.record = next
 	}
@@ -160,7 +160,7 @@
 	b.ResetTimer()
 	for range b.N {
 		f.record.Version++
-		_, err := book.Learn(f.record, modelNow)
+		_, err := book.Apply(f.record, modelNow)
 		require.NoError(b, err)
 	}
 	b.ReportMetric(float64(len(book.Owned())), "shards")
--- a/claim/book.go
+++ b/claim/book.go
@@ -7,14 +7,14 @@
 	"github.com/pkg/errors"
 )
 
-// Book holds the owner and the runner of every shard in one process, and finds
+// Ledger holds the owner and the runner of every shard in one process, and finds
 // the shard that a message is for. Self must be set before its first use; the
 // rest of the zero value is ready to use. A Book is safe for concurrent use
 // and must not be copied.
 //
 // Lock order: Book.mu (the record) before a shard's mu. No method holds the
 // locks of two shards at once.
-type Book struct {
+type Ledger struct {
 	// Self is the process that the book belongs to.
 	Self Process
 	// Limits bounds what each shard remembers.
@@ -44,7 +44,7 @@
 }
 
 // lock gives a shard with its mu held.
-func (b *Book) lock(number Shard) (*shard, error) {
+func (b *Ledger) lock(number Shard) (*shard, error) {
 	if number >= Shards {
 		return nil, errors.Errorf("claim: no such shard: %d", number)
 	}
@@ -58,15 +58,15 @@
 }
 
 // Record gives the newest record learned; its Version is zero before that.
-func (b *Book) Record() Record {
+func (b *Ledger) Record() Record {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.record
 }
 
-// Learn takes a record from the platform or from a peer. One that is not newer
+// Apply takes a record from the platform or from a peer. One that is not newer
 // changes nothing: a book never goes back to a lower version.
-func (b *Book) Learn(rec Record, now time.Time) (Outbox, error) {
+func (b *Ledger) Apply(rec Record, now time.Time) (Outbox, error) {
 	var out Outbox
 	if err := rec.Check(); err != nil {
 		return out, errors.Wrap(err, "claim: record")
@@ -82,8 +82,8 @@
 		if err != nil {
 			return out, err
 		}
-		s.runner.Learn(rec)
-		err = s.owner.Adopt(rec, b.Live, now)
+		s.runner.Apply(rec)
+		err = s.owner.Apply(rec, b.Live, now)
 		out.add(s.owner.Pending(now))
 		s.mu.Unlock()
 		if err != nil {
@@ -97,7 +97,7 @@
 // peer has been heard to own the shard for a time that grows with that rank.
 // A needless call costs one round of fences and stops no grant that a runner
 // has accepted.
-func (b *Book) TakeOver(number Shard, now time.Time) (Outbox, error) {
+func (b *Ledger) TakeOver(number Shard, now time.Time) (Outbox, error) {
 	rec := b.Record()
 	s, err := b.lock(number)
 	if err != nil {
@@ -111,7 +111,7 @@
 // Retire hands a shard to another member at a planned stop, and claims nothing
 // for it from then on. Send the handover until Delivered. It gives an empty
 // Outbox if this process does not own the shard with a complete view.
-func (b *Book) Retire(number Shard, heir Process, now time.Time) (Outbox, error) {
+func (b *Ledger) Retire(number Shard, heir Process, now time.Time) (Outbox, error) {
 	rec := b.Record()
 	s, err := b.lock(number)
 	if err != nil {
@@ -130,7 +130,7 @@
 }
 
 // Delivered notes that the heir took the handover, or has no more use for it.
-func (b *Book) Delivered(number Shard) error {
+func (b *Ledger) Delivered(number Shard) error {
 	s, err := b.lock(number)
 	if err != nil {
 		return err
@@ -140,10 +140,10 @@
 	return nil
 }
 
-// TakeHandover takes a predecessor's table and starts to own its shard. It
+// AcceptHandover takes a predecessor's table and starts to own its shard. It
 // reports false if this process has not learned the record of the handover's
 // epoch yet; the sender tries again.
-func (b *Book) TakeHandover(h Handover, now time.Time) (Outbox, bool, error) {
+func (b *Ledger) AcceptHandover(h Handover, now time.Time) (Outbox, bool, error) {
 	rec := b.Record()
 	s, err := b.lock(h.Shard)
 	if err != nil {
@@ -151,18 +151,18 @@
 	}
 	defer s.mu.Unlock()
 	s.owner.StartAt(rec, h.Epoch, now)
-	taken := s.owner.TakeHandover(h, now)
+	taken := s.owner.AcceptHandover(h, now)
 	return s.owner.Pending(now), taken, nil
 }
 
-// Lost notes that a process has ended for sure; see Owner.Lost. A restart that
+// MarkLost notes that a process has ended for sure; see Owner.MarkLost. A restart that
 // shows in the record is noted by Learn.
-func (b *Book) Lost(p Process, now time.Time) {
-	b.each(func(s *shard) { s.owner.Lost(p, now) })
+func (b *Ledger) MarkLost(p Process, now time.Time) {
+	b.each(func(s *shard) { s.owner.MarkLost(p, now) })
 }
 
 // Pending gives all messages that wait for an answer. Call it by a timer.
-func (b *Book) Pending(now time.Time) Outbox {
+func (b *Ledger) Pending(now time.Time) Outbox {
 	var out Outbox
 	b.each(func(s *shard) { out.add(s.owner.Pending(now)) })
 	return out
@@ -170,7 +170,7 @@
 
 // Expire forgets keys past their retention. Call it every few minutes: it
 // walks every key, a shard at a time.
-func (b *Book) Expire(now time.Time) {
+func (b *Ledger) Expire(now time.Time) {
 	b.each(func(s *shard) {
 		s.owner.Expire(now)
 		s.runner.Expire(now)
@@ -179,14 +179,14 @@
 
 // Overdue gives the questions to ask about keys granted longer than age ago;
 // see Owner.Overdue. Give the answers to Resolve.
-func (b *Book) Overdue(age time.Duration, now time.Time) []AskOrder {
-	var list []AskOrder
+func (b *Ledger) Overdue(age time.Duration, now time.Time) []StatusRequest {
+	var list []StatusRequest
 	b.each(func(s *shard) { list = append(list, s.owner.Overdue(age, now)...) })
 	return list
 }
 
 // Owned gives the shards that this process owns or is taking over.
-func (b *Book) Owned() []Ownership {
+func (b *Ledger) Owned() []Ownership {
 	var list []Ownership
 	b.each(func(s *shard) {
 		if s.owner.owns() {
@@ -198,7 +198,7 @@
 }
 
 // Keys gives the number of keys remembered as owner and as runner.
-func (b *Book) Keys() (owned, run int) {
+func (b *Ledger) Keys() (owned, run int) {
 	b.each(func(s *shard) {
 		owned += len(s.owner.keys) + len(s.owner.legacy)
 		run += s.runner.size()
@@ -206,7 +206,7 @@
 	return owned, run
 }
 
-func (b *Book) each(visit func(*shard)) {
+func (b *Ledger) each(visit func(*shard)) {
 	for i := range b.shards {
 		s, err := b.lock(Shard(i))
 		if err != nil {
--- a/claim/claim.go
+++ b/claim/claim.go
@@ -15,7 +15,7 @@
 // Each side holds one Book. The entry that has a keyed request asks the owner,
 // then sends the request to the runner with the stamp it was given:
 //
-//	b := claim.Book{Self: self}                      // on every side
+//	b := claim.Ledger{Self: self}                      // on every side
 //	out, err := b.Learn(record, now)                 // send what out holds
 //	g, err := b.Claim(ask, now)                      // on the owner
 //	err = b.Accept(dispatch, now)                    // on the runner, before its upstream
@@ -32,7 +32,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"jacinthworks/work"
+	"jacinthworks/domain"
 )
 
 // Shards is the number of shards that keys are spread over. With 9 members
@@ -45,8 +45,8 @@
 // Key names one unrepeatable request of an account: the Idempotency-Key as
 // given by the caller, in that account's own space.
 type Key struct {
-	Account work.Account `json:"account"`
-	Name    string       `json:"name"`
+	Account domain.Account `json:"account"`
+	Name    string         `json:"name"`
 }
 
 // Shard gives the shard that the key falls in.
@@ -66,15 +66,15 @@
 // HashBody gives the hash of a body.
 func HashBody(body []byte) Body { return Body(xxhash.Sum64(body)) }
 
-// Try is one attempt of one request. Claims are made and settled by try and
+// AttemptID is one attempt of one request. Claims are made and settled by try and
 // not by request: a late "not run" of attempt 1 must not free attempt 2.
-type Try struct {
-	Request work.RequestID `json:"request"`
-	Attempt work.Attempt   `json:"attempt"`
+type AttemptID struct {
+	Request domain.RequestID `json:"request"`
+	Attempt domain.Attempt   `json:"attempt"`
 }
 
 // String gives the request and the attempt.
-func (t Try) String() string {
+func (t AttemptID) String() string {
 	return string(t.Request) + "/" + strconv.FormatUint(uint64(t.Attempt), 10)
 }
 
--- a/claim/fleet_test.go
+++ b/claim/fleet_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"jacinthworks/work"
+	"jacinthworks/domain"
 )
 
 // TestMain fixes the seed of the random tests, so that each run is the same.
@@ -28,17 +28,17 @@
 	t      require.TestingT
 	now    time.Time
 	record Record
-	books  map[work.Host]*Book
-	silent map[work.Host]bool
+	books  map[domain.Host]*Ledger
+	silent map[domain.Host]bool
 }
 
 // newFleet gives n members spread over three zones under the first record.
 func newFleet(t require.TestingT, n int) *fleet {
-	f := &fleet{t: t, now: modelNow, books: map[work.Host]*Book{}, silent: map[work.Host]bool{}}
+	f := &fleet{t: t, now: modelNow, books: map[domain.Host]*Ledger{}, silent: map[domain.Host]bool{}}
 	f.record = Record{Generation: Generation{Version: 1, First: true}}
-	zones := []work.Zone{"salt-lake", "new-town", "howrah"}
+	zones := []domain.Zone{"salt-lake", "new-town", "howrah"}
 	for i := range n {
-		m := Member{Host: work.Host(fmt.Sprintf("side-%d", i)), Zone: zones[i%3], Incarnation: 1}
+		m := Member{Host: domain.Host(fmt.Sprintf("side-%d", i)), Zone: zones[i%3], Incarnation: 1}
 		f.record.Members = append(f.record.Members, m)
 		f.books[m.Host] = f.book(m)
 	}
@@ -46,8 +46,8 @@
 	return f
 }
 
-func (f *fleet) book(m Member) *Book {
-	return &Book{Self: m.Process(), Live: func(p Process) bool { return !f.silent[p.Host] }}
+func (f *fleet) book(m Member) *Ledger {
+	return &Ledger{Self: m.Process(), Live: func(p Process) bool { return !f.silent[p.Host] }}
 }
 
 // publish lets all members learn a record.
@@ -55,7 +55,7 @@
 	f.record = rec
 	for _, m := range rec.Members {
 		if !f.silent[m.Host] {
-			out, err := f.books[m.Host].Learn(rec, f.now)
+			out, err := f.books[m.Host].Apply(rec, f.now)
 			require.NoError(f.t, err)
 			f.deliver(out)
 		}
@@ -68,7 +68,7 @@
 }
 
 // replace publishes the members with another incarnation of one host.
-func (f *fleet) replace(host work.Host) {
+func (f *fleet) replace(host domain.Host) {
 	var list []Member
 	for _, m := range f.record.Members {
 		if m.Host == host {
@@ -77,7 +77,7 @@
 		}
 		list = append(list, m)
 	}
-	next := f.record.Succeed(list)
+	next := f.record.Next(list)
 	next.Version = f.record.Version + 1
 	f.publish(next)
 }
@@ -105,7 +105,7 @@
 		}
 	}
 	for _, h := range out.Handovers {
-		next, taken, err := f.books[h.To.Host].TakeHandover(h, f.now)
+		next, taken, err := f.books[h.To.Host].AcceptHandover(h, f.now)
 		require.NoError(f.t, err)
 		for _, b := range f.books {
 			if taken && b.Self != h.To {
@@ -117,8 +117,8 @@
 }
 
 // owner gives the book that owns the shard at the newest epoch.
-func (f *fleet) owner(s Shard) *Book {
-	var best *Book
+func (f *fleet) owner(s Shard) *Ledger {
+	var best *Ledger
 	var newest Epoch
 	for host, b := range f.books {
 		for _, o := range b.Owned() {
@@ -131,14 +131,14 @@
 }
 
 // claim asks the key's owner, and gives the runner too.
-func (f *fleet) claim(k Key, try Try, body Body, pick int) (Grant, error) {
+func (f *fleet) claim(k Key, try AttemptID, body Body, pick int) (Grant, error) {
 	eligible := f.record.Eligible(k.Shard())
-	return f.owner(k.Shard()).Claim(ClaimAsk{Key: k, Try: try, Body: body,
+	return f.owner(k.Shard()).Claim(Request{Key: k, Try: try, Body: body,
 		Runner: eligible[pick%len(eligible)]}, f.now)
 }
 
 // send claims a key and, when granted, dispatches it.
-func (f *fleet) send(k Key, try Try, body Body, pick int) (Grant, error) {
+func (f *fleet) send(k Key, try AttemptID, body Body, pick int) (Grant, error) {
 	g, err := f.claim(k, try, body, pick)
 	if err != nil {
 		return g, err
@@ -147,19 +147,19 @@
 }
 
 func (f *fleet) accept(g Grant, body Body) error {
-	d := Dispatch{Stamp: g.Stamp, Try: g.Try, Body: body, To: g.Runner}
+	d := Dispatch{Token: g.Token, Try: g.Try, Body: body, To: g.Runner}
 	return f.books[g.Runner.Host].Accept(d, f.now)
 }
 
 // settle ends a try on its runner and tells the owner.
 func (f *fleet) settle(g Grant, state State) {
-	res, err := f.books[g.Runner.Host].Settle(g.Stamp.Key, g.Try, state, f.now)
+	res, err := f.books[g.Runner.Host].Settle(g.Token.Key, g.Try, state, f.now)
 	require.NoError(f.t, err)
-	require.NoError(f.t, f.owner(g.Stamp.Shard).Resolve(res, f.now))
+	require.NoError(f.t, f.owner(g.Token.Shard).Resolve(res, f.now))
 }
 
-func try(n int) Try {
-	return Try{Request: work.RequestID(fmt.Sprintf("entry-1.7.%d", n)), Attempt: 1}
+func try(n int) AttemptID {
+	return AttemptID{Request: domain.RequestID(fmt.Sprintf("entry-1.7.%d", n)), Attempt: 1}
 }
 
 func requireCode(t require.TestingT, want Code, err error) *Refusal {
--- a/claim/guard.go
+++ b/claim/guard.go
@@ -4,7 +4,7 @@
 // that it finds the double run that the guard prevents.
 type disabled struct {
 	fence     bool // Runner.Accept: refuse epochs below the fence
-	refusal   bool // Runner.Ask: refuse the asked try from now on
+	refusal   bool // Runner.Status: refuse the asked try from now on
 	address   bool // Runner: refuse what was sent to another incarnation
 	view      bool // Owner: wait for all eligible runners
 	vouched   bool // Owner: a restarted runner's list counts only once restored
--- a/claim/intern_test.go
+++ b/claim/intern_test.go
@@ -115,19 +115,19 @@
 	switch m := message.(type) {
 	case superseded:
 		return !n.owner.newest().Less(m.epoch)
-	case FenceOrder:
+	case FenceRequest:
 		return m.To != n.runner.Self || c.rounds == 0 && m.Epoch.Less(n.runner.fenced) ||
 			!c.cold && m.Epoch == n.runner.fenced
-	case Restore:
+	case RestoreRequest:
 		return m.To != n.runner.Self || m.Epoch.Less(n.runner.fenced)
 	case FenceReply:
 		a, heard := n.owner.heard[m.Runner]
-		known := n.owner.phase == phaseComplete && heard && a.vouched >= m.Vouched
+		known := n.owner.phase == phaseComplete && heard && a.vouched >= m.RestoredVersion
 		return m.Epoch.Less(n.owner.epoch) || m.Epoch == n.owner.epoch &&
 			(known || n.owner.phase == phaseNone || n.owner.phase == phaseRetired)
 	case RestoreReply:
 		return m.Epoch.Less(n.owner.epoch) || m.Epoch == n.owner.epoch &&
-			n.owner.heard[m.Runner].vouched >= m.Vouched
+			n.owner.heard[m.Runner].vouched >= m.RestoredVersion
 	case Handover:
 		return m.Epoch.Less(n.owner.epoch)
 	case Dispatch:
--- a/claim/message.go
+++ b/claim/message.go
@@ -46,59 +46,59 @@
 	return errors.Errorf("claim: no such state: %q", text)
 }
 
-// Stamp travels with a dispatch from the owner to the runner.
-type Stamp struct {
+// Token travels with a dispatch from the owner to the runner.
+type Token struct {
 	Shard Shard   `json:"shard"`
 	Key   Key     `json:"key"`
 	Epoch Epoch   `json:"epoch"`
 	Owner Process `json:"owner"`
 }
 
-// ClaimAsk asks the owner whether a try may run on a runner.
-type ClaimAsk struct {
-	Key    Key     `json:"key"`
-	Try    Try     `json:"try"`
-	Body   Body    `json:"body"`
-	Runner Process `json:"runner"`
+// Request asks the owner whether a try may run on a runner.
+type Request struct {
+	Key    Key       `json:"key"`
+	Try    AttemptID `json:"try"`
+	Body   Body      `json:"body"`
+	Runner Process   `json:"runner"`
 }
 
 // Grant is the owner's leave to dispatch a try, to this runner only.
 type Grant struct {
-	Stamp  Stamp   `json:"stamp"`
-	Try    Try     `json:"try"`
-	Runner Process `json:"runner"`
+	Token  Token     `json:"stamp"`
+	Try    AttemptID `json:"try"`
+	Runner Process   `json:"runner"`
 }
 
 // Dispatch is what the runner checks before it hands a request over.
 type Dispatch struct {
-	Stamp Stamp `json:"stamp"`
-	Try   Try   `json:"try"`
-	Body  Body  `json:"body"`
+	Token Token     `json:"stamp"`
+	Try   AttemptID `json:"try"`
+	Body  Body      `json:"body"`
 	// To is the runner of the grant. Another incarnation refuses.
 	To Process `json:"to"`
 }
 
 // Entry is a remembered key as it travels between processes.
 type Entry struct {
-	Key    Key     `json:"key"`
-	Try    Try     `json:"try"`
-	Body   Body    `json:"body"`
-	Runner Process `json:"runner"`
-	State  State   `json:"state"`
+	Key    Key       `json:"key"`
+	Try    AttemptID `json:"try"`
+	Body   Body      `json:"body"`
+	Runner Process   `json:"runner"`
+	State  State     `json:"state"`
 	// Age is the time since the key was granted, handed or settled. Ages
 	// travel in place of times, as clocks of hosts differ.
 	Age time.Duration `json:"age"`
 }
 
-// FenceOrder tells a runner to refuse older epochs and to list its keys.
-type FenceOrder struct {
+// FenceRequest tells a runner to refuse older epochs and to list its keys.
+type FenceRequest struct {
 	Shard Shard   `json:"shard"`
 	Epoch Epoch   `json:"epoch"`
 	Owner Process `json:"owner"`
 	To    Process `json:"to"`
 }
 
-// FenceReply acknowledges a FenceOrder.
+// FenceReply acknowledges a FenceRequest.
 type FenceReply struct {
 	Shard  Shard   `json:"shard"`
 	Epoch  Epoch   `json:"epoch"`
@@ -106,16 +106,16 @@
 	// Before is the epoch that the fence stood at before it was raised to
 	// Epoch; the same in each reply for one Epoch.
 	Before Epoch `json:"before"`
-	// Vouched is the record's version up to which this incarnation holds its
+	// RestoredVersion is the record's version up to which this incarnation holds its
 	// part of what may have run; zero for a restarted runner that has not
 	// been restored.
-	Vouched uint64  `json:"vouched"`
-	Entries []Entry `json:"entries,omitempty"`
+	RestoredVersion uint64  `json:"vouched"`
+	Entries         []Entry `json:"entries,omitempty"`
 }
 
-// Restore gives a runner the keys of the shard whose own runner is no longer
+// RestoreRequest gives a runner the keys of the shard whose own runner is no longer
 // eligible, and thereby vouches for the runner at Epoch.Version.
-type Restore struct {
+type RestoreRequest struct {
 	Shard   Shard   `json:"shard"`
 	Epoch   Epoch   `json:"epoch"`
 	To      Process `json:"to"`
@@ -124,10 +124,10 @@
 
 // RestoreReply acknowledges a Restore.
 type RestoreReply struct {
-	Shard   Shard   `json:"shard"`
-	Epoch   Epoch   `json:"epoch"`
-	Runner  Process `json:"runner"`
-	Vouched uint64  `json:"vouched"`
+	Shard           Shard   `json:"shard"`
+	Epoch           Epoch   `json:"epoch"`
+	Runner          Process `json:"runner"`
+	RestoredVersion uint64  `json:"vouched"`
 }
 
 // Handover carries an owner's table to its successor at a planned stop.
@@ -140,24 +140,24 @@
 	Entries []Entry `json:"entries,omitempty"`
 }
 
-// AskOrder asks a runner what became of a try that was granted to it.
-type AskOrder struct {
-	Key Key     `json:"key"`
-	Try Try     `json:"try"`
-	To  Process `json:"to"`
+// StatusRequest asks a runner what became of a try that was granted to it.
+type StatusRequest struct {
+	Key Key       `json:"key"`
+	Try AttemptID `json:"try"`
+	To  Process   `json:"to"`
 }
 
 // Resolution tells an owner what became of a try.
 type Resolution struct {
-	Key   Key   `json:"key"`
-	Try   Try   `json:"try"`
-	State State `json:"state"`
+	Key   Key       `json:"key"`
+	Try   AttemptID `json:"try"`
+	State State     `json:"state"`
 }
 
 // Outbox holds messages to send; each names its receiver in To. All may be
 // lost, repeated and reordered.
 type Outbox struct {
-	Fences    []FenceOrder
-	Restores  []Restore
+	Fences    []FenceRequest
+	Restores  []RestoreRequest
 	Handovers []Handover
 }
--- a/claim/model_test.go
+++ b/claim/model_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"jacinthworks/work"
+	"jacinthworks/domain"
 )
 
 // The model check walks all orders of events of a small deployment, breadth
@@ -109,12 +109,12 @@
 	bad       step
 }
 
-func members(incarnations ...work.Incarnation) []Member {
+func members(incarnations ...domain.Incarnation) []Member {
 	var list []Member
 	for i, n := range incarnations {
 		if n > 0 {
 			host := string(rune('a' + i))
-			list = append(list, Member{Host: work.Host(host), Zone: work.Zone("zone-" + host), Incarnation: n})
+			list = append(list, Member{Host: domain.Host(host), Zone: domain.Zone("zone-" + host), Incarnation: n})
 		}
 	}
 	return list
@@ -124,7 +124,7 @@
 func recordsOf(generations ...[]Member) []Record {
 	list := []Record{{Generation: Generation{Version: 1, First: true, Members: generations[0]}}}
 	for i, g := range generations[1:] {
-		next := list[i].Succeed(g)
+		next := list[i].Next(g)
 		next.Version = uint64(i + 2)
 		list = append(list, next)
 	}
@@ -163,8 +163,8 @@
 func establish(nodes []node, rec Record) {
 	for i := range nodes {
 		nodes[i].record = 0
-		nodes[i].runner.Learn(rec)
-		if nodes[i].owner.Adopt(rec, nil, modelNow) != nil {
+		nodes[i].runner.Apply(rec)
+		if nodes[i].owner.Apply(rec, nil, modelNow) != nil {
 			panic("adopt")
 		}
 	}
@@ -233,9 +233,11 @@
 
 func index(p Process) int { return int(p.Host[0] - 'a') }
 
-func modelTry(i int) Try { return Try{Request: work.RequestID(rune('0' + i)), Attempt: 1} }
+func modelTry(i int) AttemptID {
+	return AttemptID{Request: domain.RequestID(rune('0' + i)), Attempt: 1}
+}
 
-func tryBit(t Try) uint8 { return 1 << (t.Request[0] - '0') }
+func tryBit(t AttemptID) uint8 { return 1 << (t.Request[0] - '0') }
 
 // run walks until nothing is new, a violation is found or the bound is met.
 func (c *checker) run() {
--- a/claim/naive_test.go
+++ b/claim/naive_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"jacinthworks/work"
+	"jacinthworks/domain"
 )
 
 // naive is the whole of it where nothing fails: one map.
@@ -85,7 +85,7 @@
 				f.deliver(out)
 			},
 			"record": func(r *rapid.T) {
-				next := f.record.Succeed(f.record.Members)
+				next := f.record.Next(f.record.Members)
 				next.Version = f.record.Version + 1
 				f.publish(next)
 			},
@@ -97,7 +97,7 @@
 // under load. Each key is accepted by one runner once.
 func TestBooksAcceptEachKeyOnceUnderConcurrentEntries(t *testing.T) {
 	f := newFleet(t, 9)
-	owners := map[Shard]*Book{}
+	owners := map[Shard]*Ledger{}
 	for s := Shard(0); s < Shards; s++ {
 		owners[s] = f.owner(s)
 	}
@@ -108,7 +108,7 @@
 			for i := range 1000 {
 				k := Key{Account: "stud", Name: string(rune('a'+i%26)) + string(rune('0'+i/26))}
 				runners := f.record.Eligible(k.Shard())
-				ask := ClaimAsk{Key: k, Try: Try{Request: work.RequestID(rune('0' + e)), Attempt: work.Attempt(i)},
+				ask := Request{Key: k, Try: AttemptID{Request: domain.RequestID(rune('0' + e)), Attempt: domain.Attempt(i)},
 					Runner: runners[(e+i)%len(runners)]}
 				g, err := owners[k.Shard()].Claim(ask, f.now)
 				if err == nil && f.accept(g, 0) == nil {
--- a/claim/owner.go
+++ b/claim/owner.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"jacinthworks/work"
+	"jacinthworks/domain"
 )
 
 // phase is how far an ownership has come.
@@ -55,7 +55,7 @@
 // Claim gives a grant for a key that surely has not run, or a *Refusal. The
 // same try claimed twice is refused as in progress: ask the runner about it,
 // then claim with the next attempt.
-func (o *Owner) Claim(ask ClaimAsk, now time.Time) (Grant, error) {
+func (o *Owner) Claim(ask Request, now time.Time) (Grant, error) {
 	o.refresh(now)
 	if !o.owns() {
 		return Grant{}, o.refuse(CodeNotOwner)
@@ -70,7 +70,7 @@
 	// it has not answered yet, and a grant would run it again. An unlisted
 	// key is new only where all runners' lists are in.
 	if o.phase != phaseComplete {
-		return Grant{}, o.refuse(CodeUnvouched)
+		return Grant{}, o.refuse(CodeNotRestored)
 	}
 	if !slices.Contains(o.scopes[0].eligible, ask.Runner) {
 		return Grant{}, o.refuse(CodeOtherRunner)
@@ -80,18 +80,18 @@
 	}
 	o.keys[ask.Key] = remembered{try: ask.Try, body: ask.Body, runner: ask.Runner,
 		state: StateGranted, at: now}
-	stamp := Stamp{Shard: o.Shard, Key: ask.Key, Epoch: o.epoch, Owner: o.Self}
-	return Grant{Stamp: stamp, Try: ask.Try, Runner: ask.Runner}, nil
+	stamp := Token{Shard: o.Shard, Key: ask.Key, Epoch: o.epoch, Owner: o.Self}
+	return Grant{Token: stamp, Try: ask.Try, Runner: ask.Runner}, nil
 }
 
 // listed refuses a key that is remembered.
-func (o *Owner) listed(ask ClaimAsk, k remembered) *Refusal {
+func (o *Owner) listed(ask Request, k remembered) *Refusal {
 	refusal := o.refuse(CodeInProgress)
 	refusal.Try, refusal.Runner, refusal.Ran = k.try, k.runner, k.ran()
 	refusal.TryNotRun = k.try != ask.Try
 	switch {
 	case k.body != ask.Body:
-		refusal.Code, refusal.Ran = CodeOtherBody, work.Unknown
+		refusal.Code, refusal.Ran = CodeOtherBody, domain.Unknown
 	case k.state == StateRan:
 		refusal.Code = CodeAlreadyRan
 	case k.state == StateUnknown:
@@ -103,7 +103,7 @@
 // refuse gives a refusal of a claim. This try was granted by nobody; of the
 // key an owner that may have been superseded can say nothing.
 func (o *Owner) refuse(c Code) *Refusal {
-	return &Refusal{Code: c, Ran: work.Unknown, TryNotRun: true, Epoch: o.epoch}
+	return &Refusal{Code: c, Ran: domain.Unknown, TryNotRun: true, Epoch: o.epoch}
 }
 
 // Resolve notes how a try ended. StateNotRun frees the key; it must come from
@@ -113,7 +113,7 @@
 	o.legacy.resolve(res, now)
 }
 
-// Lost notes that a process has ended: a newer incarnation of its host stands
+// MarkLost notes that a process has ended: a newer incarnation of its host stands
 // in the record, or the platform says that the host is gone. What it was
 // granted may have run. Silence is no ground for a call of Lost.
 //
@@ -121,7 +121,7 @@
 // could complete the view exists any more, so that the shard would refuse new
 // keys for good. After the retention nothing that the lost process ran is
 // still to be remembered, and the view is complete without it.
-func (o *Owner) Lost(p Process, now time.Time) {
+func (o *Owner) MarkLost(p Process, now time.Time) {
 	if o.lost == nil {
 		o.lost = map[Process]time.Time{}
 	}
@@ -151,14 +151,14 @@
 // Failure: the message that says how a try ended is lost, and its key is "in
 // progress" for good, as granted keys are never forgotten; in the end they
 // fill the shard.
-func (o *Owner) Overdue(age time.Duration, now time.Time) []AskOrder {
-	var list []AskOrder
+func (o *Owner) Overdue(age time.Duration, now time.Time) []StatusRequest {
+	var list []StatusRequest
 	if !o.owns() {
 		return nil
 	}
 	for key, k := range o.keys {
 		if k.state == StateGranted && now.Sub(k.at) > age {
-			list = append(list, AskOrder{Key: key, Try: k.try, To: k.runner})
+			list = append(list, StatusRequest{Key: key, Try: k.try, To: k.runner})
 		}
 	}
 	return list
--- a/claim/record.go
+++ b/claim/record.go
@@ -8,7 +8,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"jacinthworks/check"
-	"jacinthworks/work"
+	"jacinthworks/domain"
 )
 
 // MaxPast is how many past generations a record keeps. Dropping one too early
@@ -19,15 +19,15 @@
 
 // Process is one life of a host's process.
 type Process struct {
-	Host        work.Host        `json:"host"`
-	Incarnation work.Incarnation `json:"incarnation"`
+	Host        domain.Host        `json:"host"`
+	Incarnation domain.Incarnation `json:"incarnation"`
 }
 
 // Member is a side that may own shards and run requests.
 type Member struct {
-	Host        work.Host        `json:"host"`
-	Zone        work.Zone        `json:"zone"`
-	Incarnation work.Incarnation `json:"incarnation"`
+	Host        domain.Host        `json:"host"`
+	Zone        domain.Zone        `json:"zone"`
+	Incarnation domain.Incarnation `json:"incarnation"`
 }
 
 // Process gives the life of the process that the member stands for.
@@ -52,10 +52,10 @@
 	Past []Generation `json:"past,omitempty"`
 }
 
-// Succeed gives the record to write in place of r. The caller writes it on
+// Next gives the record to write in place of r. The caller writes it on
 // condition that the object is still at r.Version, and sets Version from the
 // platform's answer.
-func (r Record) Succeed(members []Member) Record {
+func (r Record) Next(members []Member) Record {
 	past := append([]Generation{r.Generation}, r.Past...)
 	if len(past) > MaxPast {
 		past = past[:MaxPast]
@@ -69,7 +69,7 @@
 	if r.Version == 0 {
 		f.Add("version", "is zero")
 	}
-	seen := map[work.Host]bool{}
+	seen := map[domain.Host]bool{}
 	for i, m := range r.Members {
 		place := fmt.Sprintf("members[%d]", i)
 		if m.Host == "" || m.Zone == "" || m.Incarnation == 0 {
@@ -113,7 +113,7 @@
 	return ranked
 }
 
-func score(h work.Host, s Shard) uint64 {
+func score(h domain.Host, s Shard) uint64 {
 	return xxhash.Sum64String(string(h) + "\x00" + string(rune(s)))
 }
 
--- a/claim/record_test.go
+++ b/claim/record_test.go
@@ -47,7 +47,7 @@
 	f := newFleet(t, 3)
 	old := f.record
 	f.replace("side-1")
-	out, err := f.books["side-0"].Learn(old, f.now)
+	out, err := f.books["side-0"].Apply(old, f.now)
 	require.NoError(t, err)
 	require.Empty(t, out)
 	require.Equal(t, uint64(2), f.books["side-0"].Record().Version)
--- a/claim/refusal.go
+++ b/claim/refusal.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"jacinthworks/work"
+	"jacinthworks/domain"
 )
 
 // Code says why a claim, a dispatch or an order was refused.
@@ -11,12 +11,12 @@
 
 // The codes. The first six answer Claim, the next four Accept and orders.
 const (
-	CodeOtherBody  Code = "other_body"
-	CodeInProgress Code = "in_progress"
-	CodeAlreadyRan Code = "already_ran"
-	CodeMayHaveRun Code = "may_have_run"
-	CodeUnvouched  Code = "unvouched"
-	CodeNotOwner   Code = "not_owner"
+	CodeOtherBody   Code = "other_body"
+	CodeInProgress  Code = "in_progress"
+	CodeAlreadyRan  Code = "already_ran"
+	CodeMayHaveRun  Code = "may_have_run"
+	CodeNotRestored Code = "unvouched"
+	CodeNotOwner    Code = "not_owner"
 
 	CodeFenced      Code = "fenced"
 	CodeKeyTaken    Code = "key_taken"
@@ -31,17 +31,17 @@
 	Code Code `json:"code"`
 	// Ran is what may be said to a caller of its key, whichever send of it
 	// ran.
-	Ran work.Ran `json:"ran"`
+	Ran domain.Execution `json:"ran"`
 	// TryNotRun says that this try did not run and never will: the entry may
 	// resolve it as StateNotRun. When false, silence of the runner is all
 	// that is known.
 	TryNotRun bool `json:"try_not_run"`
 	// Epoch is the epoch that the refuser knows of, if any.
 	Epoch Epoch `json:"epoch"`
-	// Try and Runner name the earlier try of the key and who can be asked
+	// AttemptID and Runner name the earlier try of the key and who can be asked
 	// about it, if known.
-	Try    Try     `json:"try"`
-	Runner Process `json:"runner"`
+	Try    AttemptID `json:"try"`
+	Runner Process   `json:"runner"`
 }
 
 // Error gives code, account and epoch in one line.
@@ -50,16 +50,16 @@
 }
 
 // Reason gives the word for the refusal that callers see.
-func (r *Refusal) Reason() work.Reason {
+func (r *Refusal) Reason() domain.Reason {
 	switch r.Code {
 	case CodeOtherBody:
-		return work.ReasonOtherBody
+		return domain.ReasonOtherBody
 	case CodeInProgress:
-		return work.ReasonInProgress
+		return domain.ReasonInProgress
 	case CodeAlreadyRan:
-		return work.ReasonAnswered
-	case CodeMayHaveRun, CodeUnvouched, CodeKeyTaken:
-		return work.ReasonKeyUnknown
+		return domain.ReasonAnswered
+	case CodeMayHaveRun, CodeNotRestored, CodeKeyTaken:
+		return domain.ReasonKeyUnknown
 	}
-	return work.ReasonNoClaim
+	return domain.ReasonNoClaim
 }
--- a/claim/route.go
+++ b/claim/route.go
@@ -10,7 +10,7 @@
 // stands with the method of Owner or Runner of the same name.
 
 // Claim asks this process as the owner; see Owner.Claim.
-func (b *Book) Claim(ask ClaimAsk, now time.Time) (Grant, error) {
+func (b *Ledger) Claim(ask Request, now time.Time) (Grant, error) {
 	s, err := b.lock(ask.Key.Shard())
 	if err != nil {
 		return Grant{}, err
@@ -20,7 +20,7 @@
 }
 
 // Resolve tells this process, as the owner, how a try ended.
-func (b *Book) Resolve(res Resolution, now time.Time) error {
+func (b *Ledger) Resolve(res Resolution, now time.Time) error {
 	s, err := b.lock(res.Key.Shard())
 	if err != nil {
 		return err
@@ -32,7 +32,7 @@
 
 // Superseded tells this process, as the owner, that an order was refused with
 // a newer epoch.
-func (b *Book) Superseded(number Shard, epoch Epoch) error {
+func (b *Ledger) Superseded(number Shard, epoch Epoch) error {
 	s, err := b.lock(number)
 	if err != nil {
 		return err
@@ -43,10 +43,10 @@
 }
 
 // Accept marks the key as handed over; see Runner.Accept.
-func (b *Book) Accept(d Dispatch, now time.Time) error {
-	number := d.Stamp.Key.Shard()
-	if d.Stamp.Shard != number {
-		return errors.Errorf("claim: stamp of shard %d for a key of shard %d", d.Stamp.Shard, number)
+func (b *Ledger) Accept(d Dispatch, now time.Time) error {
+	number := d.Token.Key.Shard()
+	if d.Token.Shard != number {
+		return errors.Errorf("claim: stamp of shard %d for a key of shard %d", d.Token.Shard, number)
 	}
 	s, err := b.lock(number)
 	if err != nil {
@@ -57,7 +57,7 @@
 }
 
 // Settle notes how a try ended on this process's upstream.
-func (b *Book) Settle(key Key, try Try, state State, now time.Time) (Resolution, error) {
+func (b *Ledger) Settle(key Key, try AttemptID, state State, now time.Time) (Resolution, error) {
 	s, err := b.lock(key.Shard())
 	if err != nil {
 		return Resolution{}, err
@@ -66,18 +66,18 @@
 	return s.runner.Settle(key, try, state, now)
 }
 
-// Ask tells what became of a try that was granted to this process.
-func (b *Book) Ask(o AskOrder, now time.Time) (Resolution, error) {
+// Status tells what became of a try that was granted to this process.
+func (b *Ledger) Status(o StatusRequest, now time.Time) (Resolution, error) {
 	s, err := b.lock(o.Key.Shard())
 	if err != nil {
 		return Resolution{}, err
 	}
 	defer s.mu.Unlock()
-	return s.runner.Ask(o, now)
+	return s.runner.Status(o, now)
 }
 
 // Fence raises this process's fence and lists its keys.
-func (b *Book) Fence(o FenceOrder, now time.Time) (FenceReply, error) {
+func (b *Ledger) Fence(o FenceRequest, now time.Time) (FenceReply, error) {
 	s, err := b.lock(o.Shard)
 	if err != nil {
 		return FenceReply{}, err
@@ -88,7 +88,7 @@
 
 // Fenced takes a runner's answer. It gives the Restores once the view is
 // complete.
-func (b *Book) Fenced(reply FenceReply, now time.Time) (Outbox, error) {
+func (b *Ledger) Fenced(reply FenceReply, now time.Time) (Outbox, error) {
 	s, err := b.lock(reply.Shard)
 	if err != nil {
 		return Outbox{}, err
@@ -103,7 +103,7 @@
 }
 
 // Restore takes in the keys of runners that left.
-func (b *Book) Restore(o Restore, now time.Time) (RestoreReply, error) {
+func (b *Ledger) Restore(o RestoreRequest, now time.Time) (RestoreReply, error) {
 	s, err := b.lock(o.Shard)
 	if err != nil {
 		return RestoreReply{}, err
@@ -113,7 +113,7 @@
 }
 
 // Restored takes a runner's answer to a Restore.
-func (b *Book) Restored(reply RestoreReply) error {
+func (b *Ledger) Restored(reply RestoreReply) error {
 	s, err := b.lock(reply.Shard)
 	if err != nil {
 		return err
--- a/claim/runner.go
+++ b/claim/runner.go
@@ -3,13 +3,13 @@
 import (
 	"time"
 
-	"jacinthworks/work"
+	"jacinthworks/domain"
 )
 
 // keyTry names a try of a key that was refused before it came.
 type keyTry struct {
 	key Key
-	try Try
+	try AttemptID
 }
 
 // Runner is the part of one shard that stands before an upstream. It is the
@@ -34,9 +34,9 @@
 	off      disabled
 }
 
-// Learn takes from a record whether this incarnation stood in the first
+// Apply takes from a record whether this incarnation stood in the first
 // generation ever and so holds all that may have run on it.
-func (r *Runner) Learn(rec Record) {
+func (r *Runner) Apply(rec Record) {
 	r.vouched = max(r.vouched, rec.vouchedFrom(r.Self))
 }
 
@@ -48,33 +48,33 @@
 	}
 	// The key is looked up before the fence: of a try that is running here
 	// the fence must not say "not run".
-	if k, listed := r.keys[d.Stamp.Key]; listed {
+	if k, listed := r.keys[d.Token.Key]; listed {
 		return r.taken(d, k, now)
 	}
-	if k, listed := r.restored[d.Stamp.Key]; listed {
+	if k, listed := r.restored[d.Token.Key]; listed {
 		return r.taken(d, k, now)
 	}
 	// Failure: an entry dies, another entry asks about its try, hears "not
 	// run" and sends the request again; then the first dispatch arrives late
 	// and the request runs twice. Ask left the try here, so it is refused.
-	if _, refused := r.refused[keyTry{d.Stamp.Key, d.Try}]; refused {
-		return &Refusal{Code: CodeRefused, Ran: work.Unknown, TryNotRun: true, Epoch: r.fenced}
+	if _, refused := r.refused[keyTry{d.Token.Key, d.Try}]; refused {
+		return &Refusal{Code: CodeRefused, Ran: domain.Unknown, TryNotRun: true, Epoch: r.fenced}
 	}
 	// Failure: an owner is paused, its successor lists all keys and grants
 	// this one to another runner; then the old owner's dispatch arrives and
 	// the request runs twice. The successor's view was complete only after
 	// this runner had raised its fence, and the fence never sinks.
-	if d.Stamp.Epoch.Less(r.fenced) && !r.off.fence {
-		return &Refusal{Code: CodeFenced, Ran: work.Unknown, TryNotRun: true, Epoch: r.fenced}
+	if d.Token.Epoch.Less(r.fenced) && !r.off.fence {
+		return &Refusal{Code: CodeFenced, Ran: domain.Unknown, TryNotRun: true, Epoch: r.fenced}
 	}
 	if r.full() {
-		return &Refusal{Code: CodeFull, Ran: work.Unknown, Epoch: r.fenced}
+		return &Refusal{Code: CodeFull, Ran: domain.Unknown, Epoch: r.fenced}
 	}
-	r.raise(d.Stamp.Epoch)
+	r.raise(d.Token.Epoch)
 	if r.keys == nil {
 		r.keys = keyTable{}
 	}
-	r.keys[d.Stamp.Key] = remembered{try: d.Try, body: d.Body, runner: r.Self,
+	r.keys[d.Token.Key] = remembered{try: d.Try, body: d.Body, runner: r.Self,
 		state: StateGranted, at: now}
 	return nil
 }
@@ -85,7 +85,7 @@
 func (r *Runner) taken(d Dispatch, k remembered, now time.Time) error {
 	refusal := &Refusal{Code: CodeKeyTaken, Ran: k.ran(), Epoch: r.fenced, Try: k.try, Runner: k.runner}
 	if k.try != d.Try {
-		refusal.TryNotRun = r.refuse(d.Stamp.Key, d.Try, now)
+		refusal.TryNotRun = r.refuse(d.Token.Key, d.Try, now)
 	}
 	return refusal
 }
@@ -100,21 +100,21 @@
 	if to == r.Self || (r.off.address && to.Host == r.Self.Host) {
 		return nil
 	}
-	return &Refusal{Code: CodeOtherRunner, Ran: work.Unknown, Runner: r.Self}
+	return &Refusal{Code: CodeOtherRunner, Ran: domain.Unknown, Runner: r.Self}
 }
 
 // Fence raises the fence and lists all keys of the shard. An order older than
 // the fence is refused with the current epoch; the same order may be repeated.
-func (r *Runner) Fence(o FenceOrder, now time.Time) (FenceReply, error) {
+func (r *Runner) Fence(o FenceRequest, now time.Time) (FenceReply, error) {
 	if err := r.addressed(o.To); err != nil {
 		return FenceReply{}, err
 	}
 	if o.Epoch.Less(r.fenced) {
-		return FenceReply{}, &Refusal{Code: CodeFenced, Ran: work.Unknown, Epoch: r.fenced}
+		return FenceReply{}, &Refusal{Code: CodeFenced, Ran: domain.Unknown, Epoch: r.fenced}
 	}
 	r.raise(o.Epoch)
 	return FenceReply{Shard: r.Shard, Epoch: o.Epoch, Runner: o.To, Before: r.before,
-		Vouched: r.vouched, Entries: append(r.keys.entries(now, nil), r.restored.entries(now, nil)...)}, nil
+		RestoredVersion: r.vouched, Entries: append(r.keys.entries(now, nil), r.restored.entries(now, nil)...)}, nil
 }
 
 func (r *Runner) raise(e Epoch) {
@@ -126,10 +126,10 @@
 // Settle notes how a try that was handed over here ended: StateRan,
 // StateNotRun (the upstream surely never took it) or StateUnknown. It gives
 // the message for the owner.
-func (r *Runner) Settle(key Key, try Try, state State, now time.Time) (Resolution, error) {
+func (r *Runner) Settle(key Key, try AttemptID, state State, now time.Time) (Resolution, error) {
 	k, listed := r.keys[key]
 	if !listed || k.try != try {
-		return Resolution{}, &Refusal{Code: CodeOtherRunner, Ran: work.Unknown, Epoch: r.fenced}
+		return Resolution{}, &Refusal{Code: CodeOtherRunner, Ran: domain.Unknown, Epoch: r.fenced}
 	}
 	if k.state == StateRan || state == StateGranted {
 		return Resolution{Key: key, Try: try, State: k.state}, nil
@@ -145,10 +145,10 @@
 	return Resolution{Key: key, Try: try, State: state}, nil
 }
 
-// Ask tells what became of a try. A try that never came is refused from now
+// Status tells what became of a try. A try that never came is refused from now
 // on, and only then called StateNotRun; where there is no room to remember the
 // refusal the answer is StateUnknown.
-func (r *Runner) Ask(o AskOrder, now time.Time) (Resolution, error) {
+func (r *Runner) Status(o StatusRequest, now time.Time) (Resolution, error) {
 	if err := r.addressed(o.To); err != nil {
 		return Resolution{}, err
 	}
@@ -168,7 +168,7 @@
 
 // refuse remembers that the try must not be accepted; false if there is no
 // room.
-func (r *Runner) refuse(key Key, try Try, now time.Time) bool {
+func (r *Runner) refuse(key Key, try AttemptID, now time.Time) bool {
 	kt := keyTry{key, try}
 	if _, refused := r.refused[kt]; !refused && r.full() {
 		return false
@@ -182,12 +182,12 @@
 
 // Restore takes in the keys of runners that left, and vouches for this one.
 // A restored key keeps its own runner's name and forbids the key here.
-func (r *Runner) Restore(o Restore, now time.Time) (RestoreReply, error) {
+func (r *Runner) Restore(o RestoreRequest, now time.Time) (RestoreReply, error) {
 	if err := r.addressed(o.To); err != nil {
 		return RestoreReply{}, err
 	}
 	if o.Epoch.Less(r.fenced) {
-		return RestoreReply{}, &Refusal{Code: CodeFenced, Ran: work.Unknown, Epoch: r.fenced}
+		return RestoreReply{}, &Refusal{Code: CodeFenced, Ran: domain.Unknown, Epoch: r.fenced}
 	}
 	r.raise(o.Epoch)
 	if r.restored == nil {
@@ -200,7 +200,7 @@
 		r.restored.merge(e, now)
 	}
 	r.vouched = max(r.vouched, o.Epoch.Version)
-	return RestoreReply{Shard: r.Shard, Epoch: o.Epoch, Runner: r.Self, Vouched: r.vouched}, nil
+	return RestoreReply{Shard: r.Shard, Epoch: o.Epoch, Runner: r.Self, RestoredVersion: r.vouched}, nil
 }
 
 // Expire forgets what was settled or refused longer than the retention ago.
--- a/claim/steps_test.go
+++ b/claim/steps_test.go
@@ -59,9 +59,9 @@
 func (c *checker) readStep(v event, host, record int, live bool) []effect {
 	n := c.change(v.node)
 	n.record = record
-	n.runner.Learn(c.records[record])
+	n.runner.Apply(c.records[record])
 	believed := func(Process) bool { return live }
-	if err := n.owner.Adopt(c.records[record], believed, modelNow); err != nil {
+	if err := n.owner.Apply(c.records[record], believed, modelNow); err != nil {
 		return nil
 	}
 	return []effect{c.done(&effect{what: fmt.Sprintf("%c reads record %d", 'a'+host, record+1)}, n)}
@@ -94,12 +94,12 @@
 			continue
 		}
 		n := c.change(v.node)
-		g, err := n.owner.Claim(ClaimAsk{Key: modelKey, Try: try, Runner: m.Process()}, modelNow)
+		g, err := n.owner.Claim(Request{Key: modelKey, Try: try, Runner: m.Process()}, modelNow)
 		if err != nil {
 			continue
 		}
-		e := effect{claim: true, what: fmt.Sprintf("%c grants %s to %s at %s", 'a'+host, try, m.Host, g.Stamp.Epoch)}
-		c.send(&e, index(g.Runner), Dispatch{Stamp: g.Stamp, Try: g.Try, To: g.Runner})
+		e := effect{claim: true, what: fmt.Sprintf("%c grants %s to %s at %s", 'a'+host, try, m.Host, g.Token.Epoch)}
+		c.send(&e, index(g.Runner), Dispatch{Token: g.Token, Try: g.Try, To: g.Runner})
 		list = append(list, c.done(&e, n))
 	}
 	return list
@@ -165,7 +165,7 @@
 	switch m := message.(type) {
 	case Dispatch:
 		return append(c.ask(v, host, m), c.dispatch(v, e, m))
-	case FenceOrder:
+	case FenceRequest:
 		reply, err := n.runner.Fence(m, modelNow)
 		if refused, ok := err.(*Refusal); ok {
 			c.send(&e, index(m.Owner), superseded{refused.Epoch})
@@ -175,7 +175,7 @@
 			return nil
 		}
 		c.send(&e, index(m.Owner), reply)
-	case Restore:
+	case RestoreRequest:
 		reply, err := n.runner.Restore(m, modelNow)
 		if err != nil {
 			return nil
@@ -191,7 +191,7 @@
 	case Resolution:
 		n.owner.Resolve(m, modelNow)
 	case Handover:
-		n.owner.TakeHandover(m, modelNow)
+		n.owner.AcceptHandover(m, modelNow)
 	}
 	return []effect{c.done(&e, n)}
 }
@@ -207,7 +207,7 @@
 	} else if refusal, ok := err.(*Refusal); ok && refusal.TryNotRun {
 		c.tell(&e, Resolution{Key: modelKey, Try: d.Try, State: StateNotRun})
 		if c.rounds > 0 && refusal.Code == CodeFenced {
-			c.send(&e, index(d.Stamp.Owner), superseded{refusal.Epoch})
+			c.send(&e, index(d.Token.Owner), superseded{refusal.Epoch})
 		}
 	}
 	return c.done(&e, n)
@@ -217,7 +217,7 @@
 func (c *checker) ask(v event, host int, d Dispatch) []effect {
 	n := c.change(v.node)
 	e := effect{what: fmt.Sprintf("%c is asked about %s of incarnation %d", 'a'+host, d.Try, d.To.Incarnation)}
-	res, err := n.runner.Ask(AskOrder{Key: d.Stamp.Key, Try: d.Try, To: d.To}, modelNow)
+	res, err := n.runner.Status(StatusRequest{Key: d.Token.Key, Try: d.Try, To: d.To}, modelNow)
 	if err != nil {
 		return nil
 	}
--- a/claim/stories_test.go
+++ b/claim/stories_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"jacinthworks/work"
+	"jacinthworks/domain"
 )
 
 var enquiry = Key{Account: "stud", Name: "enquiry-1"}
@@ -26,8 +26,8 @@
 	requireCode(t, CodeOtherBody, second(f.send(enquiry, try(3), 8, 1)))
 	f.settle(g, StateRan)
 	r = requireCode(t, CodeAlreadyRan, second(f.send(enquiry, try(4), 7, 1)))
-	require.Equal(t, work.DidRun, r.Ran)
-	require.Equal(t, work.ReasonAnswered, r.Reason())
+	require.Equal(t, domain.DidRun, r.Ran)
+	require.Equal(t, domain.ReasonAnswered, r.Reason())
 }
 
 func second[A any](_ A, err error) error { return err }
@@ -41,7 +41,7 @@
 	late, err := f.claim(enquiry, try(1), 7, 0)
 	require.NoError(t, err)
 	r := requireCode(t, CodeInProgress, second(f.claim(enquiry, try(2), 7, 1)))
-	res, err := f.books[r.Runner.Host].Ask(AskOrder{Key: enquiry, Try: r.Try, To: r.Runner}, f.now)
+	res, err := f.books[r.Runner.Host].Status(StatusRequest{Key: enquiry, Try: r.Try, To: r.Runner}, f.now)
 	require.NoError(t, err)
 	require.Equal(t, StateNotRun, res.State)
 	require.NoError(t, f.owner(enquiry.Shard()).Resolve(res, f.now))
@@ -58,7 +58,7 @@
 	g, err := f.send(enquiry, try(1), 7, 0)
 	require.NoError(t, err)
 	f.settle(g, StateNotRun)
-	again := Try{Request: g.Try.Request, Attempt: 2}
+	again := AttemptID{Request: g.Try.Request, Attempt: 2}
 	_, err = f.send(enquiry, again, 7, 1)
 	require.NoError(t, err)
 	late := Resolution{Key: enquiry, Try: g.Try, State: StateNotRun}
@@ -118,7 +118,7 @@
 	f.replace(g.Runner.Host)
 	f.loseOwner(enquiry.Shard())
 	r := requireCode(t, CodeMayHaveRun, second(f.send(enquiry, try(2), 7, 0)))
-	require.Equal(t, work.ReasonKeyUnknown, r.Reason())
+	require.Equal(t, domain.ReasonKeyUnknown, r.Reason())
 	_, err = f.send(f.sibling(enquiry), try(3), 7, 0)
 	require.NoError(t, err)
 }
@@ -133,7 +133,7 @@
 	f.silent[f.owner(enquiry.Shard()).Self.Host] = true
 	f.replace(g.Runner.Host)
 	f.takeOver(enquiry.Shard())
-	requireCode(t, CodeUnvouched, second(f.send(enquiry, try(2), 7, 1)))
+	requireCode(t, CodeNotRestored, second(f.send(enquiry, try(2), 7, 1)))
 	f.now = f.now.Add(DefaultRetention + time.Minute)
 	_, err = f.send(enquiry, try(3), 7, 1)
 	require.NoError(t, err)
@@ -151,14 +151,14 @@
 	require.NoError(t, o.Start(f.record, f.now))
 	epoch, _ := o.Epoch()
 	for i, p := range runners {
-		o.Fenced(FenceReply{Epoch: epoch, Runner: p, Vouched: 1,
+		o.Fenced(FenceReply{Epoch: epoch, Runner: p, RestoredVersion: 1,
 			Entries: []Entry{{Key: enquiry, Try: try(i), Runner: p, State: StateGranted}}}, f.now)
 	}
 	for i := range runners {
 		o.Resolve(Resolution{Key: enquiry, Try: try(i), State: StateNotRun}, f.now)
 	}
 	o.Resolve(Resolution{Key: enquiry, State: StateNotRun}, f.now)
-	requireCode(t, CodeMayHaveRun, second(o.Claim(ClaimAsk{Key: enquiry, Try: try(9), Runner: runners[0]}, f.now)))
+	requireCode(t, CodeMayHaveRun, second(o.Claim(Request{Key: enquiry, Try: try(9), Runner: runners[0]}, f.now)))
 }
 
 // A runner that the successor cannot reach is paused, not dead. Keys that it
@@ -177,7 +177,7 @@
 		t.Fatalf("ranks of shard %d do not suit: %v", s, ranked)
 	}
 	requireCode(t, CodeInProgress, second(f.send(enquiry, try(2), 7, 0)))
-	requireCode(t, CodeUnvouched, second(f.send(f.sibling(enquiry), try(3), 7, 0)))
+	requireCode(t, CodeNotRestored, second(f.send(f.sibling(enquiry), try(3), 7, 0)))
 	f.silent[paused.Host] = false
 	f.deliver(f.books[next.Host].Pending(f.now))
 	_, err = f.send(f.sibling(enquiry), try(4), 7, 0)
@@ -199,7 +199,7 @@
 	require.Len(t, out.Handovers, 1)
 	f.deliver(out)
 	require.Equal(t, heir, f.owner(s).Self)
-	requireCode(t, CodeNotOwner, second(old.Claim(ClaimAsk{Key: enquiry, Try: try(9), Body: 7, Runner: heir}, f.now)))
+	requireCode(t, CodeNotOwner, second(old.Claim(Request{Key: enquiry, Try: try(9), Body: 7, Runner: heir}, f.now)))
 	requireCode(t, CodeInProgress, second(f.send(enquiry, try(2), 7, 0)))
 	require.True(t, requireCode(t, CodeFenced, f.accept(late, 7)).TryNotRun)
 	require.NoError(t, f.owner(s).Resolve(Resolution{Key: enquiry, Try: try(1), State: StateNotRun}, f.now))
@@ -242,9 +242,9 @@
 	first := f.record.Members[0]
 	f.books[first.Host] = f.book(first)
 	for i := 1; i < 20; i++ {
-		m := Member{Host: work.Host(fmt.Sprintf("side-%d", i)), Zone: "howrah", Incarnation: 1}
+		m := Member{Host: domain.Host(fmt.Sprintf("side-%d", i)), Zone: "howrah", Incarnation: 1}
 		f.books[m.Host] = f.book(m)
-		next := f.record.Succeed(append(slices.Clone(f.record.Members), m))
+		next := f.record.Next(append(slices.Clone(f.record.Members), m))
 		next.Version = f.record.Version + 1
 		f.record = next
 	}
@@ -291,8 +291,8 @@
 	require.Empty(t, owner.Overdue(time.Minute, f.now))
 	f.later(2 * time.Minute)
 	questions := owner.Overdue(time.Minute, f.now)
-	require.Equal(t, []AskOrder{{Key: enquiry, Try: g.Try, To: g.Runner}}, questions)
-	res, err := f.books[g.Runner.Host].Ask(questions[0], f.now)
+	require.Equal(t, []StatusRequest{{Key: enquiry, Try: g.Try, To: g.Runner}}, questions)
+	res, err := f.books[g.Runner.Host].Status(questions[0], f.now)
 	require.NoError(t, err)
 	require.NoError(t, owner.Resolve(res, f.now))
 	requireCode(t, CodeAlreadyRan, second(f.send(enquiry, try(2), 7, 0)))
@@ -303,12 +303,12 @@
 // cover: the answer is unknown. An owner that is full grants nothing.
 func TestFullShardPromisesNothing(t *testing.T) {
 	r := Runner{Self: Process{"side-1", 1}, Limits: Limits{MaxKeys: 1}}
-	d := Dispatch{Stamp: Stamp{Key: enquiry}, Try: try(1), To: r.Self}
+	d := Dispatch{Token: Token{Key: enquiry}, Try: try(1), To: r.Self}
 	require.NoError(t, r.Accept(d, modelNow))
-	res, err := r.Ask(AskOrder{Key: Key{Name: "other"}, Try: try(2), To: r.Self}, modelNow)
+	res, err := r.Status(StatusRequest{Key: Key{Name: "other"}, Try: try(2), To: r.Self}, modelNow)
 	require.NoError(t, err)
 	require.Equal(t, StateUnknown, res.State)
-	require.False(t, requireCode(t, CodeKeyTaken, r.Accept(Dispatch{Stamp: d.Stamp, Try: try(3), To: r.Self}, modelNow)).TryNotRun)
+	require.False(t, requireCode(t, CodeKeyTaken, r.Accept(Dispatch{Token: d.Token, Try: try(3), To: r.Self}, modelNow)).TryNotRun)
 	res, err = r.Settle(enquiry, try(1), StateNotRun, modelNow)
 	require.NoError(t, err)
 	require.Equal(t, StateNotRun, res.State)
--- a/claim/table.go
+++ b/claim/table.go
@@ -3,12 +3,12 @@
 import (
 	"time"
 
-	"jacinthworks/work"
+	"jacinthworks/domain"
 )
 
 // remembered is what an owner or a runner keeps of a key.
 type remembered struct {
-	try    Try
+	try    AttemptID
 	body   Body
 	runner Process
 	state  State
@@ -22,11 +22,11 @@
 }
 
 // ran gives what may be said of a remembered key.
-func (r remembered) ran() work.Ran {
+func (r remembered) ran() domain.Execution {
 	if r.state == StateRan {
-		return work.DidRun
+		return domain.DidRun
 	}
-	return work.Unknown
+	return domain.Unknown
 }
 
 // expired tells whether the key may be forgotten. A granted key is kept for as
@@ -56,7 +56,7 @@
 	case listed && same && severity(old.state) >= severity(e.State):
 		return
 	case listed && !same && e.State != StateRan:
-		e.Try, e.Runner, e.State, e.Age = Try{}, Process{}, StateUnknown, 0
+		e.Try, e.Runner, e.State, e.Age = AttemptID{}, Process{}, StateUnknown, 0
 	}
 	t[e.Key] = remembered{try: e.Try, body: e.Body, runner: e.Runner, state: e.State,
 		at: now.Add(-max(0, e.Age))}
@@ -75,7 +75,7 @@
 // resolve notes how a try ended; "not run" frees its key.
 func (t keyTable) resolve(res Resolution, now time.Time) {
 	k, listed := t[res.Key]
-	if !listed || k.try != res.Try || res.Try == (Try{}) || k.state == StateRan {
+	if !listed || k.try != res.Try || res.Try == (AttemptID{}) || k.state == StateRan {
 		return
 	}
 	switch res.State {
--- a/claim/view.go
+++ b/claim/view.go
@@ -64,7 +64,7 @@
 		return
 	}
 	a := o.heard[reply.Runner]
-	a.before, a.vouched = reply.Before, max(a.vouched, reply.Vouched)
+	a.before, a.vouched = reply.Before, max(a.vouched, reply.RestoredVersion)
 	o.heard[reply.Runner] = a
 	if o.phase == phaseComplete {
 		return // the list can hold nothing new, but may hold freed keys
@@ -186,9 +186,9 @@
 	}
 }
 
-// TakeHandover takes a predecessor's table. It reports false if this owner is
+// AcceptHandover takes a predecessor's table. It reports false if this owner is
 // not at the epoch that the table is meant for and can be sent it again later.
-func (o *Owner) TakeHandover(h Handover, now time.Time) bool {
+func (o *Owner) AcceptHandover(h Handover, now time.Time) bool {
 	if h.To != o.Self || h.Epoch != o.epoch {
 		return o.phase != phaseNone && h.Epoch.Less(o.epoch)
 	}
@@ -211,7 +211,7 @@
 	switch o.phase {
 	case phaseBarrier:
 		for _, p := range o.unheard() {
-			out.Fences = append(out.Fences, FenceOrder{Shard: o.Shard, Epoch: o.epoch, Owner: o.Self, To: p})
+			out.Fences = append(out.Fences, FenceRequest{Shard: o.Shard, Epoch: o.epoch, Owner: o.Self, To: p})
 		}
 	case phaseComplete:
 		out.Restores = o.restores(now)
@@ -241,10 +241,10 @@
 // owner; it dies too, and the key runs again under its successor. So each new
 // version of the record counts as vouched for only once these keys stand with
 // every eligible runner.
-func (o *Owner) restores(now time.Time) []Restore {
+func (o *Owner) restores(now time.Time) []RestoreRequest {
 	eligible := o.scopes[0].eligible
 	var orphans []Entry
-	var list []Restore
+	var list []RestoreRequest
 	for _, p := range eligible {
 		if o.heard[p].vouched >= o.epoch.Version {
 			continue
@@ -254,7 +254,7 @@
 				return !slices.Contains(eligible, k.runner)
 			})
 		}
-		list = append(list, Restore{Shard: o.Shard, Epoch: o.epoch, To: p, Entries: orphans})
+		list = append(list, RestoreRequest{Shard: o.Shard, Epoch: o.epoch, To: p, Entries: orphans})
 	}
 	return list
 }
@@ -268,6 +268,6 @@
 	if !heard {
 		a.before = o.epoch
 	}
-	a.vouched = max(a.vouched, reply.Vouched)
+	a.vouched = max(a.vouched, reply.RestoredVersion)
 	o.heard[reply.Runner] = a
 }
--- a/cmd_admin_test.go
+++ b/cmd_admin_test.go
@@ -18,29 +18,29 @@
 
 	"jacinthworks/admin"
 	"jacinthworks/conf"
+	"jacinthworks/domain"
 	"jacinthworks/editor"
-	"jacinthworks/plat"
+	"jacinthworks/infra"
 	"jacinthworks/story"
 	"jacinthworks/table"
-	"jacinthworks/work"
 )
 
 const operatorToken = "operator-token-asha"
 
 // oneObject is a fake object API that holds the table.
 type oneObject struct {
-	plat.Objects // the calls that no command makes
-	version      plat.Version
-	value        []byte
+	infra.Objects // the calls that no command makes
+	version       infra.Version
+	value         []byte
 }
 
-func (o *oneObject) Get(context.Context, string) (plat.Object, error) {
-	return plat.Object{Version: o.version, Value: o.value}, nil
+func (o *oneObject) Get(context.Context, string) (infra.Object, error) {
+	return infra.Object{Version: o.version, Value: o.value}, nil
 }
 
-func (o *oneObject) Put(_ context.Context, _ string, value []byte, at plat.Version) (plat.Version, error) {
+func (o *oneObject) Put(_ context.Context, _ string, value []byte, at infra.Version) (infra.Version, error) {
 	if at != o.version {
-		return 0, plat.ErrConflict
+		return 0, infra.ErrConflict
 	}
 	o.version, o.value = at+1, value
 	return o.version, nil
@@ -52,17 +52,17 @@
 func (entryHost) Status(context.Context) (admin.Status, error) {
 	return admin.Status{Host: "entry-1", Version: 1, Hosts: []admin.HostStatus{
 		{Host: "entry-1", Zone: "howrah", Role: "entry", State: admin.HostServing, Version: 1, Since: time.Date(2026, 12, 2, 9, 0, 0, 0, time.UTC)},
-		{Host: "side-1", Zone: "howrah", Role: work.RoleApp, Service: "marketplace-app", State: admin.HostDraining, InFlight: 2}}}, nil
+		{Host: "side-1", Zone: "howrah", Role: domain.RoleApp, Service: "marketplace-app", State: admin.HostDraining, InFlight: 2}}}, nil
 }
 
-func (entryHost) Story(_ context.Context, id work.RequestID) (story.Account, error) {
+func (entryHost) Story(_ context.Context, id domain.RequestID) (story.Account, error) {
 	if id != "entry-1.1.7" {
 		return story.Account{}, admin.ErrNoStory
 	}
-	return story.Account{Request: id, State: story.StateRefused, Ran: work.NotRun, Reason: work.ReasonNoRoom}, nil
+	return story.Account{Request: id, State: story.StateRefused, Ran: domain.NotRun, Reason: domain.ReasonNoRoom}, nil
 }
 
-func (entryHost) Drain(_ context.Context, host work.Host, _ string) error {
+func (entryHost) Drain(_ context.Context, host domain.Host, _ string) error {
 	if host != "side-1" {
 		return admin.ErrNoHost
 	}
--- a/cmd_direct.go
+++ b/cmd_direct.go
@@ -30,17 +30,17 @@
 	signal.Notify(reloads, syscall.SIGHUP)
 	defer signal.Stop(reloads)
 	s := &direct.Server{
-		Settings: d,
-		Log:      newLog(d.Log, "direct", d.Name, lines),
-		Meter:    &meter.Set{},
-		Protocol: platform.Protocol{},
-		Configs:  platform.Configs(store),
-		Servers:  platform.Servers(store),
-		Records:  store,
-		Members:  platform.Entries(store),
-		Relays:   platform.Relays(store),
-		Notices:  platform.Notices(store),
-		Reloads:  reloads,
+		Settings:      d,
+		Log:           newLog(d.Log, "direct", d.Name, lines),
+		Meter:         &meter.Registry{},
+		Protocol:      platform.Protocol{},
+		Configs:       platform.Configs(store),
+		Upstreams:     platform.Servers(store),
+		Records:       store,
+		Members:       platform.Entries(store),
+		Relays:        platform.Relays(store),
+		Notices:       platform.Notices(store),
+		ReloadSignals: reloads,
 		Reload: func() (conf.Direct, error) {
 			text, err := os.ReadFile(a.Settings)
 			if err != nil {
@@ -50,7 +50,7 @@
 		},
 	}
 	store.Called = func(verb, kind, outcome string) {
-		s.Meter.Count("jacinthworks_store_calls_total", meter.Labels{"call", verb, "kind", kind, "outcome", outcome})
+		s.Meter.Inc("jacinthworks_store_calls_total", meter.Labels{"call", verb, "kind", kind, "outcome", outcome})
 		s.Log.Debug("store called", "call", verb, "kind", kind, "outcome", outcome)
 	}
 	s.Meter.Gauge("jacinthworks_log_lines_dropped", nil, func() float64 { return float64(lines.Dropped()) })
--- a/cmd_drain.go
+++ b/cmd_drain.go
@@ -5,12 +5,12 @@
 	"fmt"
 	"io"
 
-	"jacinthworks/work"
+	"jacinthworks/domain"
 )
 
 type drainArgs struct {
 	adminArgs
-	Host work.Host `arg:"positional,required" help:"name of an entry or a side" placeholder:"HOST"`
+	Host domain.Host `arg:"positional,required" help:"name of an entry or a side" placeholder:"HOST"`
 }
 
 var cmdDrain = command{name: "drain", help: "let a host take no new work and end what it has", run: runDrain}
--- a/cmd_entry.go
+++ b/cmd_entry.go
@@ -8,7 +8,7 @@
 
 	"jacinthworks/conf"
 	"jacinthworks/entry"
-	"jacinthworks/plat"
+	"jacinthworks/infra"
 )
 
 var cmdEntry = command{name: "entry", help: "serve callers on an entry host", run: runEntry}
@@ -19,12 +19,12 @@
 		return code
 	}
 	e := &entry.Entry{
-		Settings: s,
-		Log:      newLog(s.Log, "entry", s.Name, errs),
-		Objects:  &plat.HTTPObjects{Base: s.Platform},
-		Hosts:    &plat.HTTPHosts{Base: s.Platform},
-		Step:     a.Drill.Hook(),
-		Listening: func(callers, admin, peers netip.AddrPort) {
+		Settings:  s,
+		Log:       newLog(s.Log, "entry", s.Name, errs),
+		Objects:   &infra.HTTPObjects{Base: s.Platform},
+		Hosts:     &infra.HTTPHosts{Base: s.Platform},
+		FaultHook: a.Drill.Hook(),
+		OnListen: func(callers, admin, peers netip.AddrPort) {
 			fmt.Fprintf(out, "listening %s admin %s peers %s\n", callers, admin, peers)
 		},
 	}
--- a/cmd_load.go
+++ b/cmd_load.go
@@ -12,8 +12,8 @@
 
 	"github.com/pkg/errors"
 
+	"jacinthworks/domain"
 	"jacinthworks/load"
-	"jacinthworks/work"
 )
 
 type loadArgs struct {
@@ -27,19 +27,19 @@
 	Seed      uint64           `arg:"--seed" default:"1" help:"fixes arrivals, mix, prompts and keys; another one makes other keys"`
 	Honour    float64          `arg:"--honour" default:"1" help:"share of refused callers that return when Retry-After says"`
 
-	Service      work.Service  `arg:"--service" help:"model that completions ask for; none without it"`
-	Kind         work.Kind     `arg:"--kind" default:"appraisal" help:"kind of the completions"`
-	PromptTokens int           `arg:"--prompt-tokens" default:"400" help:"tokens of each prompt"`
-	MaxTokens    int           `arg:"--max-tokens" default:"32" help:"tokens of each answer"`
-	FirstToken   time.Duration `arg:"--first-token" default:"1s" help:"target for time to first token"`
-	TokenGap     time.Duration `arg:"--token-gap" default:"50ms" help:"target for mean time between tokens"`
+	Service      domain.Service `arg:"--service" help:"model that completions ask for; none without it"`
+	Kind         domain.Kind    `arg:"--kind" default:"appraisal" help:"kind of the completions"`
+	PromptTokens int            `arg:"--prompt-tokens" default:"400" help:"tokens of each prompt"`
+	MaxTokens    int            `arg:"--max-tokens" default:"32" help:"tokens of each answer"`
+	FirstToken   time.Duration  `arg:"--first-token" default:"1s" help:"target for time to first token"`
+	TokenGap     time.Duration  `arg:"--token-gap" default:"50ms" help:"target for mean time between tokens"`
 
-	Plain       work.Service  `arg:"--plain" help:"plain service to call; none without it"`
-	PlainKind   work.Kind     `arg:"--plain-kind" default:"card" help:"kind of the plain calls"`
-	PlainMethod string        `arg:"--plain-method" default:"GET" help:"method of the plain calls"`
-	PlainPath   string        `arg:"--plain-path" default:"/cards/17" help:"path of the plain calls"`
-	PlainTarget time.Duration `arg:"--plain-target" default:"100ms" help:"target for a plain answer"`
-	PlainShare  float64       `arg:"--plain-share" default:"0.5" help:"share of plain calls where both are asked for"`
+	Plain       domain.Service `arg:"--plain" help:"plain service to call; none without it"`
+	PlainKind   domain.Kind    `arg:"--plain-kind" default:"card" help:"kind of the plain calls"`
+	PlainMethod string         `arg:"--plain-method" default:"GET" help:"method of the plain calls"`
+	PlainPath   string         `arg:"--plain-path" default:"/cards/17" help:"path of the plain calls"`
+	PlainTarget time.Duration  `arg:"--plain-target" default:"100ms" help:"target for a plain answer"`
+	PlainShare  float64        `arg:"--plain-share" default:"0.5" help:"share of plain calls where both are asked for"`
 }
 
 var cmdLoad = command{name: "load", help: "send requests at a set rate and report what callers receive", run: runLoad}
--- a/cmd_order.go
+++ b/cmd_order.go
@@ -6,13 +6,13 @@
 	"io"
 
 	"jacinthworks/admin"
+	"jacinthworks/domain"
 	"jacinthworks/engine"
-	"jacinthworks/work"
 )
 
 type orderArgs struct {
 	adminArgs
-	Host  work.Host        `arg:"positional,required" help:"name of the side beside the engine" placeholder:"HOST"`
+	Host  domain.Host      `arg:"positional,required" help:"name of the side beside the engine" placeholder:"HOST"`
 	Kind  engine.OrderKind `arg:"positional,required" help:"load (a model or a version of it) or adapter" placeholder:"KIND"`
 	Value string           `arg:"positional,required" help:"what to load" placeholder:"VALUE"`
 }
@@ -25,7 +25,7 @@
 	if done {
 		return code
 	}
-	given, err := c.Order(ctx, admin.OrderRequest{Host: a.Host, Kind: a.Kind, Value: a.Value})
+	given, err := c.SendOrder(ctx, admin.OrderRequest{Host: a.Host, Kind: a.Kind, Value: a.Value})
 	if err != nil {
 		return report(err, errs)
 	}
--- a/cmd_side.go
+++ b/cmd_side.go
@@ -7,10 +7,10 @@
 	"net/netip"
 
 	"jacinthworks/conf"
+	"jacinthworks/domain"
 	"jacinthworks/engine"
-	"jacinthworks/plat"
+	"jacinthworks/infra"
 	"jacinthworks/side"
-	"jacinthworks/work"
 )
 
 var cmdSide = command{name: "side", help: "serve entries beside one upstream", run: runSide}
@@ -23,12 +23,12 @@
 	b := &side.Side{
 		Settings:  s,
 		Log:       newLog(s.Log, "side", s.Name, errs),
-		Objects:   &plat.HTTPObjects{Base: s.Platform},
-		Step:      a.Drill.Hook(),
-		Listening: func(a netip.AddrPort) { fmt.Fprintf(out, "listening %s\n", a) },
+		Objects:   &infra.HTTPObjects{Base: s.Platform},
+		FaultHook: a.Drill.Hook(),
+		OnListen:  func(a netip.AddrPort) { fmt.Fprintf(out, "listening %s\n", a) },
 	}
-	if s.Role == work.RoleApp {
-		b.App = &engine.HTTPApp{Base: s.Upstream}
+	if s.Role == domain.RoleApp {
+		b.App = &engine.HTTPAppServer{Base: s.Upstream}
 	} else {
 		b.Model = &engine.HTTPModel{Base: s.Upstream}
 	}
--- a/cmd_story.go
+++ b/cmd_story.go
@@ -5,13 +5,13 @@
 	"encoding/json"
 	"io"
 
-	"jacinthworks/work"
+	"jacinthworks/domain"
 )
 
 type storyArgs struct {
 	adminArgs
-	Request work.RequestID `arg:"positional,required" help:"the Request-Id of the answer" placeholder:"REQUEST_ID"`
-	JSON    bool           `arg:"--json" help:"print JSON"`
+	Request domain.RequestID `arg:"positional,required" help:"the Request-Id of the answer" placeholder:"REQUEST_ID"`
+	JSON    bool             `arg:"--json" help:"print JSON"`
 }
 
 var cmdStory = command{name: "story", help: "tell what became of one request", run: runStory}
--- a/cmd_table.go
+++ b/cmd_table.go
@@ -10,9 +10,9 @@
 	"github.com/pkg/errors"
 
 	"jacinthworks/admin"
+	"jacinthworks/domain"
 	"jacinthworks/editor"
 	"jacinthworks/table"
-	"jacinthworks/work"
 )
 
 type tableArgs struct {
@@ -94,7 +94,7 @@
 	if len(parts) != 3 {
 		return table.Change{}, errors.Errorf("a row is SERVICE/ZONE/KIND: %q", a.Row)
 	}
-	key := table.Key{Service: work.Service(parts[0]), Zone: work.Zone(parts[1]), Kind: work.Kind(parts[2])}
+	key := table.Key{Service: domain.Service(parts[0]), Zone: domain.Zone(parts[1]), Kind: domain.Kind(parts[2])}
 	var cells []table.Cell
 	for _, text := range a.Cells {
 		name, value, ok := strings.Cut(text, "=")
--- a/conf/conf.go
+++ b/conf/conf.go
@@ -55,13 +55,13 @@
 	"net/netip"
 	"time"
 
-	"jacinthworks/work"
+	"jacinthworks/domain"
 )
 
 // Entry holds the settings of an entry.
 type Entry struct {
-	Name work.Host
-	Zone work.Zone
+	Name domain.Host
+	Zone domain.Zone
 	// Listen is where callers connect.
 	Listen netip.AddrPort
 	// AdminListen is where operators connect; expvar is served there only.
@@ -85,12 +85,12 @@
 
 // Side holds the settings of a side.
 type Side struct {
-	Name work.Host
-	Zone work.Zone
+	Name domain.Host
+	Zone domain.Zone
 	// Role says what the upstream does.
-	Role work.Role
+	Role domain.Role
 	// Service is what the upstream serves.
-	Service work.Service
+	Service domain.Service
 	// Listen is where entries connect.
 	Listen netip.AddrPort
 	// Advertise is where entries reach Listen, if not there; optional.
@@ -179,7 +179,7 @@
 
 // Caller ties a bearer token to the account it speaks for.
 type Caller struct {
-	Account work.Account
+	Account domain.Account
 	Token   Secret
 }
 
--- a/conf/conf_test.go
+++ b/conf/conf_test.go
@@ -11,7 +11,7 @@
 
 	"jacinthworks/check"
 	"jacinthworks/conf"
-	"jacinthworks/work"
+	"jacinthworks/domain"
 )
 
 const goodEntry = `name = "entry-1"
@@ -33,7 +33,7 @@
 func TestEntryTakesDefaultsForWhatIsLeftOut(t *testing.T) {
 	e, err := conf.ParseEntry("entry.toml", []byte(goodEntry))
 	require.NoError(t, err)
-	require.Equal(t, work.Zone("salt-lake"), e.Zone)
+	require.Equal(t, domain.Zone("salt-lake"), e.Zone)
 	require.Equal(t, netip.MustParseAddrPort("127.0.0.1:8000"), e.Listen)
 	require.Equal(t, conf.Log{Level: "info", Format: "json"}, e.Log)
 	require.Equal(t, conf.Limits{}.OrDefaults(), e.Limits)
@@ -75,8 +75,8 @@
 func TestSideReadsItsRole(t *testing.T) {
 	s, err := conf.ParseSide("side.toml", []byte(goodSide))
 	require.NoError(t, err)
-	require.Equal(t, work.RoleDecode, s.Role)
-	require.Equal(t, work.Service("appraiser-lm"), s.Service)
+	require.Equal(t, domain.RoleDecode, s.Role)
+	require.Equal(t, domain.Service("appraiser-lm"), s.Service)
 	require.False(t, s.AdminListen.IsValid())
 }
 
--- a/conf/direct.go
+++ b/conf/direct.go
@@ -5,8 +5,8 @@
 	"net/netip"
 	"time"
 
+	"jacinthworks/domain"
 	"jacinthworks/quota"
-	"jacinthworks/work"
 )
 
 // Direct holds the settings of `direct`: an entry that reaches upstreams
@@ -34,8 +34,8 @@
 //	overage = 0.1
 //	slack = 140000
 type Direct struct {
-	Name work.Host
-	Zone work.Zone
+	Name domain.Host
+	Zone domain.Zone
 	// Listen is where callers connect, ReadyListen where the balancer asks.
 	Listen      netip.AddrPort
 	ReadyListen netip.AddrPort
@@ -98,8 +98,8 @@
 // readDirect reads every setting.
 func readDirect(r *reader) Direct {
 	d := Direct{
-		Name:          work.Host(r.name("name")),
-		Zone:          work.Zone(r.name("zone")),
+		Name:          domain.Host(r.name("name")),
+		Zone:          domain.Zone(r.name("zone")),
 		Listen:        r.listenAddr("listen", true),
 		ReadyListen:   r.listenAddr("ready_listen", true),
 		MetricsListen: r.listenAddr("metrics_listen", false),
@@ -133,7 +133,7 @@
 
 func (r *reader) quotas() quota.Tolerance {
 	r.table("quotas")
-	return quota.Tolerance{Window: r.duration("quotas.window"), Part: r.number("quotas.overage"), Slack: r.number("quotas.slack")}
+	return quota.Tolerance{Window: r.duration("quotas.window"), Fraction: r.number("quotas.overage"), FixedExcess: r.number("quotas.slack")}
 }
 
 // number gives a number that is not negative, whole or not.
--- a/conf/parse.go
+++ b/conf/parse.go
@@ -4,7 +4,7 @@
 	"net/netip"
 	"regexp"
 
-	"jacinthworks/work"
+	"jacinthworks/domain"
 )
 
 // minToken is the shortest token in characters; a shorter one can be guessed.
@@ -21,8 +21,8 @@
 		return Entry{}, err
 	}
 	e := Entry{
-		Name:          work.Host(r.name("name")),
-		Zone:          work.Zone(r.name("zone")),
+		Name:          domain.Host(r.name("name")),
+		Zone:          domain.Zone(r.name("zone")),
 		Listen:        r.listenAddr("listen", true),
 		AdminListen:   r.listenAddr("admin_listen", true),
 		PeerListen:    r.listenAddr("peer_listen", false),
@@ -54,12 +54,12 @@
 	if err != nil {
 		return Side{}, err
 	}
-	prefill, decode, app := string(work.RolePrefill), string(work.RoleDecode), string(work.RoleApp)
+	prefill, decode, app := string(domain.RolePrefill), string(domain.RoleDecode), string(domain.RoleApp)
 	s := Side{
-		Name:        work.Host(r.name("name")),
-		Zone:        work.Zone(r.name("zone")),
-		Role:        work.Role(r.oneOf("role", prefill, decode, app)),
-		Service:     work.Service(r.name("service")),
+		Name:        domain.Host(r.name("name")),
+		Zone:        domain.Zone(r.name("zone")),
+		Role:        domain.Role(r.oneOf("role", prefill, decode, app)),
+		Service:     domain.Service(r.name("service")),
 		Listen:      r.listenAddr("listen", true),
 		Advertise:   r.advertised("advertise"),
 		Upstream:    r.dialAddr("upstream"),
@@ -136,7 +136,7 @@
 	var callers []Caller
 	for _, at := range r.tables("caller") {
 		c := Caller{
-			Account: work.Account(r.required(at + ".account")),
+			Account: domain.Account(r.required(at + ".account")),
 			Token:   r.secret(at + ".token"),
 		}
 		callers = append(callers, c)
--- a/conns/idle.go
+++ b/conns/idle.go
@@ -3,11 +3,11 @@
 //
 // # Usage
 //
-//	idle := &conns.Idle{Limit: limit}
+//	idle := &conns.IdleCloser{Limit: limit}
 //	server := &http.Server{ConnState: idle.State}
 //	go idle.Run(ctx)
 //
-//	w = conns.NewWriter(w, within) // in a handler
+//	w = conns.NewDeadlineWriter(w, within) // in a handler
 package conns
 
 import (
@@ -30,10 +30,10 @@
 	idleSweep = time.Second
 )
 
-// Idle closes callers' connections that have no request for longer than the
+// IdleCloser closes callers' connections that have no request for longer than the
 // limit. The limit is a configuration's and changes while they are open, which
 // http.Server's own IdleTimeout does not follow. Set Limit first; it must not be copied.
-type Idle struct {
+type IdleCloser struct {
 	// Limit gives how long one is kept.
 	Limit func() time.Duration
 
@@ -41,8 +41,8 @@
 	since map[net.Conn]time.Time
 }
 
-// State takes a change of a connection; it is for http.Server.ConnState.
-func (i *Idle) State(c net.Conn, s http.ConnState) {
+// ConnState takes a change of a connection; it is for http.Server.ConnState.
+func (i *IdleCloser) ConnState(c net.Conn, s http.ConnState) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if s == http.StateIdle {
@@ -56,7 +56,7 @@
 }
 
 // Run looks at the connections until ctx ends.
-func (i *Idle) Run(ctx context.Context) error {
+func (i *IdleCloser) Run(ctx context.Context) error {
 	t := time.NewTicker(idleSweep)
 	defer t.Stop()
 	for {
@@ -69,7 +69,7 @@
 	}
 }
 
-func (i *Idle) sweep(now time.Time) {
+func (i *IdleCloser) sweep(now time.Time) {
 	limit := idleTimes * i.Limit()
 	i.mu.Lock()
 	defer i.mu.Unlock()
--- a/again/ages.go
+++ b/delay/ages.go
@@ -1,4 +1,4 @@
-// Package again knows of callers that come again: how long ago they first asked, and when
+// Package delay knows of callers that come again: how long ago they first asked, and when
 // one that is refused should return.
 //
 // The load patterns it answers: a burst is refused in part, and what was refused returns.
@@ -8,31 +8,31 @@
 //
 // # Usage
 //
-//	var ages again.Ages
+//	var ages delay.AgeEstimator
 //	first := now.Add(-ages.Of(route, within)) // when the caller first asked
 //
-//	var returns again.Returns
+//	var returns delay.RetryEstimator
 //	retryAfter := returns.After(now)
 //
 // The package reads no clock.
-package again
+package delay
 
 import (
 	"sync"
 	"time"
 )
 
-// Ages knows how long the callers of each route wait when they ask for the
+// AgeEstimator knows how long the callers of each route wait when they ask for the
 // first time. One that asks again has less time left, and tells by it how long
 // ago it first asked. The zero value is ready to use; it must not be copied.
-type Ages struct {
+type AgeEstimator struct {
 	mu     sync.Mutex // a leaf
 	routes map[string]*patience
 }
 
-// Of gives how long ago a caller that waits for so long first asked, at the
+// Estimate gives how long ago a caller that waits for so long first asked, at the
 // least.
-func (a *Ages) Of(route string, within time.Duration) time.Duration {
+func (a *AgeEstimator) Estimate(route string, within time.Duration) time.Duration {
 	if within <= 0 {
 		return 0
 	}
--- a/again/returns.go
+++ b/delay/returns.go
@@ -1,4 +1,4 @@
-package again
+package delay
 
 import (
 	"math/rand/v2"
@@ -7,35 +7,35 @@
 )
 
 const (
-	// Least is the least time to a return: engines take about as long
+	// MinDelay is the least time to a return: engines take about as long
 	// to end what they run.
-	Least = 3000 * time.Millisecond
+	MinDelay = 3000 * time.Millisecond
 	// fullGap ends a time of refusals.
 	fullGap = 2 * time.Second
 	// Jitter is the part of the time by which returns are spread.
 	Jitter = 0.5
 )
 
-// Returns gives when a refused request should return. How long an overload or an
+// RetryEstimator gives when a refused request should return. How long an overload or an
 // outage will last is not known; the best guess is as long as it has lasted. The
 // zero value is ready to use; it must not be copied.
 //
 // Load pattern: a burst of some seconds, whose callers return once. Told to
 // return in the next second they are refused again, for good.
-type Returns struct {
+type RetryEstimator struct {
 	mu sync.Mutex // a leaf
 	// since is when requests began to be refused, and refused when one last was.
 	since, refused time.Time
 }
 
-// After gives the time to the return of a request that is refused now.
-func (t *Returns) After(now time.Time) time.Duration {
+// Delay gives the time to the return of a request that is refused now.
+func (t *RetryEstimator) Delay(now time.Time) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if now.Sub(t.refused) > fullGap {
 		t.since = now
 	}
 	t.refused = now
-	after := max(Least, now.Sub(t.since))
+	after := max(MinDelay, now.Sub(t.since))
 	return after + time.Duration(Jitter*rand.Float64()*float64(after))
 }
--- a/again/returns_test.go
+++ b/delay/returns_test.go
@@ -1,4 +1,4 @@
-package again
+package delay
 
 import (
 	"testing"
@@ -12,13 +12,13 @@
 // process that knew no configuration. Each is told at least three seconds, and the
 // longer it lasts the later, at different times.
 func TestReturnsFollowTheLengthOfAnOutage(t *testing.T) {
-	var r Returns
+	var r RetryEstimator
 	began := time.Now()
 	for _, after := range []time.Duration{0, time.Second, 2 * time.Second, 3500 * time.Millisecond, 5 * time.Second} {
-		got := r.After(began.Add(after))
-		require.GreaterOrEqual(t, got, max(Least, after))
-		require.LessOrEqual(t, got, time.Duration((1+Jitter)*float64(max(Least, after))))
+		got := r.Delay(began.Add(after))
+		require.GreaterOrEqual(t, got, max(MinDelay, after))
+		require.LessOrEqual(t, got, time.Duration((1+Jitter)*float64(max(MinDelay, after))))
 	}
-	fresh := r.After(began.Add(time.Minute))
-	require.LessOrEqual(t, fresh, time.Duration((1+Jitter)*float64(Least)), "it was over meanwhile")
+	fresh := r.Delay(began.Add(time.Minute))
+	require.LessOrEqual(t, fresh, time.Duration((1+Jitter)*float64(MinDelay)), "it was over meanwhile")
 }
--- a/again/stagger.go
+++ b/delay/stagger.go
@@ -1,13 +1,13 @@
-package again
+package delay
 
 import (
 	"sync"
 	"time"
 )
 
-// ReturnsPart is the part of the work done that those who return may take; the rest is for
+// RetryShare is the part of the work done that those who return may take; the rest is for
 // those who come for the first time.
-const ReturnsPart = 1.0 / 3
+const RetryShare = 1.0 / 3
 
 // Stagger says when each of those should return who are refused while upstreams take
 // nothing for a time. The zero value is ready to use; it must not be copied.
@@ -21,12 +21,12 @@
 	last time.Time
 }
 
-// After gives when the next one should return, where nothing is taken for the wait, and
+// Delay gives when the next one should return, where nothing is taken for the wait, and
 // after it one request each so often.
-func (s *Stagger) After(now time.Time, wait, each time.Duration) time.Duration {
+func (s *Stagger) Delay(now time.Time, wait, each time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if next := s.last.Add(time.Duration(float64(each) / ReturnsPart)); next.After(now.Add(wait)) {
+	if next := s.last.Add(time.Duration(float64(each) / RetryShare)); next.After(now.Add(wait)) {
 		s.last = next
 	} else {
 		s.last = now.Add(wait)
--- a/again/stagger_test.go
+++ b/delay/stagger_test.go
@@ -1,4 +1,4 @@
-package again
+package delay
 
 import (
 	"cmp"
@@ -66,7 +66,7 @@
 	naiveAnswered, naivePauses := replay(func(_ time.Time, wait time.Duration) time.Duration { return wait })
 	var s Stagger
 	answered, pauses := replay(func(now time.Time, wait time.Duration) time.Duration {
-		return s.After(now, wait, replayWork/replaySlots)
+		return s.Delay(now, wait, replayWork/replaySlots)
 	})
 	t.Log("naive:", naiveAnswered, "answered,", naivePauses, "pauses; staggered:", answered, pauses)
 	require.Positive(t, naivePauses)
@@ -80,8 +80,8 @@
 	var s Stagger
 	now := time.Now()
 	for n := range 5 {
-		require.Equal(t, time.Second+time.Duration(n)*30*time.Millisecond, s.After(now, time.Second, 10*time.Millisecond))
+		require.Equal(t, time.Second+time.Duration(n)*30*time.Millisecond, s.Delay(now, time.Second, 10*time.Millisecond))
 	}
 	later := now.Add(time.Minute)
-	require.Equal(t, 500*time.Millisecond, s.After(later, 500*time.Millisecond, 10*time.Millisecond))
+	require.Equal(t, 500*time.Millisecond, s.Delay(later, 500*time.Millisecond, 10*time.Millisecond))
 }
--- a/direct/assign.go
+++ b/direct/assign.go
@@ -6,9 +6,9 @@
 	"time"
 
 	"jacinthworks/assign"
+	"jacinthworks/domain"
 	"jacinthworks/roster"
 	"jacinthworks/route"
-	"jacinthworks/work"
 )
 
 const (
@@ -26,8 +26,8 @@
 	Shard  assign.Shard `json:"shard"`
 	Tokens int          `json:"tokens"`
 	// Near is the availability zone of the engine that will fetch the prompt.
-	Near work.Zone `json:"near"`
-	// Within is how long the prompt may take.
+	Near domain.Zone `json:"near"`
+	// Timeout is how long the prompt may take.
 	Within time.Duration `json:"within"`
 	// Skip are engines that the asker keeps away from.
 	Skip []roster.ID `json:"skip,omitempty"`
@@ -50,39 +50,39 @@
 // assignPrefill chooses the prefill engine by what all entries have sent to each, as
 // one of them knows. It gives no upstream where that one can't be reached, or knows
 // an engine that is not known here.
-func (s *Server) assignPrefill(ctx context.Context, r *request, near work.Zone, l route.Load) (p placed, a assignment) {
+func (s *Server) assignPrefill(ctx context.Context, r *request, near domain.Zone, l route.Request) (p placed, a assignment) {
 	engines, skip := s.prefillEngines(r, l)
 	call := assignCall{
-		Shard: assign.ShardOf(r.service.Name, engines, r.random), Tokens: l.Units, Near: near, Within: r.targetLatency(), Skip: skip,
+		Shard: assign.PickShard(r.service.Name, engines, r.random), Tokens: l.Units, Near: near, Within: r.targetLatency(), Skip: skip,
 	}
-	own := func(bool) assign.Given { return s.assignHere(call) }
+	own := func(bool) assign.Assignment { return s.assignHere(call) }
 	given, by, ok := askKeeper(ctx, s, call.Shard.Key(), assignPath, keeperTries, call, own)
 	if !ok || !given.Found() {
 		return placed{}, assignment{}
 	}
 	a = assignment{by: by, shard: call.Shard, ticket: given.Ticket}
-	u := s.roster.Member(roster.ID(given.Engine))
-	if u == nil || !u.Access(time.Now()).Open() {
+	u := s.roster.Upstream(roster.ID(given.Engine))
+	if u == nil || !u.Eligibility(time.Now()).Eligible() {
 		s.endAssignment(a)
 		return placed{}, assignment{}
 	}
-	p = placed{upstream: u, offer: u.Seen.Offer(time.Now()), of: engines, by: by.name(), ahead: given.Ahead}
+	p = placed{upstream: u, offer: u.Stats.Candidate(time.Now()), of: engines, by: by.name(), ahead: given.QueueDelay}
 	p.offer.Name = given.Engine
 	return p, a
 }
 
 // prefillEngines counts the prefill engines, and gives those that the request has tried,
 // or that refuse or fail as this entry knows.
-func (s *Server) prefillEngines(r *request, l route.Load) (n int, skip []roster.ID) {
+func (s *Server) prefillEngines(r *request, l route.Request) (n int, skip []roster.ID) {
 	now := time.Now()
-	for _, u := range s.roster.Of(r.service.Name) {
+	for _, u := range s.roster.Upstreams(r.service.Name) {
 		m := u.Server()
-		if m.Role != work.RolePrefill {
+		if m.Role != domain.RolePrefill {
 			continue
 		}
 		n++
-		o := u.Seen.Offer(now)
-		if r.tried[m.Key()] || !u.Access(now).Open() || o.Held || o.Fails > assignFailing || l.OnlySure && !o.Sure {
+		o := u.Stats.Candidate(now)
+		if r.tried[m.Key()] || !u.Eligibility(now).Eligible() || o.RecentlyFull || o.FailureRate > assignFailing || l.OnlyResponsive && !o.Responsive {
 			skip = append(skip, m.ID)
 		}
 	}
@@ -90,42 +90,42 @@
 }
 
 // assignHere chooses for an entry by what is tracked here.
-func (s *Server) assignHere(c assignCall) assign.Given {
+func (s *Server) assignHere(c assignCall) assign.Assignment {
 	skip := make(map[roster.ID]bool, len(c.Skip))
 	for _, id := range c.Skip {
 		skip[id] = true
 	}
 	now := time.Now()
 	var engines []assign.Engine
-	for _, u := range s.roster.Of(c.Shard.Service) {
+	for _, u := range s.roster.Upstreams(c.Shard.Service) {
 		m := u.Server()
-		o := u.Seen.Offer(now)
-		if m.Role != work.RolePrefill || !u.Access(now).Open() || skip[m.ID] || o.Held || !c.Shard.Has(string(m.ID)) {
+		o := u.Stats.Candidate(now)
+		if m.Role != domain.RolePrefill || !u.Eligibility(now).Eligible() || skip[m.ID] || o.RecentlyFull || !c.Shard.Contains(string(m.ID)) {
 			continue
 		}
-		e := assign.Engine{ID: string(m.ID), Cost: time.Duration(o.Fails * float64(c.Within))}
+		e := assign.Engine{ID: string(m.ID), ExtraLatency: time.Duration(o.FailureRate * float64(c.Within))}
 		if m.Zone != c.Near {
-			e.Cost += farStage
+			e.ExtraLatency += farStage
 		}
 		engines = append(engines, e)
 	}
-	each := s.mixes.PromptTime(c.Shard.Service)
+	each := s.mixes.PromptTokenTime(c.Shard.Service)
 	if each <= 0 {
 		each = prefillRate
 	}
-	return s.trackers.Tracker(c.Shard).Assign(now, engines, assign.Work{Tokens: c.Tokens, Each: each, Within: c.Within}, random())
+	return s.trackers.For(c.Shard).Assign(now, engines, assign.Work{Tokens: c.Tokens, PerToken: each, TTL: c.Within}, random())
 }
 
 // keeps says whether the shard can be tracked.
 func (s *Server) keeps(p assign.Shard) bool {
 	c := s.holder.Current()
-	return c != nil && c.Service(p.Service) != nil && p.Sound()
+	return c != nil && c.Service(p.Service) != nil && p.Valid()
 }
 
 // answerAssign answers the other entries; an entry that knows no engines can't.
-func (s *Server) answerAssign(c assignCall) (assign.Given, bool) {
-	if !s.roster.Known() || c.Tokens < 0 || c.Within <= 0 || !s.keeps(c.Shard) {
-		return assign.Given{}, false
+func (s *Server) answerAssign(c assignCall) (assign.Assignment, bool) {
+	if !s.roster.Loaded() || c.Tokens < 0 || c.Within <= 0 || !s.keeps(c.Shard) {
+		return assign.Assignment{}, false
 	}
 	return s.assignHere(c), true
 }
@@ -135,7 +135,7 @@
 	if !s.keeps(e.Shard) {
 		return struct{}{}, false
 	}
-	s.trackers.Tracker(e.Shard).End(e.Ticket)
+	s.trackers.For(e.Shard).Finish(e.Ticket)
 	return struct{}{}, true
 }
 
--- a/direct/budget.go
+++ b/direct/budget.go
@@ -4,21 +4,21 @@
 	"sync"
 	"time"
 
+	"jacinthworks/domain"
 	"jacinthworks/retry"
-	"jacinthworks/work"
 )
 
 // budgets are the allowances for repeats of each service.
 type budgets struct {
 	mu sync.Mutex // a leaf
-	of map[work.Service]*retry.Window
+	of map[domain.Service]*retry.Window
 }
 
-func (b *budgets) window(s work.Service) *retry.Window {
+func (b *budgets) window(s domain.Service) *retry.Window {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.of == nil {
-		b.of = make(map[work.Service]*retry.Window)
+		b.of = make(map[domain.Service]*retry.Window)
 	}
 	if b.of[s] == nil {
 		b.of[s] = &retry.Window{}
@@ -28,9 +28,9 @@
 
 // terms are the figures that bound repeats here: the fleet's, and this entry's
 // part of the fixed number.
-func (s *Server) terms() retry.Terms {
+func (s *Server) terms() retry.WindowConfig {
 	p := s.live.Load().Repeats
-	return retry.Terms{Ratio: p.Ratio, Share: p.Fixed / float64(s.members.count(time.Now())) * fixedPart, Span: p.Span}
+	return retry.WindowConfig{Ratio: p.Ratio, Fixed: p.Fixed / float64(s.members.count(time.Now())) * fixedPart, Span: p.Span}
 }
 
 // fixedPart is the part of the fixed number that is given out: the rest covers
--- a/direct/change.go
+++ b/direct/change.go
@@ -5,9 +5,9 @@
 	"sync"
 	"time"
 
+	"jacinthworks/domain"
 	"jacinthworks/fence"
 	"jacinthworks/roster"
-	"jacinthworks/work"
 )
 
 const (
@@ -19,13 +19,13 @@
 	changeSlack = 2 * time.Second
 )
 
-// Change is an order to an engine that keeps it away for a time.
-type Change struct {
+// RoleChange is an order to an engine that keeps it away for a time.
+type RoleChange struct {
 	roster.Start
-	Fence fence.Number `json:"fence"`
+	Fence fence.Token `json:"fence"`
 	// To is the role that the engine has after it; empty where it may not carry the
 	// order out.
-	To work.Role `json:"to,omitempty"`
+	To domain.Role `json:"to,omitempty"`
 }
 
 // changing are the engines that this entry has lately told to change their
@@ -42,12 +42,12 @@
 }
 
 type toldChange struct {
-	Change
+	RoleChange
 	at time.Time
 }
 
 // tell notes orders of this entry, and gives all that its notice is to name.
-func (c *changing) tell(now time.Time, orders []Change) []Change {
+func (c *changing) tell(now time.Time, orders []RoleChange) []RoleChange {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var left []toldChange
@@ -60,15 +60,15 @@
 		left = append(left, toldChange{one, now})
 	}
 	c.told = left
-	var all []Change
+	var all []RoleChange
 	for _, t := range left {
-		all = append(all, t.Change)
+		all = append(all, t.RoleChange)
 	}
 	return all
 }
 
 // tellChanges tells all entries, this one included, of orders that were given.
-func (s *Server) tellChanges(ctx context.Context, orders []Change) {
+func (s *Server) tellChanges(ctx context.Context, orders []RoleChange) {
 	now := time.Now()
 	n := Notice{By: s.Settings.Name, Orders: s.changing.tell(now, orders)}
 	s.heed(now, n)
@@ -79,8 +79,8 @@
 // a list may be old.
 func (s *Server) noteOrders(n Notice) {
 	for _, one := range n.Orders {
-		if u := s.roster.Started(one.Start); u != nil {
-			u.Seen.Order(uint64(one.Fence))
+		if u := s.roster.ByInstance(one.Start); u != nil {
+			u.Stats.AcceptOrder(uint64(one.Fence))
 		}
 	}
 }
@@ -89,8 +89,8 @@
 // until they have or should have.
 func (s *Server) heed(now time.Time, n Notice) {
 	for _, one := range n.Orders {
-		u := s.roster.Started(one.Start)
-		if u == nil || !u.Seen.Order(uint64(one.Fence)) {
+		u := s.roster.ByInstance(one.Start)
+		if u == nil || !u.Stats.AcceptOrder(uint64(one.Fence)) {
 			continue
 		}
 		away := changeSlack
@@ -99,9 +99,9 @@
 				away += v.Engine.SwitchTime
 			}
 		}
-		u.Seen.Away(now.Add(away))
+		u.Stats.SuspendUntil(now.Add(away))
 		if one.To != "" {
-			u.Becomes(one.To, now.Add(away))
+			u.ExpectRole(one.To, now.Add(away))
 		}
 		s.Log.Info("engine changes its role", "upstream", one.ID, "fence", one.Fence, "told_by", n.By, "away", away)
 	}
--- a/direct/client.go
+++ b/direct/client.go
@@ -1,29 +1,29 @@
 package direct
 
 import (
+	"jacinthworks/domain"
 	"jacinthworks/paths"
-	"jacinthworks/work"
 )
 
 // identify finds the account whose key the caller shows. From here on neither the
 // key nor what the caller said of its account is in the request.
 func (s *Server) identify(r *request, c *paths.Config) *failure {
-	if !c.NeedsKey() {
+	if !c.RequiresKey() {
 		return nil
 	}
-	key := s.Protocol.Key(r.header)
-	r.client = c.Account(key)
+	key := s.Protocol.TakeAPIKey(r.header)
+	r.client = c.AccountByKey(key)
 	switch {
 	case r.client != nil:
 		r.account = r.client.Name
 	case !r.route.Open:
-		return &failure{ran: work.NotRun, reason: work.ReasonNoToken, detail: "no account holds the key"}
+		return &failure{ran: domain.NotRun, reason: domain.ReasonNoToken, detail: "no account holds the key"}
 	}
 	return nil
 }
 
 // holder names the account to upstreams; "" where callers have none.
-func (r *request) holder() work.Account {
+func (r *request) holder() domain.Account {
 	if r.client == nil {
 		return ""
 	}
--- a/direct/crash.go
+++ b/direct/crash.go
@@ -11,10 +11,10 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/pkg/errors"
 
+	"jacinthworks/domain"
 	"jacinthworks/group"
 	"jacinthworks/retry"
 	"jacinthworks/roster"
-	"jacinthworks/work"
 )
 
 // deathWithin bounds the dial that tells a dead upstream from a connection that
@@ -35,8 +35,8 @@
 		return
 	}
 	s.later("tell of deaths", deathsGather+2*storeWithin, func(ctx context.Context) error {
-		group.Pause(ctx, deathsGather)
-		s.notify(ctx, deathsNotice+string(s.Settings.Name), Notice{By: s.Settings.Name, Evidence: s.crashes.Told()})
+		group.Sleep(ctx, deathsGather)
+		s.notify(ctx, deathsNotice+string(s.Settings.Name), Notice{By: s.Settings.Name, Evidence: s.crashes.TakeNotice()})
 		return nil
 	})
 }
@@ -58,14 +58,14 @@
 // connection alone says little, since answers are lost as well; one to an
 // upstream that takes no connection any more is a death.
 func (s *Server) suspect(r *request, a *attempt) {
-	ids := s.crashes.At(a.start.Key(), r, r.identity)
+	ids := s.crashes.RunningOn(a.start.Key(), r, r.identity)
 	addr := a.upstream.Server().Addr
 	s.later("look at a broken upstream", 2*deathWithin, func(ctx context.Context) error {
 		err := takesNone(ctx, addr)
 		if err == nil && !a.upstream.Restarted() {
 			return nil
 		}
-		if s.crashes.Saw(retry.Death{Upstream: work.Host(a.start.ID), Incarnation: incarnationOf(a.start), Time: time.Now(), Running: ids}) {
+		if s.crashes.RecordDeath(retry.Death{Upstream: domain.Host(a.start.ID), Incarnation: incarnationOf(a.start), Time: time.Now(), Running: ids}) {
 			s.tellDeaths()
 		}
 		s.Log.Info("upstream died", "upstream", a.start.ID, "born", a.start.Born, "request", r.id, "running", len(ids), "err", err)
@@ -85,10 +85,10 @@
 }
 
 // incarnationOf gives a number for a start.
-func incarnationOf(start roster.Start) work.Incarnation {
+func incarnationOf(start roster.Start) domain.Incarnation {
 	key := start.Key()
 	var b [8]byte
-	binary.BigEndian.PutUint64(b[:], xxhash.Sum64String(string(key.ID)+"/"+strconv.FormatInt(key.Born, 10)))
+	binary.BigEndian.PutUint64(b[:], xxhash.Sum64String(string(key.ID)+"/"+strconv.FormatInt(key.StartedAtMillis, 10)))
 	b[0], b[1] = 0, 0 // numbers stay exact in JSON
-	return work.Incarnation(binary.BigEndian.Uint64(b[:]))
+	return domain.Incarnation(binary.BigEndian.Uint64(b[:]))
 }
--- a/direct/direct.go
+++ b/direct/direct.go
@@ -30,22 +30,22 @@
 	"github.com/hashicorp/go-hclog"
 	"github.com/pkg/errors"
 
-	"jacinthworks/again"
 	"jacinthworks/assign"
 	"jacinthworks/conf"
 	"jacinthworks/conns"
+	"jacinthworks/delay"
+	"jacinthworks/domain"
 	"jacinthworks/feed"
 	"jacinthworks/group"
 	"jacinthworks/lease"
 	"jacinthworks/meter"
 	"jacinthworks/pacer"
 	"jacinthworks/paths"
-	"jacinthworks/place"
 	"jacinthworks/relay"
 	"jacinthworks/retry"
+	"jacinthworks/roles"
 	"jacinthworks/roster"
-	"jacinthworks/turns"
-	"jacinthworks/work"
+	"jacinthworks/search"
 )
 
 // Server serves callers. Set the exported fields before Run.
@@ -55,47 +55,47 @@
 	Protocol Protocol
 	// Configs and Servers are where the configuration and the upstreams are
 	// read from.
-	Configs feed.Source[*paths.Config]
-	Servers feed.Source[roster.Server]
+	Configs   feed.Source[*paths.Config]
+	Upstreams feed.Source[roster.Server]
 	// Members, if set, are the records of all entries.
 	Members feed.Source[Member]
-	// Relays, if set, is the record of the entries that relay.
-	Relays feed.Source[Relays]
+	// RelayRecord, if set, is the record of the entries that relay.
+	Relays feed.Source[RelayRecord]
 	// Notices, if set, are what entries tell each other.
 	Notices feed.Source[Notice]
 	// Records, if set, holds the lease of the one entry that gives orders to
 	// engines; without it no engine changes its role.
 	Records lease.Records
 	// Meter takes the counters and histograms.
-	Meter *meter.Set
+	Meter *meter.Registry
 	// Reload, if set, reads the settings again; it is asked on each Reloads and
 	// from time to time, since settings also change without a word.
-	Reload  func() (conf.Direct, error)
-	Reloads <-chan os.Signal
-	// Listening, if set, is told the addresses once they accept connections.
-	Listening func(callers, ready netip.AddrPort)
+	Reload        func() (conf.Direct, error)
+	ReloadSignals <-chan os.Signal
+	// OnListen, if set, is told the addresses once they accept connections.
+	OnListen func(callers, ready netip.AddrPort)
 
 	// live are the settings that may change while the process runs.
 	live     atomic.Pointer[conf.Direct]
 	holder   paths.Holder
 	roster   roster.Roster
-	crashes  retry.Crashes[roster.Key, *request]
+	crashes  retry.Crashes[roster.InstanceKey, *request]
 	budgets  budgets
-	lines    turns.Lines
-	ages     again.Ages
+	lines    search.Queues
+	ages     delay.AgeEstimator
 	members  members
 	changing changing
-	mixes    place.Mixes
+	mixes    roles.Profiles
 	peers    peers
 	records  records
 	// unready say when what comes before the configuration should return.
-	unready  again.Returns
+	unready  delay.RetryEstimator
 	quotas   quotas
 	limits   limits
-	reach    pacer.Watch[work.Host]
-	fields   meter.Names
-	unread   meter.Names
-	keepers  relay.Silent
+	reach    pacer.Prober[domain.Host]
+	fields   meter.SeenNames
+	unread   meter.SeenNames
+	keepers  relay.Unresponsive
 	trackers assign.Trackers
 	record   ownRecord
 	leaving  atomic.Bool
@@ -132,12 +132,12 @@
 	serving, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	s.workCtx = serving
-	idle := &conns.Idle{Limit: s.idleLimit}
+	idle := &conns.IdleCloser{Limit: s.idleLimit}
 	public := &http.Server{
 		Handler:           http.HandlerFunc(s.serve),
 		ReadHeaderTimeout: s.Settings.Limits.HeaderTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
-		ConnState:         idle.State,
+		ConnState:         idle.ConnState,
 		ErrorLog:          s.Log.StandardLogger(&hclog.StandardLoggerOptions{ForceLevel: hclog.Debug}),
 	}
 	balancer := &http.Server{Handler: s.readyHandler(), ReadHeaderTimeout: s.Settings.Limits.HeaderTimeout}
@@ -158,8 +158,8 @@
 		loops.Go(serving, "metrics", func(ctx context.Context) error { return s.Meter.Serve(ctx, s.Settings.MetricsListen) })
 	}
 	s.Log.Info("started", "listen", callers.Addr().String(), "ready", ready.Addr().String(), "zone", s.Settings.Zone)
-	if s.Listening != nil {
-		s.Listening(callers.Addr().(*net.TCPAddr).AddrPort(), ready.Addr().(*net.TCPAddr).AddrPort())
+	if s.OnListen != nil {
+		s.OnListen(callers.Addr().(*net.TCPAddr).AddrPort(), ready.Addr().(*net.TCPAddr).AddrPort())
 	}
 	<-ctx.Done()
 	s.drain(public)
@@ -205,12 +205,12 @@
 		s.Log = hclog.NewNullLogger()
 	}
 	if s.Meter == nil {
-		s.Meter = &meter.Set{}
+		s.Meter = &meter.Registry{}
 	}
 	s.Settings.Limits = s.Settings.Limits.OrDefaults()
 	s.roster.Log = s.Log
-	s.peers.fleet.Self, s.peers.fleet.Fewest = s.Settings.Name, s.Settings.RelayFrom
-	s.peers.fleet.First = s.Settings.FirstStart
+	s.peers.fleet.Self, s.peers.fleet.MinMembers = s.Settings.Name, s.Settings.RelayFrom
+	s.peers.fleet.Bootstrap = s.Settings.FirstStart
 	s.leavingNow, s.rolesFree, s.configured = make(chan struct{}), make(chan struct{}, 1), make(chan struct{})
 	s.recordGone, s.sought = make(chan struct{}, 1), make(chan struct{})
 	s.quotas.counter.Since = time.Now()
@@ -229,7 +229,7 @@
 
 // reap reads the ends of work that outlives its request.
 func (s *Server) reap(context.Context) error {
-	for end := range s.work.Ends() {
+	for end := range s.work.Exits() {
 		if end.Err != nil {
 			s.Log.Debug("work ended", "name", end.Name, "err", end.Err)
 		}
@@ -250,15 +250,15 @@
 func (s *Server) configFeed() *feed.Feed[*paths.Config] {
 	return &feed.Feed[*paths.Config]{
 		Name: feedConfigs, Source: relayed(s, feedConfigs, s.Configs, &s.peers.configs), Log: s.Log, Wait: s.Settings.WatchWait,
-		Gather: s.gather, Rewound: s.rewound,
-		Listed: func(now time.Time, all []feed.Item[*paths.Config]) {
+		BatchDelay: s.gather, OnRestore: s.rewound,
+		OnList: func(now time.Time, all []feed.Item[*paths.Config]) {
 			for _, c := range feed.Values(all) {
 				s.offerConfig(now, c, feedConfigs)
 			}
 		},
-		Changed: func(now time.Time, changes []feed.Change[*paths.Config]) {
+		OnChange: func(now time.Time, changes []feed.Change[*paths.Config]) {
 			for _, c := range changes {
-				if !c.Gone && c.Unread == nil {
+				if !c.Deleted && c.DecodeErr == nil {
 					s.offerConfig(now, c.Value, feedConfigs)
 				}
 			}
@@ -269,7 +269,7 @@
 // offerConfig takes a configuration that somebody told, if it is newer than the one in
 // force.
 func (s *Server) offerConfig(now time.Time, c *paths.Config, by string) {
-	changed, found := s.holder.Offer(now, c)
+	changed, found := s.holder.Update(now, c)
 	if !changed {
 		return
 	}
@@ -283,9 +283,9 @@
 // serverFeed follows the registry of upstreams.
 func (s *Server) serverFeed() *feed.Feed[roster.Server] {
 	return &feed.Feed[roster.Server]{
-		Name: feedUpstreams, Source: relayed(s, feedUpstreams, s.Servers, &s.peers.upstreams), Log: s.Log, Wait: s.Settings.WatchWait,
-		StaleStart: true, Gather: s.gather,
-		Listed: s.roster.Listed, Changed: s.roster.Changed, Lost: s.roster.Lost, Regained: s.roster.Regained, Rewound: s.roster.Rewound,
+		Name: feedUpstreams, Source: relayed(s, feedUpstreams, s.Upstreams, &s.peers.upstreams), Log: s.Log, Wait: s.Settings.WatchWait,
+		StaleStart: true, BatchDelay: s.gather,
+		OnList: s.roster.SetAll, OnChange: s.roster.Apply, OnDisconnect: s.roster.RegistryLost, OnReconnect: s.roster.RegistryRecovered, OnRestore: s.roster.RegistryRestored,
 	}
 }
 
@@ -293,7 +293,7 @@
 func (s *Server) readyHandler() http.Handler {
 	m := http.NewServeMux()
 	m.HandleFunc("GET /ready", func(w http.ResponseWriter, _ *http.Request) {
-		if s.leaving.Load() || s.holder.Current() == nil || !s.roster.Known() {
+		if s.leaving.Load() || s.holder.Current() == nil || !s.roster.Loaded() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
--- a/direct/end.go
+++ b/direct/end.go
@@ -6,8 +6,8 @@
 	"strconv"
 	"time"
 
+	"jacinthworks/domain"
 	"jacinthworks/meter"
-	"jacinthworks/work"
 )
 
 // A refusal of what has not run says when to return.
@@ -23,15 +23,15 @@
 // refuse ends a request that has no answer. One that was begun to be answered
 // is broken off, since what was sent of it must not look whole.
 func (s *Server) refuse(r *request, f *failure) {
-	f.ran = f.ran.Worse(r.tries.Ran())
-	if f.ran == work.NotRun {
+	f.ran = f.ran.Merge(r.tries.Ran())
+	if f.ran == domain.NotRun {
 		s.giveBack(r)
 	}
 	s.end(r, "refused", "reason", f.reason, "ran", f.ran, "detail", f.detail)
-	if r.begun || f.reason == work.ReasonCallerGone {
+	if r.begun || f.reason == domain.ReasonCallerGone {
 		panic(http.ErrAbortHandler)
 	}
-	given := work.Refusal{RequestID: r.id, Reason: f.reason, Ran: f.ran, Detail: f.detail}
+	given := domain.Refusal{RequestID: r.id, Reason: f.reason, Ran: f.ran, Detail: f.detail}
 	status := statusOf(f)
 	if status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests {
 		given.RetryAfter = min(max(f.retryAfter, returnAfter), max(r.left()/returnPart, 0))
@@ -55,9 +55,9 @@
 func statusOf(f *failure) int {
 	status := f.reason.Status()
 	switch {
-	case f.ran == work.NotRun && status >= http.StatusInternalServerError:
+	case f.ran == domain.NotRun && status >= http.StatusInternalServerError:
 		return http.StatusServiceUnavailable
-	case f.ran != work.NotRun && (status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests):
+	case f.ran != domain.NotRun && (status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests):
 		return http.StatusBadGateway
 	}
 	return status
@@ -78,6 +78,6 @@
 		"request", r.id, "route", route, "kind", kind, "version", r.version,
 		"sends", r.tries.Sends(), "runs", r.tries.Runs(), "took", took,
 	}, more...)...)
-	s.Meter.Count("jacinthworks_requests_total", meter.Labels{"route", route, "kind", kind, "outcome", outcome})
+	s.Meter.Inc("jacinthworks_requests_total", meter.Labels{"route", route, "kind", kind, "outcome", outcome})
 	s.Meter.Observe("jacinthworks_request_seconds", meter.Labels{"kind", kind, "outcome", outcome}, took)
 }
--- a/direct/engines.go
+++ b/direct/engines.go
@@ -9,10 +9,10 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/pkg/errors"
 
+	"jacinthworks/domain"
 	"jacinthworks/paths"
-	"jacinthworks/place"
+	"jacinthworks/roles"
 	"jacinthworks/roster"
-	"jacinthworks/work"
 )
 
 // engineState is an engine and its account of itself.
@@ -33,11 +33,11 @@
 
 // engines gives the engines of a service that stay, those that have asked for a pause
 // included: a pause is no loss.
-func (s *Server) engines(service work.Service) []*roster.Upstream {
+func (s *Server) engines(service domain.Service) []*roster.Upstream {
 	now := time.Now()
 	var all []*roster.Upstream
-	for _, u := range s.roster.Of(service) {
-		if m := u.Server(); m.Role != "" && stays(u.Access(now)) {
+	for _, u := range s.roster.Upstreams(service) {
+		if m := u.Server(); m.Role != "" && stays(u.Eligibility(now)) {
 			all = append(all, u)
 		}
 	}
@@ -45,11 +45,11 @@
 }
 
 // stays says whether an upstream will be sent something again.
-func stays(a roster.Access) bool { return a.Open() || a.Bar == roster.BarBackoff }
+func stays(a roster.Eligibility) bool { return a.Eligible() || a.Reason == roster.ExcludedBackoff }
 
 // sample gives the engines to be asked: the same ones each time, so that
 // connections to them are used again, but for those that come and go.
-func sample(pool []*roster.Upstream, salt work.Host) []*roster.Upstream {
+func sample(pool []*roster.Upstream, salt domain.Host) []*roster.Upstream {
 	if len(pool) <= askedMost {
 		return pool
 	}
@@ -60,7 +60,7 @@
 }
 
 // accounts are the engines' last accounts of themselves, for one goroutine.
-type accounts map[roster.Key]State
+type accounts map[roster.InstanceKey]State
 
 // states asks engines for their accounts, all at once. One that has asked for a pause is
 // taken to be as it last said.
@@ -71,7 +71,7 @@
 	for _, u := range engines {
 		go func() { // its end is read below
 			m := u.Server()
-			if state, known := last[m.Key()]; known && !u.Access(time.Now()).Open() {
+			if state, known := last[m.Key()]; known && !u.Eligibility(time.Now()).Eligible() {
 				answers <- &engineState{upstream: u, server: m, state: state}
 				return
 			}
@@ -84,12 +84,12 @@
 			// Failure: an engine started anew under its id, and the registry does not
 			// tell yet. An order by what the earlier start had taken would be one to
 			// the later.
-			if told := (roster.Start{ID: m.ID, Born: state.Born}); !told.Same(m.Start) {
-				s.Log.Info("engine started anew, its account is not used", "upstream", m.ID, "born", state.Born, "known", m.Born)
+			if told := (roster.Start{ID: m.ID, Born: state.StartedAt}); !told.Same(m.Start) {
+				s.Log.Info("engine started anew, its account is not used", "upstream", m.ID, "born", state.StartedAt, "known", m.Born)
 				answers <- nil
 				return
 			}
-			s.heardStated("", u, Note{Leaving: state.Leaving})
+			s.heardStated("", u, ResponseInfo{Leaving: state.Leaving})
 			answers <- &engineState{upstream: u, server: m, state: state}
 		}()
 	}
@@ -107,32 +107,32 @@
 }
 
 func (s *Server) askState(ctx context.Context, u *roster.Upstream) (State, error) {
-	body, status, err := s.ask(ctx, u, s.Protocol.AskState(), stateWithin)
+	body, status, err := s.ask(ctx, u, s.Protocol.StateRequest(), stateWithin)
 	if err != nil {
 		return State{}, err
 	}
 	if status != 200 {
 		return State{}, errors.Errorf("direct: status %d", status)
 	}
-	return s.Protocol.State(body)
+	return s.Protocol.ParseState(body)
 }
 
 // view turns the engines' accounts into what the planner goes by: the share of
 // memory taken at decode engines, and for each that is kept busy the prefill engines
 // that the mix of the requests keeps busy beside it.
-func view(v *paths.Service, states []engineState, mix mixRatio) place.View {
-	prefills, decodes := place.Pool{Model: v.Name, Role: work.RolePrefill}, place.Pool{Model: v.Name, Role: work.RoleDecode}
-	out := place.View{Demand: map[place.Pool]float64{prefills: 0, decodes: 0}}
-	engines := make(map[place.Pool]int)
+func view(v *paths.Service, states []engineState, mix mixRatio) roles.View {
+	prefills, decodes := roles.Pool{Model: v.Name, Role: domain.RolePrefill}, roles.Pool{Model: v.Name, Role: domain.RoleDecode}
+	out := roles.View{Demand: map[roles.Pool]float64{prefills: 0, decodes: 0}}
+	engines := make(map[roles.Pool]int)
 	taken := 0.0
 	for _, e := range states {
-		pool := place.Pool{Model: v.Name, Role: e.state.Role}
-		out.Engines = append(out.Engines, place.Engine{
-			Host: work.Host(e.server.ID), Zone: e.server.Zone, Pool: pool, Changing: e.state.Changing, Since: time.Now(),
+		pool := roles.Pool{Model: v.Name, Role: e.state.Role}
+		out.Engines = append(out.Engines, roles.Engine{
+			Host: domain.Host(e.server.ID), Zone: e.server.Zone, Pool: pool, Changing: e.state.RoleChanging, Since: time.Now(),
 		})
 		engines[pool]++
-		if pool == decodes && e.state.Memory > 0 {
-			taken += float64(e.state.Taken) / float64(e.state.Memory)
+		if pool == decodes && e.state.KVCapacity > 0 {
+			taken += float64(e.state.KVUsed) / float64(e.state.KVCapacity)
 		}
 	}
 	switch {
--- a/direct/engines_test.go
+++ b/direct/engines_test.go
@@ -8,12 +8,12 @@
 	"github.com/hashicorp/go-hclog"
 	"github.com/stretchr/testify/require"
 
+	"jacinthworks/domain"
 	"jacinthworks/feed"
 	"jacinthworks/fence"
 	"jacinthworks/paths"
-	"jacinthworks/place"
+	"jacinthworks/roles"
 	"jacinthworks/roster"
-	"jacinthworks/work"
 )
 
 // pool gives engines, a third of them for prefill.
@@ -23,15 +23,15 @@
 	s.roster.Log = hclog.NewNullLogger()
 	var all []feed.Item[roster.Server]
 	for i := range n {
-		role := work.RoleDecode
+		role := domain.RoleDecode
 		if i%3 == 0 {
-			role = work.RolePrefill
+			role = domain.RolePrefill
 		}
 		id := roster.ID("i-" + strconv.Itoa(i))
 		all = append(all, feed.Item[roster.Server]{Name: string(id), Value: roster.Server{Start: roster.Start{ID: id}, Service: "m", Role: role}})
 	}
-	all = append(all, feed.Item[roster.Server]{Name: "leaves", Value: roster.Server{Start: roster.Start{ID: "leaves"}, Service: "m", Role: work.RoleDecode, Draining: true}})
-	s.roster.Listed(time.Now(), all)
+	all = append(all, feed.Item[roster.Server]{Name: "leaves", Value: roster.Server{Start: roster.Start{ID: "leaves"}, Service: "m", Role: domain.RoleDecode, Draining: true}})
+	s.roster.SetAll(time.Now(), all)
 	return s.engines("m")
 }
 
@@ -49,7 +49,7 @@
 	require.NotEqual(t, first, sample(all, "entry-2"))
 	prefill := 0
 	for _, u := range first {
-		if u.Server().Role == work.RolePrefill {
+		if u.Server().Role == domain.RolePrefill {
 			prefill++
 		}
 	}
@@ -73,22 +73,22 @@
 // pool seems to ask for an engine, and all requests are refused until the end.
 func TestWithoutDecodeEnginesOneIsAskedFor(t *testing.T) {
 	v := &paths.Service{Name: "m"}
-	state := func(id string, r work.Role, taken int) engineState {
+	state := func(id string, r domain.Role, taken int) engineState {
 		return engineState{
 			server: roster.Server{Start: roster.Start{ID: roster.ID(id)}},
-			state:  State{Role: r, Memory: 100, Taken: taken},
+			state:  State{Role: r, KVCapacity: 100, KVUsed: taken},
 		}
 	}
-	prefills, decodes := place.Pool{Model: "m", Role: work.RolePrefill}, place.Pool{Model: "m", Role: work.RoleDecode}
-	alone := []engineState{state("a", work.RolePrefill, 0), state("b", work.RolePrefill, 0), state("c", work.RolePrefill, 0)}
+	prefills, decodes := roles.Pool{Model: "m", Role: domain.RolePrefill}, roles.Pool{Model: "m", Role: domain.RoleDecode}
+	alone := []engineState{state("a", domain.RolePrefill, 0), state("b", domain.RolePrefill, 0), state("c", domain.RolePrefill, 0)}
 	seen := view(v, alone, mixRatio{})
 	require.Positive(t, seen.Demand[decodes])
-	p := place.Planner{Tempo: place.TempoOf(6 * time.Second)}
-	orders := p.Plan(time.Now(), seen, func(time.Time) (fence.Number, error) { return 1, nil })
+	p := roles.Planner{Timing: roles.TimingFor(6 * time.Second)}
+	orders := p.Plan(time.Now(), seen, func(time.Time) (fence.Token, error) { return 1, nil })
 	require.Len(t, orders, 1)
 	require.Equal(t, decodes, orders[0].To)
 
-	both := append(alone, state("d", work.RoleDecode, 50))
+	both := append(alone, state("d", domain.RoleDecode, 50))
 	require.Zero(t, view(v, both, mixRatio{}).Demand[decodes], "nothing is known of the mix yet")
 	seen = view(v, both, mixRatio{ratio: 0.4, known: true, sure: true})
 	require.InDelta(t, 0.5, seen.Demand[decodes], 1e-9)
@@ -99,28 +99,28 @@
 // alone prefill needs more engines than decode; ten of 28 decode engines were told
 // to change, and the first burst found them away.
 func TestFewRequestsTakeNoDecodeEngine(t *testing.T) {
-	var m place.Mix
+	var m roles.Profile
 	now := time.Now()
-	m.Sent(now, 3000, 64, 0.1)
-	m.Prefilled(now, 3000, 100*time.Millisecond)
-	m.Answered(now, 104, 400*time.Millisecond)
+	m.RecordRequest(now, 3000, 64, 0.1)
+	m.RecordPrefill(now, 3000, 100*time.Millisecond)
+	m.RecordAnswer(now, 104, 400*time.Millisecond)
 	ratio, known := m.Ratio()
 	require.True(t, known)
 	require.Greater(t, ratio, 1.0)
 	var states []engineState
 	for n := range 45 {
-		e := engineState{server: roster.Server{Start: roster.Start{ID: roster.ID(strconv.Itoa(n))}}, state: State{Role: work.RoleDecode, Memory: 100, Taken: 30}}
+		e := engineState{server: roster.Server{Start: roster.Start{ID: roster.ID(strconv.Itoa(n))}}, state: State{Role: domain.RoleDecode, KVCapacity: 100, KVUsed: 30}}
 		if n < 17 {
-			e.state.Role, e.state.Taken = work.RolePrefill, 0
+			e.state.Role, e.state.KVUsed = domain.RolePrefill, 0
 		}
 		states = append(states, e)
 	}
-	plan := func(sure bool) []place.Order {
-		p := place.Planner{Tempo: place.TempoOf(6 * time.Second)}
+	plan := func(sure bool) []roles.Order {
+		p := roles.Planner{Timing: roles.TimingFor(6 * time.Second)}
 		seen := view(&paths.Service{Name: "m"}, states, mixRatio{ratio: ratio, known: true, sure: sure})
-		next := func(time.Time) (fence.Number, error) { return 1, nil }
+		next := func(time.Time) (fence.Token, error) { return 1, nil }
 		return append(p.Plan(now, seen, next), p.Plan(now.Add(time.Second), seen, next)...)
 	}
-	require.Empty(t, plan(m.Sure()))
+	require.Empty(t, plan(m.Sufficient()))
 	require.NotEmpty(t, plan(true), "many requests like it do")
 }
--- a/direct/exchange.go
+++ b/direct/exchange.go
@@ -6,10 +6,10 @@
 
 	"github.com/pkg/errors"
 
+	"jacinthworks/domain"
 	"jacinthworks/meter"
 	"jacinthworks/roster"
 	"jacinthworks/send"
-	"jacinthworks/work"
 )
 
 // errBarred is of a call that was not made, since its upstream is to be sent nothing new.
@@ -17,12 +17,12 @@
 
 // exchange sends to an upstream, and takes in what the answer states of it. Whatever this
 // process sends to upstreams goes this way; what asks for something new asks s.admits first.
-func (s *Server) exchange(ctx context.Context, id work.RequestID, u *roster.Upstream, q send.Request) (*send.Reply, Note, error) {
+func (s *Server) exchange(ctx context.Context, id domain.RequestID, u *roster.Upstream, q send.Request) (*send.Response, ResponseInfo, error) {
 	reply, err := s.client(u).Do(ctx, q)
 	if err != nil {
-		return nil, Note{}, err
+		return nil, ResponseInfo{}, err
 	}
-	note := s.Protocol.Note(reply.Status, reply.Header)
+	note := s.Protocol.ParseResponse(reply.Status, reply.Header)
 	s.noteFields(id, u.Server().ID, reply.Header)
 	s.heardStated(id, u, note)
 	return reply, note, nil
@@ -32,26 +32,26 @@
 //
 // Failure: a request is placed, waits for a permit, for room or for its prompt, and goes to
 // an upstream that has meanwhile told another request that it leaves.
-func (s *Server) admits(id work.RequestID, u *roster.Upstream) bool {
-	a := u.Access(time.Now())
-	if a.Open() {
+func (s *Server) admits(id domain.RequestID, u *roster.Upstream) bool {
+	a := u.Eligibility(time.Now())
+	if a.Eligible() {
 		return true
 	}
 	m := u.Server()
-	s.Log.Info("not sent", "request", id, "upstream", m.ID, "service", m.Service, "why", a.Bar, "left", a.Left)
-	s.Meter.Count("jacinthworks_not_sent_total", meter.Labels{"service", string(m.Service), "why", string(a.Bar)})
+	s.Log.Info("not sent", "request", id, "upstream", m.ID, "service", m.Service, "why", a.Reason, "left", a.Remaining)
+	s.Meter.Inc("jacinthworks_not_sent_total", meter.Labels{"service", string(m.Service), "why", string(a.Reason)})
 	return false
 }
 
 // withheld ends an attempt that was not sent, and gives back all that was taken for it.
 func (s *Server) withheld(r *request, a *attempt) *failure {
 	if a.counted {
-		a.upstream.Seen.End(a.work)
-		s.lines.Line(r.service.Name).Free()
+		a.upstream.Stats.RequestEnded(a.work)
+		s.lines.For(r.service.Name).SignalFree()
 	}
-	if a.stamp.Hold != "" {
-		s.drop(r, a.upstream, a.stamp.Hold)
+	if a.stamp.Reservation != "" {
+		s.drop(r, a.upstream, a.stamp.Reservation)
 	}
 	s.unpermit(a.permit)
-	return &failure{ran: work.NotRun, reason: work.ReasonNoUpstream, detail: errBarred.Error(), unsent: true, granted: true}
+	return &failure{ran: domain.NotRun, reason: domain.ReasonNoUpstream, detail: errBarred.Error(), unsent: true, granted: true}
 }
--- a/direct/fleet.go
+++ b/direct/fleet.go
@@ -7,8 +7,8 @@
 	"sync/atomic"
 	"time"
 
+	"jacinthworks/domain"
 	"jacinthworks/feed"
-	"jacinthworks/work"
 )
 
 const (
@@ -34,7 +34,7 @@
 
 // Member is an entry's record in the platform.
 type Member struct {
-	Name work.Host `json:"name"`
+	Name domain.Host `json:"name"`
 	// Beat changes with each writing.
 	Beat uint64 `json:"beat"`
 	// Written is when, by the writer's time of day.
@@ -46,7 +46,7 @@
 	// Peer is where it answers other entries, Zone and Cores its host's; entries
 	// that do not listen for others say none.
 	Peer  netip.AddrPort `json:"peer,omitzero"`
-	Zone  work.Zone      `json:"zone,omitempty"`
+	Zone  domain.Zone    `json:"zone,omitempty"`
 	Cores float64        `json:"cores,omitempty"`
 }
 
@@ -121,7 +121,7 @@
 	s.members.listed(time.Now(), all)
 	s.setPeers(all, true)
 	if n := s.members.count(time.Now()); n != before {
-		s.Log.Info("entries", "count", n, "before", before, "repeats", s.terms().Share)
+		s.Log.Info("entries", "count", n, "before", before, "repeats", s.terms().Fixed)
 	}
 	return nil
 }
--- a/direct/fleet_test.go
+++ b/direct/fleet_test.go
@@ -17,7 +17,7 @@
 func TestTheFixedNumberIsSharedOutAmongAllEntries(t *testing.T) {
 	var s Server
 	s.live.Store(&conf.Direct{Repeats: conf.Repeats{Ratio: 0.2, Fixed: 88, Span: 10 * time.Second}})
-	require.LessOrEqual(t, s.terms().Share, 88.0/membersUnknown, "before the others are known")
+	require.LessOrEqual(t, s.terms().Fixed, 88.0/membersUnknown, "before the others are known")
 	now := time.Now()
 	var all []feed.Item[Member]
 	for n := range 24 {
@@ -25,7 +25,7 @@
 	}
 	s.members.listed(now, all)
 	require.Equal(t, 24, s.members.count(now))
-	require.LessOrEqual(t, 24*s.terms().Share, 88.0)
+	require.LessOrEqual(t, 24*s.terms().Fixed, 88.0)
 	all[0].Value.Beat++
 	gone := Member{}.gone()
 	s.members.listed(now.Add(gone), all)
--- a/direct/item.go
+++ b/direct/item.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"jacinthworks/queue"
-	"jacinthworks/turns"
+	"jacinthworks/search"
 )
 
 // begunWait is how long a stream that has begun waits to go on elsewhere:
@@ -19,21 +19,21 @@
 // Load pattern: a burst is refused in part, and what was refused returns in the
 // next second. Served in order of arrival, it takes the places of fresh
 // requests, which are then late as well, and so on after the burst.
-func item(l *turns.Line, r *request) (i queue.Item, until time.Time, late bool) {
-	toFirst := l.ToFirst()
+func item(l *search.Queue, r *request) (i queue.Item, until time.Time, late bool) {
+	toFirst := l.TimeToFirstEvent()
 	i = queue.Item{
-		ID: r.id, Account: r.account, Priority: queue.Priorities - 1 - r.priority(),
-		Prompt: r.ask.Prompt, Output: r.tokens() - r.ask.Prompt,
-		FirstToken: r.first.Add(r.targetLatency()), Deadline: r.until, ToFirstToken: toFirst, ToEnd: toFirst,
+		ID: r.id, Account: r.account, Priority: queue.PriorityCount - 1 - r.priority(),
+		PromptTokens: r.ask.PromptTokens, MaxOutputTokens: r.tokens() - r.ask.PromptTokens,
+		FirstTokenDeadline: r.first.Add(r.targetLatency()), Deadline: r.until, FirstTokenLatency: toFirst, TotalLatency: toFirst,
 	}
 	// Failure: a stream that goes on elsewhere is told to return as if it had
 	// not begun. It shows as an answer that is cut in its middle.
 	if r.begun {
-		i.Priority, i.FirstToken = queue.Priorities-1, time.Time{}
-		i.Deadline = time.Now().Add(begunWait + i.ToEnd)
-		return i, i.Deadline.Add(-i.ToEnd), false
+		i.Priority, i.FirstTokenDeadline = queue.PriorityCount-1, time.Time{}
+		i.Deadline = time.Now().Add(begunWait + i.TotalLatency)
+		return i, i.Deadline.Add(-i.TotalLatency), false
 	}
-	until = i.FirstToken.Add(-i.ToFirstToken)
+	until = i.FirstTokenDeadline.Add(-i.FirstTokenLatency)
 	if until.After(r.accepted) {
 		return i, until, false
 	}
--- a/direct/keeper.go
+++ b/direct/keeper.go
@@ -33,7 +33,7 @@
 		if err := callPeer(ctx, p, http.MethodGet, alivePath, keeperWithin, nil, nil); err != nil {
 			return err
 		}
-		s.keepers.Regain(p)
+		s.keepers.MarkUp(p)
 		s.Log.Info("keeper reached again", "entry", p.Name)
 		return nil
 	})
@@ -67,7 +67,7 @@
 		if o.Peer == nil {
 			return own(n == 0), keeper{}, true
 		}
-		ask, try := s.keepers.Use(time.Now(), o.Peer)
+		ask, try := s.keepers.Check(time.Now(), o.Peer)
 		if try {
 			s.tryKeeper(o.Peer)
 		}
@@ -84,7 +84,7 @@
 		if ctx.Err() != nil {
 			break
 		}
-		s.keepers.Lose(time.Now(), o.Peer)
+		s.keepers.MarkDown(time.Now(), o.Peer)
 		s.Log.Info("keeper not reached", "key", key, "entry", o.Peer.Name, "err", err)
 	}
 	if last >= 0 && ctx.Err() == nil {
@@ -109,7 +109,7 @@
 func callPeer(ctx context.Context, p *relay.Peer, method, path string, within time.Duration, call, answer any) error {
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
-	ask := send.Request{Method: method, Target: path, Silence: within}
+	ask := send.Request{Method: method, Target: path, ReadTimeout: within}
 	if call != nil {
 		body, err := json.Marshal(call)
 		if err != nil {
@@ -121,7 +121,7 @@
 	if err != nil {
 		return err
 	}
-	text, err := reply.All(shortAnswer)
+	text, err := reply.ReadAll(shortAnswer)
 	switch {
 	case err != nil:
 		return err
--- a/direct/keeper_test.go
+++ b/direct/keeper_test.go
@@ -28,7 +28,7 @@
 		{Name: "entry-0", Addr: netip.MustParseAddrPort("127.0.0.1:1"), Cores: 1},
 		{Name: "entry-1", Addr: other.Listener.Addr().(*net.TCPAddr).AddrPort(), Cores: 1},
 	}
-	s.peers.fleet.Set(members, true)
+	s.peers.fleet.SetMembers(members, true)
 	own := func(bool) string { return "own" }
 	ask := func(key string) string {
 		a, _, ok := askKeeper(t.Context(), s, key, limitPath, 2, nil, own)
--- a/direct/limit.go
+++ b/direct/limit.go
@@ -6,11 +6,11 @@
 	"net/http"
 	"time"
 
+	"jacinthworks/domain"
 	"jacinthworks/group"
 	"jacinthworks/meter"
 	"jacinthworks/pacer"
 	"jacinthworks/roster"
-	"jacinthworks/work"
 )
 
 const (
@@ -34,8 +34,8 @@
 type limits struct {
 	// keeper is asked by all entries, alone is for what this one sends while it reaches
 	// none of those that count.
-	keeper pacer.Keeper[roster.Key]
-	alone  pacer.Keeper[roster.Key]
+	keeper pacer.Limiter[roster.InstanceKey]
+	alone  pacer.Limiter[roster.InstanceKey]
 }
 
 // limitUse is what a limitCall is for.
@@ -51,18 +51,18 @@
 
 // limitCall asks the entry that counts for an upstream.
 type limitCall struct {
-	Use   limitUse     `json:"use"`
-	Start roster.Start `json:"start"`
-	Said  pacer.Aged   `json:"said"`
-	// Within is how long the request can wait.
+	Use   limitUse             `json:"use"`
+	Start roster.Start         `json:"start"`
+	Said  pacer.ObservationAge `json:"said"`
+	// Timeout is how long the request can wait.
 	Within time.Duration `json:"within,omitempty"`
 }
 
 // limitAnswer is the verdict, and what the entry that counts knows of the limit.
 type limitAnswer struct {
-	Granted bool          `json:"granted"`
-	Wait    time.Duration `json:"wait"`
-	Said    pacer.Aged    `json:"said"`
+	Granted bool                 `json:"granted"`
+	Wait    time.Duration        `json:"wait"`
+	Said    pacer.ObservationAge `json:"said"`
 }
 
 // permit allows one request to an upstream, and says by whom it was counted. The zero
@@ -92,22 +92,22 @@
 // heardLimit notes what an answer says of the upstream's rate limit. An answer that says
 // nothing ends a limit, unless it is a failure or a refusal: those need not be the
 // upstream's own words.
-func (s *Server) heardLimit(r *request, a *attempt, n Note, status int) {
-	if !n.HasLimit || n.Elsewhere {
+func (s *Server) heardLimit(r *request, a *attempt, n ResponseInfo, status int) {
+	if !n.RateLimitReported || n.Misdirected {
 		return
 	}
-	if !n.Limit.Limited() && (n.Unrun || status >= http.StatusInternalServerError) {
+	if !n.RateLimit.Limited() && (n.NotExecuted || status >= http.StatusInternalServerError) {
 		return
 	}
-	if s.learnLimit(a.upstream, pacer.Statement{Rate: n.Limit, Sent: a.began, Heard: time.Now()}, r.id, "answer") {
+	if s.learnLimit(a.upstream, pacer.Observation{Rate: n.RateLimit, Sent: a.began, Received: time.Now()}, r.id, "answer") {
 		s.tellLimit(a.upstream)
 	}
 }
 
 // learnLimit takes a statement, and says whether the belief has changed.
-func (s *Server) learnLimit(u *roster.Upstream, st pacer.Statement, id work.RequestID, by string) bool {
-	_, age := u.Seen.Limited(time.Now())
-	before, rate := u.Seen.Limit(st)
+func (s *Server) learnLimit(u *roster.Upstream, st pacer.Observation, id domain.RequestID, by string) bool {
+	_, age := u.Stats.RateLimit(time.Now())
+	before, rate := u.Stats.ObserveRateLimit(st)
 	if before == rate {
 		return false
 	}
@@ -131,17 +131,17 @@
 func (s *Server) permit(ctx context.Context, r *request, u *roster.Upstream, within time.Duration) (p permit, wait time.Duration, ok bool) {
 	for ctx.Err() == nil {
 		now := time.Now()
-		rate, age := u.Seen.Limited(now)
+		rate, age := u.Stats.RateLimit(now)
 		if !rate.Limited() {
 			return permit{}, 0, true
 		}
-		a, by := limitAnswer{Wait: u.Seen.Paused(now)}, "known"
+		a, by := limitAnswer{Wait: u.Stats.RateLimitWait(now)}, "known"
 		if a.Wait <= within {
 			a, by = s.askLimit(ctx, u, limitCall{Use: limitTake, Within: within})
 			s.learnLimit(u, a.Said.At(time.Now()), r.id, by)
 		}
 		if !a.Granted {
-			u.Seen.Pause(now.Add(min(a.Wait, pauseLongest)))
+			u.Stats.SetRateLimitWait(now.Add(min(a.Wait, pauseLongest)))
 			s.logLimited(r, u, "denied", rate, age, a.Wait, by)
 			return permit{}, a.Wait, false
 		}
@@ -150,8 +150,8 @@
 			return p, 0, true
 		}
 		s.logLimited(r, u, "waits", rate, age, a.Wait, by)
-		group.Pause(ctx, a.Wait)
-		if now, _ := u.Seen.Limited(time.Now()); ctx.Err() == nil && !now.Stricter(rate) {
+		group.Sleep(ctx, a.Wait)
+		if now, _ := u.Stats.RateLimit(time.Now()); ctx.Err() == nil && !now.Stricter(rate) {
 			return p, 0, true
 		}
 		// The turn was counted by a limit that has become stricter since.
@@ -164,7 +164,7 @@
 // logLimited writes the line of a request that is held up by a rate limit.
 func (s *Server) logLimited(r *request, u *roster.Upstream, outcome string, rate pacer.Rate, age, wait time.Duration, by string) {
 	s.Log.Info("rate limited", "request", r.id, "upstream", u.Server().ID, "outcome", outcome, "limit", rate, "limit_age", age, "wait", wait, "by", by)
-	s.Meter.Count("jacinthworks_limited_total", meter.Labels{"service", string(r.service.Name), "outcome", outcome})
+	s.Meter.Inc("jacinthworks_limited_total", meter.Labels{"service", string(r.service.Name), "outcome", outcome})
 }
 
 // unpermit gives back a permit whose request was not sent.
@@ -182,14 +182,14 @@
 // can be reached, this entry has its part of the limit.
 func (s *Server) askLimit(ctx context.Context, u *roster.Upstream, call limitCall) (a limitAnswer, by string) {
 	call.Start = u.Server().Start
-	call.Said = u.Seen.LimitSaid().Aged(time.Now())
+	call.Said = u.Stats.RateLimitObservation().Age(time.Now())
 	own := func(bool) limitAnswer { return s.countLimit(call) }
 	key := limitKey(call.Start.Key())
 	if a, k, ok := askKeeper(ctx, s, key, limitPath, math.MaxInt, call, own); ok {
 		return a, k.name()
 	}
 	now := time.Now()
-	standing := pacer.Standing{Members: 1, Reached: 1}
+	standing := pacer.Reachability{Members: 1, Reached: 1}
 	if s.Members != nil {
 		standing.Members = s.members.count(now)
 	}
@@ -197,15 +197,15 @@
 }
 
 // limitKey is by which the entry is found that counts for an upstream.
-func limitKey(k roster.Key) string { return "limit/" + string(k.ID) }
+func limitKey(k roster.InstanceKey) string { return "limit/" + string(k.ID) }
 
 // countLimit answers for an upstream that this entry counts for.
 func (s *Server) countLimit(call limitCall) limitAnswer {
 	now, key := time.Now(), call.Start.Key()
-	s.reach.Want(now, limitKey(key))
+	s.reach.Use(now, limitKey(key))
 	a := countAt(&s.limits.keeper, now, call, s.standing(now, limitKey(key)))
-	if said, news := s.limits.keeper.News(now, key); news {
-		n := limitNews{Start: call.Start, Said: said.Aged(now), By: s.Settings.Name}
+	if said, news := s.limits.keeper.NextBroadcast(now, key); news {
+		n := limitNews{Start: call.Start, Said: said.Age(now), By: s.Settings.Name}
 		s.answerLimitNews(n)
 		s.spreadLimit(n)
 	}
@@ -214,21 +214,21 @@
 
 // limitNews tells of a limit that has begun, fallen far or ended.
 type limitNews struct {
-	Start roster.Start `json:"start"`
-	Said  pacer.Aged   `json:"said"`
-	By    work.Host    `json:"by"`
+	Start roster.Start         `json:"start"`
+	Said  pacer.ObservationAge `json:"said"`
+	By    domain.Host          `json:"by"`
 }
 
 // spreadLimit tells all other entries.
 func (s *Server) spreadLimit(n limitNews) {
 	began := time.Now()
 	s.later("spread rate limit", spreadWithin, func(ctx context.Context) error {
-		for _, p := range s.peers.fleet.Others(s.peers.fleet.Known()) {
-			if ask, _ := s.keepers.Use(time.Now(), p); !ask {
+		for _, p := range s.peers.fleet.Others(s.peers.fleet.MemberCount()) {
+			if ask, _ := s.keepers.Check(time.Now(), p); !ask {
 				continue
 			}
 			late := n
-			late.Said = n.Said.Later(time.Since(began))
+			late.Said = n.Said.Add(time.Since(began))
 			if err := callPeer(ctx, p, http.MethodPost, limitNewsPath, keeperWithin, late, nil); err != nil {
 				s.Log.Debug("rate limit not told", "entry", p.Name, "err", err)
 			}
@@ -242,22 +242,22 @@
 	if n.Said.Rate < 0 {
 		return struct{}{}, false
 	}
-	if u := s.roster.Started(n.Start); u != nil {
+	if u := s.roster.ByInstance(n.Start); u != nil {
 		s.learnLimit(u, n.Said.At(time.Now()), "", string(n.By))
 	}
 	return struct{}{}, true
 }
 
-func countAt(k *pacer.Keeper[roster.Key], now time.Time, call limitCall, standing pacer.Standing) limitAnswer {
+func countAt(k *pacer.Limiter[roster.InstanceKey], now time.Time, call limitCall, standing pacer.Reachability) limitAnswer {
 	key, said := call.Start.Key(), call.Said.At(now)
 	switch call.Use {
 	case limitGive:
-		return limitAnswer{Granted: true, Said: k.Give(now, key, said, standing).Aged(now)}
+		return limitAnswer{Granted: true, Said: k.Refund(now, key, said, standing).Age(now)}
 	case limitTell:
-		return limitAnswer{Granted: true, Said: k.Learn(now, key, said).Aged(now)}
+		return limitAnswer{Granted: true, Said: k.Observe(now, key, said).Age(now)}
 	}
 	v := k.Take(now, key, said, standing, call.Within)
-	return limitAnswer{Granted: v.Granted, Wait: v.Wait, Said: v.Said.Aged(now)}
+	return limitAnswer{Granted: v.Granted, Wait: v.Wait, Said: v.Observation.Age(now)}
 }
 
 // answerLimit answers the other entries.
@@ -272,11 +272,11 @@
 // all where another one may take it, and else until its target.
 func (s *Server) limitWithin(r *request, u *roster.Upstream) time.Duration {
 	now := time.Now()
-	for _, other := range s.roster.Of(r.service.Name) {
+	for _, other := range s.roster.Upstreams(r.service.Name) {
 		m := other.Server()
-		if other != u && other.Access(now).Open() && !r.tried[m.Key()] && !other.Seen.Offer(now).Held {
+		if other != u && other.Eligibility(now).Eligible() && !r.tried[m.Key()] && !other.Stats.Candidate(now).RecentlyFull {
 			return 0
 		}
 	}
-	return max(0, r.first.Add(r.targetLatency()).Sub(now)-u.Seen.Offer(now).Speed)
+	return max(0, r.first.Add(r.targetLatency()).Sub(now)-u.Stats.Candidate(now).UnitTime)
 }
--- a/direct/mix.go
+++ b/direct/mix.go
@@ -7,9 +7,9 @@
 	"net/http"
 	"time"
 
-	"jacinthworks/place"
+	"jacinthworks/domain"
 	"jacinthworks/relay"
-	"jacinthworks/work"
+	"jacinthworks/roles"
 )
 
 // mixRatio is how many prefill engines are kept busy for each decode engine that
@@ -19,9 +19,9 @@
 	known, sure bool
 }
 
-func ratioOf(s place.Sample) (r mixRatio) {
+func ratioOf(s roles.Sample) (r mixRatio) {
 	r.ratio, r.known = s.Ratio()
-	r.sure = s.Sure()
+	r.sure = s.Sufficient()
 	return r
 }
 
@@ -45,11 +45,11 @@
 
 // fleetMix adds up what all entries saw. One that does not answer counts for
 // nothing.
-func (s *Server) fleetMix(ctx context.Context) (sum map[work.Service]place.Sample, answered int) {
+func (s *Server) fleetMix(ctx context.Context) (sum map[domain.Service]roles.Sample, answered int) {
 	ctx, cancel := context.WithTimeout(ctx, mixWithin)
 	defer cancel()
 	others := s.peers.fleet.Others(mixMost)
-	answers := make(chan map[work.Service]place.Sample, len(others))
+	answers := make(chan map[domain.Service]roles.Sample, len(others))
 	for _, p := range others {
 		go func() { // its end is read below
 			all, err := askMix(ctx, p)
@@ -72,7 +72,7 @@
 	return sum, answered
 }
 
-func askMix(ctx context.Context, p *relay.Peer) (all map[work.Service]place.Sample, err error) {
+func askMix(ctx context.Context, p *relay.Peer) (all map[domain.Service]roles.Sample, err error) {
 	err = callPeer(ctx, p, http.MethodGet, mixPath, mixWithin, nil, &all)
 	return all, err
 }
@@ -83,14 +83,14 @@
 	if e == nil || e.KVTokens <= 0 {
 		return
 	}
-	answer := r.tokens() - r.ask.Prompt
+	answer := r.tokens() - r.ask.PromptTokens
 	// Its memory grows with the answer: half of that on the mean.
-	memory := (float64(r.ask.Prompt) + float64(answer)/2) / float64(e.KVTokens)
-	s.mixes.Note(r.service.Name, func(x *place.Mix) { x.Sent(time.Now(), r.ask.Prompt, answer, memory) })
+	memory := (float64(r.ask.PromptTokens) + float64(answer)/2) / float64(e.KVTokens)
+	s.mixes.Update(r.service.Name, func(x *roles.Profile) { x.RecordRequest(time.Now(), r.ask.PromptTokens, answer, memory) })
 }
 
 func (s *Server) mixPrefilled(r *request, took time.Duration) {
-	s.mixes.Note(r.service.Name, func(x *place.Mix) { x.Prefilled(time.Now(), r.ask.Prompt, took) })
+	s.mixes.Update(r.service.Name, func(x *roles.Profile) { x.RecordPrefill(time.Now(), r.ask.PromptTokens, took) })
 }
 
 // notedEvents is how many events of an answer are noted at once.
@@ -115,6 +115,6 @@
 		return
 	}
 	tokens, took := p.events*max(r.engine().TokensPerEvent, 1), now.Sub(p.began)
-	s.mixes.Note(r.service.Name, func(x *place.Mix) { x.Answered(now, tokens, took) })
+	s.mixes.Update(r.service.Name, func(x *roles.Profile) { x.RecordAnswer(now, tokens, took) })
 	p.began, p.events = now, 0
 }
--- a/direct/newest.go
+++ b/direct/newest.go
@@ -47,7 +47,7 @@
 // the operators have written what it lacks. It serves routes and keys that were taken
 // away, which no other entry does.
 func (s *Server) askConfigs(ctx context.Context, known []feed.Item[Member]) {
-	if !slices.ContainsFunc(known, func(i feed.Item[Member]) bool { return i.Revision.MayBeCopied() }) {
+	if !slices.ContainsFunc(known, func(i feed.Item[Member]) bool { return i.Revision.MayBeRestored() }) {
 		return
 	}
 	others := drawn(s.peers.fleet.Others(len(known)), configAsked)
@@ -69,7 +69,7 @@
 func askConfig(ctx context.Context, p *relay.Peer) (*paths.Config, error) {
 	ctx, cancel := context.WithTimeout(ctx, configWithin)
 	defer cancel()
-	reply, err := p.Do(ctx, send.Request{Method: http.MethodGet, Target: configPath, Silence: configWithin})
+	reply, err := p.Do(ctx, send.Request{Method: http.MethodGet, Target: configPath, ReadTimeout: configWithin})
 	if err != nil {
 		return nil, err
 	}
--- a/direct/notice.go
+++ b/direct/notice.go
@@ -7,18 +7,18 @@
 
 	"github.com/pkg/errors"
 
+	"jacinthworks/domain"
 	"jacinthworks/feed"
-	"jacinthworks/plat"
+	"jacinthworks/infra"
 	"jacinthworks/retry"
-	"jacinthworks/work"
 )
 
 // Notice is what an entry tells the others, in a record that all of them watch:
 // orders that it gave to engines, or upstreams that died running its requests.
 type Notice struct {
-	By work.Host `json:"by"`
-	// Orders are those under way.
-	Orders []Change `json:"orders,omitempty"`
+	By domain.Host `json:"by"`
+	// OrdersAccepted are those under way.
+	Orders []RoleChange `json:"orders,omitempty"`
 	// Released says that the holder of the roles' lease gave it up.
 	Released bool `json:"released,omitempty"`
 	// Evidence is what this entry saw itself of requests that crash upstreams.
@@ -37,15 +37,15 @@
 func (s *Server) noticeFeed() *feed.Feed[Notice] {
 	return &feed.Feed[Notice]{
 		Name: feedNotices, Source: relayed(s, feedNotices, s.Notices, &s.peers.notices), Log: s.Log, Wait: s.Settings.WatchWait,
-		Listed: func(now time.Time, all []feed.Item[Notice]) {
+		OnList: func(now time.Time, all []feed.Item[Notice]) {
 			for _, n := range feed.Values(all) {
 				s.noteOrders(n)
 				s.learn(now, n)
 			}
 		},
-		Changed: func(now time.Time, changes []feed.Change[Notice]) {
+		OnChange: func(now time.Time, changes []feed.Change[Notice]) {
 			for _, c := range changes {
-				if !c.Gone && c.Unread == nil {
+				if !c.Deleted && c.DecodeErr == nil {
 					s.heed(now, c.Value)
 					if c.Value.Released {
 						s.released(c.Value.By)
@@ -73,7 +73,7 @@
 	ctx, cancel := context.WithTimeout(ctx, storeWithin)
 	defer cancel()
 	old, err := s.Records.Get(ctx, name)
-	if err != nil && !errors.Is(err, plat.ErrMissing) {
+	if err != nil && !errors.Is(err, infra.ErrMissing) {
 		return err
 	}
 	_, err = s.Records.Put(ctx, name, value, old.Version)
--- a/direct/peers.go
+++ b/direct/peers.go
@@ -19,9 +19,9 @@
 // ready to use; it must not be copied.
 type peers struct {
 	fleet     relay.Fleet
-	configs   relay.Hub[*paths.Config]
-	upstreams relay.Hub[roster.Server]
-	notices   relay.Hub[Notice]
+	configs   relay.Replica[*paths.Config]
+	upstreams relay.Replica[roster.Server]
+	notices   relay.Replica[Notice]
 }
 
 // The collections that entries relay to each other.
@@ -33,7 +33,7 @@
 
 // relayed gives a source that asks other entries first, where entries listen for
 // each other.
-func relayed[T any](s *Server, name string, from feed.Source[T], hub *relay.Hub[T]) feed.Source[T] {
+func relayed[T any](s *Server, name string, from feed.Source[T], hub *relay.Replica[T]) feed.Source[T] {
 	if !s.Settings.PeerListen.IsValid() {
 		return from
 	}
@@ -89,7 +89,7 @@
 // setPeers takes the records of all entries; whole says that those which started
 // with this one had time to write theirs.
 func (s *Server) setPeers(all []feed.Item[Member], whole bool) {
-	s.peers.fleet.Set(peersOf(time.Now(), feed.Values(all)), whole)
+	s.peers.fleet.SetMembers(peersOf(time.Now(), feed.Values(all)), whole)
 }
 
 // peersOf gives the entries that may be asked.
@@ -121,7 +121,7 @@
 // may start and all upstreams register, it is the longest.
 func (s *Server) gather() time.Duration {
 	switch {
-	case s.peers.fleet.Relayed():
+	case s.peers.fleet.UsesRelays():
 		return 0
 	case s.Settings.PeerListen.IsValid() && !s.members.known.Load():
 		return gatherMost
--- a/direct/place.go
+++ b/direct/place.go
@@ -4,11 +4,11 @@
 	"math"
 	"time"
 
+	"jacinthworks/domain"
 	"jacinthworks/meter"
 	"jacinthworks/paths"
 	"jacinthworks/roster"
 	"jacinthworks/route"
-	"jacinthworks/work"
 )
 
 // The costs that a choice weighs, as time.
@@ -36,7 +36,7 @@
 
 // failCost is what a failed attempt costs the request.
 func (r *request) failCost() time.Duration {
-	if r.tries.LeavesRoom() {
+	if r.tries.CanRepeat() {
 		return time.Duration(repeatFails * float64(r.targetLatency()))
 	}
 	return onceFails * r.targetLatency()
@@ -45,7 +45,7 @@
 // placed is an upstream that was chosen, and the figures that it was chosen by.
 type placed struct {
 	upstream *roster.Upstream
-	offer    route.Offer
+	offer    route.Candidate
 	// of counts the upstreams that the choice was from; full says that none had
 	// room, as far as known.
 	of   int
@@ -59,24 +59,24 @@
 // place chooses an upstream of a role for the request; "" is a plain one. It
 // gives none where none is left, or, for a load that skips them, where all that
 // are left have just refused.
-func (s *Server) place(r *request, role work.Role, near work.Zone, l route.Load) placed {
+func (s *Server) place(r *request, role domain.Role, near domain.Zone, l route.Request) placed {
 	now := time.Now()
-	var offers []route.Offer
+	var offers []route.Candidate
 	var members []*roster.Upstream
-	for _, u := range s.roster.Of(r.service.Name) {
+	for _, u := range s.roster.Upstreams(r.service.Name) {
 		m := u.Server()
-		if m.Role != role || r.tried[m.Key()] || !u.Access(now).Open() {
+		if m.Role != role || r.tried[m.Key()] || !u.Eligibility(now).Eligible() {
 			continue
 		}
-		o := u.Seen.Offer(now)
-		o.Name, o.Near, o.Slots = string(m.ID), m.Zone == near, m.Slots
+		o := u.Stats.Candidate(now)
+		o.Name, o.SameZone, o.Slots = string(m.ID), m.Zone == near, m.Slots
 		if e := r.service.Engine; e != nil {
-			o.Memory = e.KVTokens
+			o.MemoryTokens = e.KVTokens
 		}
 		offers = append(offers, o)
 		members = append(members, u)
 	}
-	best, full := route.Best(offers, l, r.random)
+	best, full := route.SelectBest(offers, l, r.random)
 	if best < 0 {
 		return placed{of: len(offers)}
 	}
@@ -84,20 +84,20 @@
 }
 
 // logPlaced writes the decision's line.
-func (s *Server) logPlaced(r *request, role work.Role, p placed, more ...any) {
+func (s *Server) logPlaced(r *request, role domain.Role, p placed, more ...any) {
 	if p.upstream == nil {
 		s.Log.Info("no upstream", "request", r.id, "service", r.service.Name, "role", role, "of", p.of, "tried", len(r.tried))
 		return
 	}
 	o := p.offer
-	if rate, age := p.upstream.Seen.Limited(time.Now()); rate.Limited() {
+	if rate, age := p.upstream.Stats.RateLimit(time.Now()); rate.Limited() {
 		more = append(more, "limit", rate, "limit_age", age)
-		s.Meter.Count("jacinthworks_limited_total", meter.Labels{"service", string(r.service.Name), "outcome", "placed"})
+		s.Meter.Inc("jacinthworks_limited_total", meter.Labels{"service", string(r.service.Name), "outcome", "placed"})
 	}
 	s.Log.Info("placed", append([]any{
-		"request", r.id, "service", r.service.Name, "role", role, "upstream", o.Name, "of", p.of, "full", p.full, "own", o.Own,
-		"others", math.Round(10*o.Others) / 10, "tokens", o.Tokens, "fails", math.Round(100*o.Fails) / 100, "speed", o.Speed,
-		"heard", p.upstream.Age(time.Now()), "by", p.by, "ahead", p.ahead,
+		"request", r.id, "service", r.service.Name, "role", role, "upstream", o.Name, "of", p.of, "full", p.full, "own", o.OwnRequests,
+		"others", math.Round(10*o.OtherRequests) / 10, "tokens", o.OwnTokens, "fails", math.Round(100*o.FailureRate) / 100, "speed", o.UnitTime,
+		"heard", p.upstream.EntryAge(time.Now()), "by", p.by, "ahead", p.ahead,
 	}, more...)...)
 }
 
@@ -107,11 +107,11 @@
 // tokens is the memory that the request is likely to need on an engine. The
 // most that it may answer is several times what answers are as a rule.
 func (r *request) tokens() int {
-	likely := r.ask.Likely
+	likely := r.ask.ExpectedOutputTokens
 	if likely <= 0 {
-		likely = r.ask.Output / outputPart
+		likely = r.ask.MaxOutputTokens / outputPart
 	}
-	return r.ask.Prompt + min(max(likely, leastOutput), max(r.ask.Output, leastOutput))
+	return r.ask.PromptTokens + min(max(likely, leastOutput), max(r.ask.MaxOutputTokens, leastOutput))
 }
 
 const (
--- a/direct/plain.go
+++ b/direct/plain.go
@@ -8,10 +8,10 @@
 	"net/http"
 	"time"
 
+	"jacinthworks/domain"
 	"jacinthworks/roster"
 	"jacinthworks/route"
 	"jacinthworks/send"
-	"jacinthworks/work"
 )
 
 const (
@@ -28,7 +28,7 @@
 // plain serves a request that is answered whole.
 func (s *Server) plain(ctx context.Context, r *request) *failure {
 	for {
-		p := s.place(r, "", s.Settings.Zone, route.Load{Units: 1, FailCost: r.failCost(), FarCost: farCall})
+		p := s.place(r, "", s.Settings.Zone, route.Request{Units: 1, FailureCost: r.failCost(), CrossZoneCost: farCall})
 		if p.upstream == nil {
 			s.logPlaced(r, "", p)
 			return s.unplaced(r, "")
@@ -51,8 +51,8 @@
 }
 
 // unplaced is the refusal where no upstream of a role is left to try.
-func (s *Server) unplaced(r *request, role work.Role) *failure {
-	f := &failure{ran: r.tries.Ran(), reason: work.ReasonNoRoom, final: true}
+func (s *Server) unplaced(r *request, role domain.Role) *failure {
+	f := &failure{ran: r.tries.Ran(), reason: domain.ReasonNoRoom, final: true}
 	wait, each, paused := s.pausedFor(r.service.Name, role)
 	switch {
 	case r.limitWait > 0 && (!paused || r.limitWait < wait):
@@ -60,35 +60,35 @@
 		return f
 	case paused:
 		f.detail = "all upstreams have asked for a pause"
-		f.retryAfter = s.lines.Line(r.service.Name).Stagger.After(time.Now(), wait, each)
+		f.retryAfter = s.lines.For(r.service.Name).Stagger.Delay(time.Now(), wait, each)
 		return f
 	}
-	return &failure{ran: r.tries.Ran(), reason: work.ReasonNoUpstream, detail: "no upstream is left to try", final: true}
+	return &failure{ran: r.tries.Ran(), reason: domain.ReasonNoUpstream, detail: "no upstream is left to try", final: true}
 }
 
 // pausedFor gives the time until the first upstream of a role may be sent something again,
 // how often this entry's part of all of them takes a request, and whether all that stay
 // have asked for a pause.
-func (s *Server) pausedFor(service work.Service, role work.Role) (wait, each time.Duration, all bool) {
+func (s *Server) pausedFor(service domain.Service, role domain.Role) (wait, each time.Duration, all bool) {
 	now := time.Now()
 	rate := 0.0 // requests a second
-	for _, u := range s.roster.Of(service) {
+	for _, u := range s.roster.Upstreams(service) {
 		if u.Server().Role != role {
 			continue
 		}
-		a := u.Access(now)
-		if a.Open() {
+		a := u.Eligibility(now)
+		if a.Eligible() {
 			return 0, 0, false
 		}
-		if a.Left <= 0 {
+		if a.Remaining <= 0 {
 			continue // it leaves
 		}
-		if !all || a.Left < wait {
-			wait, all = a.Left, true
+		if !all || a.Remaining < wait {
+			wait, all = a.Remaining, true
 		}
-		o := u.Seen.Offer(now)
+		o := u.Stats.Candidate(now)
 		o.Slots = u.Server().Slots
-		rate += o.Rate()
+		rate += o.EstimateRate()
 	}
 	if rate > 0 {
 		each = time.Duration(float64(s.searching(now)) / rate * float64(time.Second))
@@ -99,7 +99,7 @@
 // patience bounds an attempt's silence where another can follow; zero is no
 // bound. One that hangs would take the whole time else.
 func (r *request) patience() time.Duration {
-	if !r.tries.LeavesRoom() {
+	if !r.tries.CanRepeat() {
 		return 0
 	}
 	return max(time.Duration(tryPart*float64(r.targetLatency())), tryLeast)
@@ -128,7 +128,7 @@
 			s.end(r, "caller_gone", "upstream", a.start.ID, "err", err)
 			panic(http.ErrAbortHandler)
 		}
-		return &failure{ran: work.DidRun, reason: work.ReasonLost, detail: err.Error()}
+		return &failure{ran: domain.DidRun, reason: domain.ReasonLost, detail: err.Error()}
 	}
 	s.end(r, "answered", "upstream", a.start.ID, "status", reply.Status)
 	return nil
@@ -137,22 +137,22 @@
 // replaces drops an answer that tells of a failure where another attempt is
 // granted in its place; else it gives nil, and the answer is passed on.
 func (s *Server) replaces(ctx context.Context, r *request, a *attempt) *failure {
-	if !r.tries.LeavesRoom() || ctx.Err() != nil || !s.has(r, "", a.start) {
+	if !r.tries.CanRepeat() || ctx.Err() != nil || !s.has(r, "", a.start) {
 		return nil
 	}
-	f := &failure{ran: work.DidRun, reason: work.ReasonUpstream, detail: "the upstream answered with a failure", granted: true}
+	f := &failure{ran: domain.DidRun, reason: domain.ReasonUpstream, detail: "the upstream answered with a failure", granted: true}
 	if !s.budgets.window(r.service.Name).Take(time.Now(), s.terms()) {
 		return nil
 	}
-	a.upstream.Seen.Failed(time.Now())
+	a.upstream.Stats.RecordFailure(time.Now())
 	return s.failed(r, a, f)
 }
 
 // has says whether another upstream is left that was not tried.
-func (s *Server) has(r *request, role work.Role, but roster.Start) bool {
-	for _, u := range s.roster.Of(r.service.Name) {
+func (s *Server) has(r *request, role domain.Role, but roster.Start) bool {
+	for _, u := range s.roster.Upstreams(r.service.Name) {
 		m, now := u.Server(), time.Now()
-		if m.Role == role && m.Key() != but.Key() && !r.tried[m.Key()] && u.Access(now).Open() && u.Seen.Paused(now) == 0 {
+		if m.Role == role && m.Key() != but.Key() && !r.tried[m.Key()] && u.Eligibility(now).Eligible() && u.Stats.RateLimitWait(now) == 0 {
 			return true
 		}
 	}
@@ -160,7 +160,7 @@
 }
 
 // readHead reads an answer to its end, or as much of it as is read ahead.
-func readHead(reply *send.Reply) (head []byte, whole bool, err error) {
+func readHead(reply *send.Response) (head []byte, whole bool, err error) {
 	var b bytes.Buffer
 	n, err := io.CopyN(&b, reply, wholeAnswer)
 	switch {
@@ -176,7 +176,7 @@
 var errCaller = errors.New("direct: caller")
 
 // pass gives an answer to the caller.
-func (s *Server) pass(r *request, reply *send.Reply, head []byte, whole bool) error {
+func (s *Server) pass(r *request, reply *send.Response, head []byte, whole bool) error {
 	s.header(r, reply)
 	if _, err := r.w.Write(head); err != nil {
 		return errors.Join(errCaller, err)
@@ -211,7 +211,7 @@
 
 // header passes the status and the header of an answer on as they are. An
 // absent Date or Content-Type stays absent.
-func (s *Server) header(r *request, reply *send.Reply) {
+func (s *Server) header(r *request, reply *send.Response) {
 	to := r.w.Header()
 	length := reply.Header.Get("Content-Length")
 	for name, values := range send.EndToEnd(reply.Header) {
