--- a/direct/prefill.go
+++ b/direct/prefill.go
@@ -5,10 +5,10 @@
 	"net/http"
 	"time"
 
+	"jacinthworks/domain"
 	"jacinthworks/group"
 	"jacinthworks/roster"
 	"jacinthworks/route"
-	"jacinthworks/work"
 )
 
 const (
@@ -44,7 +44,7 @@
 // prefilled is a prompt that was read, and where.
 type prefilled struct {
 	upstream *roster.Upstream
-	handle   Handle
+	handle   KVHandle
 }
 
 // prefill has the prompt read by a prefill engine near the decode engine of
@@ -58,21 +58,21 @@
 			return nil
 		}
 		granted = true
-		load := route.Load{
-			Units: r.ask.Prompt, Tokens: r.ask.Prompt, Usual: route.Usual{Units: r.ask.Prompt, Tokens: r.ask.Prompt},
-			FailCost: r.targetLatency(), FarCost: farStage, SkipHeld: true,
+		load := route.Request{
+			Units: r.ask.PromptTokens, Tokens: r.ask.PromptTokens, Typical: route.RequestSize{Units: r.ask.PromptTokens, Tokens: r.ask.PromptTokens},
+			FailureCost: r.targetLatency(), CrossZoneCost: farStage, SkipRecentlyFull: true,
 			// A prefill that fails is a repeat in the end: without one left it is
 			// given only to an engine that is sure to answer.
-			OnlySure: !s.budgets.window(r.service.Name).Left(time.Now(), s.terms()),
+			OnlyResponsive: !s.budgets.window(r.service.Name).Available(time.Now(), s.terms()),
 		}
 		p, assigned := s.assignPrefill(ctx, r, zone, load)
 		if p.upstream == nil {
-			p = s.place(r, work.RolePrefill, zone, load)
-			p.ahead = p.offer.Wait(load)
+			p = s.place(r, domain.RolePrefill, zone, load)
+			p.ahead = p.offer.EstimateWait(load)
 		}
-		s.logPlaced(r, work.RolePrefill, p, "only_sure", load.OnlySure)
+		s.logPlaced(r, domain.RolePrefill, p, "only_sure", load.OnlyResponsive)
 		if p.upstream == nil {
-			s.Log.Info("prefill passed over", "request", r.id, "why", "no engine", "only_sure", load.OnlySure)
+			s.Log.Info("prefill passed over", "request", r.id, "why", "no engine", "only_sure", load.OnlyResponsive)
 			return nil
 		}
 		if p.ahead > s.prefillWait(r) {
@@ -106,7 +106,7 @@
 		}
 		n++
 		if r.prefills == 1 {
-			s.budgets.window(r.service.Name).Spend(time.Now(), s.terms())
+			s.budgets.window(r.service.Name).Record(time.Now(), s.terms())
 		}
 	}
 	return nil
@@ -129,11 +129,11 @@
 
 // ownRead is the time that a decode engine takes for the prompt.
 func (s *Server) ownRead(r *request) time.Duration {
-	each := s.mixes.PromptTime(r.service.Name)
+	each := s.mixes.PromptTokenTime(r.service.Name)
 	if each <= 0 {
 		each = prefillRate
 	}
-	return time.Duration(ownSlower * float64(r.ask.Prompt) * float64(each))
+	return time.Duration(ownSlower * float64(r.ask.PromptTokens) * float64(each))
 }
 
 // pauseLeft is how long the answers of an engine may pause for a prompt.
@@ -147,42 +147,42 @@
 
 // ownTurn waits until no other prompt of this entry is read by the decode engine.
 func (s *Server) ownTurn(ctx context.Context, r *request, decode *room) {
-	if wait := decode.upstream.Seen.Read(time.Now(), s.ownRead(r)+ownSpace, ownWait); wait > 0 {
+	if wait := decode.upstream.Stats.QueuePrefill(time.Now(), s.ownRead(r)+ownSpace, ownWait); wait > 0 {
 		s.Log.Info("waits for another prompt", "request", r.id, "upstream", decode.upstream.Server().ID, "wait", wait)
-		group.Pause(ctx, wait)
+		group.Sleep(ctx, wait)
 	}
 }
 
 func (s *Server) prefillAt(ctx context.Context, r *request, u *roster.Upstream, allowed permit) (*prefilled, *failure) {
-	offer := u.Seen.Offer(time.Now())
-	each := offer.Speed
+	offer := u.Stats.Candidate(time.Now())
+	each := offer.UnitTime
 	if each == 0 {
 		each = prefillRate
 	}
 	a := &attempt{
-		upstream: u, permit: allowed, work: roster.Work{Tokens: r.ask.Prompt, Prompt: r.ask.Prompt},
-		silence: min(max(prefillLeast, prefillSlack*each*time.Duration(r.ask.Prompt+offer.Queued)), r.targetLatency()),
+		upstream: u, permit: allowed, work: roster.Cost{MemoryTokens: r.ask.PromptTokens, PromptTokens: r.ask.PromptTokens},
+		silence: min(max(prefillLeast, prefillSlack*each*time.Duration(r.ask.PromptTokens+offer.QueuedTokens)), r.targetLatency()),
 	}
 	a.stamp.Stage = StagePrefill
 	reply, f := s.try(ctx, r, a)
 	if f != nil {
 		return nil, f
 	}
-	body, err := reply.All(shortAnswer)
+	body, err := reply.ReadAll(shortAnswer)
 	if err != nil {
 		return nil, s.broke(ctx, r, a, err)
 	}
 	took := time.Since(a.began)
-	h, err := s.Protocol.Handle(body)
+	h, err := s.Protocol.ParseHandle(body)
 	if reply.Status != http.StatusOK || err != nil {
-		u.Seen.Failed(time.Now())
-		return nil, s.failed(r, a, &failure{ran: work.NotRun, reason: work.ReasonUpstream, detail: "no handle in the answer to a prefill"})
+		u.Stats.RecordFailure(time.Now())
+		return nil, s.failed(r, a, &failure{ran: domain.NotRun, reason: domain.ReasonUpstream, detail: "no handle in the answer to a prefill"})
 	}
-	s.done(r, a, took, r.ask.Prompt, true)
-	if offer.Queued == 0 && r.prefills == 1 {
+	s.done(r, a, took, r.ask.PromptTokens, true)
+	if offer.QueuedTokens == 0 && r.prefills == 1 {
 		s.mixPrefilled(r, took)
 	}
-	h.At = u.Server().Addr
+	h.Addr = u.Server().Addr
 	s.Log.Info("prefilled", "request", r.id, "upstream", a.start.ID, "tokens", h.Tokens, "took", took)
 	return &prefilled{upstream: u, handle: h}, nil
 }
@@ -193,7 +193,7 @@
 		return
 	}
 	s.later("free handle", freeWithin, func(ctx context.Context) error {
-		reply, _, err := s.exchange(ctx, r.id, p.upstream, s.Protocol.Free(p.handle))
+		reply, _, err := s.exchange(ctx, r.id, p.upstream, s.Protocol.FreeHandleRequest(p.handle))
 		if err != nil {
 			s.Log.Info("handle not freed", "request", r.id, "err", err)
 			return nil
--- a/direct/prefill_test.go
+++ b/direct/prefill_test.go
@@ -6,9 +6,9 @@
 
 	"github.com/stretchr/testify/require"
 
+	"jacinthworks/domain"
 	"jacinthworks/paths"
-	"jacinthworks/place"
-	"jacinthworks/work"
+	"jacinthworks/roles"
 )
 
 // Story: a burst fills the prefill engines, and prompts wait for seconds, while the
@@ -20,12 +20,12 @@
 	ask := func(s *Server, tokens int) time.Duration {
 		r := &request{first: now, until: now.Add(14 * time.Second), service: &paths.Service{Name: "model"}}
 		r.route = &paths.Route{Target: 900 * time.Millisecond, TargetGap: 300 * time.Millisecond}
-		r.ask.Prompt = tokens
+		r.ask.PromptTokens = tokens
 		return s.prefillWait(r)
 	}
 	measured := func(each time.Duration) *Server {
 		s := &Server{}
-		s.mixes.Note(work.Service("model"), func(x *place.Mix) { x.Prefilled(now, 1000, 1000*each) })
+		s.mixes.Update(domain.Service("model"), func(x *roles.Profile) { x.RecordPrefill(now, 1000, 1000*each) })
 		return s
 	}
 	require.Less(t, ask(measured(23*time.Microsecond), 5200), time.Second)
--- a/direct/quota.go
+++ b/direct/quota.go
@@ -5,9 +5,9 @@
 	"sync"
 	"time"
 
+	"jacinthworks/domain"
 	"jacinthworks/paths"
 	"jacinthworks/quota"
-	"jacinthworks/work"
 )
 
 const (
@@ -41,13 +41,13 @@
 
 	mu sync.Mutex // a leaf
 	// spent is until when an account has nothing.
-	spent map[work.Account]time.Time
+	spent map[domain.Account]time.Time
 }
 
 // quotaCall asks the entry that counts to take the cost, or to give it back.
 type quotaCall struct {
-	Account work.Account `json:"account"`
-	Cost    float64      `json:"cost"`
+	Account domain.Account `json:"account"`
+	Cost    float64        `json:"cost"`
 	// Back gives back; Over says that it was granted over the quota.
 	Back bool `json:"back,omitempty"`
 	Over bool `json:"over,omitempty"`
@@ -59,29 +59,29 @@
 	if r.client == nil || !r.client.Quota.Limited() {
 		return nil
 	}
-	cost := r.client.Quota.Cost(r.ask.Prompt + r.ask.Output)
+	cost := r.client.Quota.Cost(r.ask.PromptTokens + r.ask.MaxOutputTokens)
 	now := time.Now()
-	v, by := quota.Verdict{Wait: s.quotas.wait(now, r.account)}, "known"
+	v, by := quota.Decision{Wait: s.quotas.wait(now, r.account)}, "known"
 	if v.Wait <= 0 {
 		v, by = s.takeQuota(ctx, r.client, quotaCall{Account: r.account, Cost: cost})
 		s.quotas.note(now, r.account, v)
 	}
 	if v.Granted {
-		r.cost, r.over = cost, v.Over
-		s.Log.Debug("quota", "request", r.id, "account", r.account, "cost", cost, "over", v.Over, "left", v.Level, "by", by, "took", time.Since(now))
+		r.cost, r.over = cost, v.OverQuota
+		s.Log.Debug("quota", "request", r.id, "account", r.account, "cost", cost, "over", v.OverQuota, "left", v.Level, "by", by, "took", time.Since(now))
 		return nil
 	}
 	s.Log.Info("over quota", "request", r.id, "account", r.account, "cost", cost, "left", v.Level, "wait", v.Wait, "by", by,
 		"rate", r.client.Quota.Rate, "burst", r.client.Quota.Burst, "version", r.version)
-	return &failure{ran: work.NotRun, reason: work.ReasonQuota, detail: "the account is over its quota", retryAfter: v.Wait}
+	return &failure{ran: domain.NotRun, reason: domain.ReasonQuota, detail: "the account is over its quota", retryAfter: v.Wait}
 }
 
 // overQuota refuses a request whose account is over its quota, and for which others
 // leave no room.
 func (s *Server) overQuota(r *request) *failure {
-	wait := s.lines.Line(r.service.Name).Returns.After(time.Now())
+	wait := s.lines.For(r.service.Name).RetryAfter.Delay(time.Now())
 	s.Log.Info("over quota", "request", r.id, "account", r.account, "cost", r.cost, "by", "no room", "asked", r.asked, "wait", wait)
-	return &failure{ran: work.NotRun, reason: work.ReasonQuota, detail: "the account is over its quota and no engine has room to spare", retryAfter: wait, final: true}
+	return &failure{ran: domain.NotRun, reason: domain.ReasonQuota, detail: "the account is over its quota and no engine has room to spare", retryAfter: wait, final: true}
 }
 
 // giveBack gives back what a request took that has not run.
@@ -100,8 +100,8 @@
 
 // takeQuota makes the call at the entry that counts for the account; where none of
 // those can be reached it spends a part of this entry's share.
-func (s *Server) takeQuota(ctx context.Context, a *paths.Account, call quotaCall) (v quota.Verdict, by string) {
-	own := func(first bool) quota.Verdict { return s.count(time.Now(), a, call, first) }
+func (s *Server) takeQuota(ctx context.Context, a *paths.Account, call quotaCall) (v quota.Decision, by string) {
+	own := func(first bool) quota.Decision { return s.count(time.Now(), a, call, first) }
 	if v, k, ok := askKeeper(ctx, s, quotaKey(a.Name), quotaPath, keeperTries, call, own); ok {
 		return v, k.name()
 	}
@@ -110,18 +110,18 @@
 	if n := s.members.count(now); n > 1 {
 		part = quotaAlone / float64(n)
 	}
-	return apply(&s.quotas.alone, now, call, quota.Terms{Quota: limitOf(a).Part(part)}), "alone"
+	return apply(&s.quotas.alone, now, call, quota.Allowance{Quota: limitOf(a).Scale(part)}), "alone"
 }
 
 // quotaKey is by which the entry is found that counts for an account.
-func quotaKey(a work.Account) string { return "quota/" + string(a) }
+func quotaKey(a domain.Account) string { return "quota/" + string(a) }
 
 // count answers for an account that this entry counts for. first says that no other
 // should: only that one grants what goes over the quota, which two would both do.
-func (s *Server) count(now time.Time, a *paths.Account, call quotaCall, first bool) quota.Verdict {
-	terms := quota.Terms{Quota: limitOf(a)}
+func (s *Server) count(now time.Time, a *paths.Account, call quotaCall, first bool) quota.Decision {
+	terms := quota.Allowance{Quota: limitOf(a)}
 	if first {
-		terms.Over = s.live.Load().Quotas.Over(terms.Quota, quotaOver)
+		terms.Excess = s.live.Load().Quotas.ExcessLimit(terms.Quota, quotaOver)
 	} else {
 		terms.Quota.Burst = min(terms.Quota.Burst, terms.Quota.Rate*quotaStandby.Seconds())
 	}
@@ -132,23 +132,23 @@
 	return quota.Limit{Rate: a.Quota.Rate, Burst: a.Quota.Burst}
 }
 
-func apply(c *quota.Counter, now time.Time, call quotaCall, terms quota.Terms) quota.Verdict {
+func apply(c *quota.Counter, now time.Time, call quotaCall, terms quota.Allowance) quota.Decision {
 	if call.Back {
-		c.Give(now, call.Account, terms, call.Cost, call.Over)
-		return quota.Verdict{Granted: true}
+		c.Refund(now, call.Account, terms, call.Cost, call.Over)
+		return quota.Decision{Granted: true}
 	}
 	return c.Take(now, call.Account, terms, call.Cost)
 }
 
 // answerQuota answers the other entries.
-func (s *Server) answerQuota(call quotaCall) (v quota.Verdict, ok bool) {
+func (s *Server) answerQuota(call quotaCall) (v quota.Decision, ok bool) {
 	c := s.holder.Current()
 	if c == nil || call.Cost < 0 {
 		return v, false
 	}
-	a := c.Named(call.Account)
+	a := c.AccountByName(call.Account)
 	if a == nil || !a.Quota.Limited() {
-		return quota.Verdict{Granted: true}, true
+		return quota.Decision{Granted: true}, true
 	}
 	return s.count(time.Now(), a, call, s.first(quotaKey(a.Name))), true
 }
@@ -159,21 +159,21 @@
 // entry that counts as much as a grant. Told once, an entry refuses by itself what
 // can't be granted yet, whatever its size: asking again for smaller requests only gave
 // them all that came back.
-func (q *quotas) wait(now time.Time, a work.Account) time.Duration {
+func (q *quotas) wait(now time.Time, a domain.Account) time.Duration {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return max(0, q.spent[a].Sub(now))
 }
 
 // note remembers an account that has nothing.
-func (q *quotas) note(now time.Time, a work.Account, v quota.Verdict) {
+func (q *quotas) note(now time.Time, a domain.Account, v quota.Decision) {
 	if v.Granted {
 		return
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.spent == nil {
-		q.spent = make(map[work.Account]time.Time)
+		q.spent = make(map[domain.Account]time.Time)
 	}
 	q.spent[a] = now.Add(v.Wait)
 }
--- a/direct/quota_test.go
+++ b/direct/quota_test.go
@@ -19,7 +19,7 @@
 	a := &paths.Account{Name: "studs", Quota: paths.Quota{Rate: 168_000, Burst: 168_000, ByTokens: true}}
 	count := func(first bool) (granted float64) {
 		s := &Server{}
-		s.live.Store(&conf.Direct{Quotas: quota.Tolerance{Window: 8 * time.Second, Part: 0.1, Slack: 140_000}})
+		s.live.Store(&conf.Direct{Quotas: quota.Tolerance{Window: 8 * time.Second, Fraction: 0.1, FixedExcess: 140_000}})
 		now := time.Now()
 		s.quotas.counter.Since = now.Add(-time.Hour)
 		for range 200 {
--- a/direct/reach.go
+++ b/direct/reach.go
@@ -11,10 +11,10 @@
 	"syscall"
 	"time"
 
+	"jacinthworks/domain"
 	"jacinthworks/group"
 	"jacinthworks/pacer"
 	"jacinthworks/relay"
-	"jacinthworks/work"
 )
 
 const (
@@ -30,16 +30,16 @@
 
 // reachCall asks which of some entries another one reaches.
 type reachCall struct {
-	Entries []work.Host `json:"entries,omitempty"`
+	Entries []domain.Host `json:"entries,omitempty"`
 }
 
 type reachAnswer struct {
-	Reached []work.Host `json:"reached,omitempty"`
+	Reached []domain.Host `json:"reached,omitempty"`
 }
 
 // lookAround looks for other entries while this one counts for all by some key.
 func (s *Server) lookAround(ctx context.Context) error {
-	woken := s.reach.Bell()
+	woken := s.reach.Triggered()
 	for {
 		select {
 		case <-ctx.Done():
@@ -52,7 +52,7 @@
 				break
 			}
 			s.lookOnce(ctx, keys)
-			group.Pause(ctx, pacer.LookEvery)
+			group.Sleep(ctx, pacer.ProbeInterval)
 		}
 	}
 }
@@ -62,43 +62,43 @@
 func (s *Server) lookOnce(ctx context.Context, keys []string) {
 	now := time.Now()
 	before := s.allBefore(now, keys)
-	g := pacer.Sight[work.Host]{Before: make(map[work.Host]pacer.Presence)}
-	var missing []work.Host
+	g := pacer.ProbeResult[domain.Host]{Predecessors: make(map[domain.Host]pacer.PeerState)}
+	var missing []domain.Host
 	for i, a := range askReach(ctx, before, reachCall{}) {
 		name := before[i].Name
-		g.Before[name] = presence(a.err)
-		if g.Before[name] == pacer.Silent {
+		g.Predecessors[name] = presence(a.err)
+		if g.Predecessors[name] == pacer.Unreachable {
 			missing = append(missing, name)
 		}
 	}
-	sample := drawn(s.peers.fleet.Others(s.peers.fleet.Known()), reachMost)
+	sample := drawn(s.peers.fleet.Others(s.peers.fleet.MemberCount()), reachMost)
 	for _, a := range askReach(ctx, sample, reachCall{Entries: missing}) {
 		switch presence(a.err) {
 		case pacer.Alive:
 			g.Answered++
-		case pacer.Silent:
-			g.Silent++
+		case pacer.Unreachable:
+			g.Unreachable++
 		}
 		for _, name := range a.Reached {
-			g.Before[name] = pacer.Alive
+			g.Predecessors[name] = pacer.Alive
 		}
 	}
-	if s.reach.Found(time.Now(), g) {
-		s.Log.Info("entries reached", "answered", g.Answered, "silent", g.Silent, "before", g.Before, "took", time.Since(now))
+	if s.reach.SetResult(time.Now(), g) {
+		s.Log.Info("entries reached", "answered", g.Answered, "silent", g.Unreachable, "before", g.Predecessors, "took", time.Since(now))
 	}
 }
 
 // presence sorts the end of a call at another entry. One that leaves, or whose host
 // refuses the connection since no process listens, gives out nothing; one that is cut
 // off is silent.
-func presence(err error) pacer.Presence {
+func presence(err error) pacer.PeerState {
 	switch {
 	case err == nil:
 		return pacer.Alive
 	case errors.Is(err, errLeaving), errors.Is(err, syscall.ECONNREFUSED):
-		return pacer.Out
+		return pacer.Stopped
 	}
-	return pacer.Silent
+	return pacer.Unreachable
 }
 
 // drawn gives at most so many of the entries, at random.
@@ -109,8 +109,8 @@
 }
 
 // standing is how sure this entry is to be the only one that counts by a key.
-func (s *Server) standing(now time.Time, key string) pacer.Standing {
-	return s.reach.Standing(now, names(s.before(now, key)))
+func (s *Server) standing(now time.Time, key string) pacer.Reachability {
+	return s.reach.Reachability(now, names(s.before(now, key)))
 }
 
 // before gives the entries that count by a key before this one does.
@@ -162,7 +162,7 @@
 func (s *Server) answerReach(c reachCall) (a reachAnswer, ok bool) {
 	var calls group.Group
 	var mu sync.Mutex
-	for _, p := range s.peers.fleet.Others(s.peers.fleet.Known()) {
+	for _, p := range s.peers.fleet.Others(s.peers.fleet.MemberCount()) {
 		if !slices.Contains(c.Entries, p.Name) {
 			continue
 		}
@@ -181,7 +181,7 @@
 }
 
 // names gives those of the entries.
-func names(all []*relay.Peer) (names []work.Host) {
+func names(all []*relay.Peer) (names []domain.Host) {
 	for _, p := range all {
 		names = append(names, p.Name)
 	}
--- a/direct/records.go
+++ b/direct/records.go
@@ -52,7 +52,7 @@
 	if !c.at.IsZero() && now.Sub(c.at) <= recordsFresh {
 		return c.body, c.err
 	}
-	all, err := feed.All(ctx, from, true)
+	all, err := feed.ListAll(ctx, from, true)
 	c.at, c.body, c.err = now, nil, err
 	if err == nil {
 		c.body, c.err = relay.Encode(all)
@@ -85,26 +85,26 @@
 func (s *Server) readRecords(ctx context.Context) ([]feed.Item[Member], error) {
 	began := time.Now()
 	for {
-		all, err := relay.First(ctx, relay.FirstAfter, s.peers.fleet.Asked(lease.Boottime()), askRecords)
+		all, err := relay.Hedge(ctx, relay.HedgeDelay, s.peers.fleet.RelayPeers(lease.Boottime()), askRecords)
 		if err == nil {
 			return all, nil
 		}
 		if !errors.Is(err, syscall.ECONNREFUSED) || ctx.Err() != nil || time.Since(began) > recordsWithin {
 			break
 		}
-		group.Pause(ctx, recordsAgain)
+		group.Sleep(ctx, recordsAgain)
 	}
-	return feed.All(ctx, s.Members, true)
+	return feed.ListAll(ctx, s.Members, true)
 }
 
 func askRecords(ctx context.Context, p *relay.Peer) ([]feed.Item[Member], error) {
 	ctx, cancel := context.WithTimeout(ctx, recordsWithin)
 	defer cancel()
-	reply, err := p.Do(ctx, send.Request{Method: http.MethodGet, Target: recordsPath, Silence: recordsWithin})
+	reply, err := p.Do(ctx, send.Request{Method: http.MethodGet, Target: recordsPath, ReadTimeout: recordsWithin})
 	if err != nil {
 		return nil, err
 	}
-	body, err := reply.All(recordsMost)
+	body, err := reply.ReadAll(recordsMost)
 	switch {
 	case err != nil:
 		return nil, err
--- a/direct/register.go
+++ b/direct/register.go
@@ -10,7 +10,7 @@
 
 	"jacinthworks/feed"
 	"jacinthworks/group"
-	"jacinthworks/plat"
+	"jacinthworks/infra"
 )
 
 // recordPeriod is the time between two writings of an entry's record in a fleet of so many.
@@ -46,7 +46,7 @@
 			wait = memberRetry
 		}
 		if !s.members.known.Load() {
-			group.Pause(ctx, memberFirst)
+			group.Sleep(ctx, memberFirst)
 		}
 		if err := s.readMembers(ctx); err != nil {
 			s.Log.Info("records of the entries not read", "err", err)
@@ -64,7 +64,7 @@
 
 // ownRecord is this entry's record as the store has it.
 type ownRecord struct {
-	version plat.Version
+	version infra.Version
 	// since is when an entry of this name first wrote one.
 	since time.Time
 	// written is when it was last written; zero where the store may lack it.
@@ -76,9 +76,9 @@
 // of the entry, it need not be written before its time.
 func (s *Server) found(now time.Time, i feed.Item[Member]) {
 	m := i.Value
-	s.record = ownRecord{version: plat.Version(i.Revision), since: m.Since}
+	s.record = ownRecord{version: infra.Version(i.Revision), since: m.Since}
 	same := m.Peer == s.Settings.PeerListen && m.Zone == s.Settings.Zone && m.Cores == s.Settings.Cores
-	if age := now.Sub(m.Written); same && i.Unread == nil && age >= 0 && age < m.gone() {
+	if age := now.Sub(m.Written); same && i.DecodeErr == nil && age >= 0 && age < m.gone() {
 		s.record.written, s.record.every = now.Add(-age), m.Every
 	}
 }
@@ -98,7 +98,7 @@
 
 // rewound notes that the store has come back from an older copy.
 func (s *Server) rewound(time.Time) {
-	s.Meter.Count("jacinthworks_store_copies_total", nil)
+	s.Meter.Inc("jacinthworks_store_copies_total", nil)
 	select {
 	case s.recordGone <- struct{}{}:
 	default: // is told already
@@ -114,8 +114,8 @@
 	case <-ctx.Done():
 	case <-t.C:
 	case <-s.recordGone:
-		group.Pause(ctx, rand.N(recordAgain))
-		if s.crashes.HasOwn() {
+		group.Sleep(ctx, rand.N(recordAgain))
+		if s.crashes.HasDeaths() {
 			s.tellDeaths()
 		}
 		return true
@@ -133,11 +133,11 @@
 	}
 	// Its version is known from the last writing; at the start there is none, as a rule.
 	err := s.putMember(ctx, beat)
-	if !errors.Is(err, plat.ErrConflict) && !errors.Is(err, plat.ErrMissing) {
+	if !errors.Is(err, infra.ErrConflict) && !errors.Is(err, infra.ErrMissing) {
 		return err
 	}
 	old, err := s.Records.Get(ctx, memberKind+string(s.Settings.Name))
-	if err != nil && !errors.Is(err, plat.ErrMissing) {
+	if err != nil && !errors.Is(err, infra.ErrMissing) {
 		return err
 	}
 	var before Member
--- a/direct/relays.go
+++ b/direct/relays.go
@@ -9,29 +9,29 @@
 
 	"github.com/pkg/errors"
 
+	"jacinthworks/domain"
 	"jacinthworks/feed"
-	"jacinthworks/work"
 )
 
-// Relays is the record of the entries that watch the platform's store for all.
+// RelayRecord is the record of the entries that watch the platform's store for all.
 //
 // Load pattern: all entries are killed at once and start again. To know which of them
 // relay, each would read the records of all. This one is a few hundred bytes, whatever
 // their number.
-type Relays struct {
+type RelayRecord struct {
 	Entries []RelayEntry `json:"entries"`
 }
 
 // RelayEntry is one of them, and where it answers others.
 type RelayEntry struct {
-	Name work.Host      `json:"name"`
+	Name domain.Host    `json:"name"`
 	Peer netip.AddrPort `json:"peer"`
 }
 
 const (
-	// RelaysName is the name of the record in its collection.
-	RelaysName   = "main"
-	relaysRecord = "relays/" + RelaysName
+	// RelayRecordName is the name of the record in its collection.
+	RelayRecordName = "main"
+	relaysRecord    = "relays/" + RelayRecordName
 	// seedWithin bounds the reading of the record at a start.
 	seedWithin = 150 * time.Millisecond
 )
@@ -62,7 +62,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, seedWithin)
 	defer cancel()
-	all, err := feed.All(ctx, s.Relays, true)
+	all, err := feed.ListAll(ctx, s.Relays, true)
 	if err != nil {
 		s.Log.Info("record of the relays not read", "err", err)
 		return []netip.AddrPort{}
@@ -83,17 +83,17 @@
 	if len(chosen) == 0 || s.Relays == nil {
 		return nil
 	}
-	var now Relays
+	var now RelayRecord
 	for _, m := range chosen {
 		now.Entries = append(now.Entries, RelayEntry{Name: m.Name, Peer: m.Addr})
 	}
 	ctx, cancel := context.WithTimeout(ctx, storeWithin)
 	defer cancel()
-	all, err := feed.All(ctx, s.Relays, true)
+	all, err := feed.ListAll(ctx, s.Relays, true)
 	if err != nil {
 		return err
 	}
-	if len(all) == 1 && all[0].Unread == nil && slices.Equal(all[0].Value.Entries, now.Entries) {
+	if len(all) == 1 && all[0].DecodeErr == nil && slices.Equal(all[0].Value.Entries, now.Entries) {
 		return nil
 	}
 	value, err := json.Marshal(now)
--- a/direct/reload.go
+++ b/direct/reload.go
@@ -24,7 +24,7 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-s.Reloads:
+		case <-s.ReloadSignals:
 			asked = true
 		case <-t.C:
 		}
--- a/direct/reload_test.go
+++ b/direct/reload_test.go
@@ -23,7 +23,7 @@
 	var failure error
 	read := make(chan struct{}, 1)
 	s := &Server{
-		Settings: next, Reloads: reloads, Log: hclog.NewNullLogger(),
+		Settings: next, ReloadSignals: reloads, Log: hclog.NewNullLogger(),
 		Reload: func() (conf.Direct, error) {
 			defer func() { read <- struct{}{} }()
 			return next, failure
--- a/direct/roles.go
+++ b/direct/roles.go
@@ -6,12 +6,12 @@
 	"math"
 	"time"
 
+	"jacinthworks/domain"
 	"jacinthworks/fence"
 	"jacinthworks/lease"
-	"jacinthworks/place"
+	"jacinthworks/roles"
 	"jacinthworks/roster"
 	"jacinthworks/send"
-	"jacinthworks/work"
 )
 
 const (
@@ -23,7 +23,7 @@
 	// stateWithin bounds the call for an engine's state.
 	stateWithin = 500 * time.Millisecond
 	// orderWithin bounds the call that gives an order; the lease allows for
-	// longer (fence.OrderTime).
+	// longer (fence.OrderTimeout).
 	orderWithin = 2 * time.Second
 	// storeWithin bounds one call for the lease.
 	storeWithin = 2 * time.Second
@@ -39,9 +39,9 @@
 	}
 	k := &lease.Keeper{
 		Records: s.Records, Name: rolesLease,
-		Guard: fence.Guard{Holder: s.Settings.Name, Incarnation: work.NewIncarnation(), Fresh: s.Settings.FirstStart},
+		Guard: fence.Guard{Holder: s.Settings.Name, Incarnation: domain.NewIncarnation(), Fresh: s.Settings.FirstStart},
 	}
-	planners, last := make(map[work.Service]*place.Planner), make(map[work.Service]accounts)
+	planners, last := make(map[domain.Service]*roles.Planner), make(map[domain.Service]accounts)
 	held := false
 	began, looked := time.Now(), time.Time{}
 	stepping := false // the lease has another step to take at once
@@ -57,7 +57,7 @@
 			}
 			if time.Since(looked) >= lookEvery {
 				looked = time.Now()
-				k.Doubt()
+				k.Invalidate()
 			}
 		}
 		try, cancel := context.WithTimeout(ctx, storeWithin)
@@ -89,7 +89,7 @@
 	case <-ctx.Done():
 	case <-t.C:
 	case <-s.rolesFree:
-		k.Doubt()
+		k.Invalidate()
 	case <-s.leavingNow:
 	}
 }
@@ -106,7 +106,7 @@
 }
 
 // released takes word that the lease of roles is free.
-func (s *Server) released(by work.Host) {
+func (s *Server) released(by domain.Host) {
 	if by == s.Settings.Name {
 		return
 	}
@@ -117,7 +117,7 @@
 }
 
 // planOnce looks at the engines of each service and gives the orders due.
-func (s *Server) planOnce(ctx context.Context, k *lease.Keeper, planners map[work.Service]*place.Planner, last map[work.Service]accounts) {
+func (s *Server) planOnce(ctx context.Context, k *lease.Keeper, planners map[domain.Service]*roles.Planner, last map[domain.Service]accounts) {
 	c := s.holder.Current()
 	if c == nil {
 		return
@@ -137,21 +137,21 @@
 		seen := view(v, states, mix)
 		s.Log.Info("engines", "service", v.Name, "of", len(pool), "answered", len(states), "ratio", mix.ratio, "sure", mix.sure,
 			"entries", entries, "requests", math.Round(samples[v.Name].Requests),
-			"prefill", seen.Demand[place.Pool{Model: v.Name, Role: work.RolePrefill}],
-			"decode", seen.Demand[place.Pool{Model: v.Name, Role: work.RoleDecode}])
+			"prefill", seen.Demand[roles.Pool{Model: v.Name, Role: domain.RolePrefill}],
+			"decode", seen.Demand[roles.Pool{Model: v.Name, Role: domain.RoleDecode}])
 		p := planners[v.Name]
 		if p == nil {
 			if idle(seen) {
 				continue
 			}
-			p = &place.Planner{Tempo: place.TempoOf(v.Engine.SwitchTime)}
+			p = &roles.Planner{Timing: roles.TimingFor(v.Engine.SwitchTime)}
 			planners[v.Name] = p
 		}
-		var taken []Change
-		for _, o := range p.Plan(time.Now(), seen, k.May) {
-			one := Change{Start: startOf(states, o.Host), Fence: o.Fence}
+		var taken []RoleChange
+		for _, o := range p.Plan(time.Now(), seen, k.Issue) {
+			one := RoleChange{Start: startOf(states, o.Host), Fence: o.Fence}
 			switch s.changeRole(ctx, k, states, o) {
-			case OrderTaken:
+			case OrderAccepted:
 				one.To = o.To.Role
 				taken = append(taken, one)
 			case orderUnknown:
@@ -169,10 +169,10 @@
 const planLeast = 200 * time.Millisecond
 
 // nextPlan gives the time to the next look at the engines.
-func nextPlan(now time.Time, planners map[work.Service]*place.Planner) time.Duration {
+func nextPlan(now time.Time, planners map[domain.Service]*roles.Planner) time.Duration {
 	next := planEvery
 	for _, p := range planners {
-		if left, pending := p.Pending(now); pending {
+		if left, pending := p.NextBalance(now); pending {
 			next = min(next, max(left, planLeast))
 		}
 	}
@@ -185,7 +185,7 @@
 // planner that has seen only idle engines believes their load when some more samples
 // have borne it out; one that begins with the load gives its first orders a second
 // earlier.
-func idle(v place.View) bool {
+func idle(v roles.View) bool {
 	for _, d := range v.Demand {
 		if d > 0 {
 			return false
@@ -195,9 +195,9 @@
 }
 
 // startOf gives the start of an engine that was asked.
-func startOf(states []engineState, h work.Host) roster.Start {
+func startOf(states []engineState, h domain.Host) roster.Start {
 	for _, e := range states {
-		if work.Host(e.server.ID) == h {
+		if domain.Host(e.server.ID) == h {
 			return e.server.Start
 		}
 	}
@@ -208,7 +208,7 @@
 func (s *Server) ask(ctx context.Context, u *roster.Upstream, r send.Request, within time.Duration) (body []byte, status int, err error) {
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
-	s.Protocol.Stamp(r.Header, Stamp{Upstream: u.Server().ID, Within: within})
+	s.Protocol.SetAttemptHeader(r.Header, AttemptInfo{Upstream: u.Server().ID, Timeout: within})
 	if !s.admits("", u) {
 		return nil, 0, errBarred
 	}
@@ -216,18 +216,18 @@
 	if err != nil {
 		return nil, 0, err
 	}
-	body, err = reply.All(shortAnswer)
+	body, err = reply.ReadAll(shortAnswer)
 	return body, reply.Status, err
 }
 
 // changeRole gives one order. It names how many orders the engine had taken:
 // one that is carried out late, after another, is then not carried out at all.
-func (s *Server) changeRole(ctx context.Context, k *lease.Keeper, states []engineState, o place.Order) Ordered {
+func (s *Server) changeRole(ctx context.Context, k *lease.Keeper, states []engineState, o roles.Order) OrderOutcome {
 	for _, e := range states {
-		if work.Host(e.server.ID) != o.Host {
+		if domain.Host(e.server.ID) != o.Host {
 			continue
 		}
-		r, err := s.Protocol.ChangeRole(o.To.Role, s.Settings.Name, o.Fence, e.state.Orders)
+		r, err := s.Protocol.RoleChangeRequest(o.To.Role, s.Settings.Name, o.Fence, e.state.OrdersAccepted)
 		if err != nil {
 			s.Log.Error("order not given", "upstream", o.Host, "err", err)
 			return OrderRefused
@@ -238,15 +238,15 @@
 		case errors.Is(err, errBarred):
 			outcome = OrderRefused
 		case err == nil:
-			outcome = s.Protocol.Ordered(status)
+			outcome = s.Protocol.ParseOrderOutcome(status)
 		}
-		overrun := k.Gave(o.Fence)
-		s.Log.Info("order", "upstream", o.Host, "from", o.From, "to", o.To, "fence", o.Fence, "after", e.state.Orders,
-			"grounds", o.Grounds, "outcome", outcome, "status", status, "err", err, "overrun", overrun)
+		overrun := k.Complete(o.Fence)
+		s.Log.Info("order", "upstream", o.Host, "from", o.From, "to", o.To, "fence", o.Fence, "after", e.state.OrdersAccepted,
+			"grounds", o.Reason, "outcome", outcome, "status", status, "err", err, "overrun", overrun)
 		return outcome
 	}
 	return OrderRefused
 }
 
 // orderUnknown is the outcome of an order without an answer.
-const orderUnknown Ordered = "no_answer"
+const orderUnknown OrderOutcome = "no_answer"
--- a/direct/roles_test.go
+++ b/direct/roles_test.go
@@ -8,9 +8,9 @@
 
 	"github.com/stretchr/testify/require"
 
-	"jacinthworks/place"
+	"jacinthworks/domain"
 	"jacinthworks/relay"
-	"jacinthworks/work"
+	"jacinthworks/roles"
 )
 
 // Story: 68 entries read the lease of the roles every eight seconds, and a host of a
@@ -20,7 +20,7 @@
 	addr := netip.MustParseAddrPort("10.0.0.1:7380")
 	var all []relay.Member
 	for n := range 68 {
-		m := relay.Member{Name: work.Host(fmt.Sprint("front-", n)), Zone: "here", Cores: 0.144, Addr: addr}
+		m := relay.Member{Name: domain.Host(fmt.Sprint("front-", n)), Zone: "here", Cores: 0.144, Addr: addr}
 		if n%5 == 0 {
 			m.Cores = 0.8
 		}
@@ -34,13 +34,13 @@
 		s.peers.fleet.Self = m.Name
 		require.Positive(t, s.standby(began, began, time.Time{}), "its place is not known yet")
 		require.LessOrEqual(t, s.standby(began.Add(placeWithin), began, time.Time{}), time.Duration(0), "and may never be")
-		s.peers.fleet.Set(all, true)
+		s.peers.fleet.SetMembers(all, true)
 		if s.standby(began, began, time.Time{}) <= 0 {
 			looking++
 			require.Equal(t, 0.8, m.Cores)
 			continue
 		}
-		place, known := s.peers.fleet.Place()
+		place, known := s.peers.fleet.Rank()
 		require.True(t, known)
 		period := standbyPeriod(place)
 		require.LessOrEqual(t, s.standby(began.Add(period), began, time.Time{}), time.Duration(0))
@@ -67,8 +67,8 @@
 // planner that has seen them so takes the load for a passing one, and gives its first
 // orders when the first burst has begun.
 func TestThePlannerBeginsWithTheLoad(t *testing.T) {
-	decode := place.Pool{Model: "m", Role: work.RoleDecode}
-	require.True(t, idle(place.View{Demand: map[place.Pool]float64{decode: 0}}))
-	require.False(t, idle(place.View{Demand: map[place.Pool]float64{decode: 0.1}}))
-	require.Equal(t, planEvery, nextPlan(time.Now(), map[work.Service]*place.Planner{"m": {}}))
+	decode := roles.Pool{Model: "m", Role: domain.RoleDecode}
+	require.True(t, idle(roles.View{Demand: map[roles.Pool]float64{decode: 0}}))
+	require.False(t, idle(roles.View{Demand: map[roles.Pool]float64{decode: 0.1}}))
+	require.Equal(t, planEvery, nextPlan(time.Now(), map[domain.Service]*roles.Planner{"m": {}}))
 }
--- a/direct/room.go
+++ b/direct/room.go
@@ -5,10 +5,10 @@
 	"errors"
 	"time"
 
+	"jacinthworks/domain"
 	"jacinthworks/queue"
 	"jacinthworks/roster"
 	"jacinthworks/route"
-	"jacinthworks/work"
 )
 
 const (
@@ -34,8 +34,8 @@
 // room is a place for a request at the engine that makes the answer.
 type room struct {
 	upstream *roster.Upstream
-	hold     Hold
-	work     roster.Work
+	hold     Reservation
+	work     roster.Cost
 	since    time.Time
 	// permit allows the request by the upstream's rate limit.
 	permit permit
@@ -48,8 +48,8 @@
 // under bursts, as prompts read in vain and requests that are refused after
 // they waited for the reading. Holding the place first holds because the engine
 // itself counts what it has promised, to all callers together.
-func (s *Server) room(ctx context.Context, r *request, role work.Role) (*room, *failure) {
-	l := s.lines.Line(r.service.Name)
+func (s *Server) room(ctx context.Context, r *request, role domain.Role) (*room, *failure) {
+	l := s.lines.For(r.service.Name)
 	i, until, late := item(l, r)
 	late = late || r.over && !r.begun
 	if found, any := s.look(ctx, r, role, late); found != nil {
@@ -61,23 +61,23 @@
 		return nil, s.overQuota(r)
 	}
 	if late {
-		return nil, s.unroomed(ctx, r, &queue.Refusal{Reason: work.ReasonTooLate, Detail: queue.DetailLapsed})
+		return nil, s.unroomed(ctx, r, &queue.Refusal{Reason: domain.ReasonTooLate, Detail: queue.DetailExpired})
 	}
-	if refusal := l.Enter(ctx, i, until); refusal != nil {
+	if refusal := l.Acquire(ctx, i, until); refusal != nil {
 		return nil, s.unroomed(ctx, r, refusal)
 	}
-	defer l.Leave()
+	defer l.Release()
 	for {
 		found, any := s.look(ctx, r, role, late)
 		switch {
 		case found != nil:
 			return found, nil
 		case ctx.Err() != nil:
-			return nil, s.unroomed(ctx, r, &queue.Refusal{Reason: work.ReasonOf(ctx)})
+			return nil, s.unroomed(ctx, r, &queue.Refusal{Reason: domain.ReasonOf(ctx)})
 		case !any:
 			return nil, s.unplaced(r, role)
 		case !time.Now().Before(until):
-			return nil, s.unroomed(ctx, r, l.Lapsed(i))
+			return nil, s.unroomed(ctx, r, l.Expire(i))
 		}
 		t := time.NewTimer(lookAgain)
 		select {
@@ -95,8 +95,8 @@
 // which can take seconds where prefill engines are lost. It shows as a request
 // that reaches a server which takes nothing new any more. Looking again just
 // before the send leaves the time of one message.
-func (s *Server) stillThere(ctx context.Context, r *request, role work.Role, p *room) (*room, *failure) {
-	if p.upstream.Access(time.Now()).Open() {
+func (s *Server) stillThere(ctx context.Context, r *request, role domain.Role, p *room) (*room, *failure) {
+	if p.upstream.Eligibility(time.Now()).Eligible() {
 		return p, nil
 	}
 	s.Log.Info("engine takes nothing new, other room is sought", "request", r.id, "upstream", p.upstream.Server().ID)
@@ -106,24 +106,24 @@
 
 // unroomed turns a refusal of the queue into the request's.
 func (s *Server) unroomed(ctx context.Context, r *request, q *queue.Refusal) *failure {
-	f := &failure{ran: work.NotRun, reason: q.Reason, detail: string(q.Detail), final: true}
-	f.retryAfter = max(q.RetryAfter, s.lines.Line(r.service.Name).Returns.After(time.Now()))
+	f := &failure{ran: domain.NotRun, reason: q.Reason, detail: string(q.Detail), final: true}
+	f.retryAfter = max(q.RetryAfter, s.lines.For(r.service.Name).RetryAfter.Delay(time.Now()))
 	if ctx.Err() != nil {
-		f.reason = work.ReasonOf(ctx)
+		f.reason = domain.ReasonOf(ctx)
 	}
 	s.Log.Info("no room", "request", r.id, "service", r.service.Name, "reason", f.reason, "detail", f.detail,
-		"asked", r.asked, "retry_after", f.retryAfter, "waited", time.Since(r.accepted), "wait_expected", q.Grounds.Wait, "waiting", q.Grounds.Items)
+		"asked", r.asked, "retry_after", f.retryAfter, "waited", time.Since(r.accepted), "wait_expected", q.Inputs.Wait, "waiting", q.Inputs.Items)
 	return f
 }
 
 // look asks the engines that may have room, the best first. any says that
 // there is an engine at all.
-func (s *Server) look(ctx context.Context, r *request, role work.Role, late bool) (found *room, any bool) {
-	load := route.Load{
-		SkipHeld: true, Units: 1, Tokens: r.tokens(), Usual: route.Usual{Tokens: r.tokens()},
-		FullCost: fullCost, FailCost: r.failCost(), FarCost: farStage,
+func (s *Server) look(ctx context.Context, r *request, role domain.Role, late bool) (found *room, any bool) {
+	load := route.Request{
+		SkipRecentlyFull: true, Units: 1, Tokens: r.tokens(), Typical: route.RequestSize{Tokens: r.tokens()},
+		MemoryPressureCost: fullCost, FailureCost: r.failCost(), CrossZoneCost: farStage,
 	}
-	for n := 0; n < route.SearchMost && ctx.Err() == nil; n++ {
+	for n := 0; n < route.MaxEnginesPerSearch && ctx.Err() == nil; n++ {
 		p := s.place(r, role, s.Settings.Zone, load)
 		if p.upstream == nil {
 			return nil, p.of > 0
@@ -150,22 +150,22 @@
 	if !ok {
 		return nil
 	}
-	p := &room{upstream: u, work: roster.Work{Tokens: r.tokens()}, since: time.Now(), permit: allowed}
+	p := &room{upstream: u, work: roster.Cost{MemoryTokens: r.tokens()}, since: time.Now(), permit: allowed}
 	if r.engine().HoldLife > 0 && !s.takeHold(ctx, r, p, late) {
 		s.unpermit(allowed)
 		return nil
 	}
-	u.Seen.Begin(p.work)
+	u.Stats.RequestStarted(p.work)
 	return p
 }
 
 // takeHold has the engine hold the room, and says whether it does.
 func (s *Server) takeHold(ctx context.Context, r *request, p *room, late bool) bool {
 	u := p.upstream
-	need := r.ask.Prompt + max(int(holdPart*float64(r.tokens()-r.ask.Prompt)), leastOutput)
+	need := r.ask.PromptTokens + max(int(holdPart*float64(r.tokens()-r.ask.PromptTokens)), leastOutput)
 	more := 0
 	if !r.begun {
-		more = s.lines.Line(r.service.Name).Margin(time.Now(), need)
+		more = s.lines.For(r.service.Name).Headroom(time.Now(), need)
 	}
 	if late {
 		more = max(more, int(reserve*float64(r.engine().KVTokens)))
@@ -183,20 +183,20 @@
 }
 
 // held asks an engine to hold room; "" says that there is none, or no answer.
-func (s *Server) held(ctx context.Context, r *request, u *roster.Upstream, tokens int) Hold {
+func (s *Server) held(ctx context.Context, r *request, u *roster.Upstream, tokens int) Reservation {
 	began := time.Now()
 	h, err := s.askHold(ctx, u, tokens, r.engine().HoldLife)
 	switch {
 	case errors.Is(err, errBarred):
 		return ""
 	case err != nil:
-		u.Seen.Failed(time.Now())
+		u.Stats.RecordFailure(time.Now())
 		r.avoid(u)
 		s.Log.Info("hold failed", "request", r.id, "upstream", u.Server().ID, "err", err, "took", time.Since(began))
 		return ""
 	case h == "":
-		u.Seen.Full(time.Now().Add(s.fullFor()))
-		s.lines.Line(r.service.Name).NoRoom(time.Now())
+		u.Stats.HoldOff(time.Now().Add(s.fullFor()))
+		s.lines.For(r.service.Name).RecordFull(time.Now())
 		s.Log.Debug("no room held", "request", r.id, "upstream", u.Server().ID, "took", time.Since(began))
 	}
 	return h
@@ -205,7 +205,7 @@
 // fullFor is how long work is kept away from an engine that has just said that it
 // has no room.
 func (s *Server) fullFor() time.Duration {
-	return route.Search{Processes: s.searching(time.Now())}.Rest()
+	return route.CapacityBackoff{Processes: s.searching(time.Now())}.Interval()
 }
 
 // searching counts the entries that look for room.
@@ -218,11 +218,11 @@
 	if s.members.known.Load() {
 		return s.members.count(now)
 	}
-	return s.peers.fleet.Known()
+	return s.peers.fleet.MemberCount()
 }
 
-func (s *Server) askHold(ctx context.Context, u *roster.Upstream, tokens int, life time.Duration) (Hold, error) {
-	ask, err := s.Protocol.Hold(tokens, life)
+func (s *Server) askHold(ctx context.Context, u *roster.Upstream, tokens int, life time.Duration) (Reservation, error) {
+	ask, err := s.Protocol.ReserveRequest(tokens, life)
 	if err != nil {
 		return "", err
 	}
@@ -230,21 +230,21 @@
 	if err != nil {
 		return "", err
 	}
-	return s.Protocol.Held(status, body)
+	return s.Protocol.ParseReservation(status, body)
 }
 
 // release gives up room that was not used.
 func (s *Server) release(r *request, p *room) {
-	p.upstream.Seen.End(p.work)
+	p.upstream.Stats.RequestEnded(p.work)
 	s.unpermit(p.permit)
-	s.lines.Line(r.service.Name).Free()
+	s.lines.For(r.service.Name).SignalFree()
 	if p.hold != "" {
 		s.drop(r, p.upstream, p.hold)
 	}
 }
 
 // drop frees held room, past the end of the request.
-func (s *Server) drop(r *request, u *roster.Upstream, h Hold) {
+func (s *Server) drop(r *request, u *roster.Upstream, h Reservation) {
 	s.later("drop hold", dropWithin, func(ctx context.Context) error {
 		s.dropNow(ctx, r, u, h)
 		return nil
@@ -252,8 +252,8 @@
 }
 
 // dropNow frees held room and waits for the answer.
-func (s *Server) dropNow(ctx context.Context, r *request, u *roster.Upstream, h Hold) {
-	reply, _, err := s.exchange(ctx, r.id, u, s.Protocol.Drop(h))
+func (s *Server) dropNow(ctx context.Context, r *request, u *roster.Upstream, h Reservation) {
+	reply, _, err := s.exchange(ctx, r.id, u, s.Protocol.ReleaseRequest(h))
 	if err != nil {
 		s.Log.Info("hold not dropped", "request", r.id, "err", err)
 		return
--- a/direct/spare.go
+++ b/direct/spare.go
@@ -19,7 +19,7 @@
 	if c := s.holder.Current(); c != nil {
 		if v := c.Service(u.Server().Service); v != nil && v.MaxConnections > 0 {
 			share := sparePart * float64(v.MaxConnections) / float64(s.members.count(time.Now()))
-			u.Client.KeepAtMost(max(1, int(share)))
+			u.Client.SetMaxIdleConns(max(1, int(share)))
 		}
 	}
 	return u.Client
--- a/direct/standby.go
+++ b/direct/standby.go
@@ -27,7 +27,7 @@
 	if !s.Settings.PeerListen.IsValid() {
 		return 0
 	}
-	place, known := s.peers.fleet.Place()
+	place, known := s.peers.fleet.Rank()
 	switch {
 	case known && place < rolesHosts:
 		return 0
--- a/direct/stop.go
+++ b/direct/stop.go
@@ -28,7 +28,7 @@
 	s.Log.Info("leaving", "within", within)
 	ctx, cancel := context.WithDeadline(context.Background(), began.Add(within))
 	defer cancel()
-	group.Pause(ctx, min(leaveFor, within/2))
+	group.Sleep(ctx, min(leaveFor, within/2))
 	if err := public.Shutdown(ctx); err != nil {
 		s.Log.Warn("stop_within passed with requests in progress", "err", err)
 		_ = public.Close()
--- a/direct/stream.go
+++ b/direct/stream.go
@@ -8,9 +8,9 @@
 	"sync/atomic"
 	"time"
 
+	"jacinthworks/domain"
 	"jacinthworks/events"
 	"jacinthworks/send"
-	"jacinthworks/work"
 )
 
 const (
@@ -28,7 +28,7 @@
 
 // stream serves a request that is answered event by event.
 func (s *Server) stream(ctx context.Context, r *request) *failure {
-	e := &events.Cutter{Last: r.ask.LastEvent}
+	e := &events.Splitter{LastEventID: r.ask.LastEvent}
 	for {
 		f := s.streamOnce(ctx, r, e)
 		if f == nil {
@@ -37,12 +37,12 @@
 		if !f.granted && !s.again(ctx, r, f) {
 			return f
 		}
-		e.Restart()
+		e.DiscardPartial()
 	}
 }
 
 // streamOnce makes one attempt at the rest of a stream.
-func (s *Server) streamOnce(ctx context.Context, r *request, e *events.Cutter) *failure {
+func (s *Server) streamOnce(ctx context.Context, r *request, e *events.Splitter) *failure {
 	role := s.lastRole(r)
 	p, f := s.room(ctx, r, role)
 	if f != nil {
@@ -50,7 +50,7 @@
 	}
 	s.mixSent(r)
 	var from *prefilled
-	if role == work.RoleDecode && r.ask.Prompt >= prefillFrom {
+	if role == domain.RoleDecode && r.ask.PromptTokens >= prefillFrom {
 		from = s.prefill(ctx, r, p)
 		if from == nil {
 			s.ownTurn(ctx, r, p)
@@ -61,14 +61,14 @@
 		return f
 	}
 	a := &attempt{upstream: p.upstream, work: p.work, counted: true, silence: r.headerPatience(), permit: p.permit}
-	a.stamp.LastEvent, a.stamp.Hold = e.Last, p.hold
+	a.stamp.LastEvent, a.stamp.Reservation = e.LastEventID, p.hold
 	if from != nil {
 		a.stamp.Stage, a.stamp.Source = StageDecode, from.handle
 	}
 	if ctx.Err() != nil {
 		s.release(r, p)
 		s.free(r, from)
-		return &failure{ran: work.NotRun, reason: work.ReasonOf(ctx), detail: "ended before an upstream had it"}
+		return &failure{ran: domain.NotRun, reason: domain.ReasonOf(ctx), detail: "ended before an upstream had it"}
 	}
 	reply, f := s.try(ctx, r, a)
 	if f != nil {
@@ -84,13 +84,13 @@
 
 // lastRole is the role of the upstream that makes the answer: decode where the
 // service has such, else one that does everything.
-func (s *Server) lastRole(r *request) work.Role {
+func (s *Server) lastRole(r *request) domain.Role {
 	if r.engine() == nil {
 		return ""
 	}
-	for _, u := range s.roster.Of(r.service.Name) {
-		if u.Server().Role == work.RoleDecode {
-			return work.RoleDecode
+	for _, u := range s.roster.Upstreams(r.service.Name) {
+		if u.Server().Role == domain.RoleDecode {
+			return domain.RoleDecode
 		}
 	}
 	return ""
@@ -99,7 +99,7 @@
 // headerPatience bounds the wait for the beginning of a stream where it may go
 // on elsewhere; zero is no bound.
 func (r *request) headerPatience() time.Duration {
-	if !r.tries.LeavesRoom() {
+	if !r.tries.CanRepeat() {
 		return 0
 	}
 	return time.Duration(headerPart * float64(r.targetLatency()))
@@ -108,7 +108,7 @@
 // gapPatience is the pause after which an upstream is looked at, where the
 // stream may go on elsewhere; zero is never.
 func (r *request) gapPatience() time.Duration {
-	if !r.tries.LeavesRoom() {
+	if !r.tries.CanRepeat() {
 		return 0
 	}
 	gap := r.route.TargetGap
@@ -132,7 +132,7 @@
 	over  atomic.Bool
 }
 
-func (s *Server) pulse(r *request, a *attempt, reply *send.Reply) *pulse {
+func (s *Server) pulse(r *request, a *attempt, reply *send.Response) *pulse {
 	p := &pulse{every: r.gapPatience()}
 	if p.every <= 0 {
 		return p
@@ -144,7 +144,7 @@
 		case p.over.Load():
 		case err != nil:
 			s.Log.Info("silent upstream is lost", "request", r.id, "upstream", a.start.ID, "silent", p.every, "err", err)
-			reply.Lose()
+			reply.Abort()
 		default:
 			p.timer.Reset(p.every)
 		}
@@ -168,26 +168,26 @@
 }
 
 // passFailure passes on an answer that is not a stream.
-func (s *Server) passFailure(ctx context.Context, r *request, a *attempt, reply *send.Reply) *failure {
+func (s *Server) passFailure(ctx context.Context, r *request, a *attempt, reply *send.Response) *failure {
 	head, whole, err := readHead(reply)
 	if err != nil {
 		return s.broke(ctx, r, a, err)
 	}
 	s.done(r, a, time.Since(a.began), 1, reply.Status < http.StatusInternalServerError)
 	if r.begun {
-		r.tries.Ended(work.DidRun)
-		return &failure{ran: work.DidRun, reason: work.ReasonUpstream, detail: "the upstream failed the rest of the stream"}
+		r.tries.Ended(domain.DidRun)
+		return &failure{ran: domain.DidRun, reason: domain.ReasonUpstream, detail: "the upstream failed the rest of the stream"}
 	}
 	if err := s.pass(r, reply, head, whole); err != nil {
-		return &failure{ran: work.DidRun, reason: work.ReasonLost, detail: err.Error()}
+		return &failure{ran: domain.DidRun, reason: domain.ReasonLost, detail: err.Error()}
 	}
 	s.end(r, "answered", "upstream", a.start.ID, "status", reply.Status)
 	return nil
 }
 
 // events passes the events of an answer on as they come.
-func (s *Server) events(ctx context.Context, r *request, a *attempt, reply *send.Reply, e *events.Cutter, placed time.Time) *failure {
-	reply.SetSilence(r.left() + silenceSlack)
+func (s *Server) events(ctx context.Context, r *request, a *attempt, reply *send.Response, e *events.Splitter, placed time.Time) *failure {
+	reply.SetReadTimeout(r.left() + silenceSlack)
 	p := s.pulse(r, a, reply)
 	defer p.end()
 	flush := http.NewResponseController(r.w)
@@ -206,7 +206,7 @@
 		last = time.Now()
 		if n > 0 && first == 0 {
 			first = time.Since(a.began)
-			s.lines.Line(r.service.Name).Saw(time.Since(placed))
+			s.lines.For(r.service.Name).RecordFirstEvent(time.Since(placed))
 		}
 		if n > 0 {
 			pace.add(s, r, buffer[:n])
@@ -235,7 +235,7 @@
 		if !errors.Is(err, io.EOF) {
 			return s.broke(ctx, r, a, err)
 		}
-		if len(e.Rest()) > 0 {
+		if len(e.Partial()) > 0 {
 			return s.broke(ctx, r, a, errors.New("direct: the stream ends in the middle of an event"))
 		}
 		break
@@ -244,11 +244,11 @@
 		s.header(r, reply) // a stream without events
 	}
 	s.done(r, a, first, 1, true)
-	s.end(r, "answered", "upstream", a.start.ID, "status", reply.Status, "first", first, "longest_gap", longest, "last_event", e.Last)
+	s.end(r, "answered", "upstream", a.start.ID, "status", reply.Status, "first", first, "longest_gap", longest, "last_event", e.LastEventID)
 	return nil
 }
 
 // callerGone ends an attempt whose caller takes no more.
 func (s *Server) callerGone(r *request, a *attempt, err error) *failure {
-	return s.failed(r, a, &failure{ran: work.DidRun, reason: work.ReasonCallerGone, detail: err.Error()})
+	return s.failed(r, a, &failure{ran: domain.DidRun, reason: domain.ReasonCallerGone, detail: err.Error()})
 }
--- a/work/account.go
+++ b/domain/account.go
@@ -1,4 +1,4 @@
-package work
+package domain
 
 import (
 	"context"
@@ -6,16 +6,16 @@
 	"github.com/pkg/errors"
 )
 
-// Worse gives the account that admits more of the two: that it ran, then that
+// Merge gives the account that admits more of the two: that it ran, then that
 // it may have.
-func (r Ran) Worse(o Ran) Ran {
+func (r Execution) Merge(o Execution) Execution {
 	if o.admits() > r.admits() {
 		return o
 	}
 	return r
 }
 
-func (r Ran) admits() int {
+func (r Execution) admits() int {
 	switch r {
 	case NotRun:
 		return 0
--- a/work/work.go
+++ b/domain/domain.go
@@ -1,14 +1,14 @@
-// Package work holds the words that every other package shares: the names of
+// Package domain holds the words that every other package shares: the names of
 // hosts, availability zones, callers and kinds of work, and the account that is
 // given of a request. It imports no network.
 //
 // # Usage
 //
-//	r := work.Refusal{RequestID: id, Reason: work.ReasonNoRoom, Ran: work.NotRun}
+//	r := domain.Refusal{RequestID: id, Reason: domain.ReasonNoRoom, Ran: domain.NotRun}
 //	http.Error(w, r.Error(), r.Reason.Status())
 //
 // A refusal's Ran is a promise: NotRun is said only by a process that knows it.
-package work
+package domain
 
 import (
 	"crypto/rand"
@@ -54,14 +54,14 @@
 	RoleApp     Role = "app"
 )
 
-// Ran is the account given of whether a request ran on an upstream.
-type Ran string
+// Execution is the account given of whether a request ran on an upstream.
+type Execution string
 
 // The three accounts. Silence is Unknown.
 const (
-	NotRun  Ran = "not_run"
-	DidRun  Ran = "ran"
-	Unknown Ran = "unknown"
+	NotRun  Execution = "not_run"
+	DidRun  Execution = "ran"
+	Unknown Execution = "unknown"
 )
 
 // Reason says why a request was refused.
@@ -124,7 +124,7 @@
 type Refusal struct {
 	RequestID RequestID `json:"request_id"`
 	Reason    Reason    `json:"reason"`
-	Ran       Ran       `json:"ran"`
+	Ran       Execution `json:"ran"`
 	// Detail is one sentence for a person.
 	Detail string `json:"detail,omitempty"`
 	// RetryAfter says when a return makes sense; zero when it does not.
--- a/work/problem.go
+++ b/domain/problem.go
@@ -1,4 +1,4 @@
-package work
+package domain
 
 import (
 	"strings"
@@ -15,7 +15,7 @@
 	Detail     string         `json:"detail,omitempty"`
 	RequestID  RequestID      `json:"request_id"`
 	Reason     Reason         `json:"reason"`
-	Ran        Ran            `json:"ran"`
+	Ran        Execution      `json:"ran"`
 	RetryAfter float64        `json:"retry_after_seconds,omitempty"`
 	Findings   check.Findings `json:"findings,omitempty"`
 }
--- a/editor/attempt.go
+++ b/editor/attempt.go
@@ -8,7 +8,7 @@
 	"github.com/pkg/errors"
 
 	"jacinthworks/check"
-	"jacinthworks/plat"
+	"jacinthworks/infra"
 	"jacinthworks/table"
 )
 
@@ -111,13 +111,13 @@
 	if err != nil {
 		return a.refused(ReasonFindings, check.Findings{{Place: "table", Problem: err.Error()}}), true
 	}
-	v, err := a.Objects.Put(ctx, a.object(), text, plat.Version(t.Version()))
+	v, err := a.Objects.Put(ctx, a.object(), text, infra.Version(t.Version()))
 	switch {
 	case err == nil:
 		return a.confirmed(ctx, next.At(table.Version(v)), asked), true
-	case errors.Is(err, plat.ErrConflict):
+	case errors.Is(err, infra.ErrConflict):
 		a.floor = t.Version() + 1
-	case errors.Is(err, plat.ErrRefused):
+	case errors.Is(err, infra.ErrRefused):
 		a.last = err
 	default:
 		// Whatever the error, the write may have taken effect.
--- a/editor/editor.go
+++ b/editor/editor.go
@@ -25,7 +25,7 @@
 	"github.com/pkg/errors"
 
 	"jacinthworks/check"
-	"jacinthworks/plat"
+	"jacinthworks/infra"
 	"jacinthworks/table"
 )
 
@@ -95,7 +95,7 @@
 
 // Editor writes edits. Objects must be set; the zero value of all else works.
 type Editor struct {
-	Objects plat.Objects
+	Objects infra.Objects
 	// Object is the name of the table's object; default DefaultObject.
 	Object string
 	// Holder is this host's table; it is offered each table that the platform
@@ -115,7 +115,7 @@
 // zero when there is none.
 func (e *Editor) Read(ctx context.Context) (table.Table, error) {
 	o, err := e.Objects.Get(ctx, e.object())
-	if errors.Is(err, plat.ErrMissing) {
+	if errors.Is(err, infra.ErrMissing) {
 		return table.Table{}, nil
 	}
 	if err != nil {
--- a/editor/editor_test.go
+++ b/editor/editor_test.go
@@ -10,14 +10,14 @@
 	"github.com/pkg/errors"
 	"github.com/stretchr/testify/require"
 
-	"jacinthworks/plat"
+	"jacinthworks/domain"
+	"jacinthworks/infra"
 	"jacinthworks/table"
-	"jacinthworks/work"
 )
 
 var asha = table.Operator{Name: "asha", Teams: []string{"appraisal"}}
 
-func weightEdit(id table.EditID, kind work.Kind, weight table.Value) table.Edit {
+func weightEdit(id table.EditID, kind domain.Kind, weight table.Value) table.Edit {
 	return table.Edit{ID: id, Changes: []table.Change{table.Set(row(kind, "").Key(), table.Cell{Column: "weight", Value: weight})}}
 }
 
@@ -42,7 +42,7 @@
 }
 
 func TestThePlatformsLimitIsTheTables(t *testing.T) {
-	require.Equal(t, plat.MaxValue, table.MaxSize)
+	require.Equal(t, infra.MaxValue, table.MaxSize)
 }
 
 // failures says for each way the platform fails what becomes of one edit of
--- a/editor/fake_test.go
+++ b/editor/fake_test.go
@@ -9,10 +9,10 @@
 
 	"github.com/pkg/errors"
 
-	"jacinthworks/plat"
+	"jacinthworks/domain"
+	"jacinthworks/infra"
 	"jacinthworks/table"
 	"jacinthworks/test/seeded"
-	"jacinthworks/work"
 )
 
 // Random tests draw from one seed, so that two runs of the tests agree.
@@ -35,7 +35,7 @@
 // platform is a fake object API with one object. Each call takes the next of
 // its faults; with none left all goes well. It keeps every value it ever held.
 type platform struct {
-	plat.Objects // the calls that an editor doesn't make
+	infra.Objects // the calls that an editor doesn't make
 
 	mu      sync.Mutex
 	faults  []fault
@@ -49,7 +49,7 @@
 	return &platform{faults: faults, history: []table.Table{{}, table.New(1, rows)}}
 }
 
-func row(kind work.Kind, team string) table.Row {
+func row(kind domain.Kind, team string) table.Row {
 	return table.Row{Service: "appraiser-lm", Zone: table.AnyZone, Kind: kind, Team: team, Weight: 1, InFlight: 8,
 		Deadline: table.Duration(time.Minute)}
 }
@@ -65,37 +65,37 @@
 
 func (p *platform) newest() table.Table { return p.history[len(p.history)-1] }
 
-func (p *platform) Get(_ context.Context, _ string) (plat.Object, error) {
+func (p *platform) Get(_ context.Context, _ string) (infra.Object, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	t := p.newest()
 	switch p.next() {
 	case down:
-		return plat.Object{}, plat.ErrRefused
+		return infra.Object{}, infra.ErrRefused
 	case lost, answerLost:
-		return plat.Object{}, plat.ErrNoAnswer
+		return infra.Object{}, infra.ErrNoReply
 	case oldRead:
 		t = p.history[max(0, len(p.history)-2)]
 	}
 	if t.Version() == 0 {
-		return plat.Object{}, plat.ErrMissing
+		return infra.Object{}, infra.ErrMissing
 	}
 	text, err := t.Encode()
-	return plat.Object{Name: DefaultObject, Version: plat.Version(t.Version()), Value: text}, err
+	return infra.Object{Name: DefaultObject, Version: infra.Version(t.Version()), Value: text}, err
 }
 
-func (p *platform) Put(_ context.Context, _ string, value []byte, at plat.Version) (plat.Version, error) {
+func (p *platform) Put(_ context.Context, _ string, value []byte, at infra.Version) (infra.Version, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.puts++
 	switch p.next() {
 	case down:
-		return 0, plat.ErrRefused
+		return 0, infra.ErrRefused
 	case lost:
-		return 0, plat.ErrNoAnswer
+		return 0, infra.ErrNoReply
 	case answerLost:
 		_, _ = p.write(value, at)
-		return 0, plat.ErrNoAnswer
+		return 0, infra.ErrNoReply
 	case late:
 		p.pending.Add(1)
 		time.AfterFunc(time.Second, func() {
@@ -111,9 +111,9 @@
 	return p.write(value, at)
 }
 
-func (p *platform) write(value []byte, at plat.Version) (plat.Version, error) {
-	if plat.Version(p.newest().Version()) != at {
-		return 0, plat.ErrConflict
+func (p *platform) write(value []byte, at infra.Version) (infra.Version, error) {
+	if infra.Version(p.newest().Version()) != at {
+		return 0, infra.ErrConflict
 	}
 	t, err := table.Decode(value)
 	if err != nil {
--- a/editor/race_test.go
+++ b/editor/race_test.go
@@ -9,14 +9,14 @@
 
 	"pgregory.net/rapid"
 
-	"jacinthworks/plat"
+	"jacinthworks/infra"
 	"jacinthworks/table"
 )
 
 // slowly delays each call of one operator before it arrives at the platform
 // and its answer on the way back, by the next of the drawn times.
 type slowly struct {
-	plat.Objects
+	infra.Objects
 	delays []time.Duration
 }
 
@@ -27,13 +27,13 @@
 	}
 }
 
-func (s *slowly) Get(ctx context.Context, name string) (plat.Object, error) {
+func (s *slowly) Get(ctx context.Context, name string) (infra.Object, error) {
 	s.wait()
 	defer s.wait()
 	return s.Objects.Get(ctx, name)
 }
 
-func (s *slowly) Put(ctx context.Context, name string, value []byte, at plat.Version) (plat.Version, error) {
+func (s *slowly) Put(ctx context.Context, name string, value []byte, at infra.Version) (infra.Version, error) {
 	s.wait()
 	defer s.wait()
 	return s.Objects.Put(ctx, name, value, at)
--- a/eject/eject.go
+++ b/eject/eject.go
@@ -36,7 +36,7 @@
 	"sync"
 	"time"
 
-	"jacinthworks/work"
+	"jacinthworks/domain"
 )
 
 const (
@@ -50,27 +50,27 @@
 	// MinAnswers is how many answers make one measurement; the mean of eight
 	// is past a single stall.
 	MinAnswers = 8
-	// SlowInRow is how many measurements in a row must be slow.
-	SlowInRow = 3
-	// FailInRow is how many fresh dials or calls in a row must fail. One may
+	// ConsecutiveSlow is how many measurements in a row must be slow.
+	ConsecutiveSlow = 3
+	// ConsecutiveFailures is how many fresh dials or calls in a row must fail. One may
 	// meet a restart of a listener, two a lost packet and its repeat.
-	FailInRow = 3
+	ConsecutiveFailures = 3
 	// MinPeers is how many measured peers a comparison needs: with one, either
 	// of the two may be the odd one.
 	MinPeers = 2
-	// Every is the least time between two ejections, and between two returns,
+	// MinInterval is the least time between two ejections, and between two returns,
 	// in one pool, so that the rest takes over a share at a time.
-	Every = time.Second
-	// HoldMin is how long the first ejection lasts, HoldMax the longest. Each
+	MinInterval = time.Second
+	// MinEjectionTime is how long the first ejection lasts, MaxEjectionTime the longest. Each
 	// ejection soon after the last doubles it, so that an upstream that is
 	// slow by turns is not let in by turns.
-	HoldMin = 10 * time.Second
-	HoldMax = 5 * time.Minute
-	// Ramp is how long the weight takes from RampFrom to 1 after a return. At
-	// RampFrom an upstream of nine gets under one request in a hundred: enough
+	MinEjectionTime = 10 * time.Second
+	MaxEjectionTime = 5 * time.Minute
+	// RampTime is how long the weight takes from InitialWeight to 1 after a return. At
+	// InitialWeight an upstream of nine gets under one request in a hundred: enough
 	// to measure it, little to lose.
-	Ramp     = 20 * time.Second
-	RampFrom = 0.05
+	RampTime      = 20 * time.Second
+	InitialWeight = 0.05
 )
 
 // Failure says what kind of failure was seen.
@@ -90,10 +90,10 @@
 
 // Change is one ejection or return, for the log.
 type Change struct {
-	Host    work.Host
+	Host    domain.Host
 	Ejected bool
-	// Grounds says in one line why.
-	Grounds string
+	// Reason says in one line why.
+	Reason string
 	// Until is when an ejection ends at the earliest.
 	Until time.Time
 }
@@ -103,7 +103,7 @@
 // is a leaf, under which no other is taken.
 type Pool struct {
 	mu         sync.Mutex
-	members    map[work.Host]*member
+	members    map[domain.Host]*member
 	lastEject  time.Time
 	lastReturn time.Time
 }
@@ -127,14 +127,14 @@
 	ejectedAt time.Time
 }
 
-// Members sets who is in the pool. An upstream that is new starts in service;
+// SetMembers sets who is in the pool. An upstream that is new starts in service;
 // one that is gone is forgotten. When fewer members remain, ejected ones are
 // let back so that no more than a third stays out.
-func (p *Pool) Members(now time.Time, hosts []work.Host) []Change {
+func (p *Pool) SetMembers(now time.Time, hosts []domain.Host) []Change {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	old := p.members
-	p.members = make(map[work.Host]*member, len(hosts))
+	p.members = make(map[domain.Host]*member, len(hosts))
 	for _, h := range hosts {
 		if m := old[h]; m != nil {
 			p.members[h] = m
@@ -146,15 +146,15 @@
 	for p.out() > p.limit() {
 		h := p.nextBack()
 		p.members[h].comeBack(now)
-		changes = append(changes, Change{Host: h, Grounds: "pool has shrunk"})
+		changes = append(changes, Change{Host: h, Reason: "pool has shrunk"})
 	}
 	return changes
 }
 
-// Answered reports an answer of so many tokens, and the time from its start at
+// RecordAnswer reports an answer of so many tokens, and the time from its start at
 // the upstream to its last token, without the wait before. A prefill counts the
 // tokens of its prompt; zero tokens, as of a plain call, count as one.
-func (p *Pool) Answered(_ time.Time, h work.Host, elapsed time.Duration, tokens int) {
+func (p *Pool) RecordAnswer(_ time.Time, h domain.Host, elapsed time.Duration, tokens int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	m := p.members[h]
@@ -173,8 +173,8 @@
 	m.elapsed, m.tokens, m.answers = 0, 0, 0
 }
 
-// Failed reports a failure.
-func (p *Pool) Failed(_ time.Time, h work.Host, f Failure) {
+// RecordFailure reports a failure.
+func (p *Pool) RecordFailure(_ time.Time, h domain.Host, f Failure) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	// Guard: something between two hosts forgets open connections while new
@@ -187,7 +187,7 @@
 
 // Weight gives the share of its usual work that an upstream should get, from 0
 // for ejected to 1. An unknown upstream has 1.
-func (p *Pool) Weight(now time.Time, h work.Host) float64 {
+func (p *Pool) Weight(now time.Time, h domain.Host) float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	m := p.members[h]
@@ -197,8 +197,8 @@
 	case m.ejected:
 		return 0
 	}
-	done := float64(now.Sub(m.returned)) / float64(Ramp)
-	return min(1, max(RampFrom, RampFrom+(1-RampFrom)*done))
+	done := float64(now.Sub(m.returned)) / float64(RampTime)
+	return min(1, max(InitialWeight, InitialWeight+(1-InitialWeight)*done))
 }
 
 // Evaluate compares the members and makes at most one ejection and one return.
@@ -258,13 +258,13 @@
 
 // eject takes out the member that is worst off, failing ones first.
 func (p *Pool) eject(now time.Time) (Change, bool) {
-	if p.out() >= p.limit() || now.Sub(p.lastEject) < Every {
+	if p.out() >= p.limit() || now.Sub(p.lastEject) < MinInterval {
 		return Change{}, false
 	}
-	var worst work.Host
+	var worst domain.Host
 	for _, h := range p.hosts() {
 		m := p.members[h]
-		bad := m.failed >= FailInRow || m.slow >= SlowInRow
+		bad := m.failed >= ConsecutiveFailures || m.slow >= ConsecutiveSlow
 		if m.ejected || !bad {
 			continue
 		}
@@ -277,27 +277,27 @@
 	}
 	m := p.members[worst]
 	grounds := fmt.Sprintf("%s a token, over %.0f times the peers' median, %d in a row", m.perToken, Ratio, m.slow)
-	if m.failed >= FailInRow {
+	if m.failed >= ConsecutiveFailures {
 		grounds = fmt.Sprintf("%d fresh dials or calls failed in a row", m.failed)
 	}
 	m.takeOut(now)
 	p.lastEject = now
-	return Change{Host: worst, Ejected: true, Grounds: grounds, Until: m.until}, true
+	return Change{Host: worst, Ejected: true, Reason: grounds, Until: m.until}, true
 }
 
 func (p *Pool) letBack(now time.Time) (Change, bool) {
 	h := p.nextBack()
-	if h == "" || now.Before(p.members[h].until) || now.Sub(p.lastReturn) < Every {
+	if h == "" || now.Before(p.members[h].until) || now.Sub(p.lastReturn) < MinInterval {
 		return Change{}, false
 	}
 	p.members[h].comeBack(now)
 	p.lastReturn = now
-	return Change{Host: h, Grounds: "hold has passed"}, true
+	return Change{Host: h, Reason: "hold has passed"}, true
 }
 
 // nextBack gives the ejected member whose hold ends first.
-func (p *Pool) nextBack() work.Host {
-	var next work.Host
+func (p *Pool) nextBack() domain.Host {
+	var next domain.Host
 	for _, h := range p.hosts() {
 		if m := p.members[h]; m.ejected && (next == "" || m.until.Before(p.members[next].until)) {
 			next = h
@@ -308,12 +308,12 @@
 
 // hosts gives the members in a stable order, so that the same reports lead to
 // the same decisions.
-func (p *Pool) hosts() []work.Host {
-	hosts := make([]work.Host, 0, len(p.members))
+func (p *Pool) hosts() []domain.Host {
+	hosts := make([]domain.Host, 0, len(p.members))
 	for h := range p.members {
 		hosts = append(hosts, h)
 	}
-	slices.SortFunc(hosts, func(a, b work.Host) int { return cmp.Compare(a, b) })
+	slices.SortFunc(hosts, func(a, b domain.Host) int { return cmp.Compare(a, b) })
 	return hosts
 }
 
@@ -332,18 +332,18 @@
 func (p *Pool) limit() int { return len(p.members) / 3 }
 
 func (m *member) worse(o *member) bool {
-	if (m.failed >= FailInRow) != (o.failed >= FailInRow) {
-		return m.failed >= FailInRow
+	if (m.failed >= ConsecutiveFailures) != (o.failed >= ConsecutiveFailures) {
+		return m.failed >= ConsecutiveFailures
 	}
 	return m.perToken > o.perToken
 }
 
 func (m *member) takeOut(now time.Time) {
-	lately := !m.ejectedAt.IsZero() && now.Sub(m.ejectedAt) < m.hold+2*HoldMax
+	lately := !m.ejectedAt.IsZero() && now.Sub(m.ejectedAt) < m.hold+2*MaxEjectionTime
 	if lately {
-		m.hold = min(2*m.hold, HoldMax)
+		m.hold = min(2*m.hold, MaxEjectionTime)
 	} else {
-		m.hold = HoldMin
+		m.hold = MinEjectionTime
 	}
 	*m = member{ejected: true, ejectedAt: now, hold: m.hold, until: now.Add(m.hold)}
 }
--- a/eject/eject_test.go
+++ b/eject/eject_test.go
@@ -11,18 +11,18 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
+	"jacinthworks/domain"
 	"jacinthworks/test/seeded"
-	"jacinthworks/work"
 )
 
 func TestMain(m *testing.M) { seeded.Main(m) }
 
 var start = time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC)
 
-func pool(n int) []work.Host {
-	hosts := make([]work.Host, n)
+func pool(n int) []domain.Host {
+	hosts := make([]domain.Host, n)
 	for i := range hosts {
-		hosts[i] = work.Host(fmt.Sprintf("side-%03d", i))
+		hosts[i] = domain.Host(fmt.Sprintf("side-%03d", i))
 	}
 	return hosts
 }
@@ -36,9 +36,9 @@
 	var p Pool
 	x := rand.New(rand.NewPCG(1, 2))
 	hosts := pool(n)
-	p.Members(start, hosts)
+	p.SetMembers(start, hosts)
 	var r result
-	out := make(map[work.Host]bool)
+	out := make(map[domain.Host]bool)
 	for tick := range 60 * 200 {
 		at := time.Duration(tick) * 5 * time.Millisecond
 		now := start.Add(at)
@@ -53,7 +53,7 @@
 		if perToken > 30*time.Millisecond {
 			r.late++
 		}
-		p.Answered(now, hosts[i], 20*perToken, 20)
+		p.RecordAnswer(now, hosts[i], 20*perToken, 20)
 		if tick%200 != 199 {
 			continue
 		}
@@ -68,7 +68,7 @@
 	return r
 }
 
-func count(out map[work.Host]bool) int {
+func count(out map[domain.Host]bool) int {
 	n := 0
 	for _, ejected := range out {
 		if ejected {
@@ -153,25 +153,25 @@
 func TestSilentConnectionsAloneEjectNobody(t *testing.T) {
 	var p Pool
 	hosts := pool(9)
-	p.Members(start, hosts)
+	p.SetMembers(start, hosts)
 	for i := range 50 {
-		p.Failed(start, hosts[1], SilentConnection)
+		p.RecordFailure(start, hosts[1], SilentConnection)
 		require.Empty(t, p.Evaluate(start.Add(time.Duration(i)*time.Second)))
 	}
-	for range FailInRow {
-		p.Failed(start, hosts[1], FreshDial)
+	for range ConsecutiveFailures {
+		p.RecordFailure(start, hosts[1], FreshDial)
 	}
 	now := start.Add(time.Minute)
 	changes := p.Evaluate(now)
 	require.Len(t, changes, 1)
 	require.Zero(t, p.Weight(now, hosts[1]))
 
-	back := p.Evaluate(now.Add(HoldMin))
+	back := p.Evaluate(now.Add(MinEjectionTime))
 	require.Len(t, back, 1)
 	require.False(t, back[0].Ejected)
-	require.InDelta(t, RampFrom, p.Weight(now.Add(HoldMin), hosts[1]), 1e-9)
-	require.InDelta(t, (1+RampFrom)/2, p.Weight(now.Add(HoldMin+Ramp/2), hosts[1]), 1e-9)
-	require.InDelta(t, 1.0, p.Weight(now.Add(HoldMin+2*Ramp), hosts[1]), 1e-9)
+	require.InDelta(t, InitialWeight, p.Weight(now.Add(MinEjectionTime), hosts[1]), 1e-9)
+	require.InDelta(t, (1+InitialWeight)/2, p.Weight(now.Add(MinEjectionTime+RampTime/2), hosts[1]), 1e-9)
+	require.InDelta(t, 1.0, p.Weight(now.Add(MinEjectionTime+2*RampTime), hosts[1]), 1e-9)
 	require.InDelta(t, 1.0, new(Pool).Weight(now, "unknown"), 0)
 }
 
@@ -182,13 +182,13 @@
 	var p Pool
 	x := rand.New(rand.NewPCG(1, 2))
 	hosts := pool(9)
-	p.Members(start, hosts)
+	p.SetMembers(start, hosts)
 	for second := range 600 {
 		now := start.Add(time.Duration(second) * time.Second)
 		for range 200 {
 			tokens := int(math.Exp(x.Float64() * math.Log(500)))
 			elapsed := 50*time.Millisecond + time.Duration(tokens)*10*time.Millisecond
-			p.Answered(now, hosts[x.IntN(len(hosts))], elapsed, tokens)
+			p.RecordAnswer(now, hosts[x.IntN(len(hosts))], elapsed, tokens)
 		}
 		require.Empty(t, p.Evaluate(now), "second %d", second)
 	}
@@ -197,11 +197,11 @@
 func TestHoldDoublesForOneThatComesBackBad(t *testing.T) {
 	var p Pool
 	hosts := pool(3)
-	p.Members(start, hosts)
+	p.SetMembers(start, hosts)
 	now := start
 	for _, want := range []time.Duration{10, 20, 40, 80, 160, 300, 300} {
-		for range FailInRow {
-			p.Failed(now, hosts[0], FreshCall)
+		for range ConsecutiveFailures {
+			p.RecordFailure(now, hosts[0], FreshCall)
 		}
 		out := p.Evaluate(now)
 		require.Len(t, out, 1)
@@ -242,26 +242,26 @@
 		all := pool(12)
 		now, lastOut := start, time.Time{}
 		hosts := all[:9]
-		p.Members(now, hosts)
+		p.SetMembers(now, hosts)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(1, 5000).Draw(t, "ms")) * time.Millisecond)
 			h := rapid.SampledFrom(all).Draw(t, "host")
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0:
 				hosts = all[:rapid.IntRange(1, 12).Draw(t, "members")]
-				p.Members(now, hosts)
+				p.SetMembers(now, hosts)
 			case 1:
-				for range FailInRow {
-					p.Failed(now, h, FreshDial)
+				for range ConsecutiveFailures {
+					p.RecordFailure(now, h, FreshDial)
 				}
 			default:
 				for range MinAnswers {
-					p.Answered(now, h, time.Duration(rapid.IntRange(1, 900).Draw(t, "elapsed"))*time.Millisecond, 10)
+					p.RecordAnswer(now, h, time.Duration(rapid.IntRange(1, 900).Draw(t, "elapsed"))*time.Millisecond, 10)
 				}
 			}
 			for _, c := range p.Evaluate(now) {
 				if c.Ejected {
-					require.True(t, lastOut.IsZero() || now.Sub(lastOut) >= Every)
+					require.True(t, lastOut.IsZero() || now.Sub(lastOut) >= MinInterval)
 					lastOut = now
 				}
 			}
@@ -282,7 +282,7 @@
 func BenchmarkWeight(b *testing.B) {
 	var p Pool
 	hosts := pool(290)
-	p.Members(start, hosts)
+	p.SetMembers(start, hosts)
 	for n := range b.N {
 		p.Weight(start, hosts[n%len(hosts)])
 	}
@@ -292,10 +292,10 @@
 func BenchmarkEvaluate(b *testing.B) {
 	var p Pool
 	hosts := pool(290)
-	p.Members(start, hosts)
+	p.SetMembers(start, hosts)
 	for n := range b.N {
 		for i := range MinAnswers {
-			p.Answered(start, hosts[n%len(hosts)], time.Duration(i)*time.Millisecond, 1)
+			p.RecordAnswer(start, hosts[n%len(hosts)], time.Duration(i)*time.Millisecond, 1)
 		}
 		p.Evaluate(start.Add(time.Duration(n) * time.Second))
 	}
--- a/engine/engine.go
+++ b/engine/engine.go
@@ -8,7 +8,7 @@
 //	kv, err := m.Prefill(ctx, engine.PrefillOrder{Request: id, Attempt: 1, Prompt: text, PromptTokens: 812})
 //	err = m.Decode(ctx, engine.DecodeOrder{Request: id, Attempt: 1, KV: kv, MaxTokens: 64}, emit)
 //
-// An error for which errors.Is(err, ErrNotTaken) holds is the engine's word, or
+// An error for which errors.Is(err, ErrNotStarted) holds is the engine's word, or
 // the dialer's, that it never began the work. Any other error leaves open
 // whether it ran.
 package engine
@@ -21,16 +21,16 @@
 
 	"github.com/pkg/errors"
 
-	"jacinthworks/work"
+	"jacinthworks/domain"
 )
 
 // The errors of engines and applications.
 var (
-	// ErrNotTaken says that the upstream never began the work: the
+	// ErrNotStarted says that the upstream never began the work: the
 	// connection was refused, or the upstream said so.
-	ErrNotTaken = errors.New("engine: not taken")
-	// ErrDied says that the upstream's connection broke while it ran the work.
-	ErrDied = errors.New("engine: died while running")
+	ErrNotStarted = errors.New("engine: not taken")
+	// ErrCrashed says that the upstream's connection broke while it ran the work.
+	ErrCrashed = errors.New("engine: died while running")
 	// ErrEvicted says that the KV cache to import is gone.
 	ErrEvicted = errors.New("engine: KV cache evicted")
 	// ErrFenced says that the engine refused an order's old fencing number.
@@ -49,10 +49,10 @@
 
 // PrefillOrder asks for the KV cache of a prompt.
 type PrefillOrder struct {
-	Request      work.RequestID `json:"request"`
-	Attempt      work.Attempt   `json:"attempt"`
-	Prompt       string         `json:"prompt"`
-	PromptTokens int            `json:"prompt_tokens"`
+	Request      domain.RequestID `json:"request"`
+	Attempt      domain.Attempt   `json:"attempt"`
+	Prompt       string           `json:"prompt"`
+	PromptTokens int              `json:"prompt_tokens"`
 	// Prefix is the hash of the part of the prompt that may be cached.
 	Prefix   uint64 `json:"prefix"`
 	Priority int    `json:"priority"`
@@ -60,11 +60,11 @@
 
 // DecodeOrder asks for tokens from KV cache that is imported first.
 type DecodeOrder struct {
-	Request   work.RequestID `json:"request"`
-	Attempt   work.Attempt   `json:"attempt"`
-	KV        KV             `json:"kv"`
-	MaxTokens int            `json:"max_tokens"`
-	Priority  int            `json:"priority"`
+	Request   domain.RequestID `json:"request"`
+	Attempt   domain.Attempt   `json:"attempt"`
+	KV        KV               `json:"kv"`
+	MaxTokens int              `json:"max_tokens"`
+	Priority  int              `json:"priority"`
 }
 
 // Token is one step of a decode.
@@ -78,19 +78,19 @@
 
 // State is an engine's own report. It lags.
 type State struct {
-	Role work.Role `json:"role"`
+	Role domain.Role `json:"role"`
 	// Incarnation changes when the engine restarts.
-	Incarnation work.Incarnation `json:"incarnation"`
+	Incarnation domain.Incarnation `json:"incarnation"`
 	// Running names the requests that hold memory.
-	Running []work.RequestID `json:"running"`
+	Running []domain.RequestID `json:"running"`
 	// Slots is how many decodes fit; UsedTokens and MemoryTokens measure KV
 	// memory in tokens.
 	Slots        int `json:"slots"`
 	UsedTokens   int `json:"used_tokens"`
 	MemoryTokens int `json:"memory_tokens"`
-	// Honours says that the engine refuses old fencing numbers.
-	Honours bool         `json:"honours_fencing"`
-	Model   work.Service `json:"model"`
+	// HonoursFencing says that the engine refuses old fencing numbers.
+	HonoursFencing bool           `json:"honours_fencing"`
+	Model          domain.Service `json:"model"`
 }
 
 // OrderKind is what an operator's order to an engine is about.
@@ -127,7 +127,7 @@
 	// only after the token marked Last.
 	Decode(ctx context.Context, o DecodeOrder, emit func(Token) error) error
 	// Cancel frees whatever the request holds. It is idempotent.
-	Cancel(ctx context.Context, request work.RequestID) error
+	Cancel(ctx context.Context, request domain.RequestID) error
 	// State gives the engine's report.
 	State(ctx context.Context) (State, error)
 	// Give passes an order on.
@@ -144,15 +144,15 @@
 	Body   []byte      `json:"body"`
 }
 
-// Answer is a plain application server's answer.
-type Answer struct {
+// Response is a plain application server's answer.
+type Response struct {
 	Status int         `json:"status"`
 	Header http.Header `json:"header"`
 	Body   []byte      `json:"body"`
 }
 
-// App is a plain application server.
-type App interface {
+// AppServer is a plain application server.
+type AppServer interface {
 	// Do passes the call on and gives the whole answer.
-	Do(ctx context.Context, c Call) (Answer, error)
+	Do(ctx context.Context, c Call) (Response, error)
 }
--- a/engine/http.go
+++ b/engine/http.go
@@ -6,31 +6,31 @@
 
 	"github.com/pkg/errors"
 
+	"jacinthworks/domain"
 	"jacinthworks/send"
-	"jacinthworks/work"
 )
 
-// ErrSilent says that the upstream gave no sign of life for the time allowed.
+// ErrTimeout says that the upstream gave no sign of life for the time allowed.
 // It may still run the work.
-var ErrSilent = errors.New("engine: silent")
+var ErrTimeout = errors.New("engine: silent")
 
-// ErrAnswer says that the upstream answered with something other than the
+// ErrUnexpectedResponse says that the upstream answered with something other than the
 // interface knows. It may have run the work.
-var ErrAnswer = errors.New("engine: unexpected answer")
+var ErrUnexpectedResponse = errors.New("engine: unexpected answer")
 
 // Code is an engine's word for why it did not do as asked.
 type Code string
 
 // The codes and, beside each, the status it comes with.
 const (
-	CodeNotTaken Code = "not_taken" // 503
-	CodeEvicted  Code = "evicted"   // 410
-	CodeFenced   Code = "fenced"    // 409
+	CodeNotStarted Code = "not_taken" // 503
+	CodeEvicted    Code = "evicted"   // 410
+	CodeFenced     Code = "fenced"    // 409
 )
 
-// NotTakenHeader is, with status 503, a plain application server's word that
+// NotStartedHeader is, with status 503, a plain application server's word that
 // it never began a call. Its bodies are its own.
-const NotTakenHeader = "Not-Taken"
+const NotStartedHeader = "Not-Taken"
 
 // Problem is the body of an engine's answer other than 200.
 type Problem struct {
@@ -40,7 +40,7 @@
 
 // CancelOrder is the body of POST /cancel.
 type CancelOrder struct {
-	Request work.RequestID `json:"request"`
+	Request domain.RequestID `json:"request"`
 }
 
 // Failure is the error of work given to an upstream.
@@ -70,16 +70,16 @@
 	return []error{f.Class, f.Cause}
 }
 
-// lost sorts work without a whole answer. ErrNotTaken is said only where no
+// lost sorts work without a whole answer. ErrNotStarted is said only where no
 // byte of the order left this process.
 func lost(call string, err error) error {
-	class := ErrDied
-	switch send.Outcome(err) {
+	class := ErrCrashed
+	switch send.StageOf(err) {
 	case send.NotSent:
-		class = ErrNotTaken
-	case send.Silent:
-		class = ErrSilent
-	case send.GivenUp:
+		class = ErrNotStarted
+	case send.TimedOut:
+		class = ErrTimeout
+	case send.Canceled:
 		class = nil
 	}
 	return &Failure{Call: call, Class: class, Cause: err}
@@ -91,10 +91,10 @@
 	if err := json.Unmarshal(body, &p); err != nil {
 		p.Detail = string(body)
 	}
-	class := ErrAnswer
+	class := ErrUnexpectedResponse
 	switch {
-	case status == http.StatusServiceUnavailable && p.Code == CodeNotTaken:
-		class = ErrNotTaken
+	case status == http.StatusServiceUnavailable && p.Code == CodeNotStarted:
+		class = ErrNotStarted
 	case status == http.StatusGone && p.Code == CodeEvicted:
 		class = ErrEvicted
 	case status == http.StatusConflict && p.Code == CodeFenced:
--- a/engine/http_app.go
+++ b/engine/http_app.go
@@ -16,15 +16,15 @@
 // DefaultMaxAnswer is the largest answer of an application server in bytes.
 const DefaultMaxAnswer = 8 << 20
 
-// HTTPApp is a plain application server over HTTP. Each call is sent at most
+// HTTPAppServer is a plain application server over HTTP. Each call is sent at most
 // once. The zero value with a Base is ready to use; it must not be copied
 // after its first use.
-type HTTPApp struct {
+type HTTPAppServer struct {
 	// Base is the server's address.
 	Base netip.AddrPort
-	// Silence is how long the server may send nothing; zero is
-	// send.DefaultSilence.
-	Silence time.Duration
+	// ReadTimeout is how long the server may send nothing; zero is
+	// send.DefaultReadTimeout.
+	ReadTimeout time.Duration
 	// MaxAnswer limits an answer's body in bytes; zero is DefaultMaxAnswer.
 	MaxAnswer int64
 
@@ -32,32 +32,32 @@
 	client send.Client
 }
 
-var _ App = (*HTTPApp)(nil)
+var _ AppServer = (*HTTPAppServer)(nil)
 
 // Do passes the call on and gives the whole answer. Any status is an answer,
-// but for 503 with NotTakenHeader, which is ErrNotTaken.
-func (h *HTTPApp) Do(ctx context.Context, c Call) (Answer, error) {
-	h.once.Do(func() { h.client.Base, h.client.Silence = h.Base, h.Silence })
+// but for 503 with NotStartedHeader, which is ErrNotStarted.
+func (h *HTTPAppServer) Do(ctx context.Context, c Call) (Response, error) {
+	h.once.Do(func() { h.client.Base, h.client.ReadTimeout = h.Base, h.ReadTimeout })
 	call := c.Method + " call"
 	if !strings.HasPrefix(c.Path, "/") {
-		return Answer{}, &Failure{Call: call, Class: ErrNotTaken, Cause: errors.New("engine: path does not start with /")}
+		return Response{}, &Failure{Call: call, Class: ErrNotStarted, Cause: errors.New("engine: path does not start with /")}
 	}
 	reply, err := h.client.Do(ctx, send.Request{Method: c.Method, Target: c.Path, Header: send.EndToEnd(c.Header), Body: c.Body})
 	if err != nil {
-		return Answer{}, lost(call, err)
+		return Response{}, lost(call, err)
 	}
 	limit := h.MaxAnswer
 	if limit <= 0 {
 		limit = DefaultMaxAnswer
 	}
-	body, err := reply.All(limit)
+	body, err := reply.ReadAll(limit)
 	switch {
-	case errors.Is(err, send.ErrTooLarge):
-		return Answer{}, &Failure{Call: call, Class: ErrAnswer, Cause: err}
+	case errors.Is(err, send.ErrBodyTooLarge):
+		return Response{}, &Failure{Call: call, Class: ErrUnexpectedResponse, Cause: err}
 	case err != nil:
-		return Answer{}, lost(call, err)
-	case reply.Status == http.StatusServiceUnavailable && reply.Header.Get(NotTakenHeader) != "":
-		return Answer{}, &Failure{Call: call, Class: ErrNotTaken, Cause: errors.New("engine: the server said so")}
+		return Response{}, lost(call, err)
+	case reply.Status == http.StatusServiceUnavailable && reply.Header.Get(NotStartedHeader) != "":
+		return Response{}, &Failure{Call: call, Class: ErrNotStarted, Cause: errors.New("engine: the server said so")}
 	}
-	return Answer{Status: reply.Status, Header: send.EndToEnd(reply.Header), Body: body}, nil
+	return Response{Status: reply.Status, Header: send.EndToEnd(reply.Header), Body: body}, nil
 }
--- a/engine/http_model.go
+++ b/engine/http_model.go
@@ -13,15 +13,15 @@
 
 	"github.com/pkg/errors"
 
+	"jacinthworks/domain"
 	"jacinthworks/send"
-	"jacinthworks/work"
 )
 
 // The silences of an HTTPModel that sets none. A prefill answers only when it
 // is done: a pedigree of 50,000 tokens behind a few others takes seconds.
 const (
-	DefaultPrefillSilence = 60 * time.Second
-	DefaultTokenSilence   = 10 * time.Second
+	DefaultPrefillTimeout = 60 * time.Second
+	DefaultTokenTimeout   = 10 * time.Second
 	maxReport             = 4 << 20
 	maxLine               = 1 << 16
 )
@@ -32,11 +32,11 @@
 type HTTPModel struct {
 	// Base is the engine's address.
 	Base netip.AddrPort
-	// PrefillSilence is how long a prefill may take to answer.
-	PrefillSilence time.Duration
-	// TokenSilence is how long any other answer, and a decode's next token,
+	// PrefillTimeout is how long a prefill may take to answer.
+	PrefillTimeout time.Duration
+	// TokenTimeout is how long any other answer, and a decode's next token,
 	// may take.
-	TokenSilence time.Duration
+	TokenTimeout time.Duration
 
 	once   sync.Once
 	client send.Client
@@ -46,9 +46,9 @@
 
 // Prefill fills KV cache and says where it is.
 func (h *HTTPModel) Prefill(ctx context.Context, o PrefillOrder) (KV, error) {
-	silence := h.PrefillSilence
+	silence := h.PrefillTimeout
 	if silence <= 0 {
-		silence = DefaultPrefillSilence
+		silence = DefaultPrefillTimeout
 	}
 	var kv KV
 	err := h.ask(ctx, http.MethodPost, "/prefill", silence, o, &kv)
@@ -79,14 +79,14 @@
 // Failure: an engine dies, or its process ends in good order, in mid-answer.
 // It shows as a body that ends early, with or without an error. The guard
 // holds because only a line marked Last ends the answer; the end of the body
-// before it is ErrDied, never nil.
+// before it is ErrCrashed, never nil.
 func readTokens(call string, body io.Reader, emit func(Token) error) error {
 	lines := bufio.NewScanner(body)
 	lines.Buffer(nil, maxLine)
 	for lines.Scan() {
 		var t Token
 		if err := json.Unmarshal(lines.Bytes(), &t); err != nil {
-			return &Failure{Call: call, Class: ErrDied, Cause: errors.Wrap(err, "engine: reading token")}
+			return &Failure{Call: call, Class: ErrCrashed, Cause: errors.Wrap(err, "engine: reading token")}
 		}
 		if err := emit(t); err != nil {
 			return err
@@ -98,11 +98,11 @@
 	if err := lines.Err(); err != nil {
 		return lost(call, err)
 	}
-	return &Failure{Call: call, Class: ErrDied, Cause: io.ErrUnexpectedEOF}
+	return &Failure{Call: call, Class: ErrCrashed, Cause: io.ErrUnexpectedEOF}
 }
 
 // Cancel frees whatever the request holds.
-func (h *HTTPModel) Cancel(ctx context.Context, request work.RequestID) error {
+func (h *HTTPModel) Cancel(ctx context.Context, request domain.RequestID) error {
 	return h.ask(ctx, http.MethodPost, "/cancel", 0, CancelOrder{Request: request}, nil)
 }
 
@@ -127,7 +127,7 @@
 
 func (h *HTTPModel) ask(ctx context.Context, method, target string, silence time.Duration, order, into any) error {
 	call := method + " " + target
-	r := send.Request{Method: method, Target: target, Header: jsonHeader(), Silence: silence}
+	r := send.Request{Method: method, Target: target, Header: jsonHeader(), ReadTimeout: silence}
 	if order != nil {
 		body, err := json.Marshal(order)
 		if err != nil {
@@ -142,7 +142,7 @@
 	if reply.Status != http.StatusOK {
 		return refused(call, reply)
 	}
-	body, err := reply.All(maxReport)
+	body, err := reply.ReadAll(maxReport)
 	if err != nil {
 		return lost(call, err)
 	}
@@ -150,14 +150,14 @@
 		return nil
 	}
 	if err := json.Unmarshal(body, into); err != nil {
-		return &Failure{Call: call, Class: ErrAnswer, Cause: err}
+		return &Failure{Call: call, Class: ErrUnexpectedResponse, Cause: err}
 	}
 	return nil
 }
 
 // refused reads and sorts an answer other than 200.
-func refused(call string, reply *send.Reply) error {
-	body, err := reply.All(maxLine)
+func refused(call string, reply *send.Response) error {
+	body, err := reply.ReadAll(maxLine)
 	if err != nil {
 		return lost(call, err)
 	}
@@ -166,9 +166,9 @@
 
 func (h *HTTPModel) open() *send.Client {
 	h.once.Do(func() {
-		h.client.Base, h.client.Silence = h.Base, h.TokenSilence
-		if h.client.Silence <= 0 {
-			h.client.Silence = DefaultTokenSilence
+		h.client.Base, h.client.ReadTimeout = h.Base, h.TokenTimeout
+		if h.client.ReadTimeout <= 0 {
+			h.client.ReadTimeout = DefaultTokenTimeout
 		}
 	})
 	return &h.client
--- a/engine/http_test.go
+++ b/engine/http_test.go
@@ -13,11 +13,11 @@
 	"github.com/pkg/errors"
 	"github.com/stretchr/testify/require"
 
+	"jacinthworks/domain"
 	"jacinthworks/engine"
 	"jacinthworks/fakes/apps"
 	"jacinthworks/fakes/model"
 	"jacinthworks/fakes/serve"
-	"jacinthworks/work"
 )
 
 var fast = model.Settings{PrefillRate: 1e6, TokenGap: time.Millisecond, LinkRate: 1e7, ReportLag: -1, Life: time.Minute}
@@ -37,7 +37,7 @@
 	t.Helper()
 	s := serveHTTP(t, e)
 	e.Crashed = s.Crash
-	return &engine.HTTPModel{Base: s.Addr(), PrefillSilence: 10 * time.Second, TokenSilence: 10 * time.Second}
+	return &engine.HTTPModel{Base: s.Addr(), PrefillTimeout: 10 * time.Second, TokenTimeout: 10 * time.Second}
 }
 
 func prefill(prompt string) engine.PrefillOrder {
@@ -80,7 +80,7 @@
 
 	e.Misbehave(model.Fault{Refuse: true})
 	_, err := m.Prefill(ctx, prefill("x"))
-	require.ErrorIs(t, err, engine.ErrNotTaken, "its own word")
+	require.ErrorIs(t, err, engine.ErrNotStarted, "its own word")
 	e.Misbehave(model.Fault{})
 
 	err = m.Decode(ctx, decode(engine.KV{Engine: m.Base, Handle: "none", Tokens: 400}), nothing)
@@ -93,7 +93,7 @@
 
 	e.Misbehave(model.Fault{LoseAnswers: 1})
 	_, err = m.Prefill(ctx, prefill("x"))
-	require.ErrorIs(t, err, engine.ErrDied)
+	require.ErrorIs(t, err, engine.ErrCrashed)
 	require.Len(t, e.Runs(), 2, "the prefill ran, once, beside the decode that found no cache")
 
 	mine := errors.New("the entry is gone")
@@ -108,15 +108,15 @@
 	}, 10*time.Second, time.Millisecond, "a reader that has gone cancels nothing")
 
 	e.Misbehave(model.Fault{Frozen: true})
-	frozen := &engine.HTTPModel{Base: m.Base, PrefillSilence: silence, TokenSilence: silence}
+	frozen := &engine.HTTPModel{Base: m.Base, PrefillTimeout: silence, TokenTimeout: silence}
 	_, err = frozen.Prefill(ctx, prefill("x"))
-	require.ErrorIs(t, err, engine.ErrSilent, "it may run yet")
-	require.NotErrorIs(t, err, engine.ErrDied)
+	require.ErrorIs(t, err, engine.ErrTimeout, "it may run yet")
+	require.NotErrorIs(t, err, engine.ErrCrashed)
 	short, cancel := context.WithTimeout(ctx, silence)
 	defer cancel()
 	_, err = m.State(short)
 	require.ErrorIs(t, err, context.DeadlineExceeded)
-	require.NotErrorIs(t, err, engine.ErrDied, "a caller that gives up is no death")
+	require.NotErrorIs(t, err, engine.ErrCrashed, "a caller that gives up is no death")
 	e.Misbehave(model.Fault{})
 }
 
@@ -138,10 +138,10 @@
 			if err == nil {
 				err = m.Decode(t.Context(), decode(kv), func(engine.Token) error { tokens++; return nil })
 			}
-			require.ErrorIs(t, err, engine.ErrDied)
+			require.ErrorIs(t, err, engine.ErrCrashed)
 			require.LessOrEqual(t, tokens, 2)
 			_, err = m.Prefill(t.Context(), prefill("innocent"))
-			require.ErrorIs(t, err, engine.ErrNotTaken)
+			require.ErrorIs(t, err, engine.ErrNotStarted)
 
 			_, err = s.Start(t.Context(), s.Addr())
 			require.NoError(t, err)
@@ -168,7 +168,7 @@
 			defer s.Close()
 			m := &engine.HTTPModel{Base: netip.MustParseAddrPort(s.Listener.Addr().String())}
 			err := m.Decode(t.Context(), decode(engine.KV{Tokens: 1}), func(engine.Token) error { return nil })
-			require.ErrorIs(t, err, engine.ErrDied)
+			require.ErrorIs(t, err, engine.ErrCrashed)
 		})
 	}
 }
@@ -177,8 +177,8 @@
 	a := &apps.App{DownTime: time.Hour}
 	s := serveHTTP(t, a)
 	a.Crashed = s.Crash
-	m := &engine.HTTPApp{Base: s.Addr(), Silence: 10 * time.Second}
-	call := func(key, body string) (engine.Answer, error) {
+	m := &engine.HTTPAppServer{Base: s.Addr(), ReadTimeout: 10 * time.Second}
+	call := func(key, body string) (engine.Response, error) {
 		return m.Do(t.Context(), engine.Call{
 			Method: http.MethodPost, Path: "/enquiries?lot=17", Body: []byte(body),
 			Header: http.Header{"Idempotency-Key": {key}, "Request-Id": {"entry-1.1.7"}, "Connection": {"X-Hop"}, "X-Hop": {"1"}},
@@ -188,16 +188,16 @@
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, answer.Status)
 	require.Contains(t, string(answer.Body), apps.Echo(http.MethodPost, "/enquiries?lot=17", []byte("hello")))
-	require.Equal(t, work.RequestID("entry-1.1.7"), a.Report().Runs[0].Request)
+	require.Equal(t, domain.RequestID("entry-1.1.7"), a.Report().Runs[0].Request)
 
 	a.Misbehave(apps.Fault{LoseAnswers: 1})
 	_, err = call("lost", "hello")
-	require.ErrorIs(t, err, engine.ErrDied)
+	require.ErrorIs(t, err, engine.ErrCrashed)
 	require.Equal(t, 1, a.Report().Keys["lost"], "it ran, and only once")
 
 	a.Misbehave(apps.Fault{Refuse: true})
 	_, err = call("refused", "hello")
-	require.ErrorIs(t, err, engine.ErrNotTaken)
+	require.ErrorIs(t, err, engine.ErrNotStarted)
 	require.Zero(t, a.Report().Keys["refused"])
 
 	a.Misbehave(apps.Fault{Fail: true})
@@ -206,14 +206,14 @@
 	require.Equal(t, http.StatusInternalServerError, answer.Status)
 
 	a.Misbehave(apps.Fault{Frozen: true})
-	frozen := &engine.HTTPApp{Base: s.Addr(), Silence: silence}
+	frozen := &engine.HTTPAppServer{Base: s.Addr(), ReadTimeout: silence}
 	_, err = frozen.Do(t.Context(), engine.Call{Method: http.MethodGet, Path: "/cards/1"})
-	require.ErrorIs(t, err, engine.ErrSilent)
+	require.ErrorIs(t, err, engine.ErrTimeout)
 
 	a.Misbehave(apps.Fault{})
 	_, err = call("crash", apps.Crash)
-	require.ErrorIs(t, err, engine.ErrDied)
+	require.ErrorIs(t, err, engine.ErrCrashed)
 	require.Equal(t, 1, a.Report().Keys["crash"])
 	_, err = call("down", "hello")
-	require.ErrorIs(t, err, engine.ErrNotTaken, "nobody listens")
+	require.ErrorIs(t, err, engine.ErrNotStarted, "nobody listens")
 }
--- a/entry/accept.go
+++ b/entry/accept.go
@@ -22,7 +22,7 @@
 // listenCallers listens with the bound on unacknowledged data, and no more
 // open connections than the limit.
 func listenCallers(ctx context.Context, address netip.AddrPort, most int) (net.Listener, error) {
-	c := net.ListenConfig{Control: send.UserTimeout(callerLost)}
+	c := net.ListenConfig{Control: send.ControlUserTimeout(callerLost)}
 	l, err := c.Listen(ctx, "tcp", address.String())
 	if err != nil {
 		return nil, errors.Wrap(err, "entry: listen")
--- a/entry/accounts.go
+++ b/entry/accounts.go
@@ -4,7 +4,7 @@
 	"crypto/sha256"
 
 	"jacinthworks/conf"
-	"jacinthworks/work"
+	"jacinthworks/domain"
 )
 
 // accounts finds the caller that a bearer token belongs to. The settings see
@@ -16,7 +16,7 @@
 // and to come nearer to one by its bits takes a token whose digest is known
 // already. Comparing with each token in constant time does as well, but hashes
 // 2,100 tokens for each request at the size that is planned for.
-type accounts map[[sha256.Size]byte]work.Account
+type accounts map[[sha256.Size]byte]domain.Account
 
 func newAccounts(callers []conf.Caller) accounts {
 	a := make(accounts, len(callers))
@@ -27,7 +27,7 @@
 }
 
 // find gives the account of a token; false if there is none.
-func (a accounts) find(token string) (work.Account, bool) {
+func (a accounts) find(token string) (domain.Account, bool) {
 	account, known := a[sha256.Sum256([]byte(token))]
 	return account, known
 }
--- a/entry/accounts_test.go
+++ b/entry/accounts_test.go
@@ -9,21 +9,21 @@
 	"github.com/stretchr/testify/require"
 
 	"jacinthworks/conf"
-	"jacinthworks/work"
+	"jacinthworks/domain"
 )
 
 func callersOf(count int) []conf.Caller {
 	var all []conf.Caller
 	for n := range count {
 		all = append(all, conf.Caller{
-			Account: work.Account(fmt.Sprintf("stud-%d", n)), Token: conf.Secret(fmt.Sprintf("token-of-the-stud-%04d", n)),
+			Account: domain.Account(fmt.Sprintf("stud-%d", n)), Token: conf.Secret(fmt.Sprintf("token-of-the-stud-%04d", n)),
 		})
 	}
 	return all
 }
 
 // naiveAccount compares with every token.
-func naiveAccount(callers []conf.Caller, token string) (account work.Account, known bool) {
+func naiveAccount(callers []conf.Caller, token string) (account domain.Account, known bool) {
 	given := sha256.Sum256([]byte(token))
 	for _, c := range callers {
 		want := sha256.Sum256([]byte(string(c.Token)))
--- a/entry/admin.go
+++ b/entry/admin.go
@@ -14,12 +14,12 @@
 	"github.com/pkg/errors"
 
 	"jacinthworks/admin"
+	"jacinthworks/domain"
 	"jacinthworks/editor"
-	"jacinthworks/links"
 	"jacinthworks/member"
+	"jacinthworks/peers"
 	"jacinthworks/table"
 	"jacinthworks/wire"
-	"jacinthworks/work"
 )
 
 // adminHandler serves operators, and metrics.
@@ -97,7 +97,7 @@
 func (e *Entry) askEntries(ctx context.Context) []admin.HostStatus {
 	ctx, cancel := context.WithTimeout(ctx, callWithin)
 	defer cancel()
-	others := e.entries.Of(member.Entries)
+	others := e.entries.ForService(member.EntryService)
 	answers := make(chan admin.HostStatus, len(others))
 	for _, l := range others {
 		e.work.Go(ctx, "status", func(ctx context.Context) error {
@@ -117,7 +117,7 @@
 	return found
 }
 
-func sideStatus(l *links.Link) admin.HostStatus {
+func sideStatus(l *peers.Link) admin.HostStatus {
 	h := admin.HostStatus{
 		Host: l.Member.Host, Zone: l.Member.Zone, Role: l.Member.Role, Service: l.Member.Service, State: admin.HostSilent,
 	}
@@ -125,11 +125,11 @@
 	if p == nil {
 		return h
 	}
-	b, heard := p.LastBeat()
+	b, heard := p.LastHeartbeat()
 	if !heard {
 		return h
 	}
-	h.State, h.Heard = admin.HostServing, b.TrueAt
+	h.State, h.Heard = admin.HostServing, b.NotBefore
 	if b.Draining || l.Leaving.Load() {
 		h.State = admin.HostDraining
 	}
@@ -140,7 +140,7 @@
 }
 
 // Drain makes this entry, another, or a side take no new work.
-func (e *Entry) Drain(ctx context.Context, host work.Host, by string) error {
+func (e *Entry) Drain(ctx context.Context, host domain.Host, by string) error {
 	e.Log.Info("drain", "target", host, "by", by)
 	if host == e.Settings.Name {
 		e.leaving.Store(true)
@@ -156,9 +156,9 @@
 	return errors.Wrapf(l.Call(ctx, wire.MethodDrain, struct{}{}, nil), "entry: drain %s", host)
 }
 
-// Order passes an order to the side of an engine whose service the operator's
+// SendOrder passes an order to the side of an engine whose service the operator's
 // teams have rows of.
-func (e *Entry) Order(ctx context.Context, o admin.OrderRequest, by table.Operator) (admin.OrderGiven, error) {
+func (e *Entry) SendOrder(ctx context.Context, o admin.OrderRequest, by table.Operator) (admin.OrderGiven, error) {
 	l := e.sides.Find(o.Host)
 	if l == nil {
 		return admin.OrderGiven{}, admin.ErrNoHost
@@ -167,7 +167,7 @@
 	if !slices.ContainsFunc(e.tables.Table().Rows(), owns) {
 		return admin.OrderGiven{}, admin.ErrNotYours
 	}
-	var given wire.Ordered
+	var given wire.OrderReply
 	err := l.Call(ctx, wire.MethodOrder, wire.Order{Kind: o.Kind, Value: o.Value, By: by.Name, Within: admin.DefaultOrderWithin}, &given)
 	return admin.OrderGiven{OrderRequest: o, Fence: given.Fence}, errors.Wrapf(err, "entry: order to %s", o.Host)
 }
--- a/entry/answer.go
+++ b/entry/answer.go
@@ -10,7 +10,7 @@
 
 	"github.com/pkg/errors"
 
-	"jacinthworks/work"
+	"jacinthworks/domain"
 )
 
 // answer writes a completion to its caller, streamed by server-sent events or
@@ -43,11 +43,11 @@
 }
 
 type chunk struct {
-	ID      work.RequestID `json:"id"`
-	Object  string         `json:"object"`
-	Model   work.Service   `json:"model"`
-	Choices []choice       `json:"choices"`
-	Usage   *usage         `json:"usage,omitempty"`
+	ID      domain.RequestID `json:"id"`
+	Object  string           `json:"object"`
+	Model   domain.Service   `json:"model"`
+	Choices []choice         `json:"choices"`
+	Usage   *usage           `json:"usage,omitempty"`
 }
 
 // deadline bounds the next write to a caller that may not be reading.
@@ -127,13 +127,13 @@
 		err = json.NewEncoder(a.w).Encode(all)
 	}
 	if err != nil {
-		return &failure{ran: work.DidRun, reason: work.ReasonCallerGone, detail: err.Error()}
+		return &failure{ran: domain.DidRun, reason: domain.ReasonCallerGone, detail: err.Error()}
 	}
 	return nil
 }
 
 // breakOff ends a stream that has begun with an error event.
-func (a *answer) breakOff(f *work.Refusal) {
+func (a *answer) breakOff(f *domain.Refusal) {
 	text, err := json.Marshal(f.Problem())
 	if err == nil {
 		_ = a.write("event: error\ndata: " + string(text) + "\n\n")
@@ -147,7 +147,7 @@
 	if given.RetryAfter > 0 {
 		w.Header().Set("Retry-After", strconv.Itoa(int(math.Ceil(given.RetryAfter.Seconds()))))
 	}
-	if given.Reason == work.ReasonNoToken {
+	if given.Reason == domain.ReasonNoToken {
 		w.Header().Set("WWW-Authenticate", "Bearer")
 	}
 	deadline(w, e.Settings.Limits.WriteTimeout)
--- a/entry/answer_test.go
+++ b/entry/answer_test.go
@@ -15,18 +15,18 @@
 	"pgregory.net/rapid"
 
 	"jacinthworks/claim"
+	"jacinthworks/domain"
 	"jacinthworks/table"
-	"jacinthworks/work"
 )
 
 // reasons gives the status of each reason there is.
-var reasons = map[work.Reason]int{
-	work.ReasonBadInput: 400, work.ReasonTooLarge: 413, work.ReasonNoToken: 401, work.ReasonNoKind: 400,
-	work.ReasonNoService: 404, work.ReasonCallerShare: 429, work.ReasonNoRoom: 503, work.ReasonTooLate: 503,
-	work.ReasonInProgress: 409, work.ReasonAnswered: 409, work.ReasonOtherBody: 422, work.ReasonKeyUnknown: 409,
-	work.ReasonNoClaim: 503, work.ReasonStale: 503, work.ReasonDraining: 503, work.ReasonNoUpstream: 503,
-	work.ReasonUpstream: 502, work.ReasonLost: 502, work.ReasonCrashes: 422, work.ReasonDeadline: 504,
-	work.ReasonCallerGone: 499,
+var reasons = map[domain.Reason]int{
+	domain.ReasonBadInput: 400, domain.ReasonTooLarge: 413, domain.ReasonNoToken: 401, domain.ReasonNoKind: 400,
+	domain.ReasonNoService: 404, domain.ReasonCallerShare: 429, domain.ReasonNoRoom: 503, domain.ReasonTooLate: 503,
+	domain.ReasonInProgress: 409, domain.ReasonAnswered: 409, domain.ReasonOtherBody: 422, domain.ReasonKeyUnknown: 409,
+	domain.ReasonNoClaim: 503, domain.ReasonStale: 503, domain.ReasonDraining: 503, domain.ReasonNoUpstream: 503,
+	domain.ReasonUpstream: 502, domain.ReasonLost: 502, domain.ReasonCrashes: 422, domain.ReasonDeadline: 504,
+	domain.ReasonCallerGone: 499,
 }
 
 // events reads a stream as its caller does: the text of its chunks, and whether
@@ -72,7 +72,7 @@
 		}
 		require.Equal(t, r.stream && last != "", a.begun())
 		if a.begun() && rapid.Bool().Draw(t, "dies") {
-			a.breakOff(&work.Refusal{RequestID: r.id, Reason: work.ReasonLost, Ran: work.DidRun})
+			a.breakOff(&domain.Refusal{RequestID: r.id, Reason: domain.ReasonLost, Ran: domain.DidRun})
 			text, done, failed := events(t, w.Body.String())
 			require.Equal(t, last, text)
 			require.True(t, failed)
@@ -103,8 +103,8 @@
 		a := newAnswer(&request{stream: stream}, gone{httptest.NewRecorder()}, time.Second)
 		f := a.finish()
 		require.NotNil(t, f)
-		require.Equal(t, work.ReasonCallerGone, f.reason)
-		require.Equal(t, work.DidRun, f.ran)
+		require.Equal(t, domain.ReasonCallerGone, f.reason)
+		require.Equal(t, domain.DidRun, f.ran)
 	}
 }
 
@@ -117,20 +117,20 @@
 			r := &request{id: e.nextID(), accepted: time.Now()}
 			e.accept(r)
 			w := httptest.NewRecorder()
-			e.refuse(w, r, &failure{ran: work.Unknown, reason: reason, retryAfter: after})
+			e.refuse(w, r, &failure{ran: domain.Unknown, reason: reason, retryAfter: after})
 			require.Equal(t, status, w.Code, reason)
-			var p work.Problem
+			var p domain.Problem
 			require.NoError(t, json.Unmarshal(w.Body.Bytes(), &p))
-			require.Equal(t, work.Problem{
+			require.Equal(t, domain.Problem{
 				Type: "about:blank", Title: strings.ReplaceAll(string(reason), "_", " "), Status: status,
-				RequestID: r.id, Reason: reason, Ran: work.Unknown, RetryAfter: after.Seconds(),
+				RequestID: r.id, Reason: reason, Ran: domain.Unknown, RetryAfter: after.Seconds(),
 			}, p)
 			var want string
 			if after > 0 {
 				want = strconv.Itoa(int(math.Ceil(after.Seconds())))
 			}
 			require.Equal(t, want, w.Header().Get("Retry-After"))
-			require.Equal(t, reason == work.ReasonNoToken, w.Header().Get("WWW-Authenticate") != "")
+			require.Equal(t, reason == domain.ReasonNoToken, w.Header().Get("WWW-Authenticate") != "")
 			s, found := e.recorder.Get(r.id)
 			require.True(t, found && !s.Open, "the story is ended")
 		}
@@ -139,19 +139,19 @@
 
 // Of two accounts the one that admits more is told; the order is total.
 func TestWorse(t *testing.T) {
-	order := []work.Ran{work.NotRun, work.Unknown, work.DidRun}
+	order := []domain.Execution{domain.NotRun, domain.Unknown, domain.DidRun}
 	for i, a := range order {
 		for j, b := range order {
-			require.Equal(t, order[max(i, j)], a.Worse(b))
+			require.Equal(t, order[max(i, j)], a.Merge(b))
 		}
 	}
-	require.Equal(t, work.Ran(""), work.Ran("").Worse(work.NotRun), "an account that is missing is not a promise")
+	require.Equal(t, domain.Execution(""), domain.Execution("").Merge(domain.NotRun), "an account that is missing is not a promise")
 }
 
 // A key is freed only by work that did not run, or that may run again.
 func TestStateAfter(t *testing.T) {
-	want := map[work.Ran]claim.State{
-		work.NotRun: claim.StateNotRun, work.DidRun: claim.StateRan, work.Unknown: claim.StateUnknown, "": claim.StateUnknown,
+	want := map[domain.Execution]claim.State{
+		domain.NotRun: claim.StateNotRun, domain.DidRun: claim.StateRan, domain.Unknown: claim.StateUnknown, "": claim.StateUnknown,
 	}
 	for ran, state := range want {
 		require.Equal(t, state, stateAfter(&request{}, &failure{ran: ran}))
--- a/entry/cache_test.go
+++ b/entry/cache_test.go
@@ -21,7 +21,7 @@
 	params, err := json.Marshal(wire.Cache{Events: []engine.CacheEvent{{Seq: 1, Prefix: 7, Tokens: 200}}})
 	require.NoError(t, err)
 	s := e.schedulers.of(from.Service)
-	job := route.Job{Prompt: 500, Prefix: 7, PrefixTokens: 250}
+	job := route.Job{PromptTokens: 500, Prefix: 7, PrefixTokens: 250}
 	require.Zero(t, s.model.Cached(time.Now(), job), "before the event")
 	e.takeCache(from, params)
 	require.InDelta(t, 200, s.model.Cached(time.Now(), job), 2)
--- a/entry/call.go
+++ b/entry/call.go
@@ -4,9 +4,9 @@
 	"context"
 	"time"
 
-	"jacinthworks/steps"
+	"jacinthworks/domain"
+	"jacinthworks/inject"
 	"jacinthworks/wire"
-	"jacinthworks/work"
 )
 
 // plain runs a call on an application server and leaves its answer in r.
@@ -24,16 +24,16 @@
 	e.logApp(r, got)
 	s := e.sides.Find(got.app)
 	if s == nil {
-		return &failure{ran: work.NotRun, reason: work.ReasonNoUpstream, detail: "the side has just left"}
+		return &failure{ran: domain.NotRun, reason: domain.ReasonNoUpstream, detail: "the side has just left"}
 	}
 	d, f := e.claim(ctx, r, s)
 	if f != nil {
 		return f
 	}
-	e.Step.At(steps.EntryClaimed)
+	e.FaultHook.Reach(inject.EntryClaimed)
 	began := time.Now()
 	out := e.stage(ctx, s, wire.Run{
-		Ref: wire.Ref{Request: r.id, Attempt: r.attempt, Stage: wire.StageCall}, Account: r.account, Kind: r.kind, Identity: r.identity,
+		AttemptRef: wire.AttemptRef{Request: r.id, Attempt: r.attempt, Stage: wire.StageCall}, Account: r.account, Kind: r.kind, Identity: r.identity,
 		Within: e.timeLeft(r), Call: r.call, Dispatch: d, Idempotent: r.row.Idempotent,
 	}, nil)
 	if out.Reason == "" && out.Answer != nil {
--- a/entry/crashes.go
+++ b/entry/crashes.go
@@ -4,10 +4,10 @@
 	"encoding/json"
 	"time"
 
-	"jacinthworks/links"
+	"jacinthworks/domain"
+	"jacinthworks/peers"
 	"jacinthworks/retry"
 	"jacinthworks/wire"
-	"jacinthworks/work"
 )
 
 // mayRetry says whether a failed attempt may be followed by another.
@@ -19,30 +19,30 @@
 		Attempt: r.attempt - r.bounces, Ran: f.ran, Idempotent: r.row.Idempotent, Deadline: r.accepted.Add(time.Duration(r.row.Deadline)),
 	})
 	e.Log.Info("decision", "request", r.id, "attempt", r.attempt, "retry", v, "ran", f.ran, "reason", f.reason)
-	return v == retry.Again
+	return v == retry.Allowed
 }
 
 // stopped refuses a request that has crashed two upstreams, whoever sends it
 // and under whatever request id.
 func (e *Entry) stopped(r *request) *failure {
-	if e.crashes.Standing(time.Now(), r.identity) != retry.Stopped {
+	if e.crashes.Suspicion(time.Now(), r.identity) != retry.Blocked {
 		return nil
 	}
 	return &failure{
-		ran: work.NotRun, reason: work.ReasonCrashes, final: true,
+		ran: domain.NotRun, reason: domain.ReasonCrashes, final: true,
 		detail: "upstreams died running this request; it is not tried again for some minutes",
 	}
 }
 
 // blame takes the evidence of an attempt during which its upstream died, and
 // passes it on at once: the next attempt may come from another entry.
-func (e *Entry) blame(s *links.Link, d *retry.Death) {
+func (e *Entry) blame(s *peers.Link, d *retry.Death) {
 	if d == nil {
 		return
 	}
-	e.crashes.Died(*d)
+	e.crashes.RecordDeath(*d)
 	record := e.crashes.Record(time.Now())
-	for _, l := range e.sides.Of(s.Member.Service) {
+	for _, l := range e.sides.ForService(s.Member.Service) {
 		if p := l.Peer(); p != nil {
 			_ = p.Notify(wire.MethodEvidence, record)
 		}
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -21,37 +21,37 @@
 	"github.com/pkg/errors"
 
 	"jacinthworks/conf"
+	"jacinthworks/domain"
 	"jacinthworks/group"
-	"jacinthworks/links"
+	"jacinthworks/infra"
+	"jacinthworks/inject"
 	"jacinthworks/member"
-	"jacinthworks/plat"
+	"jacinthworks/peers"
 	"jacinthworks/retry"
-	"jacinthworks/steps"
 	"jacinthworks/story"
 	"jacinthworks/table"
 	"jacinthworks/wire"
-	"jacinthworks/work"
 )
 
 // Entry serves callers. Set the exported fields before Run.
 type Entry struct {
 	Settings conf.Entry
 	Log      hclog.Logger
-	Objects  plat.Objects
-	Hosts    plat.Hosts
-	// Step, if set, is told of the points that requests pass; for drills.
-	Step steps.Hook
-	// Listening, if set, is told the addresses for callers, operators and
+	Objects  infra.Objects
+	Hosts    infra.Hosts
+	// FaultHook, if set, is told of the points that requests pass; for drills.
+	FaultHook inject.Hook
+	// OnListen, if set, is told the addresses for callers, operators and
 	// peers once they accept connections.
-	Listening func(callers, admin, peers netip.AddrPort)
+	OnListen func(callers, admin, peers netip.AddrPort)
 
-	incarnation work.Incarnation
+	incarnation domain.Incarnation
 	accounts    accounts
 	numbers     atomic.Uint64
 	recorder    story.Recorder
 	streams     streams
-	sides       links.Directory
-	entries     links.Directory
+	sides       peers.Directory
+	entries     peers.Directory
 	joined      atomic.Pointer[member.Record] // of entries, this one included
 	self        atomic.Pointer[member.Member]
 	tables      table.Holder
@@ -129,8 +129,8 @@
 	loops.Go(serving, "old stories", e.expireStories)
 	loops.Go(serving, "operators", func(context.Context) error { return serve(operators, l.operators) })
 	loops.Go(serving, "callers", func(context.Context) error { return serve(callers, l.callers) })
-	if e.Listening != nil {
-		e.Listening(address(l.callers), address(l.operators), address(l.peers))
+	if e.OnListen != nil {
+		e.OnListen(address(l.callers), address(l.operators), address(l.peers))
 	}
 	<-ctx.Done()
 	e.drain(callers)
@@ -152,18 +152,18 @@
 	e.Settings.Timings = e.Settings.Timings.OrDefaults()
 	e.started = time.Now()
 	e.rates.begin(e.started)
-	e.incarnation = work.NewIncarnation()
+	e.incarnation = domain.NewIncarnation()
 	e.accounts = newAccounts(e.Settings.Callers)
-	e.sides.Local = &wire.Local{
-		Hello:   wire.Hello{Host: e.Settings.Name, Zone: e.Settings.Zone, Incarnation: e.incarnation, Role: "entry"},
-		Beat:    func() wire.Beat { return wire.Beat{Draining: e.draining.Load()} },
-		Notice:  e.notice,
-		Closed:  func(p *wire.Peer) { e.schedulers.of(p.Remote().Service).shut(p.Remote().Host) },
-		Every:   e.Settings.Timings.Heartbeat,
-		Silence: e.Settings.Timings.SilenceAfter,
+	e.sides.Local = &wire.Handlers{
+		Hello:              wire.Hello{Host: e.Settings.Name, Zone: e.Settings.Zone, Incarnation: e.incarnation, Role: "entry"},
+		Heartbeat:          func() wire.Heartbeat { return wire.Heartbeat{Draining: e.draining.Load()} },
+		HandleNotification: e.notice,
+		OnClose:            func(p *wire.Peer) { e.schedulers.of(p.RemoteHello().Service).shut(p.RemoteHello().Host) },
+		HeartbeatInterval:  e.Settings.Timings.Heartbeat,
+		HeartbeatTimeout:   e.Settings.Timings.SilenceAfter,
 	}
 	e.entries.Local = e.entryLocal()
-	e.sides.Removed = func(m member.Member) { e.schedulers.of(m.Service).remove(m.Host) }
+	e.sides.OnRemoved = func(m member.Member) { e.schedulers.of(m.Service).remove(m.Host) }
 }
 
 // peerListen is where other entries connect: any port of the callers' address
@@ -200,7 +200,7 @@
 }
 
 func (e *Entry) reap(context.Context) error {
-	for end := range e.work.Ends() {
+	for end := range e.work.Exits() {
 		if end.Err != nil {
 			e.Log.Debug("work ended", "name", end.Name, "err", end.Err)
 		}
@@ -221,7 +221,7 @@
 	e.Log.Info("leaving", "within", within)
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
-	group.Pause(ctx, min(leaveFor, within/2))
+	group.Sleep(ctx, min(leaveFor, within/2))
 	e.draining.Store(true)
 	if err := s.Shutdown(ctx); err != nil {
 		e.Log.Warn("stop_within passed", "err", err)
--- a/entry/health.go
+++ b/entry/health.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
+	"jacinthworks/domain"
 	"jacinthworks/eject"
-	"jacinthworks/links"
-	"jacinthworks/work"
+	"jacinthworks/peers"
 )
 
 // evaluateEvery is how often pools are compared, as eject asks.
@@ -15,11 +15,11 @@
 // zero value is ready to use.
 type health struct{ prefill, decode, app eject.Pool }
 
-func (h *health) of(r work.Role) *eject.Pool {
+func (h *health) of(r domain.Role) *eject.Pool {
 	switch r {
-	case work.RolePrefill:
+	case domain.RolePrefill:
 		return &h.prefill
-	case work.RoleDecode:
+	case domain.RoleDecode:
 		return &h.decode
 	}
 	return &h.app
@@ -28,18 +28,18 @@
 // judge reports how long one stage took, or that it failed. What the upstream
 // refused or never had says nothing about its speed; a lost connection says
 // nothing before a fresh dial has failed as well.
-func (e *Entry) judge(s *links.Link, took time.Duration, tokens int, f *failure) {
+func (e *Entry) judge(s *peers.Link, took time.Duration, tokens int, f *failure) {
 	p := e.schedulers.of(s.Member.Service).health.of(s.Member.Role)
 	now := time.Now()
 	switch {
 	case f == nil:
-		p.Answered(now, s.Member.Host, took, tokens)
+		p.RecordAnswer(now, s.Member.Host, took, tokens)
 	case f.death != nil:
-		p.Failed(now, s.Member.Host, eject.FreshCall)
+		p.RecordFailure(now, s.Member.Host, eject.FreshCall)
 	case s.FailedDials() > 0:
-		p.Failed(now, s.Member.Host, eject.FreshDial)
-	case f.reason == work.ReasonLost:
-		p.Failed(now, s.Member.Host, eject.SilentConnection)
+		p.RecordFailure(now, s.Member.Host, eject.FreshDial)
+	case f.reason == domain.ReasonLost:
+		p.RecordFailure(now, s.Member.Host, eject.SilentConnection)
 	}
 }
 
@@ -47,12 +47,12 @@
 func (e *Entry) evaluate(now time.Time) {
 	for _, service := range e.services() {
 		s := e.schedulers.of(service)
-		for _, role := range []work.Role{work.RolePrefill, work.RoleDecode, work.RoleApp} {
+		for _, role := range []domain.Role{domain.RolePrefill, domain.RoleDecode, domain.RoleApp} {
 			hosts := e.sides.Members(service, role)
 			p := s.health.of(role)
-			changes := append(p.Members(now, hosts), p.Evaluate(now)...)
+			changes := append(p.SetMembers(now, hosts), p.Evaluate(now)...)
 			for _, c := range changes {
-				e.Log.Warn("ejection", "service", service, "host", c.Host, "ejected", c.Ejected, "until", c.Until, "grounds", c.Grounds)
+				e.Log.Warn("ejection", "service", service, "host", c.Host, "ejected", c.Ejected, "until", c.Until, "grounds", c.Reason)
 			}
 			s.share(now, role, hosts)
 		}
@@ -60,18 +60,18 @@
 }
 
 // share takes each host's weight over into the choice.
-func (s *scheduler) share(now time.Time, r work.Role, hosts []work.Host) {
+func (s *scheduler) share(now time.Time, r domain.Role, hosts []domain.Host) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, h := range hosts {
 		w := s.health.of(r).Weight(now, h)
 		switch r {
-		case work.RolePrefill:
-			s.model.Prefills.SetShare(h, w)
-		case work.RoleDecode:
-			s.model.Decodes.SetShare(h, w)
-		case work.RoleApp:
-			s.apps.Pool.SetShare(h, w)
+		case domain.RolePrefill:
+			s.model.Prefills.SetTrafficShare(h, w)
+		case domain.RoleDecode:
+			s.model.Decodes.SetTrafficShare(h, w)
+		case domain.RoleApp:
+			s.apps.Pool.SetTrafficShare(h, w)
 		}
 	}
 }
--- a/entry/hosts.go
+++ b/entry/hosts.go
@@ -4,9 +4,9 @@
 	"context"
 	"time"
 
+	"jacinthworks/domain"
 	"jacinthworks/group"
-	"jacinthworks/plat"
-	"jacinthworks/work"
+	"jacinthworks/infra"
 )
 
 // How often the host list is read. It only confirms, late, what a side says
@@ -21,16 +21,16 @@
 // watchHosts keeps new work from hosts that the platform lists as leaving.
 func (e *Entry) watchHosts(ctx context.Context) error {
 	for ctx.Err() == nil {
-		group.Pause(ctx, max(hostsEvery, time.Duration(len(e.entries.All()))*hostsPerEntry))
+		group.Sleep(ctx, max(hostsEvery, time.Duration(len(e.entries.All()))*hostsPerEntry))
 		read, cancel := context.WithTimeout(ctx, callWithin)
 		listed, err := e.Hosts.Hosts(read)
 		cancel()
 		if err != nil {
 			continue // an old list says nothing worth keeping work away for
 		}
-		leaving := make(map[work.Host]bool)
+		leaving := make(map[domain.Host]bool)
 		for _, h := range listed {
-			leaving[h.Host] = h.State == plat.HostLeaving
+			leaving[h.Host] = h.State == infra.HostLeaving
 		}
 		for _, l := range e.sides.All() {
 			if was := l.Leaving.Swap(leaving[l.Member.Host]); was != leaving[l.Member.Host] {
--- a/entry/http.go
+++ b/entry/http.go
@@ -7,10 +7,10 @@
 	"time"
 
 	"jacinthworks/check"
+	"jacinthworks/domain"
+	"jacinthworks/inject"
 	"jacinthworks/retry"
-	"jacinthworks/steps"
 	"jacinthworks/story"
-	"jacinthworks/work"
 )
 
 // The headers of the callers' interface.
@@ -22,7 +22,7 @@
 )
 
 // defaultKind is the kind of a request without a Request-Kind header.
-const defaultKind work.Kind = "*"
+const defaultKind domain.Kind = "*"
 
 // callersHandler serves callers.
 func (e *Entry) callersHandler() http.Handler {
@@ -56,7 +56,7 @@
 		return true
 	}
 	for _, s := range e.services() {
-		if !e.sides.Serves(s) || !e.owners.served(s) {
+		if !e.sides.HasEveryRole(s) || !e.owners.served(s) {
 			return false
 		}
 	}
@@ -77,7 +77,7 @@
 		w.Header().Set(headerID, string(r.id))
 		f := e.read(r, w, h, read)
 		e.accept(r)
-		e.Step.At(steps.EntryAccepted)
+		e.FaultHook.Reach(inject.EntryAccepted)
 		if f == nil {
 			f = e.mayAccept(h.Context(), r)
 		}
@@ -95,11 +95,11 @@
 func (e *Entry) read(r *request, w http.ResponseWriter, h *http.Request, read reader) *failure {
 	account, known := e.accountOf(h)
 	if !known {
-		return &failure{ran: work.NotRun, reason: work.ReasonNoToken, detail: "no caller's bearer token"}
+		return &failure{ran: domain.NotRun, reason: domain.ReasonNoToken, detail: "no caller's bearer token"}
 	}
 	r.account = account
 	if k := h.Header.Get(headerKind); k != "" {
-		r.kind = work.Kind(k)
+		r.kind = domain.Kind(k)
 	}
 	r.key = h.Header.Get(headerKey)
 	body, f := e.readBody(w, h)
@@ -111,7 +111,7 @@
 		found.Add("header "+headerKey, "is longer than %d bytes", maxKeyBytes)
 	}
 	if len(found) > 0 {
-		return &failure{ran: work.NotRun, reason: work.ReasonBadInput, detail: "the request cannot be read", findings: found}
+		return &failure{ran: domain.NotRun, reason: domain.ReasonBadInput, detail: "the request cannot be read", findings: found}
 	}
 	r.body = hashOf(h.Method, h.URL.RequestURI(), string(body))
 	r.identity = retry.Identify(r.account, r.service, []byte(h.URL.RequestURI()), body)
@@ -126,33 +126,33 @@
 	case known:
 		return nil
 	case e.servesService(r.service):
-		return &failure{ran: work.NotRun, reason: work.ReasonNoKind, detail: "the table has no such kind for the service"}
+		return &failure{ran: domain.NotRun, reason: domain.ReasonNoKind, detail: "the table has no such kind for the service"}
 	}
-	return &failure{ran: work.NotRun, reason: work.ReasonNoService, detail: "the table has no such service"}
+	return &failure{ran: domain.NotRun, reason: domain.ReasonNoService, detail: "the table has no such service"}
 }
 
 // mayAccept refuses what this entry must not take now.
 func (e *Entry) mayAccept(ctx context.Context, r *request) *failure {
 	if e.draining.Load() {
-		return &failure{ran: work.NotRun, reason: work.ReasonDraining, detail: "this entry is stopping", retryAfter: time.Second}
+		return &failure{ran: domain.NotRun, reason: domain.ReasonDraining, detail: "this entry is stopping", retryAfter: time.Second}
 	}
 	// The failure: an edit came into force while this entry heard nobody. It
 	// shows as work under rows that no longer hold. Taking nothing new holds,
 	// since an edit is accepted no sooner than others have it.
 	if !e.inTouch(time.Now()) {
-		return &failure{ran: work.NotRun, reason: work.ReasonStale, detail: "this entry hears neither the platform nor another entry", retryAfter: time.Second}
+		return &failure{ran: domain.NotRun, reason: domain.ReasonStale, detail: "this entry hears neither the platform nor another entry", retryAfter: time.Second}
 	}
 	if f := e.findRow(r); f != nil {
 		return f
 	}
 	if wait, ok := e.takeRate(ctx, r); !ok {
-		return &failure{ran: work.NotRun, reason: work.ReasonCallerShare, detail: "the caller is over its rate for this kind", retryAfter: wait}
+		return &failure{ran: domain.NotRun, reason: domain.ReasonCallerShare, detail: "the caller is over its rate for this kind", retryAfter: wait}
 	}
 	return nil
 }
 
 // accountOf finds the caller by bearer token.
-func (e *Entry) accountOf(h *http.Request) (work.Account, bool) {
+func (e *Entry) accountOf(h *http.Request) (domain.Account, bool) {
 	given, found := strings.CutPrefix(h.Header.Get("Authorization"), "Bearer ")
 	if !found {
 		return "", false
@@ -165,11 +165,11 @@
 	to := newAnswer(r, w, e.Settings.Limits.WriteTimeout)
 	f := e.model(ctx, r, to)
 	if f == nil {
-		e.Step.At(steps.EntryRan)
+		e.FaultHook.Reach(inject.EntryRan)
 		f = to.finish()
 	}
 	if f == nil {
-		e.Step.At(steps.EntryAnswered)
+		e.FaultHook.Reach(inject.EntryAnswered)
 		e.answered(r)
 		return
 	}
@@ -186,7 +186,7 @@
 		e.refuse(w, r, f)
 		return
 	}
-	e.Step.At(steps.EntryRan)
+	e.FaultHook.Reach(inject.EntryRan)
 	for name, values := range r.answer.Header {
 		w.Header()[name] = values
 	}
@@ -196,6 +196,6 @@
 	if _, err := w.Write(r.answer.Body); err != nil {
 		e.tell(r, story.Event{Kind: story.CallerGone, Detail: err.Error()})
 	}
-	e.Step.At(steps.EntryAnswered)
+	e.FaultHook.Reach(inject.EntryAnswered)
 	e.answered(r)
 }
--- a/entry/keys.go
+++ b/entry/keys.go
@@ -5,12 +5,12 @@
 	"time"
 
 	"jacinthworks/claim"
+	"jacinthworks/domain"
 	"jacinthworks/group"
-	"jacinthworks/links"
-	"jacinthworks/plat"
+	"jacinthworks/infra"
+	"jacinthworks/peers"
 	"jacinthworks/story"
 	"jacinthworks/wire"
-	"jacinthworks/work"
 )
 
 // Waits of claims. A shard whose owner was lost has a new one within about
@@ -29,13 +29,13 @@
 
 // eligible gives a filter for the hosts that may run the request: those that
 // its key's shard allows under the newest record, or nil when it has no key.
-func (e *Entry) eligible(r *request) func(work.Host) bool {
+func (e *Entry) eligible(r *request) func(domain.Host) bool {
 	if !r.keyed() {
 		return nil
 	}
-	var known plat.Version
-	hosts := make(map[work.Host]bool)
-	return func(h work.Host) bool {
+	var known infra.Version
+	hosts := make(map[domain.Host]bool)
+	return func(h domain.Host) bool {
 		if now := e.sides.Record(r.service); now.Version != known {
 			known = now.Version
 			clear(hosts)
@@ -49,14 +49,14 @@
 
 // claim claims the request's key for its present attempt at a runner. It gives
 // nil for a request without a key.
-func (e *Entry) claim(ctx context.Context, r *request, runner *links.Link) (*claim.Dispatch, *failure) {
+func (e *Entry) claim(ctx context.Context, r *request, runner *peers.Link) (*claim.Dispatch, *failure) {
 	if !r.keyed() {
 		return nil, nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, claimWithin)
 	defer cancel()
 	last := &failure{
-		ran: work.NotRun, reason: work.ReasonNoClaim, detail: "no owner of the key's shard answers", final: true, retryAfter: time.Second,
+		ran: domain.NotRun, reason: domain.ReasonNoClaim, detail: "no owner of the key's shard answers", final: true, retryAfter: time.Second,
 	}
 	for ctx.Err() == nil {
 		got, err := e.askOwner(ctx, r, runner)
@@ -66,8 +66,8 @@
 			// dispatched under it, and nothing will be: the next try is
 			// another one, and this one is settled below when it shows.
 		case got.Grant != nil:
-			e.tell(r, story.Event{Kind: story.Claimed, Upstream: runner.Member.Host, Detail: "granted at epoch " + got.Grant.Stamp.Epoch.String()})
-			return &claim.Dispatch{Stamp: got.Grant.Stamp, Try: got.Grant.Try, Body: claim.Body(r.body), To: got.Grant.Runner}, nil
+			e.tell(r, story.Event{Kind: story.Claimed, Upstream: runner.Member.Host, Detail: "granted at epoch " + got.Grant.Token.Epoch.String()})
+			return &claim.Dispatch{Token: got.Grant.Token, Try: got.Grant.Try, Body: claim.Body(r.body), To: got.Grant.Runner}, nil
 		case got.Refusal != nil:
 			f, again := e.claimRefused(ctx, r, got.Refusal)
 			if !again {
@@ -75,15 +75,15 @@
 			}
 			last = f
 		}
-		group.Pause(ctx, claimPoll)
+		group.Sleep(ctx, claimPoll)
 	}
 	e.tell(r, story.Event{Kind: story.Claimed, Detail: "not granted: " + last.detail})
 	return nil, last
 }
 
 // askOwner sends one claim under a try of its own.
-func (e *Entry) askOwner(ctx context.Context, r *request, runner *links.Link) (wire.Claimed, error) {
-	var got wire.Claimed
+func (e *Entry) askOwner(ctx context.Context, r *request, runner *peers.Link) (wire.ClaimReply, error) {
+	var got wire.ClaimReply
 	owner := e.ownerOf(r)
 	if owner == nil {
 		return got, wire.ErrNotSent
@@ -91,8 +91,8 @@
 	r.tries++
 	ctx, cancel := context.WithTimeout(ctx, callWithin)
 	defer cancel()
-	err := owner.Call(ctx, wire.MethodClaim, claim.ClaimAsk{
-		Key: r.claimKey(), Try: claim.Try{Request: r.id, Attempt: r.tries}, Body: claim.Body(r.body), Runner: runner.Member.Process(),
+	err := owner.Call(ctx, wire.MethodClaim, claim.Request{
+		Key: r.claimKey(), Try: claim.AttemptID{Request: r.id, Attempt: r.tries}, Body: claim.Body(r.body), Runner: runner.Member.Process(),
 	}, &got)
 	return got, err
 }
@@ -102,12 +102,12 @@
 func (e *Entry) claimRefused(ctx context.Context, r *request, refused *claim.Refusal) (*failure, bool) {
 	f := &failure{ran: refused.Ran, reason: refused.Reason(), detail: refused.Error(), final: true, retryAfter: time.Second}
 	switch refused.Code {
-	case claim.CodeNotOwner, claim.CodeUnvouched:
+	case claim.CodeNotOwner, claim.CodeNotRestored:
 		return f, true
 	case claim.CodeOtherRunner, claim.CodeFenced:
 		// The owner goes by another version of the record than this entry.
 		// Both will soon hold the newer: choose the runner again then.
-		return &failure{ran: work.NotRun, reason: work.ReasonNoRoom, detail: refused.Error()}, false
+		return &failure{ran: domain.NotRun, reason: domain.ReasonNoRoom, detail: refused.Error()}, false
 	case claim.CodeInProgress:
 		if refused.Try.Request != r.id && e.isOpen(ctx, refused.Try.Request) {
 			return f, false
@@ -129,7 +129,7 @@
 	try, cancel := context.WithTimeout(ctx, callWithin)
 	defer cancel()
 	var found claim.Resolution
-	order := claim.AskOrder{Key: r.claimKey(), Try: refused.Try, To: refused.Runner}
+	order := claim.StatusRequest{Key: r.claimKey(), Try: refused.Try, To: refused.Runner}
 	if runner.Call(try, wire.MethodAsk, order, &found) != nil {
 		return false
 	}
@@ -145,7 +145,7 @@
 }
 
 // isOpen says whether the entry that accepted a request still has it open.
-func (e *Entry) isOpen(ctx context.Context, id work.RequestID) bool {
+func (e *Entry) isOpen(ctx context.Context, id domain.RequestID) bool {
 	if own, found := e.recorder.Get(id); found {
 		return own.Open
 	}
@@ -155,7 +155,7 @@
 	}
 	for _, l := range e.entries.Connected() {
 		p := l.Peer()
-		if p == nil || p.Remote().Host != parts.Entry || p.Remote().Incarnation != parts.Incarnation {
+		if p == nil || p.RemoteHello().Host != parts.Entry || p.RemoteHello().Incarnation != parts.Incarnation {
 			continue
 		}
 		try, cancel := context.WithTimeout(ctx, callWithin)
@@ -175,8 +175,8 @@
 	if d == nil {
 		return
 	}
-	res := claim.Resolution{Key: d.Stamp.Key, Try: d.Try, State: stateAfter(r, f)}
-	if res.State == claim.StateUnknown && (f.reason == work.ReasonCallerGone || f.reason == work.ReasonDeadline) {
+	res := claim.Resolution{Key: d.Token.Key, Try: d.Try, State: stateAfter(r, f)}
+	if res.State == claim.StateUnknown && (f.reason == domain.ReasonCallerGone || f.reason == domain.ReasonDeadline) {
 		return // it runs on: its runner knows the end, and is asked when the key is sent again
 	}
 	done := make(chan struct{})
@@ -192,7 +192,7 @@
 			if sent {
 				return nil
 			}
-			group.Pause(ctx, claimPoll)
+			group.Sleep(ctx, claimPoll)
 		}
 		return ctx.Err()
 	})
@@ -211,9 +211,9 @@
 	switch {
 	case f == nil:
 		return claim.StateRan
-	case f.ran == work.NotRun || r.row.Idempotent:
+	case f.ran == domain.NotRun || r.row.Idempotent:
 		return claim.StateNotRun
-	case f.ran == work.DidRun:
+	case f.ran == domain.DidRun:
 		return claim.StateRan
 	}
 	return claim.StateUnknown
--- a/entry/keys_test.go
+++ b/entry/keys_test.go
@@ -9,16 +9,16 @@
 	"github.com/stretchr/testify/require"
 
 	"jacinthworks/claim"
+	"jacinthworks/domain"
 	"jacinthworks/table"
 	"jacinthworks/wire"
-	"jacinthworks/work"
 )
 
 // fencedOutcome is how a side answers a grant of an owner that another has followed.
 func fencedOutcome(epoch claim.Epoch) wire.Outcome {
 	return wire.Outcome{
-		Ran: work.NotRun, Reason: work.ReasonNoClaim,
-		Claim: &claim.Refusal{Code: claim.CodeFenced, Ran: work.Unknown, TryNotRun: true, Epoch: epoch},
+		Ran: domain.NotRun, Reason: domain.ReasonNoClaim,
+		Claim: &claim.Refusal{Code: claim.CodeFenced, Ran: domain.Unknown, TryNotRun: true, Epoch: epoch},
 	}
 }
 
--- a/entry/members.go
+++ b/entry/members.go
@@ -4,23 +4,23 @@
 	"context"
 	"time"
 
+	"jacinthworks/domain"
 	"jacinthworks/group"
 	"jacinthworks/member"
 	"jacinthworks/wire"
-	"jacinthworks/work"
 )
 
 // Waits of the watches: one long wait at the platform, and a rest after a
 // failed one.
 const (
 	watchWait = member.WatchWait
-	watchRest = member.WatchRest
+	watchRest = member.WatchRetryDelay
 )
 
 // watchMembers follows the record of each service in the table.
 func (e *Entry) watchMembers(ctx context.Context) error {
 	var g group.Group
-	watched := make(map[work.Service]bool)
+	watched := make(map[domain.Service]bool)
 	t := time.NewTicker(watchRest)
 	defer t.Stop()
 	for ctx.Err() == nil {
@@ -41,8 +41,8 @@
 }
 
 // watchRecord follows one service's record.
-func (e *Entry) watchRecord(ctx context.Context, s work.Service, apply func(member.Record) bool) error {
-	return member.Follow(ctx, e.Objects, s, func(r member.Record) bool {
+func (e *Entry) watchRecord(ctx context.Context, s domain.Service, apply func(member.Record) bool) error {
+	return member.Watch(ctx, e.Objects, s, func(r member.Record) bool {
 		taken := apply(r)
 		if taken {
 			e.Log.Info("members", "service", s, "version", r.Version, "count", len(r.Members))
@@ -54,11 +54,11 @@
 // recordFromPeers asks the other entries for a record while the platform does
 // not give it, and gives the newest known. An entry that starts during an
 // outage learns its sides this way.
-func (e *Entry) recordFromPeers(ctx context.Context, s work.Service, at member.Record, apply func(member.Record) bool) member.Record {
+func (e *Entry) recordFromPeers(ctx context.Context, s domain.Service, at member.Record, apply func(member.Record) bool) member.Record {
 	for _, l := range e.entries.Connected() {
 		var got member.Record
 		try, cancel := context.WithTimeout(ctx, callWithin)
-		err := l.Call(try, wire.MethodMembers, wire.MembersAsk{Service: s, Have: uint64(at.Version)}, &got)
+		err := l.Call(try, wire.MethodMembers, wire.MembersRequest{Service: s, Have: uint64(at.Version)}, &got)
 		cancel()
 		if err == nil && got.Version > at.Version && apply(got) {
 			e.Log.Info("members", "service", s, "version", got.Version, "count", len(got.Members), "from", l.Member.Host)
--- a/entry/model.go
+++ b/entry/model.go
@@ -8,13 +8,13 @@
 
 	"jacinthworks/admit"
 	"jacinthworks/claim"
+	"jacinthworks/domain"
 	"jacinthworks/engine"
 	"jacinthworks/group"
-	"jacinthworks/links"
-	"jacinthworks/steps"
+	"jacinthworks/inject"
+	"jacinthworks/peers"
 	"jacinthworks/story"
 	"jacinthworks/wire"
-	"jacinthworks/work"
 )
 
 // sink takes the tokens of an answer for the caller.
@@ -49,8 +49,8 @@
 		return f
 	}
 	defer e.schedulers.of(r.service).finished(t, got)
-	e.Step.At(steps.EntryReserved)
-	held := wire.Ref{Request: r.id, Attempt: r.attempt, Stage: wire.StageDecode}
+	e.FaultHook.Reach(inject.EntryReserved)
+	held := wire.AttemptRef{Request: r.id, Attempt: r.attempt, Stage: wire.StageDecode}
 	release := func() { e.cancel(p.decode, held) }
 
 	d, f := e.claim(ctx, r, p.decode)
@@ -58,7 +58,7 @@
 		release()
 		return f
 	}
-	e.Step.At(steps.EntryClaimed)
+	e.FaultHook.Reach(inject.EntryClaimed)
 	f = e.stages(ctx, r, p, d, to)
 	if f != nil {
 		release()
@@ -77,12 +77,12 @@
 		r.pass(p.prefill, f)
 		return f
 	}
-	e.Step.At(steps.EntryPrefilled)
+	e.FaultHook.Reach(inject.EntryPrefilled)
 	e.schedulers.of(r.service).sawLife(kv.Life)
 	began = time.Now()
 	f = e.decode(ctx, r, p, kv, d, to)
 	if f != nil { // the cache may not have been fetched: it must not wait for its end
-		e.cancel(p.prefill, wire.Ref{Request: r.id, Attempt: r.attempt, Stage: wire.StagePrefill})
+		e.cancel(p.prefill, wire.AttemptRef{Request: r.id, Attempt: r.attempt, Stage: wire.StagePrefill})
 	}
 	if f == nil {
 		e.schedulers.of(r.service).observe(r, r.firstToken.Sub(started), time.Since(started))
@@ -98,14 +98,14 @@
 	defer stop()
 	e.work.Go(keep, "keep room", func(ctx context.Context) error { return e.keepRoom(ctx, r, p.decode) })
 	out := e.stage(ctx, p.prefill, wire.Run{
-		Ref: wire.Ref{Request: r.id, Attempt: r.attempt, Stage: wire.StagePrefill}, Account: r.account, Kind: r.kind, Identity: r.identity,
+		AttemptRef: wire.AttemptRef{Request: r.id, Attempt: r.attempt, Stage: wire.StagePrefill}, Account: r.account, Kind: r.kind, Identity: r.identity,
 		Within: e.timeLeft(r),
 		Prefill: &engine.PrefillOrder{
 			Request: r.id, Attempt: r.attempt, Prompt: r.prompt, PromptTokens: r.promptTokens,
 			Prefix: prefixOf(r.prompt), Priority: r.row.Priority,
 		},
 	}, nil)
-	r.prefilled = r.prefilled || out.Ran != work.NotRun
+	r.prefilled = r.prefilled || out.Ran != domain.NotRun
 	if out.Reason != "" || out.KV == nil {
 		return engine.KV{}, failed(out)
 	}
@@ -114,9 +114,9 @@
 }
 
 // keepRoom renews the reservation at the decode side until ctx ends.
-func (e *Entry) keepRoom(ctx context.Context, r *request, s *links.Link) error {
+func (e *Entry) keepRoom(ctx context.Context, r *request, s *peers.Link) error {
 	for {
-		group.Pause(ctx, admit.Hold/3)
+		group.Sleep(ctx, admit.ReservationTTL/3)
 		if ctx.Err() != nil {
 			return nil
 		}
@@ -126,7 +126,7 @@
 
 // decode runs the decode and passes its tokens on as they come.
 func (e *Entry) decode(ctx context.Context, r *request, p pair, kv engine.KV, d *claim.Dispatch, to sink) *failure {
-	ref := wire.Ref{Request: r.id, Attempt: r.attempt, Stage: wire.StageDecode}
+	ref := wire.AttemptRef{Request: r.id, Attempt: r.attempt, Stage: wire.StageDecode}
 	st := e.streams.open(ref)
 	defer e.streams.shut(ref)
 	ctx, stop := context.WithCancel(ctx)
@@ -134,7 +134,7 @@
 	ended := make(chan wire.Outcome, 1)
 	e.work.Go(ctx, "decode", func(ctx context.Context) error {
 		ended <- e.stage(ctx, p.decode, wire.Run{
-			Ref: ref, Account: r.account, Kind: r.kind, Identity: r.identity, Within: e.timeLeft(r), Tokens: r.promptTokens + r.maxTokens,
+			AttemptRef: ref, Account: r.account, Kind: r.kind, Identity: r.identity, Within: e.timeLeft(r), Tokens: r.promptTokens + r.maxTokens,
 			Decode: &engine.DecodeOrder{
 				Request: r.id, Attempt: r.attempt, KV: kv, MaxTokens: r.maxTokens, Priority: r.row.Priority,
 			},
@@ -156,7 +156,7 @@
 				gone = e.pass(r, st, to, nil)
 			}
 			if gone != nil {
-				return &failure{ran: work.DidRun, reason: work.ReasonCallerGone, detail: gone.Error()}
+				return &failure{ran: domain.DidRun, reason: domain.ReasonCallerGone, detail: gone.Error()}
 			}
 			if out.Reason != "" {
 				return failed(out)
--- a/entry/owners.go
+++ b/entry/owners.go
@@ -5,9 +5,9 @@
 	"sync"
 
 	"jacinthworks/claim"
-	"jacinthworks/links"
+	"jacinthworks/domain"
+	"jacinthworks/peers"
 	"jacinthworks/wire"
-	"jacinthworks/work"
 )
 
 // owners is who owns which shard of which service, as the sides say. The
@@ -19,18 +19,18 @@
 }
 
 type ownedShard struct {
-	service work.Service
+	service domain.Service
 	shard   claim.Shard
 }
 
 type ownerSeen struct {
-	host     work.Host
+	host     domain.Host
 	epoch    claim.Epoch
 	complete bool
 }
 
 // hear takes a side's list of what it owns.
-func (o *owners) hear(from work.Host, list wire.Owned) {
+func (o *owners) hear(from domain.Host, list wire.Owned) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.all == nil {
@@ -44,14 +44,14 @@
 	}
 }
 
-func (o *owners) of(s work.Service, n claim.Shard) work.Host {
+func (o *owners) of(s domain.Service, n claim.Shard) domain.Host {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.all[ownedShard{service: s, shard: n}].host
 }
 
 // served says whether every shard of a service has an owner that grants keys.
-func (o *owners) served(s work.Service) bool {
+func (o *owners) served(s domain.Service) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for n := range claim.Shards {
@@ -63,7 +63,7 @@
 }
 
 // ownerOf gives the link to the owner of the request's shard, if connected.
-func (e *Entry) ownerOf(r *request) *links.Link {
+func (e *Entry) ownerOf(r *request) *peers.Link {
 	l := e.sides.Find(e.owners.of(r.service, r.claimKey().Shard()))
 	if l == nil || l.Peer() == nil {
 		return nil
@@ -72,7 +72,7 @@
 }
 
 // takeOwned takes a side's notification.
-func (e *Entry) takeOwned(from work.Host, params json.RawMessage) {
+func (e *Entry) takeOwned(from domain.Host, params json.RawMessage) {
 	var list wire.Owned
 	if json.Unmarshal(params, &list) == nil {
 		e.owners.hear(from, list)
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -7,16 +7,16 @@
 	"net/netip"
 	"time"
 
+	"jacinthworks/domain"
 	"jacinthworks/member"
 	"jacinthworks/wire"
-	"jacinthworks/work"
 )
 
 // entryLocal is what this entry brings to its connections with other entries.
-func (e *Entry) entryLocal() *wire.Local {
+func (e *Entry) entryLocal() *wire.Handlers {
 	l := *e.sides.Local
-	l.Closed = nil
-	l.Notice = func(_ *wire.Peer, method string, params json.RawMessage) {
+	l.OnClose = nil
+	l.HandleNotification = func(_ *wire.Peer, method string, params json.RawMessage) {
 		if method == wire.MethodEvidence {
 			e.takeEvidence(params)
 		}
@@ -31,10 +31,10 @@
 	case wire.MethodTable:
 		return wire.Decode(params, e.giveTable)
 	case wire.MethodOffer:
-		return wire.Decode(params, func(t wire.Table) (any, error) { return e.takeTable(t, p.Remote().Host) })
+		return wire.Decode(params, func(t wire.Table) (any, error) { return e.takeTable(t, p.RemoteHello().Host) })
 	case wire.MethodMembers:
-		return wire.Decode(params, func(a wire.MembersAsk) (any, error) {
-			if a.Service == member.Entries {
+		return wire.Decode(params, func(a wire.MembersRequest) (any, error) {
+			if a.Service == member.EntryService {
 				return e.entriesRecord(), nil
 			}
 			return e.sides.Record(a.Service), nil
@@ -49,14 +49,14 @@
 	case wire.MethodRate:
 		return wire.Decode(params, e.giveRate)
 	}
-	return nil, &wire.Refused{Reason: work.ReasonBadInput, Ran: work.NotRun, Detail: "no method " + method}
+	return nil, &wire.RefusalError{Reason: domain.ReasonBadInput, Ran: domain.NotRun, Detail: "no method " + method}
 }
 
 // giveStory gives the stories that this entry itself has in memory.
 func (e *Entry) giveStory(a wire.StoryAsk) (any, error) {
 	s, found := e.recorder.Get(a.Request)
 	if !found {
-		return nil, &wire.Refused{Reason: work.ReasonBadInput, Ran: work.Unknown, Detail: "nothing is known here of the request"}
+		return nil, &wire.RefusalError{Reason: domain.ReasonBadInput, Ran: domain.Unknown, Detail: "nothing is known here of the request"}
 	}
 	return s, nil
 }
@@ -65,21 +65,21 @@
 // platform is down, puts this entry into the entries' record, and follows it.
 func (e *Entry) joinEntries(ctx context.Context, address netip.AddrPort) error {
 	for i, a := range e.Settings.Peers {
-		e.entries.Dial(member.Member{Host: work.Host(fmt.Sprintf("peer-%d", i+1)), Service: "peers", Address: a})
+		e.entries.Dial(member.Member{Host: domain.Host(fmt.Sprintf("peer-%d", i+1)), Service: "peers", Address: a})
 	}
 	if e.Settings.PeerAdvertise.IsValid() {
 		address = e.Settings.PeerAdvertise
 	}
 	m := member.Member{
-		Host: e.Settings.Name, Zone: e.Settings.Zone, Service: member.Entries, Address: address, Incarnation: e.incarnation,
+		Host: e.Settings.Name, Zone: e.Settings.Zone, Service: member.EntryService, Address: address, Incarnation: e.incarnation,
 	}
 	e.self.Store(&m)
 	e.work.Go(ctx, "join", func(ctx context.Context) error {
-		return member.Keep(ctx, e.Objects, m, func(r member.Record) {
+		return member.JoinWithRetry(ctx, e.Objects, m, func(r member.Record) {
 			e.Log.Info("joined", "service", r.Service, "version", r.Version, "members", len(r.Members))
 		})
 	})
-	return e.watchRecord(ctx, member.Entries, func(r member.Record) bool {
+	return e.watchRecord(ctx, member.EntryService, func(r member.Record) bool {
 		e.joined.Store(&r)
 		others, _ := r.Without(e.Settings.Name, e.incarnation)
 		others.Version = r.Version
@@ -93,7 +93,7 @@
 	if r := e.joined.Load(); r != nil {
 		return *r
 	}
-	return member.Record{Service: member.Entries}
+	return member.Record{Service: member.EntryService}
 }
 
 // leaveWithin bounds the last write of a planned stop.
--- a/entry/rates.go
+++ b/entry/rates.go
@@ -5,10 +5,10 @@
 	"sync"
 	"time"
 
+	"jacinthworks/domain"
 	"jacinthworks/limit"
 	"jacinthworks/relay"
 	"jacinthworks/wire"
-	"jacinthworks/work"
 )
 
 const (
@@ -24,9 +24,9 @@
 // ready to use; it must not be copied. Its lock is a leaf.
 type rates struct {
 	mu    sync.Mutex
-	all   limit.Rates
-	alone limit.Rates
-	told  limit.Told
+	all   limit.Limiter
+	alone limit.Limiter
+	told  limit.DenialCache
 }
 
 // begin notes the start of the process.
@@ -37,7 +37,7 @@
 }
 
 // count counts a request for all entries.
-func (r *rates) count(now time.Time, a wire.RateAsk) wire.Rated {
+func (r *rates) count(now time.Time, a wire.RateRequest) wire.RateReply {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	burst := limit.Burst
@@ -45,29 +45,29 @@
 		burst = limit.StandbyBurst
 	}
 	wait, ok := r.all.Take(now, a.Of, a.Rate, burst)
-	return wire.Rated{Granted: ok, Wait: wait}
+	return wire.RateReply{Granted: ok, Wait: wait}
 }
 
 // countAlone counts a request against this entry's share, among so many entries.
-func (r *rates) countAlone(now time.Time, a wire.RateAsk, entries int) wire.Rated {
+func (r *rates) countAlone(now time.Time, a wire.RateRequest, entries int) wire.RateReply {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	wait, ok := r.alone.Take(now, a.Of, a.Rate/float64(max(entries, 1)), limit.StandbyBurst)
-	return wire.Rated{Granted: ok, Wait: wait}
+	return wire.RateReply{Granted: ok, Wait: wait}
 }
 
 // known gives how long the caller is known to have nothing.
-func (r *rates) known(now time.Time, of limit.Of) time.Duration {
+func (r *rates) known(now time.Time, of limit.Key) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.told.Wait(now, of)
 }
 
 // note remembers a caller that has to wait.
-func (r *rates) note(now time.Time, of limit.Of, wait time.Duration) {
+func (r *rates) note(now time.Time, of limit.Key, wait time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.told.Note(now, of, wait)
+	r.told.Add(now, of, wait)
 }
 
 // takeRate counts a request against its caller's rate for the row, over all entries.
@@ -79,8 +79,8 @@
 		return 0, true
 	}
 	now := time.Now()
-	ask := wire.RateAsk{Of: limit.Of{Account: r.account, Service: r.service, Kind: r.kind}, Rate: r.row.CallerRate}
-	by, rated := "known", wire.Rated{Wait: e.rates.known(now, ask.Of)}
+	ask := wire.RateRequest{Of: limit.Key{Account: r.account, Service: r.service, Kind: r.kind}, Rate: r.row.CallerRate}
+	by, rated := "known", wire.RateReply{Wait: e.rates.known(now, ask.Of)}
 	if rated.Wait <= 0 {
 		rated, by = e.askRate(ctx, now, ask)
 	}
@@ -95,9 +95,9 @@
 
 // askRate asks the entry that counts, or the next one, or counts here where that is this
 // one. It says by whom the answer is.
-func (e *Entry) askRate(ctx context.Context, now time.Time, ask wire.RateAsk) (rated wire.Rated, by string) {
+func (e *Entry) askRate(ctx context.Context, now time.Time, ask wire.RateRequest) (rated wire.RateReply, by string) {
 	all := e.entriesRecord().Members
-	order := make([]work.Host, 0, len(all)+1)
+	order := make([]domain.Host, 0, len(all)+1)
 	self := false
 	for _, m := range all {
 		order = append(order, m.Host)
@@ -106,7 +106,7 @@
 	if !self {
 		order = append(order, e.Settings.Name)
 	}
-	relay.Rank(ask.Of.Key(), order, func(h work.Host) work.Host { return h })
+	relay.RendezvousSort(ask.Of.OwnerKey(), order, func(h domain.Host) domain.Host { return h })
 	tries := 0
 	for n, h := range order {
 		ask.Standby = n > 0
@@ -132,9 +132,9 @@
 }
 
 // giveRate answers another entry.
-func (e *Entry) giveRate(a wire.RateAsk) (any, error) {
+func (e *Entry) giveRate(a wire.RateRequest) (any, error) {
 	if a.Rate <= 0 || a.Of.Account == "" {
-		return nil, &wire.Refused{Reason: work.ReasonBadInput, Ran: work.NotRun, Detail: "no rate of an account"}
+		return nil, &wire.RefusalError{Reason: domain.ReasonBadInput, Ran: domain.NotRun, Detail: "no rate of an account"}
 	}
 	return e.rates.count(time.Now(), a), nil
 }
--- a/entry/rates_test.go
+++ b/entry/rates_test.go
@@ -14,7 +14,7 @@
 // against a first one at each start of it.
 func TestAStandbyGrantsNoBurst(t *testing.T) {
 	now := time.Now()
-	granted := func(r *rates, a wire.RateAsk) (n int) {
+	granted := func(r *rates, a wire.RateRequest) (n int) {
 		for range 20 {
 			if r.count(now, a).Granted {
 				n++
@@ -22,7 +22,7 @@
 		}
 		return n
 	}
-	ask := wire.RateAsk{Of: limit.Of{Account: "loop"}, Rate: 2}
+	ask := wire.RateRequest{Of: limit.Key{Account: "loop"}, Rate: 2}
 	var first, standby, fresh rates
 	require.Equal(t, 10, granted(&first, ask))
 	ask.Standby = true
@@ -38,9 +38,9 @@
 func TestACallerThatWasToldToWaitIsRefusedHere(t *testing.T) {
 	var r rates
 	now := time.Now()
-	of := limit.Of{Account: "loop"}
+	of := limit.Key{Account: "loop"}
 	r.note(now, of, time.Second)
 	require.Equal(t, 400*time.Millisecond, r.known(now.Add(600*time.Millisecond), of))
 	require.Zero(t, r.known(now.Add(time.Second), of))
-	require.Zero(t, r.known(now, limit.Of{Account: "other"}))
+	require.Zero(t, r.known(now, limit.Key{Account: "other"}))
 }
--- a/entry/read.go
+++ b/entry/read.go
@@ -9,8 +9,8 @@
 	"github.com/pkg/errors"
 
 	"jacinthworks/check"
+	"jacinthworks/domain"
 	"jacinthworks/engine"
-	"jacinthworks/work"
 )
 
 // Bounds of a completion. Four bytes a token is the usual figure for English
@@ -23,11 +23,11 @@
 
 // completion is the body of /v1/completions and /v1/chat/completions.
 type completion struct {
-	Model     work.Service `json:"model"`
-	Prompt    string       `json:"prompt"`
-	Messages  []message    `json:"messages"`
-	MaxTokens int          `json:"max_tokens"`
-	Stream    bool         `json:"stream"`
+	Model     domain.Service `json:"model"`
+	Prompt    string         `json:"prompt"`
+	Messages  []message      `json:"messages"`
+	MaxTokens int            `json:"max_tokens"`
+	Stream    bool           `json:"stream"`
 }
 
 type message struct {
@@ -39,10 +39,10 @@
 func (e *Entry) readBody(w http.ResponseWriter, h *http.Request) ([]byte, *failure) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, h.Body, e.Settings.Limits.MaxBody))
 	if errors.As(err, new(*http.MaxBytesError)) {
-		return nil, &failure{ran: work.NotRun, reason: work.ReasonTooLarge, detail: "the body is over the limit"}
+		return nil, &failure{ran: domain.NotRun, reason: domain.ReasonTooLarge, detail: "the body is over the limit"}
 	}
 	if err != nil {
-		return nil, &failure{ran: work.NotRun, reason: work.ReasonBadInput, detail: "the body did not arrive whole"}
+		return nil, &failure{ran: domain.NotRun, reason: domain.ReasonBadInput, detail: "the body did not arrive whole"}
 	}
 	return body, nil
 }
@@ -106,7 +106,7 @@
 		header.Del(name)
 	}
 	header.Set(headerID, string(r.id))
-	r.service = work.Service(h.PathValue("service"))
+	r.service = domain.Service(h.PathValue("service"))
 	path := "/" + h.PathValue("path")
 	if h.URL.RawQuery != "" {
 		path += "?" + h.URL.RawQuery
--- a/entry/request.go
+++ b/entry/request.go
@@ -8,22 +8,22 @@
 
 	"jacinthworks/check"
 	"jacinthworks/claim"
+	"jacinthworks/domain"
 	"jacinthworks/engine"
 	"jacinthworks/group"
-	"jacinthworks/links"
+	"jacinthworks/peers"
 	"jacinthworks/retry"
 	"jacinthworks/story"
 	"jacinthworks/table"
 	"jacinthworks/wire"
-	"jacinthworks/work"
 )
 
 // request is one accepted request until its end.
 type request struct {
-	id       work.RequestID
-	account  work.Account
-	service  work.Service
-	kind     work.Kind
+	id       domain.RequestID
+	account  domain.Account
+	service  domain.Service
+	kind     domain.Kind
 	row      table.Row
 	key      string
 	body     uint64
@@ -31,17 +31,17 @@
 	accepted time.Time
 	// firstToken is when the present attempt's first token came.
 	firstToken time.Time
-	attempt    work.Attempt
-	bounces    work.Attempt // attempts that no side took
+	attempt    domain.Attempt
+	bounces    domain.Attempt // attempts that no side took
 	// fencedAt is when an attempt first came with the grant of a former owner.
 	fencedAt time.Time
-	tries    work.Attempt // of claims, each with a number of its own
+	tries    domain.Attempt // of claims, each with a number of its own
 	tokens   int
 	// prefilled says that an engine has begun a prefill of it, whatever came
 	// of the decode: it cannot be called not_run any more.
 	prefilled bool
 	// avoid holds the hosts that failed this request.
-	avoid map[work.Host]bool
+	avoid map[domain.Host]bool
 	// Of model work:
 	prompt       string
 	promptTokens int
@@ -50,13 +50,13 @@
 	chat         bool
 	// Of a plain call:
 	call   *engine.Call
-	answer *engine.Answer
+	answer *engine.Response
 }
 
 // failure is an attempt that did not end in an answer.
 type failure struct {
-	ran    work.Ran
-	reason work.Reason
+	ran    domain.Execution
+	reason domain.Reason
 	detail string
 	death  *retry.Death
 	// begun says that the caller has seen part of the answer.
@@ -70,7 +70,7 @@
 	findings   check.Findings
 }
 
-func (e *Entry) nextID() work.RequestID {
+func (e *Entry) nextID() domain.RequestID {
 	return story.ID{Entry: e.Settings.Name, Incarnation: e.incarnation, Number: e.numbers.Add(1)}.RequestID()
 }
 
@@ -105,17 +105,17 @@
 
 // answered ends the request's story with its answer.
 func (e *Entry) answered(r *request) {
-	e.tell(r, story.Event{Kind: story.Answered, Ran: work.DidRun, Tokens: r.tokens})
+	e.tell(r, story.Event{Kind: story.Answered, Ran: domain.DidRun, Tokens: r.tokens})
 	e.Log.Info("answered", "request", r.id, "kind", r.kind, "account", r.account,
 		"attempts", r.attempt, "tokens", r.tokens, "took", time.Since(r.accepted))
 }
 
 // refusal ends the request's story with a refusal, and gives it.
-func (e *Entry) refusal(r *request, f *failure) *work.Refusal {
+func (e *Entry) refusal(r *request, f *failure) *domain.Refusal {
 	e.tell(r, story.Event{Kind: story.Refused, Ran: f.ran, Reason: f.reason, Detail: f.detail, Tokens: r.tokens})
 	e.Log.Info("refused", "request", r.id, "kind", r.kind, "account", r.account,
 		"attempts", r.attempt, "reason", f.reason, "ran", f.ran, "took", time.Since(r.accepted))
-	return &work.Refusal{RequestID: r.id, Reason: f.reason, Ran: f.ran, Detail: f.detail, RetryAfter: f.retryAfter, Findings: f.findings}
+	return &domain.Refusal{RequestID: r.id, Reason: f.reason, Ran: f.ran, Detail: f.detail, RetryAfter: f.retryAfter, Findings: f.findings}
 }
 
 // failed turns an outcome into a failure.
@@ -124,7 +124,7 @@
 	if c := out.Claim; c != nil && (c.Code == claim.CodeKeyTaken || !c.TryNotRun) {
 		// This attempt did not run, but another under its key may have: a
 		// side that was paused wakes and runs what was given up meanwhile.
-		f.ran, f.final = c.Ran.Worse(work.Unknown), true
+		f.ran, f.final = c.Ran.Merge(domain.Unknown), true
 	} else if c != nil {
 		f.fenced = c.Code == claim.CodeFenced
 	}
@@ -133,7 +133,7 @@
 
 // attempts runs try until it succeeds or must not be repeated.
 func (e *Entry) attempts(ctx context.Context, r *request, try func(context.Context) *failure) *failure {
-	worst := work.NotRun
+	worst := domain.NotRun
 	for {
 		if f := e.stopped(r); f != nil {
 			f.ran = worst
@@ -146,16 +146,16 @@
 		}
 		e.tell(r, story.Event{Kind: story.AttemptEnded, Ran: f.ran, Reason: f.reason, Detail: f.detail})
 		// An earlier attempt may have run although the last one did not.
-		worst = worst.Worse(f.ran)
+		worst = worst.Merge(f.ran)
 		if r.prefilled {
-			worst = worst.Worse(work.DidRun)
+			worst = worst.Merge(domain.DidRun)
 		}
 		if ctx.Err() != nil {
-			f.reason = work.ReasonOf(ctx)
+			f.reason = domain.ReasonOf(ctx)
 		}
 		if ctx.Err() == nil && (f.bounced() || r.awaitsOwner(f, time.Now())) {
 			r.bounces++
-			group.Pause(ctx, bouncePause)
+			group.Sleep(ctx, bouncePause)
 			continue
 		}
 		if ctx.Err() != nil || !e.mayRetry(r, f) {
@@ -172,7 +172,7 @@
 // bounced says whether the attempt only met a side that takes no work. That
 // costs nothing and is no failure: the queue decides how long it goes on.
 func (f *failure) bounced() bool {
-	return !f.final && f.ran == work.NotRun && (f.reason == work.ReasonDraining || f.reason == work.ReasonNoRoom)
+	return !f.final && f.ran == domain.NotRun && (f.reason == domain.ReasonDraining || f.reason == domain.ReasonNoRoom)
 }
 
 // awaitsOwner says whether the attempt came with the grant of a former owner, whose
@@ -181,7 +181,7 @@
 // Failure: two members take a shard over at about the same time, and within
 // milliseconds all attempts of a request are spent on grants of the first.
 func (r *request) awaitsOwner(f *failure, now time.Time) bool {
-	if !f.fenced || f.final || f.ran != work.NotRun {
+	if !f.fenced || f.final || f.ran != domain.NotRun {
 		return false
 	}
 	if r.fencedAt.IsZero() {
@@ -191,12 +191,12 @@
 }
 
 // pass notes the side of a failed attempt, so that the next goes elsewhere.
-func (r *request) pass(s *links.Link, f *failure) {
+func (r *request) pass(s *peers.Link, f *failure) {
 	if f == nil {
 		return
 	}
 	if r.avoid == nil {
-		r.avoid = make(map[work.Host]bool)
+		r.avoid = make(map[domain.Host]bool)
 	}
 	r.avoid[s.Member.Host] = true
 }
--- a/entry/schedule.go
+++ b/entry/schedule.go
@@ -7,10 +7,10 @@
 	"sync"
 	"time"
 
+	"jacinthworks/domain"
 	"jacinthworks/queue"
 	"jacinthworks/route"
 	"jacinthworks/table"
-	"jacinthworks/work"
 )
 
 // tickEvery bounds how late a waiting request is refused once its target
@@ -21,10 +21,10 @@
 type turn struct {
 	item  queue.Item
 	job   route.Job
-	kind  work.Kind
+	kind  domain.Kind
 	plain bool
 	// mayRun says which hosts the key's shard allows; nil without a key.
-	mayRun func(work.Host) bool
+	mayRun func(domain.Host) bool
 	// unserved is since when none of them takes work; zero while one does.
 	unserved time.Time
 	got      chan sent
@@ -32,10 +32,10 @@
 
 // sent is the end of waiting: a choice, or a refusal.
 type sent struct {
-	pair    route.Pair
-	app     work.Host
-	model   route.Grounds
-	apps    route.AppGrounds
+	pair    route.EnginePair
+	app     domain.Host
+	model   route.Evaluation
+	apps    route.AppEvaluation
 	refused *queue.Refusal
 }
 
@@ -45,41 +45,41 @@
 type scheduler struct {
 	mu       sync.Mutex
 	queue    queue.Queue
-	model    route.Model
-	apps     route.Apps
+	model    route.EngineSelector
+	apps     route.AppSelector
 	random   *rand.Rand
-	turns    map[work.RequestID]*turn
-	running  map[work.Kind]int
-	inFlight map[work.Kind]int // the table's limit, as of the kind's last arrival
-	limits   map[work.Kind]int // its queue limit, likewise
-	held     map[work.Kind][]queue.Item
-	health   health             // has locks of its own, which are leaves too
-	served   time.Time          // when a side last took work
-	zones    map[work.Zone]bool // of prefill engines heard of
+	turns    map[domain.RequestID]*turn
+	running  map[domain.Kind]int
+	inFlight map[domain.Kind]int // the table's limit, as of the kind's last arrival
+	limits   map[domain.Kind]int // its queue limit, likewise
+	held     map[domain.Kind][]queue.Item
+	health   health               // has locks of its own, which are leaves too
+	served   time.Time            // when a side last took work
+	zones    map[domain.Zone]bool // of prefill engines heard of
 	kvLife   time.Duration
-	pace     queue.Pace
+	pace     queue.LatencyEstimator
 }
 
 // schedulers holds a scheduler for each service in the table.
 type schedulers struct {
 	mu  sync.Mutex
-	all map[work.Service]*scheduler
+	all map[domain.Service]*scheduler
 }
 
-func (s *schedulers) of(name work.Service) *scheduler {
+func (s *schedulers) of(name domain.Service) *scheduler {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.all == nil {
-		s.all = make(map[work.Service]*scheduler)
+		s.all = make(map[domain.Service]*scheduler)
 	}
 	if s.all[name] == nil {
 		s.all[name] = &scheduler{
 			random:   rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
-			turns:    make(map[work.RequestID]*turn),
-			running:  make(map[work.Kind]int),
-			inFlight: make(map[work.Kind]int),
-			limits:   make(map[work.Kind]int),
-			held:     make(map[work.Kind][]queue.Item),
+			turns:    make(map[domain.RequestID]*turn),
+			running:  make(map[domain.Kind]int),
+			inFlight: make(map[domain.Kind]int),
+			limits:   make(map[domain.Kind]int),
+			held:     make(map[domain.Kind][]queue.Item),
 		}
 	}
 	return s.all[name]
@@ -106,10 +106,10 @@
 	if !s.mayQueue(t.kind, row.QueueLimit) {
 		defer s.mu.Unlock()
 		wait := time.Second + time.Duration(s.random.Int64N(int64(time.Second)))
-		return sent{refused: &queue.Refusal{Reason: work.ReasonNoRoom, Detail: queue.DetailFull, RetryAfter: wait}}
+		return sent{refused: &queue.Refusal{Reason: domain.ReasonNoRoom, Detail: queue.DetailQueueFull, RetryAfter: wait}}
 	}
 	s.turns[t.item.ID] = t
-	v := s.queue.Arrive(now, t.item, s.random)
+	v := s.queue.Enqueue(now, t.item, s.random)
 	if v.Refusal != nil {
 		delete(s.turns, t.item.ID)
 		s.mu.Unlock()
@@ -129,14 +129,14 @@
 // mayQueue says whether the kind's own part of the queue has room, and bounds
 // the whole queue by all kinds' parts together, within which the queue sheds by
 // priority.
-func (s *scheduler) mayQueue(k work.Kind, limit int) bool {
+func (s *scheduler) mayQueue(k domain.Kind, limit int) bool {
 	if limit <= 0 {
-		limit = queue.DefaultItems
+		limit = queue.DefaultMaxItems
 	}
 	s.limits[k] = limit
-	s.queue.Limits.Items = 0
+	s.queue.Limits.MaxItems = 0
 	for _, n := range s.limits {
-		s.queue.Limits.Items += n
+		s.queue.Limits.MaxItems += n
 	}
 	waiting := 0
 	for _, t := range s.turns {
@@ -156,7 +156,7 @@
 	delete(s.turns, t.item.ID)
 	s.mu.Unlock()
 	if waiting {
-		return sent{refused: &queue.Refusal{Reason: work.ReasonCallerGone}}
+		return sent{refused: &queue.Refusal{Reason: domain.ReasonCallerGone}}
 	}
 	return <-t.got
 }
@@ -184,12 +184,12 @@
 // pump sends what there is room for. A long prompt that no engine may take now
 // lets shorter work pass.
 func (s *scheduler) pump(now time.Time) {
-	s.refuse(s.queue.Lapsed(now, s.random))
+	s.refuse(s.queue.RemoveExpired(now, s.random))
 	s.lapseHeld(now)
 	s.release(now)
 	longest := queue.AnyPrompt
 	for {
-		i, ok := s.queue.Next(now, longest)
+		i, ok := s.queue.Dequeue(now, longest)
 		if !ok {
 			return
 		}
@@ -203,11 +203,11 @@
 		}
 		got, ok := s.choose(now, t)
 		if !ok {
-			s.queue.Return(now, i)
-			if i.Prompt < queue.LongPrompt || longest < queue.AnyPrompt {
+			s.queue.Requeue(now, i)
+			if i.PromptTokens < queue.LongPromptTokens || longest < queue.AnyPrompt {
 				return
 			}
-			longest = queue.LongPrompt - 1
+			longest = queue.LongPromptTokens - 1
 			continue
 		}
 		delete(s.turns, i.ID)
@@ -222,13 +222,13 @@
 	for kind, items := range s.held {
 		kept := items[:0]
 		for _, i := range items {
-			late := now.After(i.Deadline) || !i.MayWait && !i.FirstToken.IsZero() && now.After(i.FirstToken)
+			late := now.After(i.Deadline) || !i.MayWait && !i.FirstTokenDeadline.IsZero() && now.After(i.FirstTokenDeadline)
 			if !late {
 				kept = append(kept, i)
 				continue
 			}
 			s.refuse([]queue.Refused{{Item: i, Refusal: queue.Refusal{
-				Reason: work.ReasonTooLate, Detail: queue.DetailLapsed, RetryAfter: time.Second,
+				Reason: domain.ReasonTooLate, Detail: queue.DetailExpired, RetryAfter: time.Second,
 			}}})
 		}
 		s.held[kind] = kept
@@ -246,7 +246,7 @@
 			room = min(room, max(0, limit-s.running[kind]))
 		}
 		for _, i := range slices.Backward(items[:room]) { // the first is next again
-			s.queue.Return(now, i)
+			s.queue.Requeue(now, i)
 		}
 		s.held[kind] = items[room:]
 	}
--- a/entry/schedule_test.go
+++ b/entry/schedule_test.go
@@ -11,10 +11,10 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
+	"jacinthworks/domain"
 	"jacinthworks/queue"
 	"jacinthworks/table"
 	"jacinthworks/wire"
-	"jacinthworks/work"
 )
 
 // caller is one request's goroutine at its entry.
@@ -29,10 +29,10 @@
 // schedulerTest drives a scheduler as many callers and two sides do.
 type schedulerTest struct {
 	s       *scheduler
-	limits  map[work.Kind]int
+	limits  map[domain.Kind]int
 	callers []*caller
 	answers chan func()
-	shut    map[work.Host]bool
+	shut    map[domain.Host]bool
 }
 
 func newSchedulerTest() *schedulerTest {
@@ -40,16 +40,16 @@
 	s := all.of("wallapp")
 	s.random = rand.New(rand.NewPCG(1, 2))
 	return &schedulerTest{
-		s: s, limits: map[work.Kind]int{"ascent": 1, "look_up": 3, "route_card": 0},
-		answers: make(chan func(), 64), shut: make(map[work.Host]bool),
+		s: s, limits: map[domain.Kind]int{"ascent": 1, "look_up": 3, "route_card": 0},
+		answers: make(chan func(), 64), shut: make(map[domain.Host]bool),
 	}
 }
 
 // arrive starts a caller whose request has the given time.
-func (x *schedulerTest) arrive(kind work.Kind, within time.Duration) *caller {
+func (x *schedulerTest) arrive(kind domain.Kind, within time.Duration) *caller {
 	c := &caller{turn: &turn{kind: kind, plain: true, got: make(chan sent, 1)}}
 	c.item = queue.Item{
-		ID: work.RequestID(fmt.Sprintf("entry-1.7.%d", len(x.callers)+1)), Account: "registry", Deadline: time.Now().Add(within),
+		ID: domain.RequestID(fmt.Sprintf("entry-1.7.%d", len(x.callers)+1)), Account: "registry", Deadline: time.Now().Add(within),
 	}
 	x.callers = append(x.callers, c)
 	x.wait(c)
@@ -78,13 +78,13 @@
 	}
 }
 
-func (x *schedulerTest) report(h work.Host) {
-	hello := wire.Hello{Host: h, Role: string(work.RoleApp), Service: "wallapp"}
-	x.s.report(hello, wire.Heard{Beat: wire.Beat{Draining: x.shut[h], Load: &wire.Load{}}, TrueAt: time.Now()}, false)
+func (x *schedulerTest) report(h domain.Host) {
+	hello := wire.Hello{Host: h, Role: string(domain.RoleApp), Service: "wallapp"}
+	x.s.report(hello, wire.ReceivedHeartbeat{Heartbeat: wire.Heartbeat{Draining: x.shut[h], Load: &wire.Load{}}, NotBefore: time.Now()}, false)
 	x.settle()
 }
 
-func (x *schedulerTest) count(k work.Kind, which func(*caller) bool) (n int) {
+func (x *schedulerTest) count(k domain.Kind, which func(*caller) bool) (n int) {
 	for _, c := range x.callers {
 		if c.kind == k && which(c) {
 			n++
@@ -129,11 +129,11 @@
 	if len(x.callers) > 0 {
 		c = x.callers[rapid.IntRange(0, len(x.callers)-1).Draw(t, "caller")]
 	}
-	side := rapid.SampledFrom([]work.Host{"wallapp-1", "wallapp-2"}).Draw(t, "side")
+	side := rapid.SampledFrom([]domain.Host{"wallapp-1", "wallapp-2"}).Draw(t, "side")
 	whats := []string{"arrive", "arrive", "arrive", "leave", "leave", "end", "bounce", "pause", "shut", "shut"}
 	switch what := rapid.SampledFrom(whats).Draw(t, "what"); {
 	case what == "arrive" || c == nil:
-		kind := rapid.SampledFrom([]work.Kind{"ascent", "look_up", "route_card"}).Draw(t, "kind")
+		kind := rapid.SampledFrom([]domain.Kind{"ascent", "look_up", "route_card"}).Draw(t, "kind")
 		x.arrive(kind, time.Duration(rapid.IntRange(1, 9).Draw(t, "within"))*time.Second)
 	case what == "leave":
 		c.cancel()
@@ -212,7 +212,7 @@
 		x.s.tick(time.Now())
 		x.settle()
 		require.False(t, second.waits())
-		require.Equal(t, work.ReasonTooLate, second.answers[0].refused.Reason)
+		require.Equal(t, domain.ReasonTooLate, second.answers[0].refused.Reason)
 		require.Positive(t, second.answers[0].refused.RetryAfter)
 		x.check(t)
 	})
@@ -228,7 +228,7 @@
 		running, leaves, stays := x.arrive("ascent", time.Minute), x.arrive("ascent", time.Minute), x.arrive("ascent", time.Minute)
 		leaves.cancel()
 		x.settle()
-		require.Equal(t, work.ReasonCallerGone, leaves.answers[0].refused.Reason)
+		require.Equal(t, domain.ReasonCallerGone, leaves.answers[0].refused.Reason)
 		x.s.finished(running.turn, running.answers[0])
 		running.running = false
 		x.settle()
--- a/entry/stage.go
+++ b/entry/stage.go
@@ -6,10 +6,10 @@
 
 	"github.com/pkg/errors"
 
+	"jacinthworks/domain"
 	"jacinthworks/group"
-	"jacinthworks/links"
+	"jacinthworks/peers"
 	"jacinthworks/wire"
-	"jacinthworks/work"
 )
 
 // How long the entry tries to take up work whose connection was lost, and how
@@ -25,27 +25,27 @@
 // stage runs one stage at a side and gives its outcome. It always gives one: a
 // lost connection is taken up again on a fresh one, and when that fails too
 // the attempt is settled or called unknown.
-func (e *Entry) stage(ctx context.Context, s *links.Link, r wire.Run, st *stream) wire.Outcome {
+func (e *Entry) stage(ctx context.Context, s *peers.Link, r wire.Run, st *stream) wire.Outcome {
 	out := e.runStage(ctx, s, r, st)
 	e.blame(s, out.Death)
 	return out
 }
 
-func (e *Entry) runStage(ctx context.Context, s *links.Link, r wire.Run, st *stream) wire.Outcome {
+func (e *Entry) runStage(ctx context.Context, s *peers.Link, r wire.Run, st *stream) wire.Outcome {
 	var out wire.Outcome
 	err := s.Call(ctx, wire.MethodRun, r, &out)
 	if err == nil && complete(out, st) {
 		return out
 	}
-	var refused *wire.Refused
+	var refused *wire.RefusalError
 	switch {
 	case errors.As(err, &refused):
-		if refused.Reason == work.ReasonDraining {
+		if refused.Reason == domain.ReasonDraining {
 			e.schedulers.of(s.Member.Service).shut(s.Member.Host) // until its next heartbeat says so too
 		}
-		return wire.Outcome{Ref: r.Ref, Ran: refused.Ran, Reason: refused.Reason, Detail: refused.Detail}
+		return wire.Outcome{AttemptRef: r.AttemptRef, Ran: refused.Ran, Reason: refused.Reason, Detail: refused.Detail}
 	case errors.Is(err, wire.ErrNotSent):
-		return wire.Outcome{Ref: r.Ref, Ran: work.NotRun, Reason: work.ReasonNoUpstream, Detail: "no connection to the side"}
+		return wire.Outcome{AttemptRef: r.AttemptRef, Ran: domain.NotRun, Reason: domain.ReasonNoUpstream, Detail: "no connection to the side"}
 	case ctx.Err() != nil:
 		return e.giveUp(ctx, s, r)
 	}
@@ -62,10 +62,10 @@
 // as a call without an answer. Attaching on a fresh connection, from the next
 // token wanted, holds because the side keeps the work and its tokens for as
 // long as this takes.
-func (e *Entry) takeUp(ctx context.Context, s *links.Link, r wire.Run, st *stream) wire.Outcome {
+func (e *Entry) takeUp(ctx context.Context, s *peers.Link, r wire.Run, st *stream) wire.Outcome {
 	until := time.Now().Add(attachWithin)
 	for time.Now().Before(until) && ctx.Err() == nil {
-		a := wire.Attach{Ref: r.Ref}
+		a := wire.Attach{AttemptRef: r.AttemptRef}
 		if st != nil {
 			a.From = st.next()
 		}
@@ -78,29 +78,29 @@
 		if err != nil && !errors.Is(err, wire.ErrNotSent) {
 			until = time.Now().Add(attachWithin)
 		}
-		group.Pause(ctx, redialPoll)
+		group.Sleep(ctx, redialPoll)
 	}
 	if ctx.Err() != nil {
 		return e.giveUp(ctx, s, r)
 	}
 	return wire.Outcome{
-		Ref: r.Ref, Ran: work.Unknown, Reason: work.ReasonLost,
+		AttemptRef: r.AttemptRef, Ran: domain.Unknown, Reason: domain.ReasonLost,
 		Detail: "the side was lost while it had the work",
 	}
 }
 
 // giveUp ends an attempt that is no longer wanted, and says what is known of
 // it: the side's own account where it still answers.
-func (e *Entry) giveUp(ctx context.Context, s *links.Link, r wire.Run) wire.Outcome {
-	out := wire.Outcome{Ref: r.Ref, Ran: work.Unknown, Reason: work.ReasonOf(ctx)}
+func (e *Entry) giveUp(ctx context.Context, s *peers.Link, r wire.Run) wire.Outcome {
+	out := wire.Outcome{AttemptRef: r.AttemptRef, Ran: domain.Unknown, Reason: domain.ReasonOf(ctx)}
 	settle, cancel := context.WithTimeout(context.WithoutCancel(ctx), callWithin)
 	defer cancel()
 	var known wire.Outcome
-	if s.Call(settle, wire.MethodSettle, r.Ref, &known) == nil {
+	if s.Call(settle, wire.MethodSettle, r.AttemptRef, &known) == nil {
 		out.Ran = known.Ran
 	}
-	if r.Stage != wire.StageCall && out.Ran != work.NotRun {
-		e.cancel(s, r.Ref)
+	if r.Stage != wire.StageCall && out.Ran != domain.NotRun {
+		e.cancel(s, r.AttemptRef)
 	}
 	return out
 }
@@ -108,7 +108,7 @@
 // cancel brings a cancel order through, past the end of the request. A lost
 // order is repeated until a side says that it has it; a side that is cut off
 // from here frees the work itself.
-func (e *Entry) cancel(s *links.Link, r wire.Ref) {
+func (e *Entry) cancel(s *peers.Link, r wire.AttemptRef) {
 	e.later("cancel", cancelWithin, func(ctx context.Context) error {
 		for ctx.Err() == nil {
 			try, stop := context.WithTimeout(ctx, callWithin)
@@ -117,7 +117,7 @@
 			if err == nil {
 				return nil
 			}
-			group.Pause(ctx, redialPoll)
+			group.Sleep(ctx, redialPoll)
 		}
 		return ctx.Err()
 	})
--- a/entry/stories.go
+++ b/entry/stories.go
@@ -7,11 +7,11 @@
 	"github.com/pkg/errors"
 
 	"jacinthworks/admin"
+	"jacinthworks/domain"
 	"jacinthworks/group"
-	"jacinthworks/plat"
+	"jacinthworks/infra"
 	"jacinthworks/story"
 	"jacinthworks/wire"
-	"jacinthworks/work"
 )
 
 // flushPerEntry stretches the time between story writes with the number of
@@ -37,7 +37,7 @@
 	var o story.Outbox
 	var last time.Time
 	for ctx.Err() == nil {
-		group.Pause(ctx, flushPoll)
+		group.Sleep(ctx, flushPoll)
 		every := time.Duration(len(e.entries.All())) * flushPerEntry
 		if now := time.Now(); e.recorder.Due(now) && now.Sub(last) >= every {
 			e.pack(&p, &o, now)
@@ -56,7 +56,7 @@
 // an earlier one, once they are too old.
 func (e *Entry) expireStories(ctx context.Context) error {
 	for {
-		group.Pause(ctx, expireEvery)
+		group.Sleep(ctx, expireEvery)
 		if ctx.Err() != nil {
 			return nil
 		}
@@ -68,7 +68,7 @@
 			if o, err := e.Objects.Get(ctx, name); err == nil {
 				_ = e.Objects.Delete(ctx, name, o.Version) // the next round finds it again
 			}
-			group.Pause(ctx, expirePause)
+			group.Sleep(ctx, expirePause)
 		}
 	}
 }
@@ -93,7 +93,7 @@
 		write, cancel := context.WithTimeout(ctx, storyWithin)
 		_, err := e.Objects.Put(write, s.Name, s.Data, 0)
 		cancel()
-		if err != nil && !errors.Is(err, plat.ErrConflict) {
+		if err != nil && !errors.Is(err, infra.ErrConflict) {
 			return
 		}
 		o.Done(s.Name)
@@ -102,7 +102,7 @@
 
 // Story gathers the halves of a request's story from this entry, the one that
 // accepted it, the sides, and the platform.
-func (e *Entry) Story(ctx context.Context, id work.RequestID) (story.Account, error) {
+func (e *Entry) Story(ctx context.Context, id domain.RequestID) (story.Account, error) {
 	parts, err := story.ParseID(id)
 	if err != nil {
 		return story.Account{}, admin.ErrNoStory
@@ -118,7 +118,7 @@
 }
 
 // askStories asks every process that is connected for what it has in memory.
-func (e *Entry) askStories(ctx context.Context, id work.RequestID) []story.Story {
+func (e *Entry) askStories(ctx context.Context, id domain.RequestID) []story.Story {
 	var halves []story.Story
 	if own, found := e.recorder.Get(id); found {
 		halves = append(halves, own)
--- a/entry/stream.go
+++ b/entry/stream.go
@@ -57,27 +57,27 @@
 // zero value is ready to use; its lock is taken before no other.
 type streams struct {
 	mu  sync.Mutex
-	all map[wire.Ref]*stream
+	all map[wire.AttemptRef]*stream
 }
 
-func (s *streams) open(r wire.Ref) *stream {
+func (s *streams) open(r wire.AttemptRef) *stream {
 	st := &stream{changed: make(chan struct{}, 1)}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.all == nil {
-		s.all = make(map[wire.Ref]*stream)
+		s.all = make(map[wire.AttemptRef]*stream)
 	}
 	s.all[r] = st
 	return st
 }
 
-func (s *streams) shut(r wire.Ref) {
+func (s *streams) shut(r wire.AttemptRef) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.all, r)
 }
 
-func (s *streams) find(r wire.Ref) *stream {
+func (s *streams) find(r wire.AttemptRef) *stream {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.all[r]
@@ -90,10 +90,10 @@
 		e.takeEvidence(params)
 		return
 	case wire.MethodOwned:
-		e.takeOwned(p.Remote().Host, params)
+		e.takeOwned(p.RemoteHello().Host, params)
 		return
 	case wire.MethodCache:
-		e.takeCache(p.Remote(), params)
+		e.takeCache(p.RemoteHello(), params)
 		return
 	case wire.MethodFrame:
 	default:
@@ -104,22 +104,22 @@
 	if json.Unmarshal(params, &f) != nil {
 		return
 	}
-	if s := e.streams.find(f.Ref); s != nil {
+	if s := e.streams.find(f.AttemptRef); s != nil {
 		s.add(f)
 	}
 }
 
 // hear passes a side's heartbeat to its service's scheduler.
 func (e *Entry) hear(p *wire.Peer) {
-	b, heard := p.LastBeat()
+	b, heard := p.LastHeartbeat()
 	if !heard {
 		return
 	}
-	side := e.sides.Find(p.Remote().Host)
+	side := e.sides.Find(p.RemoteHello().Host)
 	if side == nil || side.Peer() != p {
 		return
 	}
-	e.schedulers.of(p.Remote().Service).report(p.Remote(), b, side.Leaving.Load())
+	e.schedulers.of(p.RemoteHello().Service).report(p.RemoteHello(), b, side.Leaving.Load())
 }
 
 // takeCache passes an engine's cache events to its service's scheduler.
--- a/entry/stream_test.go
+++ b/entry/stream_test.go
@@ -9,15 +9,15 @@
 	"pgregory.net/rapid"
 
 	"jacinthworks/claim"
+	"jacinthworks/domain"
 	"jacinthworks/test/seeded"
 	"jacinthworks/wire"
-	"jacinthworks/work"
 )
 
 func TestMain(m *testing.M) { seeded.Main(m) }
 
 // token names one token of one attempt, so that none can pass for another.
-func token(r wire.Ref, n int) string { return fmt.Sprintf("%s/%d/%d ", r.Request, r.Attempt, n) }
+func token(r wire.AttemptRef, n int) string { return fmt.Sprintf("%s/%d/%d ", r.Request, r.Attempt, n) }
 
 // The story: a seller reads an appraisal with another's words, or with a part
 // twice or missing. Frames come late from an attempt given up, and overlap or
@@ -26,14 +26,14 @@
 func TestStreamsTakeOnlyTheirOwnNextTokens(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var e Entry
-		var refs []wire.Ref
-		for _, id := range []work.RequestID{"entry-1.7.1", "entry-1.7.2"} {
-			for _, a := range []work.Attempt{1, 2} {
-				refs = append(refs, wire.Ref{Request: id, Attempt: a, Stage: wire.StageDecode})
+		var refs []wire.AttemptRef
+		for _, id := range []domain.RequestID{"entry-1.7.1", "entry-1.7.2"} {
+			for _, a := range []domain.Attempt{1, 2} {
+				refs = append(refs, wire.AttemptRef{Request: id, Attempt: a, Stage: wire.StageDecode})
 			}
 		}
-		open := make(map[wire.Ref]*stream)
-		want, got := make(map[wire.Ref]int), make(map[wire.Ref]int)
+		open := make(map[wire.AttemptRef]*stream)
+		want, got := make(map[wire.AttemptRef]int), make(map[wire.AttemptRef]int)
 		ref := rapid.SampledFrom(refs)
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			r := ref.Draw(t, "ref")
@@ -52,7 +52,7 @@
 				}
 				require.Equal(t, want[r], got[r])
 			default:
-				f := wire.Frame{Ref: r, Offset: rapid.IntRange(0, 8).Draw(t, "offset")}
+				f := wire.Frame{AttemptRef: r, Offset: rapid.IntRange(0, 8).Draw(t, "offset")}
 				for n := range rapid.IntRange(0, 4).Draw(t, "length") {
 					f.Tokens = append(f.Tokens, token(r, f.Offset+n))
 				}
@@ -80,7 +80,7 @@
 		for range rapid.IntRange(1, 20).Draw(t, "lists") {
 			shard := claim.Shard(rapid.IntRange(0, 2).Draw(t, "shard"))
 			epoch := claim.Epoch{Version: rapid.Uint64Range(1, 4).Draw(t, "version"), Turn: rapid.Uint32Range(0, 2).Draw(t, "rank")}
-			host := func(e claim.Epoch) work.Host { return work.Host("side-" + e.String()) } // an epoch is one process's
+			host := func(e claim.Epoch) domain.Host { return domain.Host("side-" + e.String()) } // an epoch is one process's
 			o.hear(host(epoch), wire.Owned{Service: "wallapp", Shards: []claim.Ownership{{Shard: shard, Epoch: epoch}}})
 			if best[shard].Less(epoch) {
 				best[shard] = epoch
--- a/entry/tables.go
+++ b/entry/tables.go
@@ -6,13 +6,13 @@
 
 	"github.com/pkg/errors"
 
+	"jacinthworks/domain"
 	"jacinthworks/editor"
 	"jacinthworks/group"
-	"jacinthworks/links"
-	"jacinthworks/plat"
+	"jacinthworks/infra"
+	"jacinthworks/peers"
 	"jacinthworks/table"
 	"jacinthworks/wire"
-	"jacinthworks/work"
 )
 
 // How an entry stays in touch with the newest version. The platform's watch
@@ -29,8 +29,8 @@
 )
 
 // services lists the services in the table.
-func (e *Entry) services() []work.Service {
-	var all []work.Service
+func (e *Entry) services() []domain.Service {
+	var all []domain.Service
 	for _, r := range e.tables.Table().Rows() { // sorted by service
 		if len(all) == 0 || all[len(all)-1] != r.Service {
 			all = append(all, r.Service)
@@ -39,11 +39,11 @@
 	return all
 }
 
-func (e *Entry) lookup(s work.Service, k work.Kind) (table.Row, bool) {
+func (e *Entry) lookup(s domain.Service, k domain.Kind) (table.Row, bool) {
 	return e.tables.Table().Find(s, e.Settings.Zone, k)
 }
 
-func (e *Entry) servesService(s work.Service) bool { return e.tables.Table().HasService(s) }
+func (e *Entry) servesService(s domain.Service) bool { return e.tables.Table().HasService(s) }
 
 // inTouch says whether the entry may take new work under its table.
 func (e *Entry) inTouch(now time.Time) bool {
@@ -54,18 +54,18 @@
 func (e *Entry) watchTable(ctx context.Context) error {
 	for ctx.Err() == nil {
 		asked := time.Now()
-		o, err := e.Objects.Watch(ctx, editor.DefaultObject, plat.Version(e.tables.Version()), watchWait)
+		o, err := e.Objects.Watch(ctx, editor.DefaultObject, infra.Version(e.tables.Version()), watchWait)
 		if err == nil {
 			err = e.takeObject(o, asked)
 		}
 		if err != nil {
-			group.Pause(ctx, watchRest)
+			group.Sleep(ctx, watchRest)
 		}
 	}
 	return nil
 }
 
-func (e *Entry) takeObject(o plat.Object, asked time.Time) error {
+func (e *Entry) takeObject(o infra.Object, asked time.Time) error {
 	t, err := table.Decode(o.Value)
 	if err != nil {
 		return errors.Wrap(err, "entry: table")
@@ -74,7 +74,7 @@
 	return nil
 }
 
-func (e *Entry) offer(t table.Table, asked time.Time, from work.Host) {
+func (e *Entry) offer(t table.Table, asked time.Time, from domain.Host) {
 	if e.tables.Offer(t, asked) {
 		e.Log.Info("table in force", "version", t.Version(), "rows", t.Len(), "from", from)
 	}
@@ -96,17 +96,17 @@
 		if heard == 0 {
 			e.askPlatform(ctx)
 		}
-		group.Pause(ctx, confirmEvery)
+		group.Sleep(ctx, confirmEvery)
 	}
 	return nil
 }
 
-func (e *Entry) askPeer(ctx context.Context, s *links.Link) bool {
+func (e *Entry) askPeer(ctx context.Context, s *peers.Link) bool {
 	ctx, cancel := context.WithTimeout(ctx, callWithin)
 	defer cancel()
 	asked := time.Now()
 	var got wire.Table
-	err := s.Call(ctx, wire.MethodTable, wire.TableAsk{Have: uint64(e.tables.Version())}, &got)
+	err := s.Call(ctx, wire.MethodTable, wire.TableRequest{Have: uint64(e.tables.Version())}, &got)
 	if err != nil {
 		return false
 	}
@@ -126,10 +126,10 @@
 	ctx, cancel := context.WithTimeout(ctx, callWithin)
 	defer cancel()
 	asked := time.Now()
-	have := plat.Version(e.tables.Version())
+	have := infra.Version(e.tables.Version())
 	o, err := e.Objects.Watch(ctx, editor.DefaultObject, have, 0)
 	switch {
-	case errors.Is(err, plat.ErrUnchanged):
+	case errors.Is(err, infra.ErrUnchanged):
 		e.tables.Hear(table.Version(have), asked)
 	case err == nil:
 		_ = e.takeObject(o, asked)
@@ -137,7 +137,7 @@
 }
 
 // giveTable answers a peer's question for the table.
-func (e *Entry) giveTable(a wire.TableAsk) (any, error) {
+func (e *Entry) giveTable(a wire.TableRequest) (any, error) {
 	t := e.tables.Table()
 	got := wire.Table{Version: uint64(t.Version())}
 	if got.Version <= a.Have {
@@ -152,10 +152,10 @@
 }
 
 // takeTable takes a table that a peer has just written.
-func (e *Entry) takeTable(got wire.Table, from work.Host) (any, error) {
+func (e *Entry) takeTable(got wire.Table, from domain.Host) (any, error) {
 	t, err := table.Decode(got.Value)
 	if err != nil {
-		return nil, &wire.Refused{Reason: work.ReasonBadInput, Ran: work.NotRun, Detail: err.Error()}
+		return nil, &wire.RefusalError{Reason: domain.ReasonBadInput, Ran: domain.NotRun, Detail: err.Error()}
 	}
 	if e.tables.Push(t.At(table.Version(got.Version))) {
 		e.Log.Info("table in force", "version", got.Version, "rows", t.Len(), "from", from)
--- a/entry/turn.go
+++ b/entry/turn.go
@@ -8,12 +8,12 @@
 	"github.com/pkg/errors"
 
 	"jacinthworks/admit"
-	"jacinthworks/links"
+	"jacinthworks/domain"
+	"jacinthworks/peers"
 	"jacinthworks/queue"
 	"jacinthworks/route"
 	"jacinthworks/story"
 	"jacinthworks/wire"
-	"jacinthworks/work"
 )
 
 // bytesPerKV is the size of a token's KV cache in bytes. Only its ratio to the
@@ -25,7 +25,7 @@
 const turnTries = 8
 
 // pair is the two sides of one model attempt.
-type pair struct{ prefill, decode *links.Link }
+type pair struct{ prefill, decode *peers.Link }
 
 // newTurn describes a request to its scheduler.
 func (e *Entry) newTurn(r *request) *turn {
@@ -33,40 +33,40 @@
 	first, end, life := s.estimate(r)
 	t := &turn{kind: r.kind, plain: r.call != nil, got: make(chan sent, 1)}
 	t.item = queue.Item{
-		ID: r.id, Account: r.account, Key: r.body, Priority: r.row.Priority, Prompt: r.promptTokens, Output: r.maxTokens,
+		ID: r.id, Account: r.account, Key: r.body, Priority: r.row.Priority, PromptTokens: r.promptTokens, MaxOutputTokens: r.maxTokens,
 		Deadline: r.accepted.Add(time.Duration(r.row.Deadline)), MayWait: r.row.MayWait,
 	}
 	t.mayRun = e.eligible(r)
-	last := work.RoleDecode
+	last := domain.RoleDecode
 	if t.plain {
-		last = work.RoleApp
+		last = domain.RoleApp
 	}
 	t.job = route.Job{
 		Weights:    e.weights(r),
-		MayPrefill: r.elsewhere(e.sides.Members(r.service, work.RolePrefill), nil),
+		MayPrefill: r.elsewhere(e.sides.Members(r.service, domain.RolePrefill), nil),
 		MayDecode:  r.elsewhere(e.sides.Members(r.service, last), t.mayRun),
 	}
 	if t.plain {
-		t.item.ToEnd = first
+		t.item.TotalLatency = first
 		return t
 	}
-	t.item.ToFirstToken, t.item.ToEnd = first, end
+	t.item.FirstTokenLatency, t.item.TotalLatency = first, end
 	if r.row.FirstToken > 0 {
-		t.item.FirstToken = r.accepted.Add(time.Duration(r.row.FirstToken))
+		t.item.FirstTokenDeadline = r.accepted.Add(time.Duration(r.row.FirstToken))
 	}
-	t.job.Prompt, t.job.Output = r.promptTokens, r.maxTokens
+	t.job.PromptTokens, t.job.MaxOutputTokens = r.promptTokens, r.maxTokens
 	t.job.Prefix, t.job.PrefixTokens = prefixOf(r.prompt), min(r.promptTokens, prefixBytes/bytesPerToken)
-	t.job.KVBytes, t.job.KVLife = int64(r.promptTokens)*bytesPerKV, life
-	t.job.FirstToken, t.job.TokenGap = time.Duration(r.row.FirstToken), time.Duration(r.row.TokenGap)
-	t.job.LongestWait, t.job.WastedPrefillWeight = admit.PrefillQueue, r.row.WastedPrefillWeight
+	t.job.KVBytes, t.job.KVLifetime = int64(r.promptTokens)*bytesPerKV, life
+	t.job.FirstTokenTarget, t.job.TokenGap = time.Duration(r.row.FirstToken), time.Duration(r.row.TokenGap)
+	t.job.MaxQueueWait, t.job.WastedPrefillWeight = admit.MaxPrefillQueueTime, r.row.WastedPrefillWeight
 	return t
 }
 
 // elsewhere gives a filter for hosts: those allowed, all if nil, but for those
 // that failed this request before, unless no other is left.
-func (r *request) elsewhere(hosts []work.Host, allowed func(work.Host) bool) func(work.Host) bool {
-	fits := func(h work.Host) bool { return allowed == nil || allowed(h) }
-	fresh := func(h work.Host) bool { return fits(h) && !r.avoid[h] }
+func (r *request) elsewhere(hosts []domain.Host, allowed func(domain.Host) bool) func(domain.Host) bool {
+	fits := func(h domain.Host) bool { return allowed == nil || allowed(h) }
+	fresh := func(h domain.Host) bool { return fits(h) && !r.avoid[h] }
 	if slices.ContainsFunc(hosts, fresh) {
 		return fresh
 	}
@@ -97,9 +97,9 @@
 }
 
 // weights gives the zones' shares for the request's service and kind.
-func (e *Entry) weights(r *request) route.Weights {
+func (e *Entry) weights(r *request) route.ZoneWeights {
 	t := e.tables.Table()
-	w := make(route.Weights)
+	w := make(route.ZoneWeights)
 	for _, z := range e.sides.Zones(r.service) {
 		if row, found := t.Find(r.service, z, r.kind); found {
 			w[z] = row.Weight
@@ -119,14 +119,14 @@
 		return got, nil
 	}
 	f := &failure{
-		ran: work.NotRun, reason: got.refused.Reason, detail: string(got.refused.Detail),
+		ran: domain.NotRun, reason: got.refused.Reason, detail: string(got.refused.Detail),
 		retryAfter: got.refused.RetryAfter, final: true,
 	}
 	if ctx.Err() != nil {
-		f.reason = work.ReasonOf(ctx)
+		f.reason = domain.ReasonOf(ctx)
 	}
 	e.Log.Info("decision", "request", r.id, "outcome", "refused", "reason", f.reason, "detail", f.detail,
-		"wait", got.refused.Grounds.Wait, "rate", got.refused.Grounds.Rate, "waiting", got.refused.Grounds.Items)
+		"wait", got.refused.Inputs.Wait, "rate", got.refused.Inputs.Rate, "waiting", got.refused.Inputs.Items)
 	return sent{}, f
 }
 
@@ -151,12 +151,12 @@
 			return p, got, nil
 		}
 		s.bounced(t)
-		if p.decode != nil && !errors.As(last, new(*wire.Refused)) {
-			e.cancel(p.decode, wire.Ref{Request: r.id, Attempt: r.attempt, Stage: wire.StageDecode})
+		if p.decode != nil && !errors.As(last, new(*wire.RefusalError)) {
+			e.cancel(p.decode, wire.AttemptRef{Request: r.id, Attempt: r.attempt, Stage: wire.StageDecode})
 		}
 	}
 	return pair{}, sent{}, &failure{
-		ran: work.NotRun, reason: work.ReasonNoRoom, detail: "no decode room: " + last.Error(),
+		ran: domain.NotRun, reason: domain.ReasonNoRoom, detail: "no decode room: " + last.Error(),
 		retryAfter: time.Second, final: true,
 	}
 }
@@ -170,13 +170,13 @@
 	s.running[t.kind]--
 }
 
-func (e *Entry) reserve(ctx context.Context, r *request, s *links.Link) error {
+func (e *Entry) reserve(ctx context.Context, r *request, s *peers.Link) error {
 	ctx, cancel := context.WithTimeout(ctx, callWithin)
 	defer cancel()
 	return s.Call(ctx, wire.MethodReserve, wire.Reserve{
-		Ref:    wire.Ref{Request: r.id, Attempt: r.attempt, Stage: wire.StageDecode},
-		Tokens: r.promptTokens + r.maxTokens, Hold: admit.Hold, Identity: r.identity,
-	}, new(wire.Reserved))
+		AttemptRef: wire.AttemptRef{Request: r.id, Attempt: r.attempt, Stage: wire.StageDecode},
+		Tokens:     r.promptTokens + r.maxTokens, Hold: admit.ReservationTTL, Identity: r.identity,
+	}, new(wire.ReserveReply))
 }
 
 // logPair writes the decision's line and its event.
--- a/entry/unserved.go
+++ b/entry/unserved.go
@@ -4,8 +4,8 @@
 	"slices"
 	"time"
 
+	"jacinthworks/domain"
 	"jacinthworks/queue"
-	"jacinthworks/work"
 )
 
 // unservedAfter is how long a service may be without a side that takes work
@@ -25,7 +25,7 @@
 		}
 		if now.Sub(s.served) >= unservedAfter {
 			s.refuseAll(queue.Refusal{
-				Reason: work.ReasonNoUpstream, Detail: "no upstream of the service takes work", RetryAfter: 2 * time.Second,
+				Reason: domain.ReasonNoUpstream, Detail: "no upstream of the service takes work", RetryAfter: 2 * time.Second,
 			})
 		}
 		s.refuseUnserved(now, e.sides.Usable(name))
@@ -48,7 +48,7 @@
 
 // refuseUnserved refuses keyed turns whose every allowed host has taken no work
 // for a while, as when hosts are lost and their shards wait for the record.
-func (s *scheduler) refuseUnserved(now time.Time, usable []work.Host) {
+func (s *scheduler) refuseUnserved(now time.Time, usable []domain.Host) {
 	for _, t := range s.turns {
 		switch {
 		case t.mayRun == nil || slices.ContainsFunc(usable, t.mayRun):
@@ -57,7 +57,7 @@
 			t.unserved = now
 		case now.Sub(t.unserved) >= unservedAfter:
 			s.giveUp(t, queue.Refusal{
-				Reason: work.ReasonNoUpstream, Detail: "no upstream that may run the key takes work", RetryAfter: 2 * time.Second,
+				Reason: domain.ReasonNoUpstream, Detail: "no upstream that may run the key takes work", RetryAfter: 2 * time.Second,
 			})
 		}
 	}
--- a/epoch/epoch.go
+++ b/epoch/epoch.go
@@ -4,7 +4,7 @@
 //
 // # Usage
 //
-//	p := epoch.At(era, revision)
+//	p := epoch.New(era, revision)
 //	if p > known { ... }          // later: of a later era, or of the same one and higher
 //	revision = p.Revision()       // as the store knows it
 //
@@ -25,9 +25,9 @@
 // Position is a revision in an era. Positions are compared as numbers.
 type Position uint64
 
-// At gives the position of a revision in an era. What is beyond the highest of either
+// New gives the position of a revision in an era. What is beyond the highest of either
 // counts as that.
-func At(era, revision uint64) Position {
+func New(era, revision uint64) Position {
 	return Position(min(era, maxEra)<<revisionBits | min(revision, maxRevision))
 }
 
@@ -47,9 +47,9 @@
 	return strconv.FormatUint(p.Era(), 10) + "." + revision
 }
 
-// MayBeCopied says whether the store may ever have come back from an older copy: it counts
+// MayBeRestored says whether the store may ever have come back from an older copy: it counts
 // eras, from zero or from one.
-func (p Position) MayBeCopied() bool { return p.Era() > 0 }
+func (p Position) MayBeRestored() bool { return p.Era() > 0 }
 
 // Term gives a number for fencing tokens that is higher for a later position, also of
 // a later era whose revisions began anew up to a million lower. It is about as short as
--- a/events/events.go
+++ b/events/events.go
@@ -5,7 +5,7 @@
 //
 // # Usage
 //
-//	c := events.Cutter{Last: lastEventID}
+//	c := events.Splitter{Last: lastEventID}
 //	whole := c.Add(read)    // to be passed on
 //	if len(c.Rest()) > 0 {} // the stream stopped in the middle of an event
 //	c.Restart()             // another upstream goes on after c.Last
@@ -16,21 +16,21 @@
 	"strconv"
 )
 
-// Cutter cuts one stream. The zero value begins with its first event. It belongs to one
+// Splitter cuts one stream. The zero value begins with its first event. It belongs to one
 // goroutine.
-type Cutter struct {
-	// Last is the id of the last event given out; empty for none.
-	Last string
+type Splitter struct {
+	// LastEventID is the id of the last event given out; empty for none.
+	LastEventID string
 
 	rest []byte
 }
 
-// Rest gives the part of an event that is not complete.
-func (c *Cutter) Rest() []byte { return c.rest }
+// Partial gives the part of an event that is not complete.
+func (c *Splitter) Partial() []byte { return c.rest }
 
 // Add takes what has come and gives the whole events in it, without those that
 // were given out before.
-func (c *Cutter) Add(b []byte) []byte {
+func (c *Splitter) Add(b []byte) []byte {
 	c.rest = append(c.rest, b...)
 	var out []byte
 	for {
@@ -41,18 +41,18 @@
 		event := c.rest[:n]
 		c.rest = c.rest[n:]
 		id, has := eventID(event)
-		if has && !follows(id, c.Last) {
+		if has && !follows(id, c.LastEventID) {
 			continue
 		}
 		if has {
-			c.Last = id
+			c.LastEventID = id
 		}
 		out = append(out, event...)
 	}
 }
 
-// Restart drops the part of an event that will not be completed.
-func (c *Cutter) Restart() { c.rest = nil }
+// DiscardPartial drops the part of an event that will not be completed.
+func (c *Splitter) DiscardPartial() { c.rest = nil }
 
 // endOfEvent gives the length of the first event with the empty line that ends
 // it; zero for none.
--- a/events/events_test.go
+++ b/events/events_test.go
@@ -8,11 +8,11 @@
 )
 
 func TestWholeEventsOnly(t *testing.T) {
-	var c Cutter
+	var c Splitter
 	require.Empty(t, c.Add([]byte("id: 1\nda")))
 	require.Equal(t, "id: 1\ndata: a\n\n", string(c.Add([]byte("ta: a\n\nid: 2\ndata"))))
-	require.Equal(t, "1", c.Last)
-	c.Restart()
+	require.Equal(t, "1", c.LastEventID)
+	c.DiscardPartial()
 	require.Equal(t, "id: 2\ndata: b\n\n", string(c.Add([]byte("id: 1\ndata: a\n\nid: 2\ndata: b\n\n"))), "what was given out is not given again")
 	require.Equal(t, ": note\r\n\r\n", string(c.Add([]byte(": note\r\n\r\n"))))
 }
@@ -25,11 +25,11 @@
 	f.Add(": x\n\n\n\nid: 5\n\nid: 4\n\n", 3)
 	f.Fuzz(func(t *testing.T, stream string, at int) {
 		at = min(max(at, 0), len(stream))
-		var whole, parts Cutter
+		var whole, parts Splitter
 		all := string(whole.Add([]byte(stream)))
 		cut := string(parts.Add([]byte(stream[:at]))) + string(parts.Add([]byte(stream[at:])))
 		require.Equal(t, all, cut)
-		require.Equal(t, whole.Last, parts.Last)
-		require.True(t, strings.HasSuffix(stream, string(whole.Rest())))
+		require.Equal(t, whole.LastEventID, parts.LastEventID)
+		require.True(t, strings.HasSuffix(stream, string(whole.Partial())))
 	})
 }
--- a/fakes/apps/calls.go
+++ b/fakes/apps/calls.go
@@ -10,9 +10,9 @@
 
 	"github.com/cespare/xxhash/v2"
 
+	"jacinthworks/domain"
 	"jacinthworks/engine"
 	"jacinthworks/fakes/serve"
-	"jacinthworks/work"
 )
 
 // maxBody limits a call's body in bytes.
@@ -20,7 +20,7 @@
 
 // Run is one call that the server ran.
 type Run struct {
-	Request work.RequestID `json:"request"`
+	Request domain.RequestID `json:"request"`
 	// Key is the call's Idempotency-Key.
 	Key    string    `json:"key"`
 	Method string    `json:"method"`
@@ -40,8 +40,8 @@
 // Reply is the body of an answer. Echo depends on path and body, so that
 // crossed answers are seen.
 type Reply struct {
-	Request work.RequestID `json:"request"`
-	Key     string         `json:"key"`
+	Request domain.RequestID `json:"request"`
+	Key     string           `json:"key"`
 	// Run is how often the key has run by now.
 	Run  int    `json:"run"`
 	Echo string `json:"echo"`
@@ -78,7 +78,7 @@
 	}
 	f := a.Fault()
 	if f.Refuse {
-		w.Header().Set(engine.NotTakenHeader, "1")
+		w.Header().Set(engine.NotStartedHeader, "1")
 		http.Error(w, "told to refuse", http.StatusServiceUnavailable)
 		return
 	}
@@ -109,7 +109,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	run := &Run{
-		Request: work.RequestID(r.Header.Get("Request-Id")), Key: r.Header.Get("Idempotency-Key"),
+		Request: domain.RequestID(r.Header.Get("Request-Id")), Key: r.Header.Get("Idempotency-Key"),
 		Method: r.Method, Path: r.RequestURI, Start: time.Now(),
 	}
 	a.runs = append(a.runs, run)
--- a/fakes/model/cache.go
+++ b/fakes/model/cache.go
@@ -5,13 +5,13 @@
 	"strings"
 	"time"
 
+	"jacinthworks/domain"
 	"jacinthworks/engine"
-	"jacinthworks/work"
 )
 
 // cache is KV cache that a prefill left.
 type cache struct {
-	request work.RequestID
+	request domain.RequestID
 	tokens  int
 	seed    uint64
 	// crash says that whatever decodes it crashes.
--- a/fakes/model/decode.go
+++ b/fakes/model/decode.go
@@ -6,9 +6,9 @@
 	"net/http"
 	"time"
 
+	"jacinthworks/domain"
 	"jacinthworks/engine"
 	"jacinthworks/fakes/serve"
-	"jacinthworks/work"
 )
 
 const (
@@ -30,7 +30,7 @@
 	}
 	m := e.now()
 	ctx, run, problem := e.begin(m, Run{
-		Request: o.Request, Attempt: o.Attempt, Work: work.RoleDecode, Held: o.KV.Tokens + o.MaxTokens,
+		Request: o.Request, Attempt: o.Attempt, Work: domain.RoleDecode, Held: o.KV.Tokens + o.MaxTokens,
 	})
 	if problem != "" {
 		notTaken(w, problem)
--- a/fakes/model/link.go
+++ b/fakes/model/link.go
@@ -88,13 +88,13 @@
 	if kv.Engine == (netip.AddrPort{}) {
 		return e.fetchOwn(ctx, kv)
 	}
-	peer := send.Client{Base: kv.Engine, Silence: importSilence}
-	defer peer.Forget()
+	peer := send.Client{Base: kv.Engine, ReadTimeout: importSilence}
+	defer peer.CloseIdleConnections()
 	reply, err := peer.Do(ctx, send.Request{Method: http.MethodGet, Target: "/kv/" + kv.Handle})
 	if err != nil {
 		return transfer{}, err
 	}
-	body, err := reply.All(maxTransfer)
+	body, err := reply.ReadAll(maxTransfer)
 	if err != nil {
 		return transfer{}, err
 	}
--- a/fakes/model/model.go
+++ b/fakes/model/model.go
@@ -5,7 +5,7 @@
 //
 // # Usage
 //
-//	e := model.Engine{Settings: model.Settings{Role: work.RolePrefill}}
+//	e := model.Engine{Settings: model.Settings{Role: domain.RolePrefill}}
 //	s := serve.Server{Handler: &e}
 //	e.Crashed = s.Crash
 //	addr, err := s.Start(ctx, netip.MustParseAddrPort("127.0.0.1:0"))
@@ -24,9 +24,9 @@
 
 	"github.com/pkg/errors"
 
+	"jacinthworks/domain"
 	"jacinthworks/engine"
 	"jacinthworks/fakes/serve"
-	"jacinthworks/work"
 )
 
 // The markers: an engine that prefills, or decodes, a prompt that contains its
@@ -85,7 +85,7 @@
 type memory struct {
 	ctx         context.Context
 	end         context.CancelCauseFunc
-	incarnation work.Incarnation
+	incarnation domain.Incarnation
 	lane        lane
 	running     map[*Run]context.CancelCauseFunc
 	caches      map[string]*cache
@@ -172,7 +172,7 @@
 // forget starts an incarnation with empty memory.
 func (e *Engine) forget() {
 	m := &memory{
-		incarnation: work.Incarnation(time.Now().UnixNano()),
+		incarnation: domain.Incarnation(time.Now().UnixNano()),
 		running:     map[*Run]context.CancelCauseFunc{},
 		caches:      map[string]*cache{},
 		prefixes:    map[uint64]*prefix{},
