--- a/fakes/model/model_test.go
+++ b/fakes/model/model_test.go
@@ -13,8 +13,8 @@
 
 	"github.com/stretchr/testify/require"
 
+	"jacinthworks/domain"
 	"jacinthworks/engine"
-	"jacinthworks/work"
 )
 
 // ask calls the engine without a network, in virtual time.
@@ -85,7 +85,7 @@
 func TestTokenGapGrowsWithTheBatchAndSlotsEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := &Engine{Settings: Settings{Slots: 3, TokenGap: 10 * time.Millisecond, BatchCost: 0.5, PrefillRate: 1e6, LinkRate: 1e9}}
-		run := func(name work.RequestID) <-chan time.Duration {
+		run := func(name domain.RequestID) <-chan time.Duration {
 			kv, _ := prefill(t, e, engine.PrefillOrder{Request: name, Prompt: "p", PromptTokens: 1})
 			took := make(chan time.Duration, 1)
 			go func() {
@@ -101,7 +101,7 @@
 		kv, _ := prefill(t, e, engine.PrefillOrder{Request: "d", Prompt: "p", PromptTokens: 1})
 		w := ask(t, e, http.MethodPost, "/decode", engine.DecodeOrder{Request: "d", KV: kv, MaxTokens: 1})
 		require.Equal(t, http.StatusServiceUnavailable, w.Code)
-		require.Contains(t, w.Body.String(), engine.CodeNotTaken)
+		require.Contains(t, w.Body.String(), engine.CodeNotStarted)
 		for _, took := range []<-chan time.Duration{first, second, third} {
 			require.InDelta(t, 2*time.Second, <-took, 20e6, "three at once take twice the gap")
 		}
@@ -147,7 +147,7 @@
 func TestPrefillsGoOneByOneByPriority(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := &Engine{Settings: Settings{PrefillRate: 100}}
-		done := make(chan work.RequestID, 3)
+		done := make(chan domain.RequestID, 3)
 		for _, o := range []engine.PrefillOrder{
 			{Request: "first", Priority: 1}, {Request: "low", Priority: 1}, {Request: "high", Priority: 9},
 		} {
@@ -158,7 +158,7 @@
 			}()
 			synctest.Wait()
 		}
-		require.Equal(t, []work.RequestID{"first", "high", "low"}, []work.RequestID{<-done, <-done, <-done})
+		require.Equal(t, []domain.RequestID{"first", "high", "low"}, []domain.RequestID{<-done, <-done, <-done})
 	})
 }
 
@@ -196,10 +196,10 @@
 func TestFencingIsHonouredOrIgnored(t *testing.T) {
 	for _, ignores := range []bool{false, true} {
 		e := &Engine{Settings: Settings{IgnoresFencing: ignores}}
-		require.Equal(t, !ignores, e.Now().Honours)
+		require.Equal(t, !ignores, e.Now().HonoursFencing)
 		ask(t, e, http.MethodPost, "/order", engine.Order{Kind: engine.OrderLoad, Value: "new", Fence: 5})
 		ask(t, e, http.MethodPost, "/order", engine.Order{Kind: engine.OrderLoad, Value: "old", Fence: 4})
-		want := work.Service("new")
+		want := domain.Service("new")
 		if ignores {
 			want = "old"
 		}
--- a/fakes/model/orders.go
+++ b/fakes/model/orders.go
@@ -4,9 +4,9 @@
 	"net/http"
 	"time"
 
+	"jacinthworks/domain"
 	"jacinthworks/engine"
 	"jacinthworks/fakes/serve"
-	"jacinthworks/work"
 )
 
 // GivenOrder is an order that the engine was given.
@@ -53,9 +53,9 @@
 	e.fence = max(e.fence, o.Fence)
 	switch o.Kind {
 	case engine.OrderRole:
-		e.Role = work.Role(o.Value)
+		e.Role = domain.Role(o.Value)
 	case engine.OrderLoad:
-		e.Model = work.Service(o.Value)
+		e.Model = domain.Service(o.Value)
 	}
 	e.note()
 	return true
--- a/fakes/model/prefill.go
+++ b/fakes/model/prefill.go
@@ -10,9 +10,9 @@
 
 	"github.com/pkg/errors"
 
+	"jacinthworks/domain"
 	"jacinthworks/engine"
 	"jacinthworks/fakes/serve"
-	"jacinthworks/work"
 )
 
 func (e *Engine) prefill(w http.ResponseWriter, r *http.Request) {
@@ -26,7 +26,7 @@
 	}
 	m := e.now()
 	ctx, run, problem := e.begin(m, Run{
-		Request: o.Request, Attempt: o.Attempt, Work: work.RolePrefill, Held: o.PromptTokens,
+		Request: o.Request, Attempt: o.Attempt, Work: domain.RolePrefill, Held: o.PromptTokens,
 	})
 	if problem != "" {
 		notTaken(w, problem)
@@ -79,7 +79,7 @@
 }
 
 func notTaken(w http.ResponseWriter, detail string) {
-	serve.Write(w, http.StatusServiceUnavailable, engine.Problem{Code: engine.CodeNotTaken, Detail: detail})
+	serve.Write(w, http.StatusServiceUnavailable, engine.Problem{Code: engine.CodeNotStarted, Detail: detail})
 }
 
 // stopped answers a run that was cancelled, and drops one that crashed.
--- a/fakes/model/runs.go
+++ b/fakes/model/runs.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"jacinthworks/work"
+	"jacinthworks/domain"
 )
 
 // Outcome is how a run ended.
@@ -21,12 +21,12 @@
 // Run is one piece of work that the engine began. Runs are kept through a
 // crash, for those who check.
 type Run struct {
-	Request work.RequestID `json:"request"`
-	Attempt work.Attempt   `json:"attempt"`
+	Request domain.RequestID `json:"request"`
+	Attempt domain.Attempt   `json:"attempt"`
 	// Work is what was run: prefill or decode.
-	Work  work.Role `json:"work"`
-	Start time.Time `json:"start"`
-	End   time.Time `json:"end,omitzero"`
+	Work  domain.Role `json:"work"`
+	Start time.Time   `json:"start"`
+	End   time.Time   `json:"end,omitzero"`
 	// Tokens were computed so far, cached ones left out.
 	Tokens int `json:"tokens"`
 	// Held is the KV memory reserved, in tokens.
@@ -63,7 +63,7 @@
 		return nil, nil, "told to refuse"
 	case e.Role != "" && e.Role != r.Work:
 		return nil, nil, "the engine has role " + string(e.Role)
-	case r.Work == work.RoleDecode && m.decodes() >= e.Slots:
+	case r.Work == domain.RoleDecode && m.decodes() >= e.Slots:
 		return nil, nil, "no slot is free"
 	case e.used()+r.Held > e.MemoryTokens:
 		return nil, nil, "KV memory is full"
@@ -95,7 +95,7 @@
 func (m *memory) decodes() int {
 	n := 0
 	for r := range m.running {
-		if r.Work == work.RoleDecode {
+		if r.Work == domain.RoleDecode {
 			n++
 		}
 	}
--- a/fakes/model/settings.go
+++ b/fakes/model/settings.go
@@ -3,15 +3,15 @@
 import (
 	"time"
 
-	"jacinthworks/work"
+	"jacinthworks/domain"
 )
 
 // Settings are an engine's figures. Zero takes the default in brackets; a
 // negative EventDelay, ReportLag or EventGap is none.
 type Settings struct {
 	// Role is what the engine takes: prefill, decode or, if empty, both.
-	Role  work.Role
-	Model work.Service
+	Role  domain.Role
+	Model domain.Service
 	// PrefillRate is in tokens a second (20,000).
 	PrefillRate int
 	// PrefixTokens is room for cached prefixes, in tokens (100,000).
--- a/fakes/model/state.go
+++ b/fakes/model/state.go
@@ -5,9 +5,9 @@
 	"slices"
 	"time"
 
+	"jacinthworks/domain"
 	"jacinthworks/engine"
 	"jacinthworks/fakes/serve"
-	"jacinthworks/work"
 )
 
 // Now gives the engine's state without the lag of its report.
@@ -21,7 +21,7 @@
 func (e *Engine) snapshot() engine.State {
 	s := engine.State{
 		Role: e.Role, Incarnation: e.memory.incarnation, Slots: e.Slots, UsedTokens: e.used(),
-		MemoryTokens: e.MemoryTokens, Honours: !e.IgnoresFencing, Model: e.Model, Running: []work.RequestID{},
+		MemoryTokens: e.MemoryTokens, HonoursFencing: !e.IgnoresFencing, Model: e.Model, Running: []domain.RequestID{},
 	}
 	for r := range e.memory.running {
 		s.Running = append(s.Running, r.Request)
--- a/fakes/store/hosts.go
+++ b/fakes/store/hosts.go
@@ -6,24 +6,24 @@
 	"slices"
 	"time"
 
+	"jacinthworks/domain"
 	"jacinthworks/fakes/serve"
-	"jacinthworks/plat"
-	"jacinthworks/work"
+	"jacinthworks/infra"
 )
 
 // SetHost puts a line into the host list, or changes it.
-func (p *Platform) SetHost(h plat.ListedHost) {
+func (p *Platform) SetHost(h infra.ListedHost) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.hosts == nil {
-		p.hosts = map[work.Host]plat.ListedHost{}
+		p.hosts = map[domain.Host]infra.ListedHost{}
 	}
 	p.hosts[h.Host] = h
 	p.relist()
 }
 
 // RemoveHost takes a line out of the host list.
-func (p *Platform) RemoveHost(name work.Host) {
+func (p *Platform) RemoveHost(name domain.Host) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.hosts, name)
@@ -31,11 +31,11 @@
 }
 
 func (p *Platform) relist() {
-	list := make([]plat.ListedHost, 0, len(p.hosts))
+	list := make([]infra.ListedHost, 0, len(p.hosts))
 	for _, h := range p.hosts {
 		list = append(list, h)
 	}
-	slices.SortFunc(list, func(a, b plat.ListedHost) int { return cmp.Compare(a.Host, b.Host) })
+	slices.SortFunc(list, func(a, b infra.ListedHost) int { return cmp.Compare(a.Host, b.Host) })
 	p.listed.Set(time.Now(), list)
 }
 
@@ -47,18 +47,18 @@
 	}
 	list := p.listed.At(time.Now().Add(-p.fault.HostLag))
 	if list == nil {
-		list = []plat.ListedHost{}
+		list = []infra.ListedHost{}
 	}
 	serve.Write(w, http.StatusOK, list)
 }
 
 func (p *Platform) putHost(w http.ResponseWriter, r *http.Request) {
-	var h plat.ListedHost
+	var h infra.ListedHost
 	if !serve.Read(w, r, &h) {
 		return
 	}
-	h.Host = work.Host(r.PathValue("name"))
-	if h.State != plat.HostLive && h.State != plat.HostLeaving {
+	h.Host = domain.Host(r.PathValue("name"))
+	if h.State != infra.HostLive && h.State != infra.HostLeaving {
 		http.Error(w, "state is neither live nor leaving", http.StatusBadRequest)
 		return
 	}
@@ -67,6 +67,6 @@
 }
 
 func (p *Platform) removeHost(w http.ResponseWriter, r *http.Request) {
-	p.RemoveHost(work.Host(r.PathValue("name")))
+	p.RemoveHost(domain.Host(r.PathValue("name")))
 	w.WriteHeader(http.StatusNoContent)
 }
--- a/fakes/store/objects.go
+++ b/fakes/store/objects.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"jacinthworks/fakes/serve"
-	"jacinthworks/plat"
+	"jacinthworks/infra"
 )
 
 // maxWait limits a watch's wait.
@@ -33,7 +33,7 @@
 }
 
 // seen gives the object as readers see it. The caller holds p.mu.
-func (p *Platform) seen(name string) (plat.Object, bool) {
+func (p *Platform) seen(name string) (infra.Object, bool) {
 	o := p.objects[name].now
 	if p.fault.StaleReads {
 		o = p.objects[name].before
@@ -60,7 +60,7 @@
 	writeObject(w, o)
 }
 
-func writeObject(w http.ResponseWriter, o plat.Object) {
+func writeObject(w http.ResponseWriter, o infra.Object) {
 	w.Header().Set("ETag", o.Version.ETag())
 	w.Header().Set("Content-Type", "application/octet-stream")
 	_, _ = w.Write(o.Value) // the caller may be gone
@@ -83,7 +83,7 @@
 	defer over.Stop()
 	for {
 		o, silent, changed := p.look(r.PathValue("name"))
-		if !silent && o.Version > plat.Version(after) {
+		if !silent && o.Version > infra.Version(after) {
 			writeObject(w, o)
 			return
 		}
@@ -100,7 +100,7 @@
 
 // look gives an object as watches see it, and what is closed at the next
 // change.
-func (p *Platform) look(name string) (o plat.Object, silent bool, changed <-chan struct{}) {
+func (p *Platform) look(name string) (o infra.Object, silent bool, changed <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	o, _ = p.seen(name)
@@ -132,7 +132,7 @@
 }
 
 func (p *Platform) put(w http.ResponseWriter, r *http.Request) {
-	value, err := io.ReadAll(http.MaxBytesReader(w, r.Body, plat.MaxValue))
+	value, err := io.ReadAll(http.MaxBytesReader(w, r.Body, infra.MaxValue))
 	if err != nil {
 		var tooLarge *http.MaxBytesError
 		if errors.As(err, &tooLarge) {
@@ -141,7 +141,7 @@
 		}
 		serve.Drop()
 	}
-	p.write(w, r, &p.counts.Put, &plat.Object{Name: r.PathValue("name"), Value: value})
+	p.write(w, r, &p.counts.Put, &infra.Object{Name: r.PathValue("name"), Value: value})
 }
 
 func (p *Platform) remove(w http.ResponseWriter, r *http.Request) {
@@ -150,7 +150,7 @@
 
 // write puts the object, or removes the one named when it is nil, if the
 // request's condition holds.
-func (p *Platform) write(w http.ResponseWriter, r *http.Request, kind *int, o *plat.Object) {
+func (p *Platform) write(w http.ResponseWriter, r *http.Request, kind *int, o *infra.Object) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.count(w, &p.writes, p.WriteRate, kind) {
@@ -187,10 +187,10 @@
 }
 
 // condition gives the version that a write is for; zero creates.
-func condition(header http.Header) (plat.Version, bool) {
+func condition(header http.Header) (infra.Version, bool) {
 	if header.Get("If-None-Match") == "*" {
 		return 0, true
 	}
-	at, err := plat.ParseETag(header.Get("If-Match"))
+	at, err := infra.ParseETag(header.Get("If-Match"))
 	return at, err == nil && at > 0
 }
--- a/fakes/store/store.go
+++ b/fakes/store/store.go
@@ -20,9 +20,9 @@
 	"sync"
 	"time"
 
+	"jacinthworks/domain"
 	"jacinthworks/fakes/serve"
-	"jacinthworks/plat"
-	"jacinthworks/work"
+	"jacinthworks/infra"
 )
 
 // Fault is how the platform misbehaves. The zero value is good behaviour; a
@@ -63,7 +63,7 @@
 }
 
 type object struct {
-	now, before plat.Object
+	now, before infra.Object
 }
 
 // Platform is the stand-in. The zero value is ready to use and has no rate
@@ -80,12 +80,12 @@
 	fault         Fault
 	counts        Counts
 	writes, reads meter
-	version       plat.Version
+	version       infra.Version
 	objects       map[string]object
 	changed       chan struct{}
-	hosts         map[work.Host]plat.ListedHost
-	listed        serve.Late[[]plat.ListedHost]
-	weights       map[string]plat.WeightsInfo
+	hosts         map[domain.Host]infra.ListedHost
+	listed        serve.Late[[]infra.ListedHost]
+	weights       map[string]infra.WeightsInfo
 }
 
 // ServeHTTP answers a call.
--- a/fakes/store/weights.go
+++ b/fakes/store/weights.go
@@ -4,7 +4,7 @@
 	"net/http"
 
 	"jacinthworks/fakes/serve"
-	"jacinthworks/plat"
+	"jacinthworks/infra"
 )
 
 // The weight store's figures for a model that was not put: 20 GB at 1 GB/s.
@@ -21,20 +21,20 @@
 	}
 	info, ok := p.weights[r.PathValue("model")]
 	if !ok {
-		info = plat.WeightsInfo{BytesPerSecond: defaultWeightsRate, Size: defaultWeightsSize}
+		info = infra.WeightsInfo{BytesPerSecond: defaultWeightsRate, Size: defaultWeightsSize}
 	}
 	serve.Write(w, http.StatusOK, info)
 }
 
 func (p *Platform) putWeights(w http.ResponseWriter, r *http.Request) {
-	var info plat.WeightsInfo
+	var info infra.WeightsInfo
 	if !serve.Read(w, r, &info) {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.weights == nil {
-		p.weights = map[string]plat.WeightsInfo{}
+		p.weights = map[string]infra.WeightsInfo{}
 	}
 	p.weights[r.PathValue("model")] = info
 	serve.Write(w, http.StatusOK, info)
--- a/feed/busy_test.go
+++ b/feed/busy_test.go
@@ -30,13 +30,13 @@
 	}
 	l.calls = append(l.calls, now)
 	if len(l.calls) > l.rate {
-		return feed.ErrBusy
+		return feed.ErrRateLimited
 	}
 	return nil
 }
 
 func (l *limited) List(context.Context, string, bool) (feed.Page[string], error) {
-	return feed.Page[string]{At: 1}, l.take()
+	return feed.Page[string]{Revision: 1}, l.take()
 }
 
 func (l *limited) Watch(ctx context.Context, _ feed.Revision, wait time.Duration) ([]feed.Change[string], feed.Revision, error) {
@@ -63,7 +63,7 @@
 		for range feeds {
 			f := &feed.Feed[string]{
 				Name: "test", Source: source, Log: hclog.NewNullLogger(), Wait: 10 * time.Second,
-				Listed: func(now time.Time, _ []feed.Item[string]) { listed <- now },
+				OnList: func(now time.Time, _ []feed.Item[string]) { listed <- now },
 			}
 			go func() { ended <- f.Run(ctx) }()
 		}
--- a/feed/feed.go
+++ b/feed/feed.go
@@ -37,46 +37,46 @@
 	Name     string
 	Revision Revision
 	Value    T
-	// Unread is what kept the value from being read, which is not set then; nil
+	// DecodeErr is what kept the value from being read, which is not set then; nil
 	// for what was read.
-	Unread error
+	DecodeErr error
 }
 
 // Page is a part of a collection, as of a revision.
 type Page[T any] struct {
-	Items []Item[T]
-	At    Revision
+	Items    []Item[T]
+	Revision Revision
 	// More says that there are items after these.
 	More bool
 }
 
-// Pages gathers the pages of a list. The zero value begins one.
+// Pager gathers the pages of a list. The zero value begins one.
 //
 // Load pattern: every process of a fleet starts at once, and each lists all
 // upstreams in tens of pages. A source that takes so many calls a second refuses
 // half of them. A list that begins anew after each refusal is never done; one that
 // goes on at the page that was refused is, in as many calls as it has pages.
-type Pages[T any] struct {
+type Pager[T any] struct {
 	items []Item[T]
 	at    Revision
 }
 
 // Next reads one page more, and says whether it was the last. After an error the
 // same page is next.
-func (p *Pages[T]) Next(ctx context.Context, from Source[T], stale bool) (last bool, err error) {
+func (p *Pager[T]) Next(ctx context.Context, from Source[T], stale bool) (last bool, err error) {
 	page, err := from.List(ctx, p.after(), stale)
 	if err != nil {
 		return false, err
 	}
 	// Pages of different eras are of different copies of the collection.
-	if len(p.items) > 0 && page.At.Era() != p.at.Era() {
-		*p = Pages[T]{}
+	if len(p.items) > 0 && page.Revision.Era() != p.at.Era() {
+		*p = Pager[T]{}
 		return false, nil
 	}
 	// What has changed in one page by the time of another, a watch from the
 	// lowest revision tells again.
-	if len(p.items) == 0 || page.At < p.at {
-		p.at = page.At
+	if len(p.items) == 0 || page.Revision < p.at {
+		p.at = page.Revision
 	}
 	p.items = append(p.items, page.Items...)
 	return !page.More || len(page.Items) == 0, nil
@@ -84,7 +84,7 @@
 
 // after is the name after which the next page begins: the last one that could
 // be read.
-func (p *Pages[T]) after() string {
+func (p *Pager[T]) after() string {
 	for n := len(p.items) - 1; n >= 0; n-- {
 		if p.items[n].Name != "" {
 			return p.items[n].Name
@@ -93,9 +93,9 @@
 	return ""
 }
 
-// All reads all pages, and fails with the first that does.
-func All[T any](ctx context.Context, from Source[T], stale bool) ([]Item[T], error) {
-	var p Pages[T]
+// ListAll reads all pages, and fails with the first that does.
+func ListAll[T any](ctx context.Context, from Source[T], stale bool) ([]Item[T], error) {
+	var p Pager[T]
 	for {
 		last, err := p.Next(ctx, from, stale)
 		if err != nil {
@@ -111,7 +111,7 @@
 func Values[T any](all []Item[T]) []T {
 	var values []T
 	for _, i := range all {
-		if i.Unread == nil {
+		if i.DecodeErr == nil {
 			values = append(values, i.Value)
 		}
 	}
@@ -121,24 +121,24 @@
 // Change is an item that is new or other than before, or that is gone.
 type Change[T any] struct {
 	Item[T]
-	Gone bool
+	Deleted bool
 }
 
-// ErrBusy says that the source refuses a call since it gets too many.
+// ErrRateLimited says that the source refuses a call since it gets too many.
 //
 // Load pattern: hundreds of processes lose a source at once, or start at once, and
 // ask again every 400 ms, each for several feeds. That alone is more than the
 // source takes, which goes on refusing all of them when it is well. Pauses that
 // grow on let the calls fall under what it takes.
-var ErrBusy = errors.New("feed: too many calls")
+var ErrRateLimited = errors.New("feed: too many calls")
 
-// ErrHistory says that the changes after the revision asked for are not kept
+// ErrCompacted says that the changes after the revision asked for are not kept
 // any more: the collection has to be listed.
-var ErrHistory = errors.New("feed: history is gone")
+var ErrCompacted = errors.New("feed: history is gone")
 
-// ErrEra says that the source has come back from an older copy, so that the revision
+// ErrEraChanged says that the source has come back from an older copy, so that the revision
 // asked for means nothing to it: the collection has to be listed.
-var ErrEra = errors.New("feed: another era")
+var ErrEraChanged = errors.New("feed: another era")
 
 // Source is where a collection comes from.
 type Source[T any] interface {
@@ -152,10 +152,10 @@
 
 // The times of a Feed that sets none.
 const (
-	// DefaultWait is how long a watch waits. An open connection may go silent
+	// DefaultWatchTimeout is how long a watch waits. An open connection may go silent
 	// for good, which shows only as a watch that is not answered; so this and
 	// the patience below bound how old a copy can get unnoticed.
-	DefaultWait = 2 * time.Second
+	DefaultWatchTimeout = 2 * time.Second
 	// patience is how long the answer may take beyond the wait.
 	patience = 800 * time.Millisecond
 	// listWithin bounds a list, which may take several calls.
@@ -183,7 +183,7 @@
 	Name   string
 	Source Source[T]
 	Log    hclog.Logger
-	// Wait is how long a watch waits; zero is DefaultWait.
+	// Wait is how long a watch waits; zero is DefaultWatchTimeout.
 	Wait time.Duration
 	// StaleStart has the first list be a stale one.
 	//
@@ -192,28 +192,28 @@
 	// all together. Stale pages do not count. A list after lost history is never
 	// stale: it has to tell what the watch did not.
 	StaleStart bool
-	// Gather, if set, gives the pause after changes, in which further ones come
+	// BatchDelay, if set, gives the pause after changes, in which further ones come
 	// together; less than the default counts as that.
-	Gather func() time.Duration
-	// Listed takes the whole collection, Changed the changes since; those that
+	BatchDelay func() time.Duration
+	// OnList takes the whole collection, Changed the changes since; those that
 	// could not be read are among both.
 	//
 	// Failure: one member of the collection can't be read, and with it none. It
 	// shows as a process that knows nothing, or hears of nothing new.
-	Listed  func(now time.Time, all []Item[T])
-	Changed func(now time.Time, changes []Change[T])
-	// Lost and Regained, if set, are told when the source stops answering,
+	OnList   func(now time.Time, all []Item[T])
+	OnChange func(now time.Time, changes []Change[T])
+	// OnDisconnect and Regained, if set, are told when the source stops answering,
 	// and when it answers again.
-	Lost     func(now time.Time)
-	Regained func(now time.Time)
-	// Rewound, if set, is told just before Listed that the list is of a new era: members
+	OnDisconnect func(now time.Time)
+	OnReconnect  func(now time.Time)
+	// OnRestore, if set, is told just before Listed that the list is of a new era: members
 	// may be older than what was known, or missing.
-	Rewound func(now time.Time)
+	OnRestore func(now time.Time)
 
 	heard    atomic.Pointer[time.Time]
 	revision Revision
 	listed   bool
-	pages    Pages[T]
+	pages    Pager[T]
 	lost     bool
 	pause    time.Duration
 	// refusals counts those for too many calls since the source last answered.
@@ -247,12 +247,12 @@
 		switch {
 		case ctx.Err() != nil:
 			return nil
-		case errors.Is(err, ErrHistory):
+		case errors.Is(err, ErrCompacted):
 			f.Log.Info("history gone, listing anew", "feed", f.Name, "revision", f.revision.String())
 			f.listed = false
-		case errors.Is(err, ErrEra):
+		case errors.Is(err, ErrEraChanged):
 			f.listed = false
-			group.Pause(ctx, rand.N(eraPause))
+			group.Sleep(ctx, rand.N(eraPause))
 		case err != nil:
 			f.missed(ctx, err)
 		}
@@ -275,17 +275,17 @@
 			return nil
 		}
 		all := f.pages
-		f.pages = Pages[T]{}
+		f.pages = Pager[T]{}
 		f.begin(now, all.at)
 		for _, i := range all.items {
 			f.noteUnread(i)
 		}
-		f.Listed(now, all.items)
+		f.OnList(now, all.items)
 		return nil
 	}
 	wait := f.Wait
 	if wait <= 0 {
-		wait = DefaultWait
+		wait = DefaultWatchTimeout
 	}
 	// Failure: the source is back, and the watch that finds it waits for a
 	// change. It shows as a return that is told with the next change. A short
@@ -306,8 +306,8 @@
 		for _, c := range changes {
 			f.noteUnread(c.Item)
 		}
-		f.Changed(now, changes)
-		group.Pause(ctx, f.gathering())
+		f.OnChange(now, changes)
+		group.Sleep(ctx, f.gathering())
 	}
 	return nil
 }
@@ -320,8 +320,8 @@
 		return
 	}
 	f.Log.Warn("source came back from a copy", "feed", f.Name, "revision", at.String(), "revision_before", before.String())
-	if f.Rewound != nil {
-		f.Rewound(now)
+	if f.OnRestore != nil {
+		f.OnRestore(now)
 	}
 }
 
@@ -346,24 +346,24 @@
 const gather = 100 * time.Millisecond
 
 func (f *Feed[T]) gathering() time.Duration {
-	if f.Gather == nil {
+	if f.BatchDelay == nil {
 		return gather
 	}
-	return max(gather, f.Gather())
+	return max(gather, f.BatchDelay())
 }
 
 // noteUnread writes one line for each version of a member that can't be read,
 // however often it is listed.
 func (f *Feed[T]) noteUnread(i Item[T]) {
 	switch {
-	case i.Unread == nil:
+	case i.DecodeErr == nil:
 		delete(f.unread, i.Name)
 	case f.unread[i.Name] != unreadAt{i.Revision, true}:
 		if f.unread == nil || len(f.unread) >= unreadMost {
 			f.unread = make(map[string]unreadAt)
 		}
 		f.unread[i.Name] = unreadAt{i.Revision, true}
-		f.Log.Warn("unreadable, passed over", "feed", f.Name, "name", i.Name, "revision", i.Revision.String(), "err", i.Unread)
+		f.Log.Warn("unreadable, passed over", "feed", f.Name, "name", i.Name, "revision", i.Revision.String(), "err", i.DecodeErr)
 	}
 }
 
@@ -375,8 +375,8 @@
 	if f.lost {
 		f.lost = false
 		f.Log.Info("regained", "feed", f.Name, "revision", f.revision.String())
-		if f.Regained != nil {
-			f.Regained(now)
+		if f.OnReconnect != nil {
+			f.OnReconnect(now)
 		}
 	}
 	return now
@@ -388,8 +388,8 @@
 	if !f.lost {
 		f.lost = true
 		f.Log.Warn("lost", "feed", f.Name, "revision", f.revision.String(), "err", err)
-		if f.Lost != nil {
-			f.Lost(time.Now())
+		if f.OnDisconnect != nil {
+			f.OnDisconnect(time.Now())
 		}
 	}
 	most := lastPause
@@ -397,12 +397,12 @@
 	// then waits for seconds more. It shows as a change that is in force too late.
 	// One that knows nothing yet waits that long at once, the others when they were
 	// refused again and again: else they alone may be more than the source takes.
-	if errors.Is(err, ErrBusy) {
+	if errors.Is(err, ErrRateLimited) {
 		f.refusals++
 		if !f.listed || f.refusals > refusalsMost {
 			most = busyPause
 		}
 	}
 	f.pause = min(max(2*f.pause, firstPause), most)
-	group.Pause(ctx, f.pause/2+rand.N(f.pause))
+	group.Sleep(ctx, f.pause/2+rand.N(f.pause))
 }
--- a/feed/feed_test.go
+++ b/feed/feed_test.go
@@ -53,7 +53,7 @@
 		names, at = s.old, s.oldAt
 	}
 	var p feed.Page[string]
-	p.At = at
+	p.Revision = at
 	for _, n := range names {
 		if n <= after {
 			continue
@@ -89,7 +89,7 @@
 		case down:
 			return nil, 0, errDown
 		case after < history:
-			return nil, 0, feed.ErrHistory
+			return nil, 0, feed.ErrCompacted
 		case len(fresh) > 0:
 			return fresh, at, nil
 		}
@@ -126,10 +126,10 @@
 	h := heard{make(chan []feed.Item[string], 8), make(chan []feed.Change[string], 8), make(chan time.Time, 8), make(chan time.Time, 8)}
 	f := &feed.Feed[string]{
 		Name: "test", Source: s, Log: hclog.NewNullLogger(), Wait: time.Minute,
-		Listed:   func(_ time.Time, all []feed.Item[string]) { h.listed <- all },
-		Changed:  func(_ time.Time, changes []feed.Change[string]) { h.changed <- changes },
-		Lost:     func(now time.Time) { h.lost <- now },
-		Regained: func(now time.Time) { h.regained <- now },
+		OnList:       func(_ time.Time, all []feed.Item[string]) { h.listed <- all },
+		OnChange:     func(_ time.Time, changes []feed.Change[string]) { h.changed <- changes },
+		OnDisconnect: func(now time.Time) { h.lost <- now },
+		OnReconnect:  func(now time.Time) { h.regained <- now },
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
@@ -194,8 +194,8 @@
 	listed, changed := make(chan int, 8), make(chan string, 8)
 	f := &feed.Feed[string]{
 		Name: "test", Source: s, Log: hclog.NewNullLogger(), Wait: time.Hour, StaleStart: true,
-		Listed: func(_ time.Time, all []feed.Item[string]) { listed <- len(all) },
-		Changed: func(_ time.Time, changes []feed.Change[string]) {
+		OnList: func(_ time.Time, all []feed.Item[string]) { listed <- len(all) },
+		OnChange: func(_ time.Time, changes []feed.Change[string]) {
 			for _, c := range changes {
 				changed <- c.Name
 			}
@@ -222,7 +222,7 @@
 	listed := make(chan int, 1)
 	f := &feed.Feed[string]{
 		Name: "test", Source: s, Log: hclog.NewNullLogger(), Wait: time.Hour,
-		Listed: func(_ time.Time, all []feed.Item[string]) { listed <- len(all) },
+		OnList: func(_ time.Time, all []feed.Item[string]) { listed <- len(all) },
 	}
 	ended := make(chan error, 1)
 	ctx, cancel := context.WithCancel(t.Context())
--- a/feed/outgrown_test.go
+++ b/feed/outgrown_test.go
@@ -43,7 +43,7 @@
 	if down {
 		return feed.Page[string]{}, errDown
 	}
-	return feed.Page[string]{At: v, Items: []feed.Item[string]{{Name: "main", Revision: v, Value: strconv.Itoa(int(v))}}}, s.pass(ctx, 1)
+	return feed.Page[string]{Revision: v, Items: []feed.Item[string]{{Name: "main", Revision: v, Value: strconv.Itoa(int(v))}}}, s.pass(ctx, 1)
 }
 
 func (s *thin) Watch(ctx context.Context, after feed.Revision, wait time.Duration) ([]feed.Change[string], feed.Revision, error) {
@@ -71,8 +71,8 @@
 		newest := make(chan string, 100)
 		f := &feed.Feed[string]{
 			Name: "configuration", Source: s, Log: hclog.NewNullLogger(), Wait: 2 * time.Second,
-			Listed:  func(_ time.Time, all []feed.Item[string]) { newest <- all[0].Value },
-			Changed: func(_ time.Time, changes []feed.Change[string]) { newest <- changes[len(changes)-1].Value },
+			OnList:   func(_ time.Time, all []feed.Item[string]) { newest <- all[0].Value },
+			OnChange: func(_ time.Time, changes []feed.Change[string]) { newest <- changes[len(changes)-1].Value },
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan error, 1)
@@ -104,8 +104,8 @@
 		heard := make(chan int, 100)
 		f := &feed.Feed[string]{
 			Name: "upstreams", Source: s, Log: hclog.NewNullLogger(), Wait: time.Minute,
-			Listed:  func(time.Time, []feed.Item[string]) {},
-			Changed: func(_ time.Time, changes []feed.Change[string]) { heard <- len(changes) },
+			OnList:   func(time.Time, []feed.Item[string]) {},
+			OnChange: func(_ time.Time, changes []feed.Change[string]) { heard <- len(changes) },
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan error, 1)
--- a/fence/copy_test.go
+++ b/fence/copy_test.go
@@ -6,8 +6,8 @@
 
 	"github.com/stretchr/testify/require"
 
+	"jacinthworks/domain"
 	"jacinthworks/epoch"
-	"jacinthworks/work"
 )
 
 // Guards against two holders, and numbers given twice, after the platform came back from
@@ -35,7 +35,7 @@
 		for age := 200 * time.Millisecond; age <= 10*time.Second; age += 700 * time.Millisecond {
 			for stopped := range 3 {
 				w := newWorld(uint64(stopped))
-				for _, name := range []work.Host{"a", "b"} {
+				for _, name := range []domain.Host{"a", "b"} {
 					h := &host{rate: 1}
 					h.guard.Fresh = true
 					h.guard.Holder, h.guard.Incarnation = name, 1
@@ -63,18 +63,18 @@
 func TestAReleaseInACopyIsNotBelieved(t *testing.T) {
 	released := Record{Holder: "a", Incarnation: 1, Nonce: 7, Released: true}
 	c := Guard{Holder: "c", Incarnation: 1}
-	c.Saw(start, released, epoch.At(1, 40))
+	c.Observe(start, released, epoch.New(1, 40))
 	require.GreaterOrEqual(t, c.Next(start).Until.Sub(start), TTL)
 	c = Guard{Holder: "c", Incarnation: 1}
-	c.Saw(start, released, epoch.At(0, 40))
+	c.Observe(start, released, epoch.New(0, 40))
 	require.Less(t, c.Next(start).Until.Sub(start), TTL, "no eras are counted")
 	c = Guard{Holder: "c", Incarnation: 1, Fresh: true}
-	c.Saw(start, Record{}, epoch.At(1, 0))
-	require.Equal(t, Write, c.Next(start).Do, "the store was just set up")
+	c.Observe(start, Record{}, epoch.New(1, 0))
+	require.Equal(t, Write, c.Next(start).Kind, "the store was just set up")
 	c = Guard{Holder: "c", Incarnation: 1}
-	c.Saw(start, Record{}, epoch.At(1, 0))
+	c.Observe(start, Record{}, epoch.New(1, 0))
 	require.GreaterOrEqual(t, c.Next(start).Until.Sub(start), TTL, "the copy may lack the record")
-	c.Doubt()
-	c.Saw(start.Add(time.Second), Record{}, epoch.At(1, 0))
+	c.Invalidate()
+	c.Observe(start.Add(time.Second), Record{}, epoch.New(1, 0))
 	require.GreaterOrEqual(t, c.Next(start).Until.Sub(start), TTL)
 }
--- a/fence/fence.go
+++ b/fence/fence.go
@@ -16,7 +16,7 @@
 // Times passed in must carry Go's monotonic reading: a wall clock that is set
 // back would lengthen the lease.
 //
-// What the guard does not cover: a pause longer than OrderTime between May and
+// What the guard does not cover: a pause longer than OrderTimeout between May and
 // the engine's taking of the order. Gave tells whether that came about, and
 // the next holder reads the engine's state and gives its own order again.
 //
@@ -39,8 +39,8 @@
 
 	"github.com/pkg/errors"
 
+	"jacinthworks/domain"
 	"jacinthworks/epoch"
-	"jacinthworks/work"
 )
 
 const (
@@ -49,17 +49,17 @@
 	// shifts meets engines of the wrong role: with 15 s, hosts stopped in turn
 	// left engines without orders for 26 s.
 	TTL = 8 * time.Second
-	// Renew is the age at which a holder that has orders to give renews: one
+	// RenewInterval is the age at which a holder that has orders to give renews: one
 	// renewal may fail before it stops giving orders.
-	Renew = TTL / 4
-	// OrderTime is the longest that an order may take from May until the
+	RenewInterval = TTL / 4
+	// OrderTimeout is the longest that an order may take from May until the
 	// engine has taken it. The adapter's timeout must be shorter.
-	OrderTime = 4 * time.Second
-	// Drift is the share by which two monotonic clocks may differ in rate.
+	OrderTimeout = 4 * time.Second
+	// MaxClockDrift is the share by which two monotonic clocks may differ in rate.
 	// Crystals stay within 0.02%; 1% covers a clock that is being slewed.
-	Drift = 0.01
-	// Retry is the pause after an answer that was lost or refused.
-	Retry = 500 * time.Millisecond
+	MaxClockDrift = 0.01
+	// RetryInterval is the pause after an answer that was lost or refused.
+	RetryInterval = 500 * time.Millisecond
 	// setUpEra is the highest era of a platform that was just set up, whether it counts
 	// from zero or from one.
 	setUpEra = 1
@@ -70,30 +70,30 @@
 	// ErrNotHolder says that the side does not hold the lease, or not for long
 	// enough to give an order.
 	ErrNotHolder = errors.New("fence: order lease not held")
-	// ErrOldNumber says that a higher number was given already.
-	ErrOldNumber = errors.New("fence: old fencing number")
+	// ErrStaleToken says that a higher number was given already.
+	ErrStaleToken = errors.New("fence: old fencing number")
 	// ErrOverrun says that the order may have reached the engine after the
 	// lease had passed on: read the engine's state before anything else.
 	ErrOverrun = errors.New("fence: order overran the lease")
 )
 
-// Number is a fencing number. It grows with every order, also from one holder
+// Token is a fencing number. It grows with every order, also from one holder
 // to the next.
-type Number uint64
+type Token uint64
 
 // sequenceBits leaves a million orders to one holding of the lease.
 const sequenceBits = 20
 
-func number(term, sequence uint64) Number { return Number(term<<sequenceBits | sequence) }
+func number(term, sequence uint64) Token { return Token(term<<sequenceBits | sequence) }
 
 // Term gives what of the number is the holder's: it grows with the platform's version
 // of the record at which the holder took the lease.
-func (n Number) Term() uint64 { return uint64(n) >> sequenceBits }
+func (n Token) Term() uint64 { return uint64(n) >> sequenceBits }
 
 // Record is the lease as the platform holds it.
 type Record struct {
-	Holder      work.Host        `json:"holder"`
-	Incarnation work.Incarnation `json:"incarnation"`
+	Holder      domain.Host        `json:"holder"`
+	Incarnation domain.Incarnation `json:"incarnation"`
 	// Nonce tells two writes of one holder apart, so that a lost answer is
 	// settled by reading.
 	Nonce uint64 `json:"nonce"`
@@ -101,22 +101,22 @@
 	Released bool `json:"released,omitempty"`
 }
 
-// Do is what the guard asks of its owner.
-type Do string
+// ActionKind is what the guard asks of its owner.
+type ActionKind string
 
 // The actions.
 const (
-	Read  Do = "read"
-	Write Do = "write"
-	Wait  Do = "wait"
+	Read  ActionKind = "read"
+	Write ActionKind = "write"
+	Wait  ActionKind = "wait"
 )
 
 // Action is what to do next. Record and At are set for Write, Until for Wait.
 type Action struct {
-	Do     Do
-	Record Record
-	At     epoch.Position
-	Until  time.Time
+	Kind    ActionKind
+	Record  Record
+	Version epoch.Position
+	Until   time.Time
 }
 
 type state int
@@ -131,8 +131,8 @@
 // Guard is the state machine. Set Holder and Incarnation; the rest works from
 // zero. It belongs to one goroutine, which also gives the orders.
 type Guard struct {
-	Holder      work.Host
-	Incarnation work.Incarnation
+	Holder      domain.Host
+	Incarnation domain.Incarnation
 	// Fresh says that the platform's store was just set up, so that nobody can have held
 	// the lease before in the era that is found.
 	Fresh bool
@@ -145,7 +145,7 @@
 	renewed time.Time      // when the write that renewed our lease was sent
 	term    uint64         // version at which we took it
 	given   uint64         // orders given in this term
-	highest Number
+	highest Token
 	nonce   uint64
 	// read says that the record was read, firstEra is the era of the first reading.
 	read     bool
@@ -162,19 +162,19 @@
 	}
 	switch {
 	case now.Before(g.retry):
-		return Action{Do: Wait, Until: g.retry}
+		return Action{Kind: Wait, Until: g.retry}
 	case g.state == unread:
-		return Action{Do: Read}
+		return Action{Kind: Read}
 	case g.state == waiting:
 		// Guard: the last holder may be alive and not yet know that its time
 		// is over. Its TTL, counted from our first reading of its renewal, and
 		// lengthened by drift, ends after its own count of it.
 		if end := g.seen.Add(g.ends); now.Before(end) {
-			return Action{Do: Wait, Until: end}
+			return Action{Kind: Wait, Until: end}
 		}
-		return Action{Do: Read}
-	case g.state == holding && now.Before(g.renewed.Add(Renew)):
-		return Action{Do: Wait, Until: g.renewed.Add(Renew)}
+		return Action{Kind: Read}
+	case g.state == holding && now.Before(g.renewed.Add(RenewInterval)):
+		return Action{Kind: Wait, Until: g.renewed.Add(RenewInterval)}
 	}
 	return g.write(now)
 }
@@ -185,12 +185,12 @@
 		g.sent = make(map[uint64]time.Time)
 	}
 	g.sent[g.nonce] = now
-	return Action{Do: Write, At: g.version, Record: Record{Holder: g.Holder, Incarnation: g.Incarnation, Nonce: g.nonce}}
+	return Action{Kind: Write, Version: g.version, Record: Record{Holder: g.Holder, Incarnation: g.Incarnation, Nonce: g.nonce}}
 }
 
-// Saw takes a reading of the record that was answered at the given time. A version
+// Observe takes a reading of the record that was answered at the given time. A version
 // with revision zero says that there is no record.
-func (g *Guard) Saw(answered time.Time, r Record, version epoch.Position) {
+func (g *Guard) Observe(answered time.Time, r Record, version epoch.Position) {
 	sent, ours := g.sent[r.Nonce]
 	missing := version.Revision() == 0
 	self := r.Holder == g.Holder && r.Incarnation == g.Incarnation && !missing
@@ -211,7 +211,7 @@
 	case version != g.version || g.seen.IsZero():
 		g.state, g.version, g.seen, g.ends = waiting, version, answered, longer(TTL)
 		if r.Released {
-			g.ends = longer(OrderTime)
+			g.ends = longer(OrderTimeout)
 		}
 	case answered.Sub(g.seen) >= g.ends:
 		g.state = free
@@ -223,7 +223,7 @@
 // isSound says whether the platform can't have come back from a copy by then.
 func (g *Guard) isSound(version epoch.Position) bool {
 	set := g.Fresh && version.Era() <= setUpEra && (!g.read || version.Era() == g.firstEra)
-	return set || !version.MayBeCopied()
+	return set || !version.MayBeRestored()
 }
 
 // isCopy says whether a reading may be the first after the platform came back from a copy.
@@ -247,8 +247,8 @@
 	g.state, g.seen, g.ends = waiting, answered, longer(TTL)
 }
 
-// Doubt has the record read again, where another is thought to have written it.
-func (g *Guard) Doubt() {
+// Invalidate has the record read again, where another is thought to have written it.
+func (g *Guard) Invalidate() {
 	if g.state == waiting {
 		g.state = unread
 	}
@@ -259,7 +259,7 @@
 //
 // Failure: the holder is stopped as planned, and whoever is next waits for the
 // whole TTL, in which no order is given. What is on its way of the last order
-// has arrived after OrderTime, which is all that a successor waits for.
+// has arrived after OrderTimeout, which is all that a successor waits for.
 func (g *Guard) Release(now time.Time) (Action, bool) {
 	if !g.Holds(now) {
 		return Action{}, false
@@ -270,16 +270,16 @@
 	return a, true
 }
 
-// Wrote says that the write took effect. It was sent at the given time.
-func (g *Guard) Wrote(sent time.Time, version epoch.Position) { g.took(sent, version) }
+// WriteSucceeded says that the write took effect. It was sent at the given time.
+func (g *Guard) WriteSucceeded(sent time.Time, version epoch.Position) { g.took(sent, version) }
 
-// Conflicted says that another wrote first: nothing was written.
-func (g *Guard) Conflicted() { g.state = unread }
+// WriteConflicted says that another wrote first: nothing was written.
+func (g *Guard) WriteConflicted() { g.state = unread }
 
-// NoAnswer says that the answer to a read or write was lost, or that the
+// RequestFailed says that the answer to a read or write was lost, or that the
 // platform refused it. A holder keeps what it has until that ends.
-func (g *Guard) NoAnswer(now time.Time) {
-	g.retry = now.Add(Retry)
+func (g *Guard) RequestFailed(now time.Time) {
+	g.retry = now.Add(RetryInterval)
 	g.state = unread
 }
 
@@ -293,24 +293,24 @@
 	clear(g.sent)
 }
 
-// May gives the fencing number for one order, or an error if the lease does
+// Issue gives the fencing number for one order, or an error if the lease does
 // not last until the order has surely arrived.
-func (g *Guard) May(now time.Time) (Number, error) {
+func (g *Guard) Issue(now time.Time) (Token, error) {
 	if g.term == 0 || !now.Before(g.stop()) {
 		return 0, errors.WithStack(ErrNotHolder)
 	}
 	g.given++
 	n := number(g.term, g.given)
 	if n <= g.highest || g.given >= 1<<sequenceBits {
-		return 0, errors.WithStack(ErrOldNumber)
+		return 0, errors.WithStack(ErrStaleToken)
 	}
 	g.highest = n
 	return n, nil
 }
 
-// Gave says that the engine has taken the order, or that its outcome is known
+// Complete says that the engine has taken the order, or that its outcome is known
 // to be none. It returns ErrOverrun when the lease may have passed on by then.
-func (g *Guard) Gave(now time.Time, n Number) error {
+func (g *Guard) Complete(now time.Time, n Token) error {
 	if n.Term() != g.term || !now.Before(g.renewed.Add(shorter(TTL))) {
 		return errors.WithStack(ErrOverrun)
 	}
@@ -320,9 +320,9 @@
 // Holds reports whether an order may be given now.
 func (g *Guard) Holds(now time.Time) bool { return g.term != 0 && now.Before(g.stop()) }
 
-// stop is when the holder gives its last order: OrderTime before the earliest
+// stop is when the holder gives its last order: OrderTimeout before the earliest
 // moment at which another may start.
-func (g *Guard) stop() time.Time { return g.renewed.Add(shorter(TTL) - OrderTime) }
+func (g *Guard) stop() time.Time { return g.renewed.Add(shorter(TTL) - OrderTimeout) }
 
-func shorter(d time.Duration) time.Duration { return time.Duration(float64(d) * (1 - Drift)) }
-func longer(d time.Duration) time.Duration  { return time.Duration(float64(d) * (1 + Drift)) }
+func shorter(d time.Duration) time.Duration { return time.Duration(float64(d) * (1 - MaxClockDrift)) }
+func longer(d time.Duration) time.Duration  { return time.Duration(float64(d) * (1 + MaxClockDrift)) }
--- a/fence/fence_test.go
+++ b/fence/fence_test.go
@@ -8,9 +8,9 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
+	"jacinthworks/domain"
 	"jacinthworks/epoch"
 	"jacinthworks/test/seeded"
-	"jacinthworks/work"
 )
 
 func TestMain(m *testing.M) { seeded.Main(m) }
@@ -50,7 +50,7 @@
 }
 
 // position is that of the record, as the adapter gives it.
-func (w *world) position() epoch.Position { return epoch.At(w.era, w.version) }
+func (w *world) position() epoch.Position { return epoch.New(w.era, w.version) }
 
 // rewind has the platform come back from a copy that is so old.
 func (w *world) rewind(age time.Duration) {
@@ -66,7 +66,7 @@
 }
 
 type order struct {
-	number Number
+	number Token
 	effect time.Time
 }
 
@@ -83,13 +83,13 @@
 	// copies is the mean number of steps between two copies; zero is none.
 	copies  int
 	twice   int // numbers that two holders gave
-	given   map[Number]work.Host
+	given   map[Token]domain.Host
 	hosts   []*host
 	orders  []order
-	last    Number
+	last    Token
 	taken   int
 	older   int // orders taken after one of a later holder
-	holders map[work.Host]bool
+	holders map[domain.Host]bool
 }
 
 func (w *world) after(most time.Duration) time.Time {
@@ -115,7 +115,7 @@
 		w.send(h, now)
 	}
 	if w.x.IntN(20) == 0 {
-		h.guard.Doubt()
+		h.guard.Invalidate()
 	}
 	if w.x.IntN(600) == 0 && !h.naive && h.call == nil {
 		if a, ok := h.guard.Release(now); ok {
@@ -126,15 +126,15 @@
 	if w.x.IntN(3) != 0 {
 		return
 	}
-	n, err := h.guard.May(now)
+	n, err := h.guard.Issue(now)
 	if h.naive && h.guard.term != 0 && h.guard.state == holding {
 		h.guard.given++
 		n, err = number(h.guard.term, h.guard.given), nil
 	}
 	if err == nil {
-		effect := w.after(OrderTime)
+		effect := w.after(OrderTimeout)
 		if w.x.IntN(2) == 0 { // as late as the adapter's timeout lets it be
-			effect = w.now.Add(OrderTime - 1)
+			effect = w.now.Add(OrderTimeout - 1)
 		}
 		w.orders = append(w.orders, order{n, effect})
 		if by, given := w.given[n]; given && by != h.guard.Holder {
@@ -147,7 +147,7 @@
 
 func (w *world) send(h *host, now time.Time) {
 	a := h.guard.Next(now)
-	if a.Do == Wait {
+	if a.Kind == Wait {
 		return
 	}
 	most := tick / 2
@@ -165,19 +165,19 @@
 		return
 	}
 	c.done = true
-	if c.action.Do == Read {
+	if c.action.Kind == Read {
 		c.record, c.version = w.record, w.position()
 		return
 	}
 	// The platform compares revisions, which are given out again.
-	if c.action.At.Revision() != w.version {
+	if c.action.Version.Revision() != w.version {
 		c.conflict = true
 		return
 	}
 	w.version++
 	w.record, c.version = c.action.Record, w.position()
 	// The adapter takes an answer of another era for none.
-	c.lost = c.lost || c.action.At != 0 && c.action.At.Era() != w.era
+	c.lost = c.lost || c.action.Version != 0 && c.action.Version.Era() != w.era
 	w.written = append(w.written, copied{w.now, w.record, w.version})
 }
 
@@ -191,13 +191,13 @@
 	case c.released:
 		h.guard = Guard{Holder: h.guard.Holder, Incarnation: h.guard.Incarnation + 1}
 	case c.lost:
-		h.guard.NoAnswer(now)
-	case c.action.Do == Read:
-		h.guard.Saw(now, c.record, c.version)
+		h.guard.RequestFailed(now)
+	case c.action.Kind == Read:
+		h.guard.Observe(now, c.record, c.version)
 	case c.conflict:
-		h.guard.Conflicted()
+		h.guard.WriteConflicted()
 	default:
-		h.guard.Wrote(c.sent, c.version)
+		h.guard.WriteSucceeded(c.sent, c.version)
 	}
 }
 
@@ -223,7 +223,7 @@
 	for i, rate := range []float64{1, 0.996, 1.004} {
 		h := &host{rate: rate, naive: naive}
 		h.guard.Fresh = true
-		h.guard.Holder, h.guard.Incarnation = work.Host([]string{"a", "b", "c"}[i]), 1
+		h.guard.Holder, h.guard.Incarnation = domain.Host([]string{"a", "b", "c"}[i]), 1
 		w.hosts = append(w.hosts, h)
 	}
 	for range steps {
@@ -234,7 +234,7 @@
 
 func newWorld(seed uint64) *world {
 	return &world{
-		x: rand.New(rand.NewPCG(seed, 2)), now: start, era: 1, holders: make(map[work.Host]bool), given: make(map[Number]work.Host),
+		x: rand.New(rand.NewPCG(seed, 2)), now: start, era: 1, holders: make(map[domain.Host]bool), given: make(map[Token]domain.Host),
 	}
 }
 
@@ -278,18 +278,18 @@
 func TestOrdersStopBeforeTheLeaseCanPass(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := Guard{Holder: "a", Incarnation: 1}, Guard{Holder: "b", Incarnation: 1}
-		require.Equal(t, Read, a.Next(start).Do)
-		a.Saw(start, Record{}, 0)
+		require.Equal(t, Read, a.Next(start).Kind)
+		a.Observe(start, Record{}, 0)
 		w := a.Next(start)
-		require.Equal(t, Write, w.Do)
-		a.Wrote(start, 1)
-		first, err := a.May(start)
+		require.Equal(t, Write, w.Kind)
+		a.WriteSucceeded(start, 1)
+		first, err := a.Issue(start)
 		require.NoError(t, err)
 
 		seen := start.Add(time.Duration(rapid.IntRange(0, 5000).Draw(t, "seen")) * time.Millisecond)
-		b.Saw(seen, w.Record, 1)
+		b.Observe(seen, w.Record, 1)
 		wait := b.Next(seen)
-		require.Equal(t, Wait, wait.Do)
+		require.Equal(t, Wait, wait.Kind)
 		lastOrder := start
 		for now := start; now.Before(wait.Until); now = now.Add(tick) {
 			require.False(t, b.Holds(now))
@@ -297,16 +297,16 @@
 				lastOrder = now
 			}
 		}
-		require.LessOrEqual(t, OrderTime, wait.Until.Sub(lastOrder))
-		require.Equal(t, Read, b.Next(wait.Until).Do, "re-reads before it starts")
-		b.Saw(wait.Until, w.Record, 1)
+		require.LessOrEqual(t, OrderTimeout, wait.Until.Sub(lastOrder))
+		require.Equal(t, Read, b.Next(wait.Until).Kind, "re-reads before it starts")
+		b.Observe(wait.Until, w.Record, 1)
 		require.Equal(t, Action{Write, Record{Holder: "b", Incarnation: 1, Nonce: 1}, 1, time.Time{}}, b.Next(wait.Until))
-		b.Wrote(wait.Until, 2)
-		second, err := b.May(wait.Until)
+		b.WriteSucceeded(wait.Until, 2)
+		second, err := b.Issue(wait.Until)
 		require.NoError(t, err)
 		require.Greater(t, second, first)
-		require.ErrorIs(t, a.Gave(wait.Until, first), ErrOverrun)
-		_, err = a.May(wait.Until)
+		require.ErrorIs(t, a.Complete(wait.Until, first), ErrOverrun)
+		_, err = a.Issue(wait.Until)
 		require.ErrorIs(t, err, ErrNotHolder)
 	})
 }
@@ -316,24 +316,24 @@
 // from when that write was sent.
 func TestLostAnswerIsSettledByReading(t *testing.T) {
 	g := Guard{Holder: "a", Incarnation: 1}
-	g.Saw(start, Record{}, 0)
+	g.Observe(start, Record{}, 0)
 	w := g.Next(start)
-	g.NoAnswer(start.Add(time.Second))
+	g.RequestFailed(start.Add(time.Second))
 	require.False(t, g.Holds(start.Add(time.Second)))
-	require.Equal(t, Wait, g.Next(start.Add(time.Second)).Do)
+	require.Equal(t, Wait, g.Next(start.Add(time.Second)).Kind)
 	now := start.Add(2 * time.Second)
-	require.Equal(t, Read, g.Next(now).Do)
-	g.Saw(now, w.Record, 1)
+	require.Equal(t, Read, g.Next(now).Kind)
+	g.Observe(now, w.Record, 1)
 	require.True(t, g.Holds(now))
-	require.False(t, g.Holds(start.Add(TTL-OrderTime)), "counted from the write, not from the reading")
+	require.False(t, g.Holds(start.Add(TTL-OrderTimeout)), "counted from the write, not from the reading")
 
 	// Paused past its lease, with nobody after it: no wait for itself.
 	now = start.Add(time.Minute)
-	require.Equal(t, Read, g.Next(now).Do)
-	g.Saw(now, w.Record, 1)
-	require.Equal(t, Write, g.Next(now).Do)
-	g.Wrote(now, 2)
-	n, err := g.May(now)
+	require.Equal(t, Read, g.Next(now).Kind)
+	g.Observe(now, w.Record, 1)
+	require.Equal(t, Write, g.Next(now).Kind)
+	g.WriteSucceeded(now, 2)
+	n, err := g.Issue(now)
 	require.NoError(t, err)
 	require.Equal(t, uint64(2), n.Term())
 }
@@ -343,41 +343,41 @@
 // of the last order.
 func TestAReleasedLeaseIsFreeAfterTheLastOrder(t *testing.T) {
 	a, b := Guard{Holder: "a", Incarnation: 1}, Guard{Holder: "b", Incarnation: 1}
-	a.Saw(start, Record{}, 0)
+	a.Observe(start, Record{}, 0)
 	held := a.Next(start)
-	a.Wrote(start, 1)
-	b.Saw(start, held.Record, 1)
-	_, err := a.May(start.Add(time.Second))
+	a.WriteSucceeded(start, 1)
+	b.Observe(start, held.Record, 1)
+	_, err := a.Issue(start.Add(time.Second))
 	require.NoError(t, err)
 
 	now := start.Add(time.Second)
 	w, ok := a.Release(now)
 	require.True(t, ok)
-	_, err = a.May(now)
+	_, err = a.Issue(now)
 	require.ErrorIs(t, err, ErrNotHolder, "no order after the release")
 	_, again := a.Release(now)
 	require.False(t, again)
 
-	require.Equal(t, Wait, b.Next(now).Do)
-	b.Doubt()
-	require.Equal(t, Read, b.Next(now).Do)
-	b.Saw(now, w.Record, 2)
+	require.Equal(t, Wait, b.Next(now).Kind)
+	b.Invalidate()
+	require.Equal(t, Read, b.Next(now).Kind)
+	b.Observe(now, w.Record, 2)
 	wait := b.Next(now)
-	require.Equal(t, Wait, wait.Do)
-	require.GreaterOrEqual(t, wait.Until.Sub(now), OrderTime)
+	require.Equal(t, Wait, wait.Kind)
+	require.GreaterOrEqual(t, wait.Until.Sub(now), OrderTimeout)
 	require.Less(t, wait.Until.Sub(now), TTL)
-	b.Saw(wait.Until, w.Record, 2)
-	require.Equal(t, Write, b.Next(wait.Until).Do)
-	b.Wrote(wait.Until, 3)
+	b.Observe(wait.Until, w.Record, 2)
+	require.Equal(t, Write, b.Next(wait.Until).Kind)
+	b.WriteSucceeded(wait.Until, 3)
 	require.True(t, b.Holds(wait.Until))
 }
 
 func TestGateRefusesOldNumbers(t *testing.T) {
 	var g Gate
-	require.NoError(t, g.Pass(5))
-	require.ErrorIs(t, g.Pass(5), ErrOldNumber)
+	require.NoError(t, g.Accept(5))
+	require.ErrorIs(t, g.Accept(5), ErrStaleToken)
 	g.Raise(9)
 	g.Raise(3)
-	require.ErrorIs(t, g.Pass(9), ErrOldNumber)
-	require.NoError(t, g.Pass(10))
+	require.ErrorIs(t, g.Accept(9), ErrStaleToken)
+	require.NoError(t, g.Accept(10))
 }
--- a/group/group.go
+++ b/group/group.go
@@ -20,8 +20,8 @@
 	"sync"
 )
 
-// End says how one goroutine ended.
-type End struct {
+// Exit says how one goroutine ended.
+type Exit struct {
 	// Name is the name given to Go.
 	Name string
 	// Err is what the goroutine returned; nil for an orderly end.
@@ -34,7 +34,7 @@
 	mu      sync.Mutex
 	running int
 	closed  bool
-	ends    chan End
+	ends    chan Exit
 }
 
 // Go starts fn under the given name. It reports false, and starts nothing,
@@ -49,15 +49,15 @@
 	g.running++
 	go func() {
 		err := fn(ctx)
-		g.ends <- End{Name: name, Err: err}
+		g.ends <- Exit{Name: name, Err: err}
 		g.finish()
 	}()
 	return true
 }
 
-// Ends is the channel on which each goroutine's end arrives. It is closed
+// Exits is the channel on which each goroutine's end arrives. It is closed
 // after Close, once the last goroutine has ended.
-func (g *Group) Ends() <-chan End {
+func (g *Group) Exits() <-chan Exit {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.init()
@@ -81,10 +81,10 @@
 
 // Wait closes the group, reads all ends and gives the errors among them.
 // Use it where nothing else reads Ends.
-func (g *Group) Wait() []End {
+func (g *Group) Wait() []Exit {
 	g.Close()
-	var failed []End
-	for e := range g.Ends() {
+	var failed []Exit
+	for e := range g.Exits() {
 		if e.Err != nil {
 			failed = append(failed, e)
 		}
@@ -94,7 +94,7 @@
 
 func (g *Group) init() {
 	if g.ends == nil {
-		g.ends = make(chan End, 1)
+		g.ends = make(chan Exit, 1)
 	}
 }
 
--- a/group/group_test.go
+++ b/group/group_test.go
@@ -16,7 +16,7 @@
 	require.True(t, g.Go(ctx, "fails", func(context.Context) error { return fault }))
 	cancel()
 
-	require.Equal(t, []End{{Name: "fails", Err: fault}}, g.Wait())
+	require.Equal(t, []Exit{{Name: "fails", Err: fault}}, g.Wait())
 	require.False(t, g.Go(ctx, "late", func(context.Context) error { return nil }), "a closed group starts nothing")
 }
 
--- a/group/pause.go
+++ b/group/pause.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Pause waits for d or the end of the context.
-func Pause(ctx context.Context, d time.Duration) {
+// Sleep waits for d or the end of the context.
+func Sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
--- a/plat/http.go
+++ b/infra/http.go
@@ -1,4 +1,4 @@
-package plat
+package infra
 
 import (
 	"context"
@@ -35,13 +35,13 @@
 const maxAnswer = 32 << 20
 
 // ask sends one call and gives status, header and whole body of its answer.
-func ask(ctx context.Context, c *send.Client, r send.Request) (*send.Reply, []byte, error) {
+func ask(ctx context.Context, c *send.Client, r send.Request) (*send.Response, []byte, error) {
 	call := r.Method + " " + r.Target
 	reply, err := c.Do(ctx, r)
 	if err != nil {
 		return nil, nil, lost(call, err)
 	}
-	value, err := reply.All(maxAnswer)
+	value, err := reply.ReadAll(maxAnswer)
 	if err != nil {
 		return nil, nil, lost(call, err)
 	}
@@ -51,17 +51,17 @@
 // lost sorts a call without a whole answer. Without a connection the platform
 // did nothing, which is as good as its own word; everything else is open.
 func lost(call string, err error) error {
-	if send.Outcome(err) == send.NotSent {
+	if send.StageOf(err) == send.NotSent {
 		return &Failure{Call: call, Class: ErrRefused, Cause: err}
 	}
-	return &Failure{Call: call, Class: ErrNoAnswer, Cause: err}
+	return &Failure{Call: call, Class: ErrNoReply, Cause: err}
 }
 
 // answered sorts an answer by its status. Only the statuses by which the
 // platform says that it did nothing are ErrRefused: an internal error may come
 // after the write.
 func answered(call string, status int, value []byte) error {
-	class := ErrNoAnswer
+	class := ErrNoReply
 	switch status {
 	case http.StatusOK, http.StatusNoContent:
 		return nil
@@ -75,7 +75,7 @@
 		http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		class = ErrRefused
 	}
-	return &Failure{Call: call, Class: class, Cause: errors.Errorf("plat: status %d: %.200s", status, value)}
+	return &Failure{Call: call, Class: class, Cause: errors.Errorf("infra: status %d: %.200s", status, value)}
 }
 
 // read asks for a JSON value.
@@ -85,7 +85,7 @@
 		return err
 	}
 	if err := json.Unmarshal(value, into); err != nil {
-		return &Failure{Call: target, Class: ErrNoAnswer, Cause: err}
+		return &Failure{Call: target, Class: ErrNoReply, Cause: err}
 	}
 	return nil
 }
--- a/plat/http_hosts.go
+++ b/infra/http_hosts.go
@@ -1,4 +1,4 @@
-package plat
+package infra
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 type HTTPHosts struct {
 	// Base is the platform's address.
 	Base netip.AddrPort
-	// Silence is how long an answer may take; zero is send.DefaultSilence.
+	// Silence is how long an answer may take; zero is send.DefaultReadTimeout.
 	Silence time.Duration
 
 	once   sync.Once
@@ -25,7 +25,7 @@
 
 // Hosts gives the list as the platform knows it now.
 func (h *HTTPHosts) Hosts(ctx context.Context) ([]ListedHost, error) {
-	h.once.Do(func() { h.client.Base, h.client.Silence = h.Base, h.Silence })
+	h.once.Do(func() { h.client.Base, h.client.ReadTimeout = h.Base, h.Silence })
 	var list []ListedHost
 	err := read(ctx, &h.client, "/hosts", &list)
 	return list, err
--- a/plat/http_objects.go
+++ b/infra/http_objects.go
@@ -1,4 +1,4 @@
-package plat
+package infra
 
 import (
 	"context"
@@ -22,7 +22,7 @@
 	// Base is the platform's address.
 	Base netip.AddrPort
 	// Silence is how long an answer may take beyond a watch's wait; zero is
-	// send.DefaultSilence.
+	// send.DefaultReadTimeout.
 	Silence time.Duration
 
 	once   sync.Once
@@ -71,10 +71,10 @@
 	query := url.Values{"after": {strconv.FormatUint(uint64(after), 10)}, "wait": {wait.String()}}
 	silence := h.Silence
 	if silence <= 0 {
-		silence = send.DefaultSilence
+		silence = send.DefaultReadTimeout
 	}
 	return h.object(ctx, name, send.Request{
-		Method: http.MethodGet, Target: objectTarget(name) + "?" + query.Encode(), Silence: wait + silence,
+		Method: http.MethodGet, Target: objectTarget(name) + "?" + query.Encode(), ReadTimeout: wait + silence,
 	})
 }
 
@@ -88,7 +88,7 @@
 }
 
 func (h *HTTPObjects) open() *send.Client {
-	h.once.Do(func() { h.client.Base, h.client.Silence = h.Base, h.Silence })
+	h.once.Do(func() { h.client.Base, h.client.ReadTimeout = h.Base, h.Silence })
 	return &h.client
 }
 
@@ -102,13 +102,13 @@
 // ParseETag reads what ETag writes.
 func ParseETag(tag string) (Version, error) {
 	v, err := strconv.ParseUint(strings.Trim(tag, `"`), 10, 64)
-	return Version(v), errors.Wrap(err, "plat: reading entity tag")
+	return Version(v), errors.Wrap(err, "infra: reading entity tag")
 }
 
-func versionOf(call string, reply *send.Reply) (Version, error) {
+func versionOf(call string, reply *send.Response) (Version, error) {
 	v, err := ParseETag(reply.Header.Get("ETag"))
 	if err != nil {
-		return 0, &Failure{Call: call, Class: ErrNoAnswer, Cause: err}
+		return 0, &Failure{Call: call, Class: ErrNoReply, Cause: err}
 	}
 	return v, nil
 }
--- a/plat/http_test.go
+++ b/infra/http_test.go
@@ -1,4 +1,4 @@
-package plat_test
+package infra_test
 
 import (
 	"context"
@@ -12,36 +12,36 @@
 
 	"jacinthworks/fakes/serve"
 	"jacinthworks/fakes/store"
-	"jacinthworks/plat"
+	"jacinthworks/infra"
 )
 
 const silence = 50 * time.Millisecond
 
-func start(t *testing.T, p *store.Platform) *plat.HTTPObjects {
+func start(t *testing.T, p *store.Platform) *infra.HTTPObjects {
 	t.Helper()
 	s := serve.Server{Handler: p}
 	addr, err := s.Start(t.Context(), netip.MustParseAddrPort("127.0.0.1:0"))
 	require.NoError(t, err)
 	t.Cleanup(s.Stop)
-	return &plat.HTTPObjects{Base: addr}
+	return &infra.HTTPObjects{Base: addr}
 }
 
 func TestWritesAreConditional(t *testing.T) {
 	var p store.Platform
 	o, ctx := start(t, &p), t.Context()
 	_, err := o.Get(ctx, "lease/side-1")
-	require.ErrorIs(t, err, plat.ErrMissing)
+	require.ErrorIs(t, err, infra.ErrMissing)
 	first, err := o.Put(ctx, "lease/side-1", []byte("one"), 0)
 	require.NoError(t, err)
 	_, err = o.Put(ctx, "lease/side-1", []byte("two"), 0)
-	require.ErrorIs(t, err, plat.ErrConflict, "it exists")
+	require.ErrorIs(t, err, infra.ErrConflict, "it exists")
 	second, err := o.Put(ctx, "lease/side-1", []byte("two"), first)
 	require.NoError(t, err)
 	require.Greater(t, second, first)
-	require.ErrorIs(t, o.Delete(ctx, "lease/side-1", first), plat.ErrConflict)
+	require.ErrorIs(t, o.Delete(ctx, "lease/side-1", first), infra.ErrConflict)
 	got, err := o.Get(ctx, "lease/side-1")
 	require.NoError(t, err)
-	require.Equal(t, plat.Object{Name: "lease/side-1", Version: second, Value: []byte("two")}, got)
+	require.Equal(t, infra.Object{Name: "lease/side-1", Version: second, Value: []byte("two")}, got)
 
 	_, err = o.Put(ctx, "table", nil, 0)
 	require.NoError(t, err)
@@ -52,17 +52,17 @@
 	third, err := o.Put(ctx, "lease/side-1", nil, 0)
 	require.NoError(t, err)
 	require.Greater(t, third, second, "an object made again is newer")
-	_, err = o.Put(ctx, "large", make([]byte, plat.MaxValue+1), 0)
-	require.ErrorIs(t, err, plat.ErrRefused)
+	_, err = o.Put(ctx, "large", make([]byte, infra.MaxValue+1), 0)
+	require.ErrorIs(t, err, infra.ErrRefused)
 }
 
 func TestWatch(t *testing.T) {
 	var p store.Platform
 	o, ctx := start(t, &p), t.Context()
 	_, err := o.Watch(ctx, "table", 0, time.Millisecond)
-	require.ErrorIs(t, err, plat.ErrUnchanged)
+	require.ErrorIs(t, err, infra.ErrUnchanged)
 
-	seen := make(chan plat.Object, 1)
+	seen := make(chan infra.Object, 1)
 	failed := make(chan error, 1)
 	go func() {
 		got, err := o.Watch(ctx, "table", 0, time.Minute)
@@ -72,13 +72,13 @@
 	require.Eventually(t, func() bool { return p.Counts().Watch == 2 }, 5*time.Second, time.Millisecond)
 	version, err := o.Put(ctx, "table", []byte("rows"), 0)
 	require.NoError(t, err)
-	require.Equal(t, plat.Object{Name: "table", Version: version, Value: []byte("rows")}, <-seen)
+	require.Equal(t, infra.Object{Name: "table", Version: version, Value: []byte("rows")}, <-seen)
 	require.NoError(t, <-failed)
 
 	p.Misbehave(store.Fault{WatchSilent: true})
-	silent := &plat.HTTPObjects{Base: o.Base, Silence: silence}
+	silent := &infra.HTTPObjects{Base: o.Base, Silence: silence}
 	_, err = silent.Watch(ctx, "table", 0, time.Millisecond)
-	require.ErrorIs(t, err, plat.ErrNoAnswer)
+	require.ErrorIs(t, err, infra.ErrNoReply)
 }
 
 // Story: an operator's edit is written, and the answer is lost on its way. The
@@ -89,8 +89,8 @@
 	o, ctx := start(t, &p), t.Context()
 	p.Misbehave(store.Fault{LoseAnswers: 1})
 	_, err := o.Put(ctx, "table", []byte("edit"), 0)
-	require.ErrorIs(t, err, plat.ErrNoAnswer)
-	require.NotErrorIs(t, err, plat.ErrRefused)
+	require.ErrorIs(t, err, infra.ErrNoReply)
+	require.NotErrorIs(t, err, infra.ErrRefused)
 	require.Equal(t, 1, p.Counts().Put, "the write is not repeated")
 	got, err := o.Get(ctx, "table")
 	require.NoError(t, err)
@@ -102,8 +102,8 @@
 		fault store.Fault
 		want  error
 	}{
-		"down": {store.Fault{Down: true}, plat.ErrRefused},
-		"cut":  {store.Fault{Cut: true}, plat.ErrNoAnswer},
+		"down": {store.Fault{Down: true}, infra.ErrRefused},
+		"cut":  {store.Fault{Cut: true}, infra.ErrNoReply},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var p store.Platform
@@ -116,7 +116,7 @@
 			require.ErrorIs(t, err, c.want)
 			p.Misbehave(store.Fault{})
 			_, err = o.Get(t.Context(), "table")
-			require.ErrorIs(t, err, plat.ErrMissing, "the fault is over and nothing was written")
+			require.ErrorIs(t, err, infra.ErrMissing, "the fault is over and nothing was written")
 		})
 	}
 	for name, fault := range map[string]store.Fault{
@@ -129,7 +129,7 @@
 			o.Silence = silence
 			p.Misbehave(fault)
 			_, err := o.Put(t.Context(), "table", nil, 0)
-			require.ErrorIs(t, err, plat.ErrNoAnswer)
+			require.ErrorIs(t, err, infra.ErrNoReply)
 			p.Misbehave(store.Fault{})
 			require.Eventually(t, func() bool {
 				_, err := o.Get(t.Context(), "table")
@@ -142,8 +142,8 @@
 		addr, err := s.Start(t.Context(), netip.MustParseAddrPort("127.0.0.1:0"))
 		require.NoError(t, err)
 		s.Stop()
-		_, err = (&plat.HTTPObjects{Base: addr}).Put(t.Context(), "table", nil, 0)
-		require.ErrorIs(t, err, plat.ErrRefused, "a write that was never sent took no effect")
+		_, err = (&infra.HTTPObjects{Base: addr}).Put(t.Context(), "table", nil, 0)
+		require.ErrorIs(t, err, infra.ErrRefused, "a write that was never sent took no effect")
 	})
 	t.Run("caller gives up", func(t *testing.T) {
 		var p store.Platform
@@ -152,7 +152,7 @@
 		ctx, cancel := context.WithTimeout(t.Context(), silence)
 		defer cancel()
 		_, err := o.Put(ctx, "table", nil, 0)
-		require.ErrorIs(t, err, plat.ErrNoAnswer)
+		require.ErrorIs(t, err, infra.ErrNoReply)
 		require.ErrorIs(t, err, context.DeadlineExceeded)
 	})
 	t.Run("over the rate", func(t *testing.T) {
@@ -162,7 +162,7 @@
 		for p.Counts().Limited == 0 {
 			_, err = o.Put(t.Context(), "table", nil, 0)
 		}
-		require.ErrorIs(t, err, plat.ErrRefused)
+		require.ErrorIs(t, err, infra.ErrRefused)
 	})
 }
 
@@ -178,18 +178,18 @@
 	require.NoError(t, err)
 	require.Equal(t, "old", string(got.Value))
 
-	hosts := &plat.HTTPHosts{Base: o.Base}
-	p.SetHost(plat.ListedHost{Host: "appraiser-1", Zone: "howrah", State: plat.HostLive})
-	p.SetHost(plat.ListedHost{Host: "appraiser-1", Zone: "howrah", State: plat.HostLeaving})
+	hosts := &infra.HTTPHosts{Base: o.Base}
+	p.SetHost(infra.ListedHost{Host: "appraiser-1", Zone: "howrah", State: infra.HostLive})
+	p.SetHost(infra.ListedHost{Host: "appraiser-1", Zone: "howrah", State: infra.HostLeaving})
 	list, err := hosts.Hosts(ctx)
 	require.NoError(t, err)
-	require.Equal(t, plat.HostLive, list[0].State, "the list lags")
+	require.Equal(t, infra.HostLive, list[0].State, "the list lags")
 	p.Misbehave(store.Fault{})
 	list, err = hosts.Hosts(ctx)
 	require.NoError(t, err)
-	require.Equal(t, []plat.ListedHost{{Host: "appraiser-1", Zone: "howrah", State: plat.HostLeaving}}, list)
+	require.Equal(t, []infra.ListedHost{{Host: "appraiser-1", Zone: "howrah", State: infra.HostLeaving}}, list)
 
-	rate, size, err := (&plat.HTTPWeights{Base: o.Base}).Rate(ctx, "appraiser-lm")
+	rate, size, err := (&infra.HTTPWeights{Base: o.Base}).Rate(ctx, "appraiser-lm")
 	require.NoError(t, err)
 	require.Positive(t, rate)
 	require.Positive(t, size)
--- a/plat/http_weights.go
+++ b/infra/http_weights.go
@@ -1,4 +1,4 @@
-package plat
+package infra
 
 import (
 	"context"
@@ -7,8 +7,8 @@
 	"sync"
 	"time"
 
+	"jacinthworks/domain"
 	"jacinthworks/send"
-	"jacinthworks/work"
 )
 
 // WeightsInfo is what GET /weights/{model} answers.
@@ -24,7 +24,7 @@
 type HTTPWeights struct {
 	// Base is the platform's address.
 	Base netip.AddrPort
-	// Silence is how long an answer may take; zero is send.DefaultSilence.
+	// Silence is how long an answer may take; zero is send.DefaultReadTimeout.
 	Silence time.Duration
 
 	once   sync.Once
@@ -34,8 +34,8 @@
 var _ Weights = (*HTTPWeights)(nil)
 
 // Rate gives the store's limit in bytes a second and the size of the model.
-func (h *HTTPWeights) Rate(ctx context.Context, model work.Service) (bytesPerSecond, size int64, err error) {
-	h.once.Do(func() { h.client.Base, h.client.Silence = h.Base, h.Silence })
+func (h *HTTPWeights) Rate(ctx context.Context, model domain.Service) (bytesPerSecond, size int64, err error) {
+	h.once.Do(func() { h.client.Base, h.client.ReadTimeout = h.Base, h.Silence })
 	var info WeightsInfo
 	err = read(ctx, &h.client, "/weights/"+url.PathEscape(string(model)), &info)
 	return info.BytesPerSecond, info.Size, err
--- a/plat/plat.go
+++ b/infra/infra.go
@@ -1,17 +1,17 @@
-// Package plat meets the platform: its object API, its host list and its
+// Package infra meets the platform: its object API, its host list and its
 // weight store. Each stands behind one narrow interface with its adapter in
 // one file, so that another form of the platform takes another file and
 // nothing else.
 //
 // # Usage
 //
-//	var objects plat.Objects = &plat.HTTPObjects{Base: netip.MustParseAddrPort("127.0.0.1:7000")}
+//	var objects infra.Objects = &infra.HTTPObjects{Base: netip.MustParseAddrPort("127.0.0.1:7000")}
 //	o, err := objects.Get(ctx, "table")
 //	v, err := objects.Put(ctx, "table", value, o.Version) // conditional
 //
-// An error for which errors.Is(err, ErrNoAnswer) holds says nothing of whether
+// An error for which errors.Is(err, ErrNoReply) holds says nothing of whether
 // a write took effect: read before writing again.
-package plat
+package infra
 
 import (
 	"context"
@@ -19,7 +19,7 @@
 
 	"github.com/pkg/errors"
 
-	"jacinthworks/work"
+	"jacinthworks/domain"
 )
 
 // MaxValue is the largest value the object API holds, in bytes.
@@ -40,17 +40,17 @@
 // The errors of the object API.
 var (
 	// ErrMissing says that there is no such object.
-	ErrMissing = errors.New("plat: no such object")
+	ErrMissing = errors.New("infra: no such object")
 	// ErrConflict says that the object is not at the version given, and that
 	// nothing was written.
-	ErrConflict = errors.New("plat: version conflict")
+	ErrConflict = errors.New("infra: version conflict")
 	// ErrUnchanged ends a watch whose wait passed with no newer version.
-	ErrUnchanged = errors.New("plat: unchanged")
+	ErrUnchanged = errors.New("infra: unchanged")
 	// ErrRefused says that the platform answered and did nothing (outage,
 	// rate limit, oversized value).
-	ErrRefused = errors.New("plat: refused")
-	// ErrNoAnswer says that no answer came; a write may have taken effect.
-	ErrNoAnswer = errors.New("plat: no answer")
+	ErrRefused = errors.New("infra: refused")
+	// ErrNoReply says that no answer came; a write may have taken effect.
+	ErrNoReply = errors.New("infra: no answer")
 )
 
 // Objects is the platform's object API. Each call counts against its rate, a
@@ -82,9 +82,9 @@
 
 // ListedHost is one line of the host list.
 type ListedHost struct {
-	Host  work.Host `json:"host"`
-	Zone  work.Zone `json:"zone"`
-	State HostState `json:"state"`
+	Host  domain.Host `json:"host"`
+	Zone  domain.Zone `json:"zone"`
+	State HostState   `json:"state"`
 }
 
 // Hosts is the platform's host list. It lags.
@@ -97,5 +97,5 @@
 type Weights interface {
 	// Rate gives the store's limit in bytes a second and the size of the
 	// weights of a model in bytes.
-	Rate(ctx context.Context, model work.Service) (bytesPerSecond, size int64, err error)
+	Rate(ctx context.Context, model domain.Service) (bytesPerSecond, size int64, err error)
 }
--- a/steps/steps.go
+++ b/inject/inject.go
@@ -1,4 +1,4 @@
-// Package steps lists the points that a request passes between its acceptance
+// Package inject lists the points that a request passes between its acceptance
 // and its answer at which a process can be lost with a difference to the
 // account that must be given. Processes tell a hook of each; failure tests and
 // drills end or pause the process there, so that every point is driven and
@@ -6,10 +6,10 @@
 //
 // # Usage
 //
-//	e := entry.Entry{Step: steps.Drill{At: steps.EntryReserved, Do: steps.Exit}.Hook()}
+//	e := entry.Entry{Step: inject.Fault{At: inject.EntryReserved, Do: inject.Exit}.Hook()}
 //
 // A nil hook does nothing and costs nothing.
-package steps
+package inject
 
 import (
 	"os"
@@ -20,52 +20,52 @@
 	"github.com/pkg/errors"
 )
 
-// Step is one point.
-type Step string
+// Point is one point.
+type Point string
 
 // The points at an entry, in order.
 const (
 	// EntryAccepted: the story is open, nothing else was done.
-	EntryAccepted Step = "entry_accepted"
+	EntryAccepted Point = "entry_accepted"
 	// EntryClaimed: the key is claimed for this request.
-	EntryClaimed Step = "entry_claimed"
+	EntryClaimed Point = "entry_claimed"
 	// EntryReserved: decode room is held, no prefill has started.
-	EntryReserved Step = "entry_reserved"
+	EntryReserved Point = "entry_reserved"
 	// EntryPrefilled: the KV cache is filled, no decode has started.
-	EntryPrefilled Step = "entry_prefilled"
+	EntryPrefilled Point = "entry_prefilled"
 	// EntryRan: the outcome of the last stage is known, the answer not written.
-	EntryRan Step = "entry_ran"
+	EntryRan Point = "entry_ran"
 	// EntryAnswered: the answer is written, its claim not yet settled.
-	EntryAnswered Step = "entry_answered"
+	EntryAnswered Point = "entry_answered"
 )
 
 // The points at a side, in order.
 const (
 	// SideArrived: the order was read from the connection.
-	SideArrived Step = "side_arrived"
+	SideArrived Point = "side_arrived"
 	// SideBegun: the order is in the ledger, the upstream knows nothing of it.
-	SideBegun Step = "side_begun"
+	SideBegun Point = "side_begun"
 	// SideHanded: the order is marked as handed over; nothing was sent yet.
-	SideHanded Step = "side_handed"
+	SideHanded Point = "side_handed"
 	// SideRan: the upstream has answered, the ledger does not know.
-	SideRan Step = "side_ran"
+	SideRan Point = "side_ran"
 	// SideEnded: the outcome is in the ledger, the entry does not know.
-	SideEnded Step = "side_ended"
+	SideEnded Point = "side_ended"
 )
 
-// Entry lists the points at an entry.
-func Entry() []Step {
-	return []Step{EntryAccepted, EntryClaimed, EntryReserved, EntryPrefilled, EntryRan, EntryAnswered}
+// EntryPoints lists the points at an entry.
+func EntryPoints() []Point {
+	return []Point{EntryAccepted, EntryClaimed, EntryReserved, EntryPrefilled, EntryRan, EntryAnswered}
 }
 
-// Side lists the points at a side.
-func Side() []Step { return []Step{SideArrived, SideBegun, SideHanded, SideRan, SideEnded} }
+// SidePoints lists the points at a side.
+func SidePoints() []Point { return []Point{SideArrived, SideBegun, SideHanded, SideRan, SideEnded} }
 
 // Hook is told of each point as it is passed.
-type Hook func(Step)
+type Hook func(Point)
 
-// At tells the hook, if there is one.
-func (h Hook) At(s Step) {
+// Reach tells the hook, if there is one.
+func (h Hook) Reach(s Point) {
 	if h != nil {
 		h(s)
 	}
@@ -85,38 +85,38 @@
 // exitCode is that of a killed process.
 const exitCode = 137
 
-// Drill does its action the first time that its point is passed.
-type Drill struct {
-	Do Action
-	At Step
+// Fault does its action the first time that its point is passed.
+type Fault struct {
+	Action Action
+	Point  Point
 }
 
 // UnmarshalText reads ACTION:STEP, as in exit:side_handed.
-func (d *Drill) UnmarshalText(text []byte) error {
+func (d *Fault) UnmarshalText(text []byte) error {
 	do, at, found := strings.Cut(string(text), ":")
 	if !found || Action(do) != Exit && Action(do) != Pause {
-		return errors.Errorf("steps: not exit:STEP or pause:STEP: %q", text)
+		return errors.Errorf("inject: not exit:STEP or pause:STEP: %q", text)
 	}
-	for _, s := range append(Entry(), Side()...) {
-		if s == Step(at) {
-			*d = Drill{Do: Action(do), At: s}
+	for _, s := range append(EntryPoints(), SidePoints()...) {
+		if s == Point(at) {
+			*d = Fault{Action: Action(do), Point: s}
 			return nil
 		}
 	}
-	return errors.Errorf("steps: no step %q", at)
+	return errors.Errorf("inject: no step %q", at)
 }
 
 // Hook gives the drill as a hook; nil for the zero value.
-func (d Drill) Hook() Hook {
-	if d.At == "" {
+func (d Fault) Hook() Hook {
+	if d.Point == "" {
 		return nil
 	}
 	var done atomic.Bool
-	return func(s Step) {
-		if s != d.At || done.Swap(true) {
+	return func(s Point) {
+		if s != d.Point || done.Swap(true) {
 			return
 		}
-		if d.Do == Exit {
+		if d.Action == Exit {
 			os.Exit(exitCode)
 		}
 		_ = syscall.Kill(os.Getpid(), syscall.SIGSTOP)
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -23,13 +23,13 @@
 
 	"jacinthworks/epoch"
 	"jacinthworks/fence"
-	"jacinthworks/plat"
+	"jacinthworks/infra"
 )
 
 // Records is the part of the platform's object API that a lease needs.
 type Records interface {
-	Get(ctx context.Context, name string) (plat.Object, error)
-	Put(ctx context.Context, name string, value []byte, at plat.Version) (plat.Version, error)
+	Get(ctx context.Context, name string) (infra.Object, error)
+	Put(ctx context.Context, name string, value []byte, at infra.Version) (infra.Version, error)
 }
 
 // Keeper holds a lease, or waits for it.
@@ -66,17 +66,17 @@
 // Holds says whether an order may be given now.
 func (k *Keeper) Holds() bool { return k.Guard.Holds(k.now()) }
 
-// May gives the fencing number for one order. It takes no notice of the time
+// Issue gives the fencing number for one order. It takes no notice of the time
 // given, which is on another clock than the lease's.
-func (k *Keeper) May(time.Time) (fence.Number, error) { return k.Guard.May(k.now()) }
+func (k *Keeper) Issue(time.Time) (fence.Token, error) { return k.Guard.Issue(k.now()) }
 
-// Gave says that an order was taken, or is known not to have been.
-func (k *Keeper) Gave(n fence.Number) error { return k.Guard.Gave(k.now(), n) }
+// Complete says that an order was taken, or is known not to have been.
+func (k *Keeper) Complete(n fence.Token) error { return k.Guard.Complete(k.now(), n) }
 
-// Hold does what the guard asks until an order may be given.
-func (k *Keeper) Hold(ctx context.Context) (fence.Number, error) {
+// Acquire does what the guard asks until an order may be given.
+func (k *Keeper) Acquire(ctx context.Context) (fence.Token, error) {
 	for ctx.Err() == nil {
-		if number, err := k.May(time.Time{}); err == nil {
+		if number, err := k.Issue(time.Time{}); err == nil {
 			return number, nil
 		}
 		wait := k.Step(ctx)
@@ -92,7 +92,7 @@
 
 // Step does one thing that the guard asks for, and gives the time to the next.
 func (k *Keeper) Step(ctx context.Context) time.Duration {
-	switch a := k.Guard.Next(k.now()); a.Do {
+	switch a := k.Guard.Next(k.now()); a.Kind {
 	case fence.Read:
 		k.read(ctx)
 	case fence.Write:
@@ -103,9 +103,9 @@
 	return 0
 }
 
-// Doubt has the record read again by the next Step, where another is thought to
+// Invalidate has the record read again by the next Step, where another is thought to
 // have released the lease.
-func (k *Keeper) Doubt() { k.Guard.Doubt() }
+func (k *Keeper) Invalidate() { k.Guard.Invalidate() }
 
 // Release gives the lease up for good, if it is held: no Step may follow. It
 // reports whether the others can know.
@@ -116,19 +116,19 @@
 	}
 	text, err := json.Marshal(a.Record)
 	if err == nil {
-		_, err = k.Records.Put(ctx, k.Name, text, plat.Version(a.At))
+		_, err = k.Records.Put(ctx, k.Name, text, infra.Version(a.Version))
 	}
 	return err == nil
 }
 
 func (k *Keeper) read(ctx context.Context) {
 	o, err := k.Records.Get(ctx, k.Name)
-	if errors.Is(err, plat.ErrMissing) {
-		k.Guard.Saw(k.now(), fence.Record{}, epoch.Position(o.Version))
+	if errors.Is(err, infra.ErrMissing) {
+		k.Guard.Observe(k.now(), fence.Record{}, epoch.Position(o.Version))
 		return
 	}
 	if err != nil {
-		k.Guard.NoAnswer(k.now())
+		k.Guard.RequestFailed(k.now())
 		return
 	}
 	// Failure: something else writes over the record, which can't be read then. It
@@ -138,23 +138,23 @@
 	if err := json.Unmarshal(o.Value, &r); err != nil {
 		r = fence.Record{}
 	}
-	k.Guard.Saw(k.now(), r, epoch.Position(o.Version))
+	k.Guard.Observe(k.now(), r, epoch.Position(o.Version))
 }
 
 func (k *Keeper) write(ctx context.Context, a fence.Action) {
 	sent := k.now()
 	text, err := json.Marshal(a.Record)
 	if err != nil {
-		k.Guard.NoAnswer(k.now())
+		k.Guard.RequestFailed(k.now())
 		return
 	}
-	v, err := k.Records.Put(ctx, k.Name, text, plat.Version(a.At))
+	v, err := k.Records.Put(ctx, k.Name, text, infra.Version(a.Version))
 	switch {
 	case err == nil:
-		k.Guard.Wrote(sent, epoch.Position(v))
-	case errors.Is(err, plat.ErrConflict):
-		k.Guard.Conflicted()
+		k.Guard.WriteSucceeded(sent, epoch.Position(v))
+	case errors.Is(err, infra.ErrConflict):
+		k.Guard.WriteConflicted()
 	default:
-		k.Guard.NoAnswer(k.now())
+		k.Guard.RequestFailed(k.now())
 	}
 }
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -10,36 +10,36 @@
 	"github.com/stretchr/testify/require"
 
 	"jacinthworks/fence"
+	"jacinthworks/infra"
 	"jacinthworks/lease"
-	"jacinthworks/plat"
 )
 
 // records is one record in memory; lose makes writes take effect unanswered.
 type records struct {
 	mu      sync.Mutex
 	value   []byte
-	version plat.Version
+	version infra.Version
 	lose    bool
 }
 
-func (r *records) Get(context.Context, string) (plat.Object, error) {
+func (r *records) Get(context.Context, string) (infra.Object, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.version == 0 {
-		return plat.Object{}, plat.ErrMissing
+		return infra.Object{}, infra.ErrMissing
 	}
-	return plat.Object{Version: r.version, Value: r.value}, nil
+	return infra.Object{Version: r.version, Value: r.value}, nil
 }
 
-func (r *records) Put(_ context.Context, _ string, value []byte, at plat.Version) (plat.Version, error) {
+func (r *records) Put(_ context.Context, _ string, value []byte, at infra.Version) (infra.Version, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if at != r.version {
-		return 0, plat.ErrConflict
+		return 0, infra.ErrConflict
 	}
 	r.value, r.version = value, r.version+1
 	if r.lose {
-		return 0, errors.WithStack(plat.ErrNoAnswer)
+		return 0, errors.WithStack(infra.ErrNoReply)
 	}
 	return r.version, nil
 }
@@ -72,20 +72,20 @@
 	first, second := keeper(r, c, "1"), keeper(r, c, "2")
 	steps(t.Context(), first, 3)
 	require.True(t, first.Holds())
-	early, err := first.May(time.Time{})
+	early, err := first.Issue(time.Time{})
 	require.NoError(t, err)
 	steps(t.Context(), second, 3)
 	require.False(t, second.Holds())
 	c.at = c.at.Add(fence.TTL + time.Second) // the suspension
 	steps(t.Context(), second, 4)
 	require.True(t, second.Holds())
-	late, err := second.May(time.Time{})
+	late, err := second.Issue(time.Time{})
 	require.NoError(t, err)
 	require.Greater(t, late, early)
 	require.False(t, first.Holds())
-	_, err = first.May(time.Time{})
+	_, err = first.Issue(time.Time{})
 	require.ErrorIs(t, err, fence.ErrNotHolder)
-	require.Error(t, first.Gave(early))
+	require.Error(t, first.Complete(early))
 }
 
 func TestALostAnswerIsSettledByReading(t *testing.T) {
@@ -93,7 +93,7 @@
 	k := keeper(r, c, "1")
 	steps(t.Context(), k, 2)
 	require.False(t, k.Holds())
-	c.at = c.at.Add(fence.Retry)
+	c.at = c.at.Add(fence.RetryInterval)
 	steps(t.Context(), k, 1)
 	require.True(t, k.Holds())
 }
--- a/limit/limit.go
+++ b/limit/limit.go
@@ -9,8 +9,8 @@
 //
 // # Usage
 //
-//	l := limit.Rates{Since: started}          // at the entry that counts
-//	wait, ok := l.Take(now, limit.Of{Account: a, Service: s, Kind: k}, row.CallerRate, limit.Burst)
+//	l := limit.Limiter{Since: started}          // at the entry that counts
+//	wait, ok := l.Take(now, limit.Key{Account: a, Service: s, Kind: k}, row.CallerRate, limit.Burst)
 //	if !ok { refuse(retryAfter(wait)) }
 //
 // The package reads no clock. Rates is not safe for concurrent use.
@@ -20,7 +20,7 @@
 	"maps"
 	"time"
 
-	"jacinthworks/work"
+	"jacinthworks/domain"
 )
 
 // Burst is how much may come at once, as time at the row's rate. Five seconds
@@ -35,15 +35,15 @@
 // and are dropped first; 2,100 callers with a few kinds each fit.
 const most = 16384
 
-// Of names what a rate is counted by.
-type Of struct {
-	Account work.Account `json:"account"`
-	Service work.Service `json:"service"`
-	Kind    work.Kind    `json:"kind"`
+// Key names what a rate is counted by.
+type Key struct {
+	Account domain.Account `json:"account"`
+	Service domain.Service `json:"service"`
+	Kind    domain.Kind    `json:"kind"`
 }
 
-// Key is by which the entry is found that counts.
-func (o Of) Key() string {
+// OwnerKey is by which the entry is found that counts.
+func (o Key) OwnerKey() string {
 	return "rate/" + string(o.Account) + "/" + string(o.Service) + "/" + string(o.Kind)
 }
 
@@ -53,19 +53,19 @@
 	at    time.Time
 }
 
-// Rates holds a bucket for each caller and row. The zero value is ready to use.
-type Rates struct {
+// Limiter holds a bucket for each caller and row. The zero value is ready to use.
+type Limiter struct {
 	// Since is the start of the process: what callers had before is not known, so that
 	// they have saved up nothing then. Zero is long ago.
 	Since time.Time
 
-	buckets map[Of]bucket
+	buckets map[Key]bucket
 }
 
 // Take counts one request at the given rate, in requests a second, of which so much time
 // may be saved up; a rate of zero is no limit. If there is no room it says when there
 // will be.
-func (r *Rates) Take(now time.Time, of Of, rate float64, burst time.Duration) (time.Duration, bool) {
+func (r *Limiter) Take(now time.Time, of Key, rate float64, burst time.Duration) (time.Duration, bool) {
 	if rate <= 0 {
 		return 0, true
 	}
@@ -84,9 +84,9 @@
 	return 0, true
 }
 
-func (r *Rates) keep(now time.Time, of Of, b bucket) {
+func (r *Limiter) keep(now time.Time, of Key, b bucket) {
 	if r.buckets == nil {
-		r.buckets = make(map[Of]bucket)
+		r.buckets = make(map[Key]bucket)
 	}
 	if len(r.buckets) >= most {
 		r.drop(now)
@@ -96,7 +96,7 @@
 
 // drop forgets the buckets that were not touched for as long as any takes to
 // fill.
-func (r *Rates) drop(now time.Time) {
+func (r *Limiter) drop(now time.Time) {
 	for of, b := range r.buckets {
 		if now.Sub(b.at) >= Burst {
 			delete(r.buckets, of)
@@ -104,23 +104,23 @@
 	}
 }
 
-// Told are the callers that were told to wait. The zero value is ready to use.
+// DenialCache are the callers that were told to wait. The zero value is ready to use.
 //
 // Load pattern: a caller's program in a loop, which does not wait as it was told. Each
 // refusal would cost a call to the entry that counts; told once, the others refuse by
 // themselves until then.
-type Told struct{ until map[Of]time.Time }
+type DenialCache struct{ until map[Key]time.Time }
 
 // Wait gives how long the caller is known to have nothing.
-func (t *Told) Wait(now time.Time, of Of) time.Duration { return max(0, t.until[of].Sub(now)) }
+func (t *DenialCache) Wait(now time.Time, of Key) time.Duration { return max(0, t.until[of].Sub(now)) }
 
-// Note remembers a caller that has to wait.
-func (t *Told) Note(now time.Time, of Of, wait time.Duration) {
+// Add remembers a caller that has to wait.
+func (t *DenialCache) Add(now time.Time, of Key, wait time.Duration) {
 	if t.until == nil {
-		t.until = make(map[Of]time.Time)
+		t.until = make(map[Key]time.Time)
 	}
 	if len(t.until) >= most {
-		maps.DeleteFunc(t.until, func(_ Of, until time.Time) bool { return !until.After(now) })
+		maps.DeleteFunc(t.until, func(_ Key, until time.Time) bool { return !until.After(now) })
 	}
 	if len(t.until) < most {
 		t.until[of] = now.Add(wait)
--- a/load/load.go
+++ b/load/load.go
@@ -25,9 +25,9 @@
 	"time"
 
 	"jacinthworks/check"
+	"jacinthworks/domain"
 	"jacinthworks/group"
 	"jacinthworks/send"
-	"jacinthworks/work"
 )
 
 // The bounds of a Plan that sets none.
@@ -41,8 +41,8 @@
 type Work struct {
 	// Share of the requests, against the shares of the others.
 	Share   float64
-	Service work.Service
-	Kind    work.Kind
+	Service domain.Service
+	Kind    domain.Kind
 	// PromptTokens and MaxTokens size a completion, each prompt token being
 	// four bytes. MaxTokens zero makes it a plain call.
 	PromptTokens, MaxTokens int
@@ -144,7 +144,7 @@
 		due := time.NewTimer(time.Until(started.Add(a.after)))
 		for waiting := true; waiting; {
 			select {
-			case <-g.Ends():
+			case <-g.Exits():
 				flying--
 			case <-due.C:
 				waiting = false
--- a/load/load_test.go
+++ b/load/load_test.go
@@ -15,7 +15,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"jacinthworks/work"
+	"jacinthworks/domain"
 )
 
 func TestArrivalsAreThePlansAndTheSeeds(t *testing.T) {
@@ -77,16 +77,16 @@
 		if kind == "refused_once" {
 			w.Header().Set("Retry-After", "1")
 		}
-		w.WriteHeader(work.ReasonNoRoom.Status())
-		_ = json.NewEncoder(w).Encode(work.Refusal{Reason: work.ReasonNoRoom, Ran: work.NotRun})
+		w.WriteHeader(domain.ReasonNoRoom.Status())
+		_ = json.NewEncoder(w).Encode(domain.Refusal{Reason: domain.ReasonNoRoom, Ran: domain.NotRun})
 	case strings.HasPrefix(r.URL.Path, "/services/"):
 		_, _ = io.WriteString(w, "card")
 	default:
-		e.stream(w, work.Kind(kind))
+		e.stream(w, domain.Kind(kind))
 	}
 }
 
-func (e *entry) stream(w io.Writer, kind work.Kind) {
+func (e *entry) stream(w io.Writer, kind domain.Kind) {
 	for range 3 {
 		_, _ = fmt.Fprint(w, `data: {"choices":[{"index":0,"text":"a ","finish_reason":null}]}`, "\n\n")
 	}
--- a/load/report.go
+++ b/load/report.go
@@ -10,8 +10,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/pkg/errors"
 
+	"jacinthworks/domain"
 	"jacinthworks/send"
-	"jacinthworks/work"
 )
 
 // What the histograms hold: microseconds up to ten minutes, three digits.
@@ -22,10 +22,10 @@
 
 // The ends of a request that is neither answered nor refused.
 const (
-	endTruncated work.Reason = "truncated"
-	endGivenUp   work.Reason = "given_up"
-	endNotSent   work.Reason = "not_sent"
-	endBroken    work.Reason = "broken"
+	endTruncated domain.Reason = "truncated"
+	endGivenUp   domain.Reason = "given_up"
+	endNotSent   domain.Reason = "not_sent"
+	endBroken    domain.Reason = "broken"
 )
 
 // sample is what one request's caller saw.
@@ -78,15 +78,15 @@
 	between  *hdrhistogram.Histogram
 	plain    *hdrhistogram.Histogram
 	lag      *hdrhistogram.Histogram
-	refused  map[work.Reason]int
-	failed   map[work.Reason]int
+	refused  map[domain.Reason]int
+	failed   map[domain.Reason]int
 }
 
 func newReport() *Report {
 	histogram := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, mostMicroseconds, significantDigits) }
 	return &Report{
 		first: histogram(), between: histogram(), plain: histogram(), lag: histogram(),
-		refused: map[work.Reason]int{}, failed: map[work.Reason]int{},
+		refused: map[domain.Reason]int{}, failed: map[domain.Reason]int{},
 	}
 }
 
@@ -126,13 +126,13 @@
 	}
 }
 
-func endOf(err error) work.Reason {
+func endOf(err error) domain.Reason {
 	switch {
 	case errors.Is(err, errTruncated):
 		return endTruncated
-	case send.Outcome(err) == send.NotSent:
+	case send.StageOf(err) == send.NotSent:
 		return endNotSent
-	case send.Outcome(err) == send.GivenUp:
+	case send.StageOf(err) == send.Canceled:
 		return endGivenUp
 	}
 	return endBroken
@@ -203,7 +203,7 @@
 	return lines
 }
 
-func counts(prefix string, of map[work.Reason]int) []string {
+func counts(prefix string, of map[domain.Reason]int) []string {
 	var lines []string
 	for reason, n := range of {
 		lines = append(lines, line(prefix+string(reason), float64(n)))
--- a/load/request.go
+++ b/load/request.go
@@ -12,8 +12,8 @@
 
 	"github.com/pkg/errors"
 
+	"jacinthworks/domain"
 	"jacinthworks/send"
-	"jacinthworks/work"
 )
 
 // maxAnswer limits a whole answer in bytes.
@@ -21,10 +21,10 @@
 
 // completion is the body of a completion.
 type completion struct {
-	Model     work.Service `json:"model"`
-	Prompt    string       `json:"prompt"`
-	MaxTokens int          `json:"max_tokens"`
-	Stream    bool         `json:"stream"`
+	Model     domain.Service `json:"model"`
+	Prompt    string         `json:"prompt"`
+	MaxTokens int            `json:"max_tokens"`
+	Stream    bool           `json:"stream"`
 }
 
 // chunk is one event of a streamed completion.
@@ -36,7 +36,7 @@
 
 // refusal is what a caller reads of a refusal.
 type refusal struct {
-	Reason work.Reason `json:"reason"`
+	Reason domain.Reason `json:"reason"`
 	// retryAfter is zero where a return makes no sense.
 	retryAfter time.Duration
 }
@@ -61,7 +61,7 @@
 		}
 		r.report.returned()
 		if pause(ctx, refused.retryAfter) != nil {
-			r.report.ended(s, &send.Failure{Stage: send.GivenUp, Cause: ctx.Err()})
+			r.report.ended(s, &send.Failure{Stage: send.Canceled, Cause: ctx.Err()})
 			return
 		}
 	}
@@ -93,7 +93,7 @@
 		return readRefusal(reply)
 	}
 	if a.work.MaxTokens == 0 {
-		if _, err = reply.All(maxAnswer); err == nil {
+		if _, err = reply.ReadAll(maxAnswer); err == nil {
 			s.token()
 		}
 		return err
@@ -124,12 +124,12 @@
 
 // readRefusal reads an answer other than 200. An answer that is no problem
 // document is the plain service's own.
-func readRefusal(reply *send.Reply) error {
-	body, err := reply.All(maxAnswer)
+func readRefusal(reply *send.Response) error {
+	body, err := reply.ReadAll(maxAnswer)
 	if err != nil {
 		return err
 	}
-	refused := &refusal{Reason: work.Reason("status_" + strconv.Itoa(reply.Status))}
+	refused := &refusal{Reason: domain.Reason("status_" + strconv.Itoa(reply.Status))}
 	if strings.HasPrefix(reply.Header.Get("Content-Type"), "application/problem+json") {
 		if err := json.Unmarshal(body, refused); err != nil {
 			return errors.Wrap(err, "load: reading refusal")
--- a/member/member.go
+++ b/member/member.go
@@ -20,12 +20,12 @@
 	"github.com/pkg/errors"
 
 	"jacinthworks/claim"
-	"jacinthworks/plat"
-	"jacinthworks/work"
+	"jacinthworks/domain"
+	"jacinthworks/infra"
 )
 
-// Entries is the service name under which entries themselves are recorded.
-const Entries work.Service = "entry"
+// EntryService is the service name under which entries themselves are recorded.
+const EntryService domain.Service = "entry"
 
 // joinTries bounds how often one join meets another's write. Members of one
 // service start together at most by the dozen; each loss is one more read.
@@ -38,12 +38,12 @@
 
 // Member is one process in the record.
 type Member struct {
-	Host        work.Host        `json:"host"`
-	Zone        work.Zone        `json:"zone"`
-	Role        work.Role        `json:"role,omitempty"`
-	Service     work.Service     `json:"service"`
-	Address     netip.AddrPort   `json:"address"`
-	Incarnation work.Incarnation `json:"incarnation"`
+	Host        domain.Host        `json:"host"`
+	Zone        domain.Zone        `json:"zone"`
+	Role        domain.Role        `json:"role,omitempty"`
+	Service     domain.Service     `json:"service"`
+	Address     netip.AddrPort     `json:"address"`
+	Incarnation domain.Incarnation `json:"incarnation"`
 	// Draining members take no new work and claim nothing, and are still
 	// connected to for what they run and know.
 	Draining bool `json:"draining,omitempty"`
@@ -51,18 +51,18 @@
 
 // Record is a service's members at a version.
 type Record struct {
-	Service work.Service `json:"service"`
-	Version plat.Version `json:"version"`
+	Service domain.Service `json:"service"`
+	Version infra.Version  `json:"version"`
 	// Members are sorted by host.
 	Members []Member `json:"members"`
-	// Claims lists the members that own shards of keys and run what is
+	// OwnsShards lists the members that own shards of keys and run what is
 	// claimed. It has versions of its own, which grow by one with each change
 	// of those members and of nothing else.
 	Claims claim.Record `json:"claims"`
 }
 
 // Name is the name of a service's record in the object API.
-func Name(s work.Service) string { return "members/" + string(s) }
+func Name(s domain.Service) string { return "members/" + string(s) }
 
 // With gives the record with m in the place of its earlier incarnation, and
 // whether that is a change.
@@ -86,7 +86,7 @@
 func (r *Record) claim() {
 	var list []claim.Member
 	for _, m := range r.Members {
-		if m.Claims() {
+		if m.OwnsShards() {
 			list = append(list, claim.Member{Host: m.Host, Zone: m.Zone, Incarnation: m.Incarnation})
 		}
 	}
@@ -98,7 +98,7 @@
 		r.Claims = claim.Record{Generation: claim.Generation{Version: 1, First: true, Members: list}}
 		return
 	}
-	r.Claims = old.Succeed(list)
+	r.Claims = old.Next(list)
 	r.Claims.Version = old.Version + 1
 	r.Claims.Past = bounded(r.Claims.Past)
 }
@@ -118,15 +118,17 @@
 	return past
 }
 
-// Runs says whether the member's upstream is one at which work takes effect or
+// ExecutesWork says whether the member's upstream is one at which work takes effect or
 // is answered, so that what it ran has to be known.
-func (m Member) Runs() bool { return m.Role == work.RoleDecode || m.Role == work.RoleApp }
+func (m Member) ExecutesWork() bool { return m.Role == domain.RoleDecode || m.Role == domain.RoleApp }
 
-// Claims says whether the member owns shards and runs what is claimed.
-func (m Member) Claims() bool { return m.Runs() && !m.Draining }
+// OwnsShards says whether the member owns shards and runs what is claimed.
+func (m Member) OwnsShards() bool { return m.ExecutesWork() && !m.Draining }
 
-// Same says whether both speak of one life of a process at one address.
-func (m Member) Same(o Member) bool { return m.Process() == o.Process() && m.Address == o.Address }
+// SameProcess says whether both speak of one life of a process at one address.
+func (m Member) SameProcess(o Member) bool {
+	return m.Process() == o.Process() && m.Address == o.Address
+}
 
 // Process names the member's present life as claims do.
 func (m Member) Process() claim.Process {
@@ -134,7 +136,7 @@
 }
 
 // Without gives the record without the host's given incarnation.
-func (r Record) Without(h work.Host, i work.Incarnation) (Record, bool) {
+func (r Record) Without(h domain.Host, i domain.Incarnation) (Record, bool) {
 	next := Record{Service: r.Service, Version: r.Version, Claims: r.Claims}
 	for _, o := range r.Members {
 		if o.Host != h || o.Incarnation != i {
@@ -146,7 +148,7 @@
 }
 
 // Parse reads a record from an object.
-func Parse(o plat.Object) (Record, error) {
+func Parse(o infra.Object) (Record, error) {
 	var r Record
 	if err := json.Unmarshal(o.Value, &r); err != nil {
 		return Record{}, errors.Wrapf(err, "member: %s", o.Name)
@@ -156,9 +158,9 @@
 }
 
 // Read gives a service's record; an empty one if there is none yet.
-func Read(ctx context.Context, objects plat.Objects, s work.Service) (Record, error) {
+func Read(ctx context.Context, objects infra.Objects, s domain.Service) (Record, error) {
 	o, err := objects.Get(ctx, Name(s))
-	if errors.Is(err, plat.ErrMissing) {
+	if errors.Is(err, infra.ErrMissing) {
 		return Record{Service: s}, nil
 	}
 	if err != nil {
@@ -168,18 +170,18 @@
 }
 
 // Join puts m into its service's record and gives the record.
-func Join(ctx context.Context, objects plat.Objects, m Member) (Record, error) {
+func Join(ctx context.Context, objects infra.Objects, m Member) (Record, error) {
 	return change(ctx, objects, m.Service, func(r Record) (Record, bool) { return r.With(m) })
 }
 
 // Leave takes m out of its service's record. A later incarnation stays.
-func Leave(ctx context.Context, objects plat.Objects, m Member) (Record, error) {
+func Leave(ctx context.Context, objects infra.Objects, m Member) (Record, error) {
 	return change(ctx, objects, m.Service, func(r Record) (Record, bool) { return r.Without(m.Host, m.Incarnation) })
 }
 
 // change writes by conditional update. A lost answer is settled by the next
 // turn's read: the change then finds itself done.
-func change(ctx context.Context, objects plat.Objects, s work.Service, edit func(Record) (Record, bool)) (Record, error) {
+func change(ctx context.Context, objects infra.Objects, s domain.Service, edit func(Record) (Record, bool)) (Record, error) {
 	var last error
 	for range joinTries {
 		now, err := Read(ctx, objects, s)
@@ -200,16 +202,16 @@
 			return next, nil
 		}
 		last = err
-		if !errors.Is(err, plat.ErrConflict) && !errors.Is(err, plat.ErrNoAnswer) {
+		if !errors.Is(err, infra.ErrConflict) && !errors.Is(err, infra.ErrNoReply) {
 			break
 		}
 	}
 	return Record{}, errors.Wrapf(last, "member: %s", s)
 }
 
-// Keep joins, trying again until the platform takes it, and tells of the
+// JoinWithRetry joins, trying again until the platform takes it, and tells of the
 // record once. It ends then, or with the context.
-func Keep(ctx context.Context, objects plat.Objects, m Member, joined func(Record)) error {
+func JoinWithRetry(ctx context.Context, objects infra.Objects, m Member, joined func(Record)) error {
 	for {
 		r, err := Join(ctx, objects, m)
 		if err == nil {
@@ -228,14 +230,14 @@
 // one rests. At 650 entries and ten services, thirty seconds are 217 calls a
 // second, a tenth of the platform's reads.
 const (
-	WatchWait = 30 * time.Second
-	WatchRest = 500 * time.Millisecond
+	WatchWait       = 30 * time.Second
+	WatchRetryDelay = 500 * time.Millisecond
 )
 
-// Follow gives each newer version of a service's record to apply, until the
+// Watch gives each newer version of a service's record to apply, until the
 // context ends. While the platform does not give it, otherwise is asked for
 // the newest that is known elsewhere; it may be nil.
-func Follow(ctx context.Context, objects plat.Objects, s work.Service, apply func(Record) bool, otherwise func(context.Context, Record) Record) error {
+func Watch(ctx context.Context, objects infra.Objects, s domain.Service, apply func(Record) bool, otherwise func(context.Context, Record) Record) error {
 	var at Record
 	for ctx.Err() == nil {
 		o, err := objects.Watch(ctx, Name(s), at.Version, WatchWait)
@@ -246,12 +248,12 @@
 				continue
 			}
 		}
-		if otherwise != nil && err != nil && !errors.Is(err, plat.ErrUnchanged) {
+		if otherwise != nil && err != nil && !errors.Is(err, infra.ErrUnchanged) {
 			at = otherwise(ctx, at)
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(WatchRest):
+		case <-time.After(WatchRetryDelay):
 		}
 	}
 	return nil
--- a/member/member_test.go
+++ b/member/member_test.go
@@ -10,9 +10,9 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"jacinthworks/plat"
+	"jacinthworks/domain"
+	"jacinthworks/infra"
 	"jacinthworks/test/seeded"
-	"jacinthworks/work"
 )
 
 func TestMain(m *testing.M) { seeded.Main(m) }
@@ -29,21 +29,21 @@
 
 // objects is one object in memory, with all that was ever written to it.
 type objects struct {
-	plat.Objects
-	at     plat.Object
+	infra.Objects
+	at     infra.Object
 	writes []Record
 	faults []fault
 	race   func()
 }
 
-func (o *objects) Get(context.Context, string) (plat.Object, error) {
+func (o *objects) Get(context.Context, string) (infra.Object, error) {
 	if o.at.Version == 0 {
-		return plat.Object{}, plat.ErrMissing
+		return infra.Object{}, infra.ErrMissing
 	}
 	return o.at, nil
 }
 
-func (o *objects) Put(_ context.Context, name string, value []byte, at plat.Version) (plat.Version, error) {
+func (o *objects) Put(_ context.Context, name string, value []byte, at infra.Version) (infra.Version, error) {
 	now := faultNone
 	if len(o.faults) > 0 {
 		now, o.faults = o.faults[0], o.faults[1:]
@@ -52,27 +52,27 @@
 		o.race()
 	}
 	if at != o.at.Version {
-		return 0, plat.ErrConflict
+		return 0, infra.ErrConflict
 	}
 	if now == faultBefore {
-		return 0, plat.ErrNoAnswer
+		return 0, infra.ErrNoReply
 	}
-	o.at = plat.Object{Name: name, Version: at + 1, Value: value}
+	o.at = infra.Object{Name: name, Version: at + 1, Value: value}
 	var r Record
 	if err := json.Unmarshal(value, &r); err != nil {
 		return 0, err
 	}
 	o.writes = append(o.writes, r)
 	if now == faultAfter {
-		return 0, plat.ErrNoAnswer
+		return 0, infra.ErrNoReply
 	}
 	return o.at.Version, nil
 }
 
-var roles = []work.Role{work.RolePrefill, work.RoleDecode, work.RoleApp}
+var roles = []domain.Role{domain.RolePrefill, domain.RoleDecode, domain.RoleApp}
 
-func memberOf(host int, i work.Incarnation) Member {
-	return Member{Host: work.Host(fmt.Sprintf("host-%d", host)), Role: roles[host%len(roles)], Service: "logwriter", Incarnation: i}
+func memberOf(host int, i domain.Incarnation) Member {
+	return Member{Host: domain.Host(fmt.Sprintf("host-%d", host)), Role: roles[host%len(roles)], Service: "logwriter", Incarnation: i}
 }
 
 // The story: after a rolling stop a hall server gets no work, or a keyed call
@@ -82,8 +82,8 @@
 func TestRecordThroughConflictsAndLostAnswers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ctx, o := t.Context(), &objects{}
-		naive := make(map[work.Host]Member)
-		lives := make(map[int]work.Incarnation)
+		naive := make(map[domain.Host]Member)
+		lives := make(map[int]domain.Incarnation)
 		change := func(host int, join bool) {
 			if join {
 				lives[host]++
@@ -94,7 +94,7 @@
 				require.Equal(t, 1, countOf(r, m), "in the record once")
 				return
 			}
-			life := work.Incarnation(rapid.Uint64Range(0, uint64(lives[host])).Draw(t, "life"))
+			life := domain.Incarnation(rapid.Uint64Range(0, uint64(lives[host])).Draw(t, "life"))
 			m := memberOf(host, life)
 			if naive[m.Host] == m {
 				delete(naive, m.Host)
@@ -145,7 +145,7 @@
 		}))
 		var claiming int
 		for _, m := range r.Members {
-			if m.Claims() {
+			if m.OwnsShards() {
 				claiming++
 			}
 		}
--- a/meter/meter.go
+++ b/meter/meter.go
@@ -3,7 +3,7 @@
 //
 // # Usage
 //
-//	var m meter.Set
+//	var m meter.Registry
 //	m.Count("jacinthworks_requests_total", meter.Labels{"route", name, "outcome", outcome})
 //	m.Observe("jacinthworks_request_seconds", meter.Labels{"kind", kind}, took)
 //	err := m.Serve(ctx, addr) // GET /metrics
@@ -29,33 +29,33 @@
 // and some seconds.
 var buckets = []float64{0.005, 0.01, 0.025, 0.05, 0.1, 0.15, 0.25, 0.5, 0.9, 1.5, 3, 6, 15}
 
-// Set holds counters and histograms. The zero value is empty and ready to use;
+// Registry holds counters and histograms. The zero value is empty and ready to use;
 // it must not be copied. It is safe for concurrent use.
-type Set struct {
+type Registry struct {
 	once sync.Once
 	set  *metrics.Set
 }
 
-func (s *Set) open() *metrics.Set {
+func (s *Registry) open() *metrics.Set {
 	s.once.Do(func() { s.set = metrics.NewSet() })
 	return s.set
 }
 
-// Count adds one to a counter.
-func (s *Set) Count(name string, l Labels) { s.Add(name, l, 1) }
+// Inc adds one to a counter.
+func (s *Registry) Inc(name string, l Labels) { s.Add(name, l, 1) }
 
 // Add adds n to a counter.
-func (s *Set) Add(name string, l Labels, n int) {
+func (s *Registry) Add(name string, l Labels, n int) {
 	s.open().GetOrCreateCounter(name + l.String()).Add(n)
 }
 
 // Observe adds a time to a histogram.
-func (s *Set) Observe(name string, l Labels, took time.Duration) {
+func (s *Registry) Observe(name string, l Labels, took time.Duration) {
 	s.open().GetOrCreatePrometheusHistogramExt(name+l.String(), buckets).Update(took.Seconds())
 }
 
 // Gauge shows what the function gives whenever the metrics are read.
-func (s *Set) Gauge(name string, l Labels, value func() float64) {
+func (s *Registry) Gauge(name string, l Labels, value func() float64) {
 	s.open().GetOrCreateGauge(name+l.String(), value)
 }
 
@@ -76,7 +76,7 @@
 }
 
 // ServeHTTP writes everything as text.
-func (s *Set) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
+func (s *Registry) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "text/plain; version=0.0.4")
 	s.open().WritePrometheus(w)
 	metrics.WriteProcessMetrics(w)
@@ -86,7 +86,7 @@
 const readTimeout = 5 * time.Second
 
 // Serve answers GET /metrics until ctx ends.
-func (s *Set) Serve(ctx context.Context, addr netip.AddrPort) error {
+func (s *Registry) Serve(ctx context.Context, addr netip.AddrPort) error {
 	m := http.NewServeMux()
 	m.Handle("GET /metrics", s)
 	h := &http.Server{Addr: addr.String(), Handler: m, ReadHeaderTimeout: readTimeout}
--- a/meter/meter_test.go
+++ b/meter/meter_test.go
@@ -11,8 +11,8 @@
 )
 
 func TestText(t *testing.T) {
-	var m meter.Set
-	m.Count("requests_total", meter.Labels{"kind", "once", "outcome", "answered"})
+	var m meter.Registry
+	m.Inc("requests_total", meter.Labels{"kind", "once", "outcome", "answered"})
 	m.Add("requests_total", meter.Labels{"kind", "once", "outcome", "answered"}, 2)
 	m.Observe("request_seconds", nil, 20*time.Millisecond)
 	m.Gauge("dropped", nil, func() float64 { return 7 })
--- a/meter/names.go
+++ b/meter/names.go
@@ -8,15 +8,15 @@
 // namesMost bounds how many names are remembered.
 const namesMost = 64
 
-// Names are those that came up, as the header fields of answers. The zero value is ready to
+// SeenNames are those that came up, as the header fields of answers. The zero value is ready to
 // use; it must not be copied.
-type Names struct {
+type SeenNames struct {
 	mu   sync.RWMutex // a leaf
 	seen map[string]bool
 }
 
-// Fresh gives the names in a header that did not come up before.
-func (n *Names) Fresh(h http.Header) (names []string) {
+// AddHeader gives the names in a header that did not come up before.
+func (n *SeenNames) AddHeader(h http.Header) (names []string) {
 	n.mu.RLock()
 	for name := range h {
 		if !n.seen[name] && len(n.seen) < namesMost {
@@ -42,5 +42,5 @@
 	return first
 }
 
-// First says whether a name did not come up before.
-func (n *Names) First(name string) bool { return len(n.Fresh(http.Header{name: nil})) > 0 }
+// Add says whether a name did not come up before.
+func (n *SeenNames) Add(name string) bool { return len(n.AddHeader(http.Header{name: nil})) > 0 }
--- a/pacer/bucket.go
+++ b/pacer/bucket.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// Terms are what may be given out: a rate, and how many requests may be saved up while
+// BucketConfig are what may be given out: a rate, and how many requests may be saved up while
 // none come.
-type Terms struct {
+type BucketConfig struct {
 	Rate  Rate
-	Saved float64
+	Burst float64
 }
 
-// Verdict is the answer to a process that wants to send a request.
-type Verdict struct {
+// Decision is the answer to a process that wants to send a request.
+type Decision struct {
 	Granted bool
 	// Wait is when to send it, where it is granted, and else when the next one may be.
 	Wait time.Duration
-	// Said is what is known of the limit where the verdict was given.
-	Said Statement
+	// Observation is what is known of the limit where the verdict was given.
+	Observation Observation
 }
 
 // Bucket gives out requests. The zero value starts at its first use with nothing.
@@ -26,7 +26,7 @@
 }
 
 // Take takes a request that can wait for so long.
-func (b *Bucket) Take(now time.Time, t Terms, within time.Duration) (granted bool, wait time.Duration) {
+func (b *Bucket) Take(now time.Time, t BucketConfig, within time.Duration) (granted bool, wait time.Duration) {
 	b.refill(now, t)
 	if b.level < 1 {
 		wait = time.Duration((1 - b.level) / float64(t.Rate) * float64(time.Second))
@@ -38,16 +38,16 @@
 	return true, wait
 }
 
-// Give gives back a request that was not sent.
-func (b *Bucket) Give(now time.Time, t Terms) {
+// Refund gives back a request that was not sent.
+func (b *Bucket) Refund(now time.Time, t BucketConfig) {
 	b.refill(now, t)
-	b.level = min(b.level+1, t.Saved)
+	b.level = min(b.level+1, t.Burst)
 }
 
-func (b *Bucket) refill(now time.Time, t Terms) {
+func (b *Bucket) refill(now time.Time, t BucketConfig) {
 	if b.at.IsZero() {
 		b.at = now
 	}
-	b.level = min(b.level+float64(t.Rate)*max(now.Sub(b.at), 0).Seconds(), t.Saved)
+	b.level = min(b.level+float64(t.Rate)*max(now.Sub(b.at), 0).Seconds(), t.Burst)
 	b.at = now
 }
--- a/pacer/bucket_test.go
+++ b/pacer/bucket_test.go
@@ -12,7 +12,7 @@
 // Guards against a limit of which most is lost: requests come in clumps, and all but the
 // first of a clump are refused though the next seconds are free.
 func TestAClumpIsServedOneAfterTheOther(t *testing.T) {
-	terms := Terms{Rate: 5, Saved: savedAll}
+	terms := BucketConfig{Rate: 5, Burst: savedAll}
 	served := func(within time.Duration) (n int) {
 		var b Bucket
 		last := time.Time{}
@@ -38,7 +38,7 @@
 // Guards against a permit that is lost with a request that was not sent, and against one
 // that is saved up beyond what may be.
 func TestWhatIsGivenBackCanBeTaken(t *testing.T) {
-	terms := Terms{Rate: 1, Saved: savedAll}
+	terms := BucketConfig{Rate: 1, Burst: savedAll}
 	var b Bucket
 	b.Take(began, terms, 0)
 	now := began.Add(time.Minute)
@@ -49,15 +49,15 @@
 	granted, wait := b.Take(now, terms, 0)
 	require.False(t, granted)
 	require.InDelta(t, time.Second, wait, float64(time.Millisecond))
-	b.Give(now, terms)
+	b.Refund(now, terms)
 	granted, _ = b.Take(now, terms, 0)
 	require.True(t, granted)
 	for range 10 {
-		b.Give(now, terms)
+		b.Refund(now, terms)
 	}
-	granted, _ = b.Take(now, Terms{Rate: 1, Saved: savedPart}, 0)
+	granted, _ = b.Take(now, BucketConfig{Rate: 1, Burst: savedPart}, 0)
 	require.True(t, granted)
-	granted, _ = b.Take(now, Terms{Rate: 1, Saved: savedPart}, 0)
+	granted, _ = b.Take(now, BucketConfig{Rate: 1, Burst: savedPart}, 0)
 	require.False(t, granted, "a part saves up less")
 }
 
@@ -71,12 +71,12 @@
 			sum := 0.0
 			for _, n := range sides {
 				if n > 0 {
-					sum += Standing{Members: members, Reached: n}.Part()
+					sum += Reachability{Members: members, Reached: n}.Fraction()
 				}
 			}
 			require.InDelta(t, 1.25, sum, 0.25+1e-9, "%v: from the whole limit to half as much more", sides)
 		}
 	}
-	require.Equal(t, 1.0, Standing{}.Part(), "alone")
-	require.Equal(t, laterPart, Standing{Members: 3, Reached: 3, Later: true}.Part())
+	require.Equal(t, 1.0, Reachability{}.Fraction(), "alone")
+	require.Equal(t, laterPart, Reachability{Members: 3, Reached: 3, Outranked: true}.Fraction())
 }
--- a/pacer/keeper.go
+++ b/pacer/keeper.go
@@ -19,10 +19,10 @@
 	newsFall = 0.5
 )
 
-// Keeper counts what all processes send to upstreams, each by a key of one start of
+// Limiter counts what all processes send to upstreams, each by a key of one start of
 // it. The zero value is ready to use; it must not be copied. It is safe for concurrent
 // use; its lock is a leaf.
-type Keeper[K comparable] struct {
+type Limiter[K comparable] struct {
 	mu    sync.Mutex
 	of    map[K]*count
 	swept time.Time
@@ -30,7 +30,7 @@
 
 // count is what is kept of one start of an upstream.
 type count struct {
-	belief Belief
+	belief LimitState
 	bucket Bucket
 	// began is when this process began to count.
 	began, used time.Time
@@ -41,57 +41,57 @@
 
 // Take takes a request to an upstream, for a process that knows the statement of its
 // limit and can wait for so long.
-func (k *Keeper[K]) Take(now time.Time, key K, said Statement, s Standing, within time.Duration) Verdict {
+func (k *Limiter[K]) Take(now time.Time, key K, said Observation, s Reachability, within time.Duration) Decision {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	c := k.learn(now, key, said)
 	if !c.belief.Rate().Limited() {
-		return Verdict{Granted: true, Said: c.belief.Statement()}
+		return Decision{Granted: true, Observation: c.belief.Observation()}
 	}
 	granted, wait := c.bucket.Take(now, c.terms(now, s), within)
-	return Verdict{Granted: granted, Wait: wait, Said: c.belief.Statement()}
+	return Decision{Granted: granted, Wait: wait, Observation: c.belief.Observation()}
 }
 
-// Give gives back a request that was not sent.
-func (k *Keeper[K]) Give(now time.Time, key K, said Statement, s Standing) Statement {
+// Refund gives back a request that was not sent.
+func (k *Limiter[K]) Refund(now time.Time, key K, said Observation, s Reachability) Observation {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	c := k.learn(now, key, said)
 	if c.belief.Rate().Limited() {
-		c.bucket.Give(now, c.terms(now, s))
+		c.bucket.Refund(now, c.terms(now, s))
 	}
-	return c.belief.Statement()
+	return c.belief.Observation()
 }
 
-// Learn takes a statement, and gives what is known after it.
-func (k *Keeper[K]) Learn(now time.Time, key K, said Statement) Statement {
+// Observe takes a statement, and gives what is known after it.
+func (k *Limiter[K]) Observe(now time.Time, key K, said Observation) Observation {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.learn(now, key, said).belief.Statement()
+	return k.learn(now, key, said).belief.Observation()
 }
 
-// News says whether all processes are to be told what is known of a limit, since it has
+// NextBroadcast says whether all processes are to be told what is known of a limit, since it has
 // begun, fallen far or ended; the caller does so.
 //
 // Failure: an upstream states a limit again that had ended, and many processes have few
 // requests each. Until each of them has had an answer it sends as before. It shows as
 // one request of every process in the first seconds.
-func (k *Keeper[K]) News(now time.Time, key K) (Statement, bool) {
+func (k *Limiter[K]) NextBroadcast(now time.Time, key K) (Observation, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	c := k.of[key]
 	if c == nil || now.Sub(c.spreadAt) < newsEvery {
-		return Statement{}, false
+		return Observation{}, false
 	}
 	rate := c.belief.Rate()
 	if rate.Limited() == c.spread.Limited() && !rate.Stricter(newsFall*c.spread) {
-		return Statement{}, false
+		return Observation{}, false
 	}
 	c.spread, c.spreadAt = rate, now
-	return c.belief.Statement(), true
+	return c.belief.Observation(), true
 }
 
-func (k *Keeper[K]) learn(now time.Time, key K, said Statement) *count {
+func (k *Limiter[K]) learn(now time.Time, key K, said Observation) *count {
 	k.sweep(now)
 	if k.of == nil {
 		k.of = make(map[K]*count)
@@ -101,11 +101,11 @@
 	}
 	c := k.of[key]
 	c.used = now
-	c.belief.Learn(said)
+	c.belief.Observe(said)
 	return c
 }
 
-func (k *Keeper[K]) sweep(now time.Time) {
+func (k *Limiter[K]) sweep(now time.Time) {
 	if now.Sub(k.swept) < sweepEvery {
 		return
 	}
@@ -122,15 +122,15 @@
 // Failure: a process takes over a count, or starts again and takes it back, before all
 // know of it. It shows as two bursts, or two whole limits, within seconds. A limit that
 // is older than the count was counted elsewhere before.
-func (c *count) terms(now time.Time, s Standing) Terms {
-	part := s.Part()
-	tookOver := c.began.Sub(c.belief.Statement().since()) > transit
-	if tookOver && !s.Handed && now.Sub(c.began) < settleWithin {
+func (c *count) terms(now time.Time, s Reachability) BucketConfig {
+	part := s.Fraction()
+	tookOver := c.began.Sub(c.belief.Observation().since()) > transit
+	if tookOver && !s.HandedOver && now.Sub(c.began) < settleWithin {
 		part = min(part, settlePart)
 	}
-	t := Terms{Rate: c.belief.Rate() * Rate(part), Saved: savedAll}
+	t := BucketConfig{Rate: c.belief.Rate() * Rate(part), Burst: savedAll}
 	if part < 1 {
-		t.Saved = savedPart
+		t.Burst = savedPart
 	}
 	return t
 }
--- a/pacer/model_test.go
+++ b/pacer/model_test.go
@@ -51,7 +51,7 @@
 type process struct {
 	name   int
 	state  state
-	belief pacer.Belief
+	belief pacer.LimitState
 	told   time.Time // when it first had an answer that stated a limit
 	// lowered counts the falls of the rate that it has had an answer after, and when it
 	// had the last of these.
@@ -59,9 +59,9 @@
 	loweredAt time.Time
 	paused    time.Time
 	lost      map[int]time.Time
-	keeper    pacer.Keeper[string]
-	alone     pacer.Keeper[string]
-	sight     pacer.Sight[int]
+	keeper    pacer.Limiter[string]
+	alone     pacer.Limiter[string]
+	sight     pacer.ProbeResult[int]
 	looked    time.Time
 	asked     time.Time // when it last counted for another, or itself
 }
@@ -126,45 +126,45 @@
 }
 
 // call gives what p finds of o.
-func (w *world) call(p, o *process) pacer.Presence {
+func (w *world) call(p, o *process) pacer.PeerState {
 	switch {
 	case !w.reaches(p, o):
-		return pacer.Silent
+		return pacer.Unreachable
 	case o.state != runs:
-		return pacer.Out
+		return pacer.Stopped
 	}
 	return pacer.Alive
 }
 
 // standing is that of p as one that counts.
-func (w *world) standing(p *process) pacer.Standing {
+func (w *world) standing(p *process) pacer.Reachability {
 	var before []int
 	for _, o := range w.all[:slices.Index(w.all, p)] {
 		before = append(before, o.name)
 	}
 	if w.now.Sub(p.looked) > lookStale {
-		return pacer.Unlooked(len(before))
+		return pacer.Unprobed(len(before))
 	}
-	return p.sight.Standing(before)
+	return p.sight.Reachability(before)
 }
 
 // look has p look around.
 func (w *world) look(p *process) {
-	g := pacer.Sight[int]{Before: make(map[int]pacer.Presence)}
+	g := pacer.ProbeResult[int]{Predecessors: make(map[int]pacer.PeerState)}
 	for _, o := range w.all[:slices.Index(w.all, p)] {
-		g.Before[o.name] = w.call(p, o)
+		g.Predecessors[o.name] = w.call(p, o)
 	}
 	others := slices.DeleteFunc(slices.Clone(w.all), func(o *process) bool { return o == p })
 	w.random.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
 	for _, o := range others[:min(len(others), lookMost)] {
 		switch w.call(p, o) {
-		case pacer.Silent:
-			g.Silent++
+		case pacer.Unreachable:
+			g.Unreachable++
 		case pacer.Alive:
 			g.Answered++
-			for name, found := range g.Before {
-				if found == pacer.Silent && w.call(o, w.named(name)) == pacer.Alive {
-					g.Before[name] = pacer.Alive
+			for name, found := range g.Predecessors {
+				if found == pacer.Unreachable && w.call(o, w.named(name)) == pacer.Alive {
+					g.Predecessors[name] = pacer.Alive
 				}
 			}
 		}
@@ -177,7 +177,7 @@
 }
 
 // ask makes a call at the one that counts for p, and gives the time that it took.
-func (w *world) ask(p *process, call func(*pacer.Keeper[string], pacer.Standing)) (took time.Duration) {
+func (w *world) ask(p *process, call func(*pacer.Limiter[string], pacer.Reachability)) (took time.Duration) {
 	asked := 0
 	for _, o := range w.all {
 		if o == p {
@@ -207,25 +207,25 @@
 			call(&o.keeper, w.standing(o))
 			w.spread(o)
 			return took + 2*oneWay
-		case pacer.Silent:
+		case pacer.Unreachable:
 			took += silence
 		}
 		p.lost[o.name] = w.now.Add(tryAgain)
 	}
-	call(&p.alone, pacer.Standing{Members: len(w.all), Reached: 1})
+	call(&p.alone, pacer.Reachability{Members: len(w.all), Reached: 1})
 	return took
 }
 
 // spread has one that counts tell all others that a limit has begun or ended.
 func (w *world) spread(p *process) {
-	said, news := p.keeper.News(w.now, key)
+	said, news := p.keeper.NextBroadcast(w.now, key)
 	if !news {
 		return
 	}
-	aged := said.Aged(w.now)
+	aged := said.Age(w.now)
 	w.after(oneWay, func() {
 		for _, o := range w.all {
-			if w.call(p, o) == pacer.Alive && o.belief.Learn(aged.At(w.now)) {
+			if w.call(p, o) == pacer.Alive && o.belief.Observe(aged.At(w.now)) {
 				o.paused = time.Time{}
 			}
 		}
@@ -233,11 +233,11 @@
 }
 
 // learn takes a statement at p, and tells the one that counts of a change.
-func (w *world) learn(p *process, s pacer.Statement) {
-	if p.belief.Learn(s) {
+func (w *world) learn(p *process, s pacer.Observation) {
+	if p.belief.Observe(s) {
 		p.paused = time.Time{}
-		w.ask(p, func(k *pacer.Keeper[string], _ pacer.Standing) {
-			k.Learn(w.now, key, s.Aged(w.now).At(w.now))
+		w.ask(p, func(k *pacer.Limiter[string], _ pacer.Reachability) {
+			k.Observe(w.now, key, s.Age(w.now).At(w.now))
 		})
 	}
 }
@@ -253,11 +253,11 @@
 		w.refused++
 		return
 	}
-	var v pacer.Verdict
-	took := w.ask(p, func(k *pacer.Keeper[string], s pacer.Standing) {
-		v = k.Take(w.now, key, p.belief.Statement().Aged(w.now).At(w.now), s, within)
+	var v pacer.Decision
+	took := w.ask(p, func(k *pacer.Limiter[string], s pacer.Reachability) {
+		v = k.Take(w.now, key, p.belief.Observation().Age(w.now).At(w.now), s, within)
 	})
-	p.belief.Learn(v.Said.Aged(w.now).At(w.now))
+	p.belief.Observe(v.Observation.Age(w.now).At(w.now))
 	if !v.Granted {
 		p.paused = w.now.Add(min(v.Wait, longest))
 		w.refused++
@@ -292,7 +292,7 @@
 				if p.told.IsZero() && said.Limited() {
 					p.told = w.now
 				}
-				w.learn(p, pacer.Statement{Rate: said, Sent: sent, Heard: w.now})
+				w.learn(p, pacer.Observation{Rate: said, Sent: sent, Received: w.now})
 			})
 		})
 	})
@@ -373,5 +373,5 @@
 
 // rateOf draws a limit, of which some are under one request a second.
 func (w *world) rateOf() pacer.Rate {
-	return pacer.Of([]float64{0.2, 0.5, 0.9, 1, 2.4, 5, 20}[w.random.IntN(7)])
+	return pacer.NewRate([]float64{0.2, 0.5, 0.9, 1, 2.4, 5, 20}[w.random.IntN(7)])
 }
--- a/pacer/pacer.go
+++ b/pacer/pacer.go
@@ -17,10 +17,10 @@
 //
 // # Usage
 //
-//	var b pacer.Belief                      // of each start of an upstream
-//	changed := b.Learn(pacer.Statement{Rate: pacer.Of(2.4), Sent: sent, Heard: heard})
+//	var b pacer.LimitState                      // of each start of an upstream
+//	changed := b.Learn(pacer.Observation{Rate: pacer.NewRate(2.4), Sent: sent, Heard: heard})
 //
-//	var k pacer.Keeper[string]              // at the process that counts
+//	var k pacer.Limiter[string]              // at the process that counts
 //	v := k.Take(now, "i-1", b.Statement(), standing, within)
 //	if !v.Granted { refuse(v.Wait) }
 //	wait(v.Wait)                            // then send
@@ -33,15 +33,15 @@
 type Rate float64
 
 const (
-	// None is no limit.
-	None Rate = 0
-	// Least is the lowest rate that is kept. An upstream that takes nothing is sent a
+	// Unlimited is no limit.
+	Unlimited Rate = 0
+	// MinRate is the lowest rate that is kept. An upstream that takes nothing is sent a
 	// request now and then: only an answer tells that the limit has ended.
-	Least Rate = 0.1
+	MinRate Rate = 0.1
 )
 
-// Of gives the limit of a stated number of requests a second, zero included.
-func Of(perSecond float64) Rate { return max(Rate(perSecond), Least) }
+// NewRate gives the limit of a stated number of requests a second, zero included.
+func NewRate(perSecond float64) Rate { return max(Rate(perSecond), MinRate) }
 
 // Limited says whether there is a limit.
 func (r Rate) Limited() bool { return r > 0 }
--- a/pacer/standing.go
+++ b/pacer/standing.go
@@ -2,18 +2,18 @@
 
 import "maps"
 
-// Standing is how sure a process can be that no other gives out the same requests. The
+// Reachability is how sure a process can be that no other gives out the same requests. The
 // zero value is one that knows nobody.
-type Standing struct {
+type Reachability struct {
 	// Members counts the processes that were looked for, Reached those that answered
 	// lately; both include this one.
 	Members, Reached int
-	// Later says that a process that goes before this one is alive, as far as known:
+	// Outranked says that a process that goes before this one is alive, as far as known:
 	// those that can reach it go there.
-	Later bool
-	// Handed says that those before this one have said that they leave: they give out
+	Outranked bool
+	// HandedOver says that those before this one have said that they leave: they give out
 	// nothing any more.
-	Handed bool
+	HandedOver bool
 }
 
 const (
@@ -28,60 +28,60 @@
 	savedPart = 1
 )
 
-// Part gives the part of what is counted that may be given out.
+// Fraction gives the part of what is counted that may be given out.
 //
 // Failure: a fleet is cut in two, and each side finds a process that counts. It shows as
 // twice the limit. Only one side can have more than half of the processes. The others
 // give out their part of the fleet, which together is no more than a half.
-func (s Standing) Part() float64 {
+func (s Reachability) Fraction() float64 {
 	part := 1.0
 	if s.Members > 1 && 2*s.Reached <= s.Members {
 		part = float64(max(s.Reached, 1)) / float64(s.Members)
 	}
-	if s.Later {
+	if s.Outranked {
 		part = min(part, laterPart)
 	}
 	return part
 }
 
-// Presence is what a process found of another one.
-type Presence string
+// PeerState is what a process found of another one.
+type PeerState string
 
 // What may be found.
 const (
 	// Alive: it was reached, directly or by others.
-	Alive Presence = "alive"
-	// Out: it gives out nothing, since it leaves or does not run.
-	Out Presence = "out"
-	// Silent: it may be lost, or cut off.
-	Silent Presence = "silent"
+	Alive PeerState = "alive"
+	// Stopped: it gives out nothing, since it leaves or does not run.
+	Stopped PeerState = "out"
+	// Unreachable: it may be lost, or cut off.
+	Unreachable PeerState = "silent"
 )
 
-// Sight is what a process found that looked for others. The zero value found nobody.
-type Sight[N comparable] struct {
+// ProbeResult is what a process found that looked for others. The zero value found nobody.
+type ProbeResult[N comparable] struct {
 	// Answered and Silent count the processes drawn from all that may give out requests.
-	Answered, Silent int
-	// Before are those that go before this one for some key.
-	Before map[N]Presence
+	Answered, Unreachable int
+	// Predecessors are those that go before this one for some key.
+	Predecessors map[N]PeerState
 }
 
 // Equal says whether two looks found the same.
-func (g Sight[N]) Equal(o Sight[N]) bool {
-	return g.Silent == o.Silent && maps.Equal(g.Before, o.Before)
+func (g ProbeResult[N]) Equal(o ProbeResult[N]) bool {
+	return g.Unreachable == o.Unreachable && maps.Equal(g.Predecessors, o.Predecessors)
 }
 
-// Standing gives that of a process that some others go before. One that was not looked
+// Reachability gives that of a process that some others go before. One that was not looked
 // for is taken for alive.
-func (g Sight[N]) Standing(before []N) Standing {
-	s := Standing{Members: g.Answered + g.Silent + 1, Reached: g.Answered + 1, Handed: len(before) > 0}
+func (g ProbeResult[N]) Reachability(before []N) Reachability {
+	s := Reachability{Members: g.Answered + g.Unreachable + 1, Reached: g.Answered + 1, HandedOver: len(before) > 0}
 	for _, name := range before {
-		found, looked := g.Before[name]
-		s.Later = s.Later || !looked || found == Alive
-		s.Handed = s.Handed && found == Out
+		found, looked := g.Predecessors[name]
+		s.Outranked = s.Outranked || !looked || found == Alive
+		s.HandedOver = s.HandedOver && found == Stopped
 	}
 	return s
 }
 
-// Unlooked gives the standing of a process that has not looked yet, or not lately, and
+// Unprobed gives the standing of a process that has not looked yet, or not lately, and
 // that so many others go before.
-func Unlooked(before int) Standing { return Standing{Later: before > 0} }
+func Unprobed(before int) Reachability { return Reachability{Outranked: before > 0} }
--- a/pacer/trouble_test.go
+++ b/pacer/trouble_test.go
@@ -55,7 +55,7 @@
 		w.state(rate)
 		return fmt.Sprint("rate ", rate)
 	default:
-		w.state(pacer.None)
+		w.state(pacer.Unlimited)
 		w.after(back, func() { w.state(w.rateOf()) })
 		return "limit ends"
 	}
@@ -97,7 +97,7 @@
 	for _, n := range []int{1, 4, 68, 300} {
 		for _, rate := range []float64{0.3, 0.9, 2.4, 20} {
 			w := newWorld(t, 1, n)
-			w.state(pacer.Of(rate))
+			w.state(pacer.NewRate(rate))
 			w.run(10*time.Second, 60, 50*time.Millisecond)
 			before := w.sent
 			w.run(40*time.Second, 60, 50*time.Millisecond)
--- a/paths/account.go
+++ b/paths/account.go
@@ -1,10 +1,10 @@
 package paths
 
-import "jacinthworks/work"
+import "jacinthworks/domain"
 
 // Account is a client account: who may ask, as whom, and how much.
 type Account struct {
-	Name work.Account
+	Name domain.Account
 	// Keys are the secrets that its callers show; any one of them will do.
 	Keys []string
 	// Priority goes before that of the route, where HasPriority says that there is one.
@@ -39,16 +39,16 @@
 	return q.PlainTokens
 }
 
-// NeedsKey says whether callers have to show a key at all.
-func (c *Config) NeedsKey() bool { return len(c.Accounts) > 0 }
+// RequiresKey says whether callers have to show a key at all.
+func (c *Config) RequiresKey() bool { return len(c.Accounts) > 0 }
 
-// Account gives the account that holds a key; nil for none.
-func (c *Config) Account(key string) *Account {
+// AccountByKey gives the account that holds a key; nil for none.
+func (c *Config) AccountByKey(key string) *Account {
 	if key == "" {
 		return nil
 	}
 	return c.byKey[key]
 }
 
-// Named gives the account of a name; nil for none.
-func (c *Config) Named(name work.Account) *Account { return c.byAccount[name] }
+// AccountByName gives the account of a name; nil for none.
+func (c *Config) AccountByName(name domain.Account) *Account { return c.byAccount[name] }
--- a/paths/account_test.go
+++ b/paths/account_test.go
@@ -25,12 +25,12 @@
 	require.NoError(t, gob.NewDecoder(&b).Decode(&got))
 	require.Equal(t, c, got)
 	var h paths.Holder
-	changed, found := h.Offer(time.Now(), &got)
+	changed, found := h.Update(time.Now(), &got)
 	require.True(t, changed)
 	require.Empty(t, found)
-	require.Equal(t, "studs", string(h.Current().Account("b").Name))
-	require.Nil(t, h.Current().Account(""))
-	require.Nil(t, h.Current().Account("d"))
+	require.Equal(t, "studs", string(h.Current().AccountByKey("b").Name))
+	require.Nil(t, h.Current().AccountByKey(""))
+	require.Nil(t, h.Current().AccountByKey("d"))
 }
 
 // Story: operators give one key to two accounts, and a quota below zero. What can be
--- a/paths/holder.go
+++ b/paths/holder.go
@@ -16,14 +16,14 @@
 	since   atomic.Pointer[time.Time]
 }
 
-// Offer puts the configuration in force if it is newer than the present one,
+// Update puts the configuration in force if it is newer than the present one,
 // and says whether it did. Findings do not keep it out: the operators' store
 // has accepted it, so what can be served of it is.
 //
 // Failure: a list answered late, or by a store that is behind, brings an older
 // configuration after a newer one. It shows as requests that go where they no
 // longer should. The comparison holds for as long as the process lives.
-func (h *Holder) Offer(now time.Time, c *Config) (changed bool, found check.Findings) {
+func (h *Holder) Update(now time.Time, c *Config) (changed bool, found check.Findings) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if old := h.current.Load(); old != nil && c.Version <= old.Version {
--- a/paths/paths.go
+++ b/paths/paths.go
@@ -20,7 +20,7 @@
 	"time"
 
 	"jacinthworks/check"
-	"jacinthworks/work"
+	"jacinthworks/domain"
 )
 
 // Version numbers configurations; it grows in uneven steps.
@@ -34,16 +34,16 @@
 const (
 	// Idempotent requests may run more than once.
 	Idempotent Kind = "idempotent"
-	// Once is for requests that may run at most once.
-	Once Kind = "once"
+	// AtMostOnce is for requests that may run at most once.
+	AtMostOnce Kind = "once"
 	// Stream is answered by a series of events; it may run at most once,
 	// unless it may be resumed.
 	Stream Kind = "stream"
 )
 
-// Share is a service's part of a route.
-type Share struct {
-	Service work.Service
+// WeightedService is a service's part of a route.
+type WeightedService struct {
+	Service domain.Service
 	Weight  int
 }
 
@@ -55,7 +55,7 @@
 	Prefix string
 	Kind   Kind
 	// Shares are the services that the requests go to, by weight.
-	Shares []Share
+	Shares []WeightedService
 	// Timeout is how long a request is kept waiting; zero is any time.
 	Timeout time.Duration
 	// Target is the time to the answer, or to the first event, that is aimed
@@ -72,13 +72,13 @@
 	Open bool
 }
 
-// MayRepeat says whether a request that may have run may run again.
-func (r *Route) MayRepeat() bool {
+// Retryable says whether a request that may have run may run again.
+func (r *Route) Retryable() bool {
 	return r.Kind == Idempotent || r.Kind == Stream && r.Resumable
 }
 
 // Pick draws a service by weight.
-func (r *Route) Pick(random *rand.Rand) work.Service {
+func (r *Route) Pick(random *rand.Rand) domain.Service {
 	total := 0
 	for _, s := range r.Shares {
 		total += max(s.Weight, 0)
@@ -111,7 +111,7 @@
 
 // Service is a pool of upstreams that routes name.
 type Service struct {
-	Name work.Service
+	Name domain.Service
 	// MaxConnections is how many connections an upstream takes from all
 	// callers together; zero is any number.
 	MaxConnections int
@@ -139,21 +139,21 @@
 
 	byHost    map[string][]*Route
 	byKey     map[string]*Account
-	byAccount map[work.Account]*Account
-	services  map[work.Service]*Service
+	byAccount map[domain.Account]*Account
+	services  map[domain.Service]*Service
 }
 
 // Check gives what makes a configuration unfit for use.
 func (c *Config) Check() check.Findings {
 	var f check.Findings
-	known := make(map[work.Service]bool)
+	known := make(map[domain.Service]bool)
 	for _, s := range c.Services {
 		known[s.Name] = true
 	}
 	for _, r := range c.Routes {
 		place := "route " + r.Name
 		switch r.Kind {
-		case Idempotent, Once, Stream:
+		case Idempotent, AtMostOnce, Stream:
 		default:
 			f.Add(place, "unknown kind %q", r.Kind)
 		}
@@ -175,7 +175,7 @@
 // checkAccounts names no key in what it finds: findings are logged.
 func (c *Config) checkAccounts() check.Findings {
 	var f check.Findings
-	held := make(map[string]work.Account)
+	held := make(map[string]domain.Account)
 	for _, a := range c.Accounts {
 		place := "account " + string(a.Name)
 		if a.Name == "" {
@@ -198,12 +198,12 @@
 // to are left out: the others are served.
 func (c *Config) index() {
 	c.byHost = make(map[string][]*Route)
-	c.services = make(map[work.Service]*Service)
+	c.services = make(map[domain.Service]*Service)
 	for i := range c.Services {
 		c.services[c.Services[i].Name] = &c.Services[i]
 	}
 	c.byKey = make(map[string]*Account)
-	c.byAccount = make(map[work.Account]*Account)
+	c.byAccount = make(map[domain.Account]*Account)
 	for i := range c.Accounts {
 		c.byAccount[c.Accounts[i].Name] = &c.Accounts[i]
 		for _, key := range c.Accounts[i].Keys {
@@ -235,7 +235,7 @@
 }
 
 // Service gives a service by name; nil when there is none.
-func (c *Config) Service(name work.Service) *Service { return c.services[name] }
+func (c *Config) Service(name domain.Service) *Service { return c.services[name] }
 
 // hostname gives the name in a Host header, without a port.
 func hostname(host string) string {
--- a/paths/paths_test.go
+++ b/paths/paths_test.go
@@ -8,15 +8,15 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
+	"jacinthworks/domain"
 	"jacinthworks/paths"
-	"jacinthworks/work"
 )
 
 func config(v paths.Version, prefixes ...string) *paths.Config {
 	c := &paths.Config{Version: v, Services: []paths.Service{{Name: "cards"}}}
 	for _, p := range prefixes {
 		c.Routes = append(c.Routes, paths.Route{
-			Name: p, Host: "Site.Example", Prefix: p, Kind: paths.Once, Shares: []paths.Share{{Service: "cards", Weight: 1}},
+			Name: p, Host: "Site.Example", Prefix: p, Kind: paths.AtMostOnce, Shares: []paths.WeightedService{{Service: "cards", Weight: 1}},
 		})
 	}
 	return c
@@ -24,7 +24,7 @@
 
 func TestTheLongestPrefixOfTheHostWins(t *testing.T) {
 	var h paths.Holder
-	_, found := h.Offer(time.Now(), config(1, "/", "/a/", "/a/b/"))
+	_, found := h.Update(time.Now(), config(1, "/", "/a/", "/a/b/"))
 	require.Empty(t, found)
 	for path, want := range map[string]string{"/x": "/", "/a": "/", "/a/": "/a/", "/a/bc": "/a/", "/a/b/c": "/a/b/"} {
 		r, ok := h.Current().Match("site.example:80", path)
@@ -42,7 +42,7 @@
 		var h paths.Holder
 		newest := paths.Version(0)
 		for _, v := range rapid.SliceOfN(rapid.Uint64Range(1, 20), 1, 30).Draw(t, "versions") {
-			changed, _ := h.Offer(time.Now(), config(paths.Version(v), "/"))
+			changed, _ := h.Update(time.Now(), config(paths.Version(v), "/"))
 			if changed != (paths.Version(v) > newest) {
 				t.Fatalf("version %d after %d: changed %v", v, newest, changed)
 			}
@@ -57,11 +57,11 @@
 func TestFindingsNameTheRoute(t *testing.T) {
 	c := config(1, "/")
 	c.Routes = append(c.Routes,
-		paths.Route{Name: "none", Prefix: "/n/", Kind: paths.Once},
-		paths.Route{Name: "odd", Prefix: "n", Kind: "odd", Shares: []paths.Share{{Service: "missing"}}},
+		paths.Route{Name: "none", Prefix: "/n/", Kind: paths.AtMostOnce},
+		paths.Route{Name: "odd", Prefix: "n", Kind: "odd", Shares: []paths.WeightedService{{Service: "missing"}}},
 	)
 	var h paths.Holder
-	changed, found := h.Offer(time.Now(), c)
+	changed, found := h.Update(time.Now(), c)
 	require.True(t, changed, "what can be served of it is")
 	require.Len(t, found, 4)
 	_, ok := h.Current().Match("", "/n/")
@@ -69,9 +69,9 @@
 }
 
 func TestSharesByWeight(t *testing.T) {
-	r := paths.Route{Shares: []paths.Share{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}, {Service: "c"}}}
+	r := paths.Route{Shares: []paths.WeightedService{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}, {Service: "c"}}}
 	random := rand.New(rand.NewPCG(1, 2))
-	counts := make(map[work.Service]int)
+	counts := make(map[domain.Service]int)
 	for range 10_000 {
 		counts[r.Pick(random)]++
 	}
--- a/links/links.go
+++ b/peers/peers.go
@@ -1,13 +1,13 @@
-// Package links keeps a connection to each member of the services that a
+// Package peers keeps a connection to each member of the services that a
 // process deals with, and knows which of them may be given new work.
 //
 // # Usage
 //
-//	d := links.Directory{Local: &local}
+//	d := peers.Directory{Local: &local}
 //	g.Go(ctx, "links", d.Run)
 //	d.Apply(record) // on each newer record
 //	for _, l := range d.Of("wallapp") { ... }
-package links
+package peers
 
 import (
 	"context"
@@ -18,10 +18,10 @@
 	"sync/atomic"
 	"time"
 
+	"jacinthworks/domain"
 	"jacinthworks/group"
 	"jacinthworks/member"
 	"jacinthworks/wire"
-	"jacinthworks/work"
 )
 
 // Link is one member as this process sees it.
@@ -41,22 +41,22 @@
 	if p == nil || l.Leaving.Load() || l.gone.Load() {
 		return false
 	}
-	b, heard := p.LastBeat()
+	b, heard := p.LastHeartbeat()
 	return heard && !b.Draining && (b.Load == nil || !b.Load.Down)
 }
 
 // Directory holds a link to each member of each record it is given. The zero
 // value with Local set is ready; its lock is a leaf.
 type Directory struct {
-	Local *wire.Local
+	Local *wire.Handlers
 	// TLS is nil for plain connections.
 	TLS *tls.Config
-	// Removed, if set, is told of members that left a record.
-	Removed func(member.Member)
+	// OnRemoved, if set, is told of members that left a record.
+	OnRemoved func(member.Member)
 
 	mu      sync.Mutex
-	byHost  map[work.Host]*Link
-	records map[work.Service]member.Record
+	byHost  map[domain.Host]*Link
+	records map[domain.Service]member.Record
 	runs    group.Group
 	ctx     context.Context
 	ready   chan struct{}
@@ -80,7 +80,7 @@
 	defer t.Stop()
 	for {
 		select {
-		case _, open := <-d.runs.Ends():
+		case _, open := <-d.runs.Exits():
 			if !open {
 				return nil
 			}
@@ -99,8 +99,8 @@
 // itself to close holds, since it does so once nothing runs there.
 func (d *Directory) sweep() {
 	for _, m := range d.letGo() {
-		if d.Removed != nil {
-			d.Removed(m) // without the lock: it may take locks that are held around ours
+		if d.OnRemoved != nil {
+			d.OnRemoved(m) // without the lock: it may take locks that are held around ours
 		}
 	}
 }
@@ -127,17 +127,17 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.byHost == nil {
-		d.byHost = make(map[work.Host]*Link)
-		d.records = make(map[work.Service]member.Record)
+		d.byHost = make(map[domain.Host]*Link)
+		d.records = make(map[domain.Service]member.Record)
 	}
 	if r.Version <= d.records[r.Service].Version {
 		return false
 	}
 	d.records[r.Service] = r
-	kept := make(map[work.Host]bool)
+	kept := make(map[domain.Host]bool)
 	for _, m := range r.Members {
 		kept[m.Host] = true
-		if s := d.byHost[m.Host]; s == nil || !s.Member.Same(m) {
+		if s := d.byHost[m.Host]; s == nil || !s.Member.SameProcess(m) {
 			d.replace(m)
 		} else {
 			s.gone.Store(false)
@@ -168,8 +168,8 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.byHost == nil {
-		d.byHost = make(map[work.Host]*Link)
-		d.records = make(map[work.Service]member.Record)
+		d.byHost = make(map[domain.Host]*Link)
+		d.records = make(map[domain.Service]member.Record)
 	}
 	d.replace(m)
 }
@@ -178,20 +178,20 @@
 // The same process may stand under two names, in the settings and the record.
 func (d *Directory) Connected() []*Link {
 	var found []*Link
-	seen := make(map[work.Host]bool)
+	seen := make(map[domain.Host]bool)
 	for _, l := range d.All() {
 		p := l.Peer()
-		if p == nil || p.Remote().Host == d.Local.Hello.Host || seen[p.Remote().Host] {
+		if p == nil || p.RemoteHello().Host == d.Local.Hello.Host || seen[p.RemoteHello().Host] {
 			continue
 		}
-		seen[p.Remote().Host] = true
+		seen[p.RemoteHello().Host] = true
 		found = append(found, l)
 	}
 	return found
 }
 
-// Of lists the links to a service's members, by host name.
-func (d *Directory) Of(s work.Service) []*Link {
+// ForService lists the links to a service's members, by host name.
+func (d *Directory) ForService(s domain.Service) []*Link {
 	var found []*Link
 	for _, l := range d.All() {
 		if l.Member.Service == s {
@@ -201,14 +201,14 @@
 	return found
 }
 
-// Serves says whether every role that the service's record names has a side
+// HasEveryRole says whether every role that the service's record names has a side
 // that may be given work.
-func (d *Directory) Serves(s work.Service) bool {
+func (d *Directory) HasEveryRole(s domain.Service) bool {
 	d.mu.Lock()
 	r := d.records[s]
 	d.mu.Unlock()
-	usable := make(map[work.Role]bool)
-	for _, l := range d.Of(s) {
+	usable := make(map[domain.Role]bool)
+	for _, l := range d.ForService(s) {
 		usable[l.Member.Role] = usable[l.Member.Role] || l.Usable()
 	}
 	for _, m := range r.Members {
@@ -233,18 +233,18 @@
 
 // CanServe says whether a service has sides for a whole request: an
 // application server, or an engine of each role.
-func (d *Directory) CanServe(s work.Service) bool {
-	usable := make(map[work.Role]bool)
-	for _, l := range d.Of(s) {
+func (d *Directory) CanServe(s domain.Service) bool {
+	usable := make(map[domain.Role]bool)
+	for _, l := range d.ForService(s) {
 		usable[l.Member.Role] = usable[l.Member.Role] || l.Usable()
 	}
-	return usable[work.RoleApp] || usable[work.RolePrefill] && usable[work.RoleDecode]
+	return usable[domain.RoleApp] || usable[domain.RolePrefill] && usable[domain.RoleDecode]
 }
 
 // Usable lists the hosts of a service's members that may be given new work.
-func (d *Directory) Usable(s work.Service) []work.Host {
-	var found []work.Host
-	for _, l := range d.Of(s) {
+func (d *Directory) Usable(s domain.Service) []domain.Host {
+	var found []domain.Host
+	for _, l := range d.ForService(s) {
 		if l.Usable() {
 			found = append(found, l.Member.Host)
 		}
@@ -253,17 +253,17 @@
 }
 
 // Find gives the side under a host's name, or nil.
-func (d *Directory) Find(h work.Host) *Link {
+func (d *Directory) Find(h domain.Host) *Link {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.byHost[h]
 }
 
 // Members lists the hosts of a service's record in a role.
-func (d *Directory) Members(s work.Service, r work.Role) []work.Host {
+func (d *Directory) Members(s domain.Service, r domain.Role) []domain.Host {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	var found []work.Host
+	var found []domain.Host
 	for _, m := range d.records[s].Members {
 		if m.Role == r {
 			found = append(found, m.Host)
@@ -273,10 +273,10 @@
 }
 
 // Zones lists the availability zones of a service's members.
-func (d *Directory) Zones(s work.Service) []work.Zone {
+func (d *Directory) Zones(s domain.Service) []domain.Zone {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	var found []work.Zone
+	var found []domain.Zone
 	for _, m := range d.records[s].Members {
 		if !slices.Contains(found, m.Zone) {
 			found = append(found, m.Zone)
@@ -286,7 +286,7 @@
 }
 
 // Record gives a service's record; an empty one if none is known.
-func (d *Directory) Record(s work.Service) member.Record {
+func (d *Directory) Record(s domain.Service) member.Record {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.records[s]
--- a/links/links_test.go
+++ b/peers/peers_test.go
@@ -1,4 +1,4 @@
-package links
+package peers
 
 import (
 	"context"
@@ -10,10 +10,10 @@
 
 	"github.com/stretchr/testify/require"
 
+	"jacinthworks/domain"
+	"jacinthworks/infra"
 	"jacinthworks/member"
-	"jacinthworks/plat"
 	"jacinthworks/wire"
-	"jacinthworks/work"
 )
 
 const soon = time.Minute // bounds a wait for an event
@@ -25,7 +25,7 @@
 	stop           func()
 }
 
-func start(t *testing.T, h work.Host, r work.Role, i work.Incarnation) *process {
+func start(t *testing.T, h domain.Host, r domain.Role, i domain.Incarnation) *process {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	p := &process{Member: member.Member{
@@ -33,11 +33,11 @@
 	}}
 	ctx, cancel := context.WithCancel(t.Context())
 	served := make(chan error, 1)
-	local := &wire.Local{
-		Hello: wire.Hello{Host: h, Role: string(r), Service: "logwriter", Incarnation: i},
-		Every: 10 * time.Millisecond, Silence: soon,
-		Beat: func() wire.Beat {
-			return wire.Beat{Draining: p.draining.Load(), Load: &wire.Load{Down: p.down.Load()}}
+	local := &wire.Handlers{
+		Hello:             wire.Hello{Host: h, Role: string(r), Service: "logwriter", Incarnation: i},
+		HeartbeatInterval: 10 * time.Millisecond, HeartbeatTimeout: soon,
+		Heartbeat: func() wire.Heartbeat {
+			return wire.Heartbeat{Draining: p.draining.Load(), Load: &wire.Load{Down: p.down.Load()}}
 		},
 	}
 	go func() { served <- wire.Serve(ctx, ln, local) }()
@@ -54,8 +54,8 @@
 func directory(t *testing.T) (*Directory, <-chan member.Member) {
 	removed := make(chan member.Member, 8)
 	d := &Directory{
-		Local:   &wire.Local{Hello: wire.Hello{Host: "entry-1"}, Every: 10 * time.Millisecond, Silence: soon},
-		Removed: func(m member.Member) { removed <- m },
+		Local:     &wire.Handlers{Hello: wire.Hello{Host: "entry-1"}, HeartbeatInterval: 10 * time.Millisecond, HeartbeatTimeout: soon},
+		OnRemoved: func(m member.Member) { removed <- m },
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	ran := make(chan error, 1)
@@ -67,7 +67,7 @@
 	return d, removed
 }
 
-func record(v plat.Version, all ...*process) member.Record {
+func record(v infra.Version, all ...*process) member.Record {
 	r := member.Record{Service: "logwriter", Version: v}
 	for _, p := range all {
 		r.Members = append(r.Members, p.Member)
@@ -84,7 +84,7 @@
 // would be an entry that hangs up on a member as soon as the record lacks it.
 func TestMemberThatLeftKeepsItsLinkUntilItCloses(t *testing.T) {
 	d, removed := directory(t)
-	stays, leaves := start(t, "side-1", work.RoleDecode, 1), start(t, "side-2", work.RoleDecode, 2)
+	stays, leaves := start(t, "side-1", domain.RoleDecode, 1), start(t, "side-2", domain.RoleDecode, 2)
 	require.True(t, d.Apply(record(1, stays, leaves)))
 	l := d.Find("side-2")
 	eventually(t, func() bool { return l.Usable() && d.Find("side-1").Usable() })
@@ -106,11 +106,11 @@
 // old address does. The cause would be a link that is kept by the host's name.
 func TestRestartedMemberReplacesItsLink(t *testing.T) {
 	d, _ := directory(t)
-	before := start(t, "side-1", work.RoleApp, 1)
+	before := start(t, "side-1", domain.RoleApp, 1)
 	require.True(t, d.Apply(record(4, before)))
 	old := d.Find("side-1")
 	eventually(t, old.Usable)
-	after := start(t, "side-1", work.RoleApp, 2)
+	after := start(t, "side-1", domain.RoleApp, 2)
 
 	require.False(t, d.Apply(record(3, after)), "an older record changes nothing")
 	require.False(t, d.Apply(record(4, after)), "nor does the same version")
@@ -119,7 +119,7 @@
 	fresh := d.Find("side-1")
 	require.NotSame(t, old, fresh)
 	eventually(t, fresh.Usable)
-	require.Equal(t, work.Incarnation(2), fresh.Peer().Remote().Incarnation)
+	require.Equal(t, domain.Incarnation(2), fresh.Peer().RemoteHello().Incarnation)
 	eventually(t, func() bool { return old.Peer() == nil })
 
 	require.True(t, d.Apply(record(6, after)))
@@ -130,11 +130,11 @@
 // away, and a service is served only while every role has a usable side.
 func TestUsable(t *testing.T) {
 	d, _ := directory(t)
-	prefill, decode := start(t, "side-1", work.RolePrefill, 1), start(t, "side-2", work.RoleDecode, 1)
-	require.False(t, d.Serves("logwriter"))
+	prefill, decode := start(t, "side-1", domain.RolePrefill, 1), start(t, "side-2", domain.RoleDecode, 1)
+	require.False(t, d.HasEveryRole("logwriter"))
 	require.True(t, d.Apply(record(1, prefill, decode)))
-	serves := func() bool { return d.Serves("logwriter") && d.CanServe("logwriter") }
-	neither := func() bool { return !d.Serves("logwriter") && !d.CanServe("logwriter") }
+	serves := func() bool { return d.HasEveryRole("logwriter") && d.CanServe("logwriter") }
+	neither := func() bool { return !d.HasEveryRole("logwriter") && !d.CanServe("logwriter") }
 	eventually(t, serves)
 	for _, word := range []*atomic.Bool{&prefill.draining, &decode.down, &d.Find("side-2").Leaving} {
 		word.Store(true)
@@ -142,7 +142,7 @@
 		word.Store(false)
 		eventually(t, serves)
 	}
-	nobody := member.Member{Host: "side-3", Service: "logwriter", Role: work.RoleApp, Address: netip.MustParseAddrPort("127.0.0.1:1")}
+	nobody := member.Member{Host: "side-3", Service: "logwriter", Role: domain.RoleApp, Address: netip.MustParseAddrPort("127.0.0.1:1")}
 	d.Dial(nobody)
 	require.False(t, d.Find("side-3").Usable(), "not connected")
 }
--- a/queue/bench_test.go
+++ b/queue/bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"jacinthworks/work"
+	"jacinthworks/domain"
 )
 
 // BenchmarkQueue measures an arrival and the service of an item, with the given
@@ -13,22 +13,22 @@
 func BenchmarkQueue(b *testing.B) {
 	for _, callers := range []int{9, 290, 2100} {
 		b.Run(fmt.Sprintf("callers=%d", callers), func(b *testing.B) {
-			q := Queue{Limits: Limits{Items: 4 * callers}}
+			q := Queue{Limits: Limits{MaxItems: 4 * callers}}
 			source := random()
 			items := make([]Item, callers)
 			for n := range items {
-				items[n] = item(n, work.Account(fmt.Sprint(n)), 100+source.IntN(20_000))
-				items[n].Priority = n % Priorities
+				items[n] = item(n, domain.Account(fmt.Sprint(n)), 100+source.IntN(20_000))
+				items[n].Priority = n % PriorityCount
 				items[n].Deadline = start.Add(time.Hour)
-				q.Arrive(start, items[n], source)
+				q.Enqueue(start, items[n], source)
 			}
 			now := start
 			b.ReportAllocs()
 			for b.Loop() {
 				now = now.Add(time.Microsecond)
-				i, _ := q.Next(now, AnyPrompt)
+				i, _ := q.Dequeue(now, AnyPrompt)
 				i.Deadline = now.Add(time.Hour)
-				if v := q.Arrive(now, i, source); v.Refusal != nil {
+				if v := q.Enqueue(now, i, source); v.Refusal != nil {
 					b.Fatal(v.Refusal)
 				}
 			}
--- a/queue/flow.go
+++ b/queue/flow.go
@@ -4,13 +4,13 @@
 	"slices"
 	"time"
 
-	"jacinthworks/work"
+	"jacinthworks/domain"
 )
 
 // caller is who a waiting item is charged to: its account or, for a hot key,
 // the key.
 type caller struct {
-	account work.Account
+	account domain.Account
 	key     uint64
 }
 
@@ -61,7 +61,7 @@
 }
 
 func laneOf(prompt int) int {
-	if prompt >= LongPrompt {
+	if prompt >= LongPromptTokens {
 		return laneLong
 	}
 	return laneShort
@@ -93,7 +93,7 @@
 	}
 }
 
-func (k *class) lane(i Item) *lane { return &k.lanes[laneOf(i.Prompt)] }
+func (k *class) lane(i Item) *lane { return &k.lanes[laneOf(i.PromptTokens)] }
 
 // enter counts the entry in and gives the flow it belongs to.
 func (k *class) enter(now time.Time, e *entry, c caller, at end) *flow {
@@ -172,7 +172,7 @@
 	var best *lane
 	for n := range k.lanes {
 		l := &k.lanes[n]
-		if f := l.head(); f == nil || f.items[0].item.Prompt > longest {
+		if f := l.head(); f == nil || f.items[0].item.PromptTokens > longest {
 			continue
 		}
 		if best == nil || l.tag < best.tag {
--- a/queue/pace.go
+++ b/queue/pace.go
@@ -21,10 +21,10 @@
 	startGap     = 40 * time.Millisecond
 )
 
-// Pace measures how long requests take once they left the queue, as a time
+// LatencyEstimator measures how long requests take once they left the queue, as a time
 // that each takes and a time for each token. Its estimates are an Item's
-// ToFirstToken and ToEnd. The zero value is ready to use.
-type Pace struct {
+// FirstTokenLatency and TotalLatency. The zero value is ready to use.
+type LatencyEstimator struct {
 	// extra is seconds to the first token beyond the prefill itself, apart for
 	// short and long prompts: a slow engine adds many times more to a long one.
 	extra [lanes]average
@@ -51,7 +51,7 @@
 
 // Observe takes in a request that was answered: the times from leaving the queue
 // to its first and its last token.
-func (p *Pace) Observe(prompt, output int, first, end time.Duration) {
+func (p *LatencyEstimator) Observe(prompt, output int, first, end time.Duration) {
 	p.extra[laneOf(prompt)].add(max(0, first-prefill(prompt)).Seconds())
 	if output > 1 {
 		p.gap.add((end - first).Seconds() / float64(output-1))
@@ -60,7 +60,7 @@
 
 // Estimate gives the times from leaving the queue to the first and last token
 // that about nine in ten requests stay within.
-func (p *Pace) Estimate(prompt, output int) (first, end time.Duration) {
+func (p *LatencyEstimator) Estimate(prompt, output int) (first, end time.Duration) {
 	gap := startGap.Seconds()
 	if p.gap.seen {
 		gap = p.gap.high()
--- a/queue/patience.go
+++ b/queue/patience.go
@@ -4,7 +4,7 @@
 
 // classes counts the classes of an entry: one for each priority, and one for
 // each priority of those that yield.
-const classes = 2 * Priorities
+const classes = 2 * PriorityCount
 
 // order is that in which classes are served: by priority, the class of priority 0
 // with its callers over their share last, after those that yield.
@@ -16,11 +16,11 @@
 		list[n] = class
 		n++
 	}
-	for p := Priorities - 1; p > 0; p-- {
+	for p := PriorityCount - 1; p > 0; p-- {
 		add(p)
 	}
-	for p := Priorities - 1; p >= 0; p-- {
-		add(Priorities + p)
+	for p := PriorityCount - 1; p >= 0; p-- {
+		add(PriorityCount + p)
 	}
 	add(0)
 	return list
@@ -41,12 +41,12 @@
 		return
 	}
 	i.yields = now.Add(time.Duration(patience * float64(lapse.Sub(now))))
-	i.class = Priorities + i.Priority
+	i.class = PriorityCount + i.Priority
 }
 
 // rank is the priority by which a full queue sheds: yielding costs nothing of
 // it, being over a share does.
-func (i *Item) rank() int { return i.class % Priorities }
+func (i *Item) rank() int { return i.class % PriorityCount }
 
 // promote gives their own priority to the items that have yielded long enough.
 func (q *Queue) promote(now time.Time) {
--- a/queue/probe.go
+++ b/queue/probe.go
@@ -15,10 +15,10 @@
 // replaces the estimate, and a probe still ends at its target and deadline.
 func (q *Queue) probe(now time.Time, i *Item) {
 	lapse := i.lapse()
-	last := &q.lanes[laneOf(i.Prompt)].probed
+	last := &q.lanes[laneOf(i.PromptTokens)].probed
 	if lapse.IsZero() || now.Before(lapse) || now.Sub(*last) < probeEvery {
 		return
 	}
 	*last = now
-	i.ToFirstToken, i.ToEnd = 0, 0
+	i.FirstTokenLatency, i.TotalLatency = 0, 0
 }
--- a/queue/queue.go
+++ b/queue/queue.go
@@ -47,56 +47,56 @@
 	"slices"
 	"time"
 
-	"jacinthworks/work"
+	"jacinthworks/domain"
 )
 
-// Priorities is the number of priority classes: 0 to 9, as in the table.
-const Priorities = 10
+// PriorityCount is the number of priority classes: 0 to 9, as in the table.
+const PriorityCount = 10
 
-// DefaultItems bounds a queue whose Limits say nothing. At today's drain of
+// DefaultMaxItems bounds a queue whose Limits say nothing. At today's drain of
 // about ten requests a second and entry it is far beyond what can be served
 // within any target; it bounds memory and not waiting.
-const DefaultItems = 1000
+const DefaultMaxItems = 1000
 
-// LongPrompt is the prompt length, in tokens, from which work is long: 0.4 s of
+// LongPromptTokens is the prompt length, in tokens, from which work is long: 0.4 s of
 // prefill at 20,000 tokens a second, the most that a request with a target of
 // 1 s can have in front of it.
-const LongPrompt = 8000
+const LongPromptTokens = 8000
 
-// OutputCost is the cost of one output token in prompt tokens: a full decode
+// OutputTokenCost is the cost of one output token in prompt tokens: a full decode
 // engine gives about 400 tokens a second, a prefill engine takes 20,000.
-const OutputCost = 50
+const OutputTokenCost = 50
 
 // AnyPrompt is the room for a prompt of any length.
 const AnyPrompt = math.MaxInt
 
 // Limits bound a queue.
 type Limits struct {
-	// Items is the table's queue limit; zero stands for DefaultItems.
-	Items int
+	// MaxItems is the table's queue limit; zero stands for DefaultMaxItems.
+	MaxItems int
 }
 
 // Item is one request that waits.
 type Item struct {
-	ID      work.RequestID
-	Account work.Account
+	ID      domain.RequestID
+	Account domain.Account
 	// Key is a hash of the idempotency key or body; zero is not counted.
 	Key uint64
 	// Priority is the row's: 0 to 9, the higher the sooner.
 	Priority int
-	// Prompt and Output are the prompt's tokens that are not known to be
+	// PromptTokens and Output are the prompt's tokens that are not known to be
 	// cached, and the most tokens of the answer; both zero for plain services.
-	Prompt int
-	Output int
-	// FirstToken and Deadline are when the row's targets pass; zero is never.
-	FirstToken time.Time
-	Deadline   time.Time
-	// MayWait lets the item queue past FirstToken, up to Deadline.
+	PromptTokens    int
+	MaxOutputTokens int
+	// FirstTokenDeadline and Deadline are when the row's targets pass; zero is never.
+	FirstTokenDeadline time.Time
+	Deadline           time.Time
+	// MayWait lets the item queue past FirstTokenDeadline, up to Deadline.
 	MayWait bool
-	// ToFirstToken and ToEnd are the times that a request like this takes from
+	// FirstTokenLatency and TotalLatency are the times that a request like this takes from
 	// leaving the queue to its first token and to its end.
-	ToFirstToken time.Duration
-	ToEnd        time.Duration
+	FirstTokenLatency time.Duration
+	TotalLatency      time.Duration
 
 	// class is where the item waits: its priority, 0 for a caller over its
 	// share, or a class of those that yield until the time yields.
@@ -109,18 +109,18 @@
 }
 
 // Cost is the item's work in prompt tokens, at least 1.
-func (i Item) Cost() int { return max(1, i.Prompt+OutputCost*i.Output) }
+func (i Item) Cost() int { return max(1, i.PromptTokens+OutputTokenCost*i.MaxOutputTokens) }
 
 // lapse is when the item can no longer meet what it must; zero is never.
 func (i Item) lapse() time.Time {
 	var at time.Time
 	if !i.Deadline.IsZero() {
-		at = i.Deadline.Add(-i.ToEnd)
+		at = i.Deadline.Add(-i.TotalLatency)
 	}
-	if i.MayWait || i.FirstToken.IsZero() {
+	if i.MayWait || i.FirstTokenDeadline.IsZero() {
 		return at
 	}
-	first := i.FirstToken.Add(-i.ToFirstToken)
+	first := i.FirstTokenDeadline.Add(-i.FirstTokenLatency)
 	if at.IsZero() || first.Before(at) {
 		return first
 	}
@@ -147,7 +147,7 @@
 	Limits Limits
 
 	classes [classes]class
-	items   map[work.RequestID]*entry
+	items   map[domain.RequestID]*entry
 	callers map[caller]int
 	shares  shares
 	lapses  heap[*entry]
@@ -159,13 +159,13 @@
 	returns returns
 }
 
-// Arrive accepts the item or refuses it at once. An item already waiting under
+// Enqueue accepts the item or refuses it at once. An item already waiting under
 // the same ID is accepted and not added again.
-func (q *Queue) Arrive(now time.Time, i Item, random *rand.Rand) Verdict {
+func (q *Queue) Enqueue(now time.Time, i Item, random *rand.Rand) Decision {
 	q.init()
-	i.Priority = min(max(i.Priority, 0), Priorities-1)
+	i.Priority = min(max(i.Priority, 0), PriorityCount-1)
 	if _, ok := q.items[i.ID]; ok {
-		return Verdict{}
+		return Decision{}
 	}
 	q.probe(now, &i)
 	c, over := q.callerOf(now, i)
@@ -177,13 +177,13 @@
 	}
 	g := q.grounds(now, i, c)
 	if r := q.refusal(now, i, c, g, random); r != nil {
-		return Verdict{Grounds: g, Refusal: r}
+		return Decision{Inputs: g, Refusal: r}
 	}
-	v := Verdict{Grounds: g}
+	v := Decision{Inputs: g}
 	if len(q.items) >= q.Limits.items() {
 		victim := q.newestLowest()
 		if victim.item.rank() >= i.rank() {
-			v.Refusal = q.refuse(now, i, work.ReasonNoRoom, DetailFull, g, random)
+			v.Refusal = q.refuse(now, i, domain.ReasonNoRoom, DetailQueueFull, g, random)
 			return v
 		}
 		v.Shed = append(v.Shed, q.shed(now, victim, random))
@@ -192,9 +192,9 @@
 	return v
 }
 
-// Next takes the item that is to be served next among those whose prompt is no
+// Dequeue takes the item that is to be served next among those whose prompt is no
 // longer than the given number of tokens. Take out Lapsed items first.
-func (q *Queue) Next(now time.Time, longest int) (Item, bool) {
+func (q *Queue) Dequeue(now time.Time, longest int) (Item, bool) {
 	q.promote(now)
 	for _, p := range order {
 		k := &q.classes[p]
@@ -208,9 +208,9 @@
 	return Item{}, false
 }
 
-// Return puts back an item that Next gave and that found no room after all. It
+// Requeue puts back an item that Next gave and that found no room after all. It
 // is the next of its caller again, at the cost it had.
-func (q *Queue) Return(now time.Time, i Item) {
+func (q *Queue) Requeue(now time.Time, i Item) {
 	q.init()
 	if _, ok := q.items[i.ID]; ok {
 		return
@@ -225,7 +225,7 @@
 }
 
 // Remove takes out an item whose caller is gone and reports whether it waited.
-func (q *Queue) Remove(now time.Time, id work.RequestID) bool {
+func (q *Queue) Remove(now time.Time, id domain.RequestID) bool {
 	e, ok := q.items[id]
 	if ok {
 		q.unlink(now, e)
@@ -233,22 +233,22 @@
 	return ok
 }
 
-// Lapsed takes out the items that can no longer meet their first-token target
+// RemoveExpired takes out the items that can no longer meet their first-token target
 // or deadline, each with its refusal.
-func (q *Queue) Lapsed(now time.Time, random *rand.Rand) []Refused {
+func (q *Queue) RemoveExpired(now time.Time, random *rand.Rand) []Refused {
 	var out []Refused
 	for len(q.lapses.list) > 0 && !now.Before(q.lapses.list[0].lapse) {
 		e := q.lapses.list[0]
 		g := q.grounds(now, e.item, e.flow.caller)
 		q.unlink(now, e)
-		r := q.refuse(now, e.item, work.ReasonTooLate, DetailLapsed, g, random)
+		r := q.refuse(now, e.item, domain.ReasonTooLate, DetailExpired, g, random)
 		out = append(out, Refused{Item: e.item, Refusal: *r})
 	}
 	return out
 }
 
-// NextLapse says when Lapsed will have something to give.
-func (q *Queue) NextLapse() (time.Time, bool) {
+// NextExpiry says when Lapsed will have something to give.
+func (q *Queue) NextExpiry() (time.Time, bool) {
 	if len(q.lapses.list) == 0 {
 		return time.Time{}, false
 	}
@@ -258,14 +258,14 @@
 // Len is the number of items waiting.
 func (q *Queue) Len() int { return len(q.items) }
 
-// Waiting is the cost of all items waiting, in prompt tokens.
-func (q *Queue) Waiting() int { return q.waiting }
+// WaitingCost is the cost of all items waiting, in prompt tokens.
+func (q *Queue) WaitingCost() int { return q.waiting }
 
 func (q *Queue) init() {
 	if q.items != nil {
 		return
 	}
-	q.items = make(map[work.RequestID]*entry)
+	q.items = make(map[domain.RequestID]*entry)
 	q.callers = make(map[caller]int)
 	q.lapses = heap[*entry]{
 		less: func(a, b *entry) bool { return a.lapse.Before(b.lapse) },
@@ -281,10 +281,10 @@
 }
 
 func (l Limits) items() int {
-	if l.Items > 0 {
-		return l.Items
+	if l.MaxItems > 0 {
+		return l.MaxItems
 	}
-	return DefaultItems
+	return DefaultMaxItems
 }
 
 // add appends the item to its caller's flow.
@@ -303,7 +303,7 @@
 	q.items[i.ID] = e
 	q.callers[c]++
 	q.waiting += i.Cost()
-	q.lanes[laneOf(i.Prompt)].cost += i.Cost()
+	q.lanes[laneOf(i.PromptTokens)].cost += i.Cost()
 	if !e.lapse.IsZero() {
 		q.lapses.push(e)
 	}
@@ -323,7 +323,7 @@
 		delete(q.callers, c)
 	}
 	q.waiting -= e.item.Cost()
-	q.lanes[laneOf(e.item.Prompt)].cost -= e.item.Cost()
+	q.lanes[laneOf(e.item.PromptTokens)].cost -= e.item.Cost()
 	if e.place >= 0 {
 		q.lapses.remove(e.place)
 	}
--- a/queue/queue_test.go
+++ b/queue/queue_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"jacinthworks/work"
+	"jacinthworks/domain"
 )
 
 // One seed, so that a run repeats.
@@ -23,8 +23,8 @@
 
 func at(d time.Duration) time.Time { return start.Add(d) }
 
-func item(n int, account work.Account, prompt int) Item {
-	return Item{ID: work.RequestID(fmt.Sprint(n)), Account: account, Prompt: prompt}
+func item(n int, account domain.Account, prompt int) Item {
+	return Item{ID: domain.RequestID(fmt.Sprint(n)), Account: account, PromptTokens: prompt}
 }
 
 // maxMin is the naive fair share: the level up to which a budget fills demands.
@@ -50,14 +50,14 @@
 		demands, served := make([]int, callers), make([]int, callers)
 		for n := range rapid.IntRange(20, 150).Draw(t, "items") {
 			c := rapid.IntRange(0, callers-1).Draw(t, "caller")
-			i := item(n, work.Account(fmt.Sprint(c)), rapid.IntRange(1, largest).Draw(t, "prompt"))
-			if q.Arrive(start, i, random()).Refusal == nil {
+			i := item(n, domain.Account(fmt.Sprint(c)), rapid.IntRange(1, largest).Draw(t, "prompt"))
+			if q.Enqueue(start, i, random()).Refusal == nil {
 				demands[c] += i.Cost()
 			}
 		}
 		budget, total := rapid.IntRange(0, 400_000).Draw(t, "budget"), 0
 		for total < budget {
-			i, ok := q.Next(start, AnyPrompt)
+			i, ok := q.Dequeue(start, AnyPrompt)
 			if !ok {
 				break
 			}
@@ -75,8 +75,8 @@
 // TestEachItemLeavesOnce compares every count with a plain map of the items.
 func TestEachItemLeavesOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		q := Queue{Limits: Limits{Items: 12}}
-		naive := map[work.RequestID]Item{}
+		q := Queue{Limits: Limits{MaxItems: 12}}
+		naive := map[domain.RequestID]Item{}
 		leave := func(i Item) {
 			require.Contains(t, naive, i.ID)
 			delete(naive, i.ID)
@@ -86,32 +86,32 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond)
 			switch rapid.IntRange(0, 4).Draw(t, "call") {
 			case 0, 1:
-				i := item(n, work.Account(rapid.StringMatching("[abc]").Draw(t, "account")), rapid.SampledFrom([]int{10, 500, 20_000}).Draw(t, "prompt"))
+				i := item(n, domain.Account(rapid.StringMatching("[abc]").Draw(t, "account")), rapid.SampledFrom([]int{10, 500, 20_000}).Draw(t, "prompt"))
 				i.Priority = rapid.IntRange(0, 9).Draw(t, "priority")
 				i.Key = uint64(rapid.IntRange(0, 2).Draw(t, "key"))
-				i.FirstToken, i.Deadline = now.Add(time.Second), now.Add(3*time.Second)
+				i.FirstTokenDeadline, i.Deadline = now.Add(time.Second), now.Add(3*time.Second)
 				i.MayWait = rapid.Bool().Draw(t, "may wait")
-				v := q.Arrive(now, i, random())
+				v := q.Enqueue(now, i, random())
 				for _, r := range v.Shed {
-					require.Less(t, r.Item.rank(), v.Grounds.Class)
+					require.Less(t, r.Item.rank(), v.Inputs.Class)
 					leave(r.Item)
 				}
 				if v.Refusal == nil {
 					naive[i.ID] = i
 				}
 			case 2:
-				if i, ok := q.Next(now, AnyPrompt); ok && rapid.Bool().Draw(t, "return") {
-					q.Return(now, i)
+				if i, ok := q.Dequeue(now, AnyPrompt); ok && rapid.Bool().Draw(t, "return") {
+					q.Requeue(now, i)
 				} else if ok {
 					leave(i)
 				}
 			case 3:
-				id := work.RequestID(fmt.Sprint(rapid.IntRange(0, n).Draw(t, "id")))
+				id := domain.RequestID(fmt.Sprint(rapid.IntRange(0, n).Draw(t, "id")))
 				_, ok := naive[id]
 				require.Equal(t, ok, q.Remove(now, id))
 				delete(naive, id)
 			case 4:
-				for _, r := range q.Lapsed(now, random()) {
+				for _, r := range q.RemoveExpired(now, random()) {
 					leave(r.Item)
 				}
 			}
@@ -120,13 +120,13 @@
 	})
 }
 
-func requireSame(t *rapid.T, q *Queue, naive map[work.RequestID]Item) {
+func requireSame(t *rapid.T, q *Queue, naive map[domain.RequestID]Item) {
 	var cost int
 	for _, i := range naive {
 		cost += i.Cost()
 	}
 	require.Equal(t, len(naive), q.Len())
-	require.Equal(t, cost, q.Waiting())
+	require.Equal(t, cost, q.WaitingCost())
 	require.LessOrEqual(t, q.Len(), 13) // one returned beyond the limit
 	var lanesCost int
 	for p := range q.classes {
@@ -143,56 +143,56 @@
 func TestShortPassesLong(t *testing.T) {
 	var q Queue
 	for n := range 40 {
-		q.Arrive(start, item(n, "setter", 50_000), random())
+		q.Enqueue(start, item(n, "setter", 50_000), random())
 	}
-	q.Arrive(start, item(99, "climber", 200), random())
-	first, _ := q.Next(start, AnyPrompt)
-	second, _ := q.Next(start, AnyPrompt)
-	require.Contains(t, []work.RequestID{first.ID, second.ID}, work.RequestID("99"))
+	q.Enqueue(start, item(99, "climber", 200), random())
+	first, _ := q.Dequeue(start, AnyPrompt)
+	second, _ := q.Dequeue(start, AnyPrompt)
+	require.Contains(t, []domain.RequestID{first.ID, second.ID}, domain.RequestID("99"))
 }
 
 // A long prompt that fits no engine now must not keep those that fit waiting.
 func TestNextPassesOverWhatDoesNotFit(t *testing.T) {
 	var q Queue
-	q.Arrive(start, item(1, "setter", 50_000), random())
-	_, ok := q.Next(start, LongPrompt)
+	q.Enqueue(start, item(1, "setter", 50_000), random())
+	_, ok := q.Dequeue(start, LongPromptTokens)
 	require.False(t, ok)
-	q.Arrive(start, item(2, "climber", 200), random())
-	i, ok := q.Next(start, LongPrompt)
+	q.Enqueue(start, item(2, "climber", 200), random())
+	i, ok := q.Dequeue(start, LongPromptTokens)
 	require.True(t, ok)
-	require.Equal(t, work.RequestID("2"), i.ID)
+	require.Equal(t, domain.RequestID("2"), i.ID)
 }
 
 // An inspector's safety note is refused while blurbs wait. The queue was full
 // of blurbs when it came. The newest blurb has to give way, with a refusal that
 // tells its caller when to return.
 func TestFullQueueShedsLowestPriorityFirst(t *testing.T) {
-	q := Queue{Limits: Limits{Items: 3}}
+	q := Queue{Limits: Limits{MaxItems: 3}}
 	for n := range 3 {
-		i := item(n, work.Account(fmt.Sprint(n)), 100)
+		i := item(n, domain.Account(fmt.Sprint(n)), 100)
 		i.Priority = 2
-		require.Nil(t, q.Arrive(start, i, random()).Refusal)
+		require.Nil(t, q.Enqueue(start, i, random()).Refusal)
 	}
 	note := item(9, "inspector", 100)
 	note.Priority = 9
-	v := q.Arrive(start, note, random())
+	v := q.Enqueue(start, note, random())
 	require.Nil(t, v.Refusal)
 	require.Len(t, v.Shed, 1)
-	require.Equal(t, work.RequestID("2"), v.Shed[0].Item.ID)
-	require.Equal(t, work.ReasonNoRoom, v.Shed[0].Refusal.Reason)
+	require.Equal(t, domain.RequestID("2"), v.Shed[0].Item.ID)
+	require.Equal(t, domain.ReasonNoRoom, v.Shed[0].Refusal.Reason)
 	require.GreaterOrEqual(t, v.Shed[0].Refusal.RetryAfter, minRetry)
 	blurb := item(10, "breeder", 100)
-	require.Equal(t, DetailFull, q.Arrive(start, blurb, random()).Refusal.Detail)
+	require.Equal(t, DetailQueueFull, q.Enqueue(start, blurb, random()).Refusal.Detail)
 }
 
 // fill lets items of 1,000 tokens wait and drains one of them every 100 ms.
-func fill(q *Queue, account work.Account, items, drained int) (now time.Time) {
+func fill(q *Queue, account domain.Account, items, drained int) (now time.Time) {
 	for n := range items {
-		q.Arrive(start, item(n, account, 1000), random())
+		q.Enqueue(start, item(n, account, 1000), random())
 	}
 	for n := range drained {
 		now = at(time.Duration(n+1) * 100 * time.Millisecond)
-		q.Next(now, AnyPrompt)
+		q.Dequeue(now, AnyPrompt)
 	}
 	return now
 }
@@ -204,31 +204,31 @@
 	var q Queue
 	now := fill(&q, "breeder", 60, 20)
 	i := item(100, "breeder", 1000)
-	i.FirstToken, i.Deadline = now.Add(time.Second), now.Add(30*time.Second)
-	v := q.Arrive(now, i, random())
+	i.FirstTokenDeadline, i.Deadline = now.Add(time.Second), now.Add(30*time.Second)
+	v := q.Enqueue(now, i, random())
 	require.NotNil(t, v.Refusal)
-	require.InDelta(t, 4, v.Grounds.Wait.Seconds(), 0.1)
-	require.Equal(t, work.ReasonCallerShare, v.Refusal.Reason)
+	require.InDelta(t, 4, v.Inputs.Wait.Seconds(), 0.1)
+	require.Equal(t, domain.ReasonCallerShare, v.Refusal.Reason)
 	require.GreaterOrEqual(t, v.Refusal.RetryAfter, 3*time.Second)
 	i.MayWait = true
-	require.Nil(t, q.Arrive(now, i, random()).Refusal)
+	require.Nil(t, q.Enqueue(now, i, random()).Refusal)
 	fresh := item(101, "buyer", 1000)
-	fresh.FirstToken = now.Add(time.Second)
-	require.Nil(t, q.Arrive(now, fresh, random()).Refusal)
+	fresh.FirstTokenDeadline = now.Add(time.Second)
+	require.Nil(t, q.Enqueue(now, fresh, random()).Refusal)
 }
 
 func TestLapsedIsRefusedAtItsTime(t *testing.T) {
 	var q Queue
 	i := item(1, "buyer", 100)
-	i.FirstToken, i.ToFirstToken = at(time.Second), 300*time.Millisecond
-	q.Arrive(start, i, random())
-	next, ok := q.NextLapse()
+	i.FirstTokenDeadline, i.FirstTokenLatency = at(time.Second), 300*time.Millisecond
+	q.Enqueue(start, i, random())
+	next, ok := q.NextExpiry()
 	require.True(t, ok)
 	require.Equal(t, at(700*time.Millisecond), next)
-	require.Empty(t, q.Lapsed(next.Add(-1), random()))
-	out := q.Lapsed(next, random())
+	require.Empty(t, q.RemoveExpired(next.Add(-1), random()))
+	out := q.RemoveExpired(next, random())
 	require.Len(t, out, 1)
-	require.Equal(t, DetailLapsed, out[0].Refusal.Detail)
+	require.Equal(t, DetailExpired, out[0].Refusal.Detail)
 	require.Zero(t, q.Len())
 }
 
@@ -236,7 +236,7 @@
 func serve(q *Queue, now time.Time) time.Time {
 	for q.Len() > 0 {
 		now = now.Add(100 * time.Millisecond)
-		q.Next(now, AnyPrompt)
+		q.Dequeue(now, AnyPrompt)
 	}
 	return now
 }
@@ -247,19 +247,19 @@
 func TestHotKeyCountsAsOneCaller(t *testing.T) {
 	var q Queue
 	for n := range 20 {
-		i := item(n, work.Account(fmt.Sprint("climber", n)), 100)
+		i := item(n, domain.Account(fmt.Sprint("climber", n)), 100)
 		i.Key = 7
-		q.Arrive(start, i, random())
+		q.Enqueue(start, i, random())
 	}
 	now := serve(&q, start)
-	hot := Item{ID: "hot", Account: "new", Key: 7, Prompt: 100, Priority: 9}
-	v := q.Arrive(now, hot, random())
-	require.True(t, v.Grounds.HotKey)
-	require.Zero(t, v.Grounds.Class)
+	hot := Item{ID: "hot", Account: "new", Key: 7, PromptTokens: 100, Priority: 9}
+	v := q.Enqueue(now, hot, random())
+	require.True(t, v.Inputs.HotKey)
+	require.Zero(t, v.Inputs.Class)
 	hot.ID, hot.Key = "other", 8
-	require.Equal(t, 9, q.Arrive(now, hot, random()).Grounds.Class)
-	i, _ := q.Next(now, AnyPrompt)
-	require.Equal(t, work.RequestID("other"), i.ID)
+	require.Equal(t, 9, q.Enqueue(now, hot, random()).Inputs.Class)
+	i, _ := q.Dequeue(now, AnyPrompt)
+	require.Equal(t, domain.RequestID("other"), i.ID)
 }
 
 // An inspector is refused though only one note waits, with an expected wait of
@@ -270,11 +270,11 @@
 	now := fill(&q, "inspector", 60, 20)
 	before, _ := q.lanes[laneShort].drain.rate()
 	for n := range 50 {
-		fresh := Item{ID: work.RequestID(fmt.Sprint("fresh", n)), Account: "other", Prompt: 1000}
-		q.Arrive(now, fresh, random())
-		i, ok := q.Next(now, AnyPrompt)
+		fresh := Item{ID: domain.RequestID(fmt.Sprint("fresh", n)), Account: "other", PromptTokens: 1000}
+		q.Enqueue(now, fresh, random())
+		i, ok := q.Dequeue(now, AnyPrompt)
 		require.True(t, ok)
-		q.Return(now, i)
+		q.Requeue(now, i)
 	}
 	after, _ := q.lanes[laneShort].drain.rate()
 	require.InDelta(t, before, after, 1)
@@ -289,10 +289,10 @@
 	for n := range 30 {
 		now := at(time.Duration(n) * 100 * time.Millisecond)
 		i := item(n, "breeder", 100)
-		i.FirstToken, i.Deadline, i.ToFirstToken = now.Add(time.Second), now.Add(10*time.Second), time.Minute
-		q.Arrive(now, i, random())
-		require.Empty(t, q.Lapsed(now, random()))
-		if _, ok := q.Next(now, AnyPrompt); ok {
+		i.FirstTokenDeadline, i.Deadline, i.FirstTokenLatency = now.Add(time.Second), now.Add(10*time.Second), time.Minute
+		q.Enqueue(now, i, random())
+		require.Empty(t, q.RemoveExpired(now, random()))
+		if _, ok := q.Dequeue(now, AnyPrompt); ok {
 			served++
 		}
 	}
@@ -305,22 +305,22 @@
 func TestHotCallerLosesItsPriority(t *testing.T) {
 	var q Queue
 	for n := range 40 {
-		i := item(n, work.Account(fmt.Sprint("caller", n%8)), 100)
+		i := item(n, domain.Account(fmt.Sprint("caller", n%8)), 100)
 		if n >= 16 {
 			i.Account = "hot"
 		}
-		q.Arrive(start, i, random())
+		q.Enqueue(start, i, random())
 	}
 	now := serve(&q, start)
-	note := Item{ID: "note", Account: "hot", Prompt: 100, Priority: 9}
-	require.Zero(t, q.Arrive(now, note, random()).Grounds.Class)
+	note := Item{ID: "note", Account: "hot", PromptTokens: 100, Priority: 9}
+	require.Zero(t, q.Enqueue(now, note, random()).Inputs.Class)
 	note.ID, note.Account = "other", "caller1"
-	require.Equal(t, 9, q.Arrive(now, note, random()).Grounds.Class)
+	require.Equal(t, 9, q.Enqueue(now, note, random()).Inputs.Class)
 	rested := now.Add(10 * shareMemory)
 	q.shares.add(rested, caller{account: "caller1"}, 100)
 	q.shares.add(rested, caller{account: "caller2"}, 100)
 	note.ID, note.Account = "later", "hot"
-	require.Equal(t, 9, q.Arrive(rested, note, random()).Grounds.Class)
+	require.Equal(t, 9, q.Enqueue(rested, note, random()).Inputs.Class)
 }
 
 // A thousand callers refused in one second return in one second. Their
@@ -346,14 +346,14 @@
 	var q Queue
 	summary := item(1, "setter", 20_000)
 	summary.Priority, summary.MayWait, summary.Deadline = 4, true, at(20*time.Second)
-	require.True(t, q.Arrive(start, summary, random()).Grounds.Yields)
+	require.True(t, q.Enqueue(start, summary, random()).Inputs.Deferred)
 	brief := item(2, "climber", 500)
 	brief.Priority = 3
-	q.Arrive(start, brief, random())
-	i, _ := q.Next(start, AnyPrompt)
+	q.Enqueue(start, brief, random())
+	i, _ := q.Dequeue(start, AnyPrompt)
 	require.Equal(t, brief.ID, i.ID)
 	brief.ID = "later"
-	q.Arrive(at(9*time.Second), brief, random())
-	i, _ = q.Next(at(10*time.Second), AnyPrompt)
+	q.Enqueue(at(9*time.Second), brief, random())
+	i, _ = q.Dequeue(at(10*time.Second), AnyPrompt)
 	require.Equal(t, summary.ID, i.ID)
 }
--- a/queue/verdict.go
+++ b/queue/verdict.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"time"
 
-	"jacinthworks/work"
+	"jacinthworks/domain"
 )
 
 // Detail says in a few words why an item was refused.
@@ -13,23 +13,23 @@
 
 // The details.
 const (
-	DetailWait   Detail = "the expected wait passes the target"
-	DetailShare  Detail = "the caller's own waiting work passes its share"
-	DetailHotKey Detail = "too many requests were served with the same key or body"
-	DetailFull   Detail = "the queue is full"
-	DetailShed   Detail = "the queue is full and the place went to a higher priority"
-	DetailLapsed Detail = "the target can no longer be met"
+	DetailExpectedWait Detail = "the expected wait passes the target"
+	DetailCallerShare  Detail = "the caller's own waiting work passes its share"
+	DetailHotKey       Detail = "too many requests were served with the same key or body"
+	DetailQueueFull    Detail = "the queue is full"
+	DetailShed         Detail = "the queue is full and the place went to a higher priority"
+	DetailExpired      Detail = "the target can no longer be met"
 )
 
-// Grounds are the figures behind a verdict, for the decision's log line.
-type Grounds struct {
-	// Wait is the expected time in the queue, and FreshWait that of a caller
+// DecisionInputs are the figures behind a verdict, for the decision's log line.
+type DecisionInputs struct {
+	// Wait is the expected time in the queue, and NewCallerWait that of a caller
 	// with nothing waiting.
-	Wait      time.Duration `json:"wait"`
-	FreshWait time.Duration `json:"fresh_wait"`
+	Wait          time.Duration `json:"wait"`
+	NewCallerWait time.Duration `json:"fresh_wait"`
 	// Rate is the lane's drain rate in cost a second; zero while unknown.
 	Rate float64 `json:"rate"`
-	// Items counts what waits, CallerItems the caller's part of it, and
+	// MaxItems counts what waits, CallerItems the caller's part of it, and
 	// CallerLimit what the caller may have.
 	Items       int `json:"items"`
 	CallerItems int `json:"caller_items"`
@@ -38,21 +38,21 @@
 	// that it is served by.
 	HotKey bool `json:"hot_key"`
 	Class  int  `json:"class"`
-	// Yields says that the item first goes after all that may not wait.
-	Yields bool `json:"yields"`
+	// Deferred says that the item first goes after all that may not wait.
+	Deferred bool `json:"yields"`
 }
 
 // Refusal says why an item was refused and when to return.
 type Refusal struct {
-	Reason     work.Reason
+	Reason     domain.Reason
 	Detail     Detail
 	RetryAfter time.Duration
-	Grounds    Grounds
+	Inputs     DecisionInputs
 }
 
 // Error gives the refusal in one line.
 func (r *Refusal) Error() string {
-	return fmt.Sprintf("queue: %s: %s (expected wait %v)", r.Reason, r.Detail, r.Grounds.Wait)
+	return fmt.Sprintf("queue: %s: %s (expected wait %v)", r.Reason, r.Detail, r.Inputs.Wait)
 }
 
 // Refused is an item that waited and does not any more.
@@ -61,9 +61,9 @@
 	Refusal Refusal
 }
 
-// Verdict is the outcome of an arrival.
-type Verdict struct {
-	Grounds Grounds
+// Decision is the outcome of an arrival.
+type Decision struct {
+	Inputs DecisionInputs
 	// Refusal is nil when the item was accepted.
 	Refusal *Refusal
 	// Shed holds the waiting items whose place the arrival took.
@@ -81,21 +81,21 @@
 }
 
 // grounds works out the figures for an item of the caller.
-func (q *Queue) grounds(now time.Time, i Item, c caller) Grounds {
+func (q *Queue) grounds(now time.Time, i Item, c caller) DecisionInputs {
 	q.advance(now)
 	l := q.classes[i.class].lane(i)
 	l.drain.advance(now, l.count > 0)
 	rate, _ := q.lanes[l.number].drain.rate()
-	return Grounds{
-		Wait:        q.wait(i, l, l.ahead(c)),
-		FreshWait:   q.wait(i, l, l.aheadOfFresh()),
-		Rate:        rate,
-		Items:       len(q.items),
-		CallerItems: q.callers[c],
-		CallerLimit: q.callerLimit(),
-		HotKey:      c.key != 0,
-		Class:       i.class % Priorities,
-		Yields:      i.class >= Priorities,
+	return DecisionInputs{
+		Wait:          q.wait(i, l, l.ahead(c)),
+		NewCallerWait: q.wait(i, l, l.aheadOfFresh()),
+		Rate:          rate,
+		Items:         len(q.items),
+		CallerItems:   q.callers[c],
+		CallerLimit:   q.callerLimit(),
+		HotKey:        c.key != 0,
+		Class:         i.class % PriorityCount,
+		Deferred:      i.class >= PriorityCount,
 	}
 }
 
@@ -104,10 +104,10 @@
 // its priority too, which it joins later.
 func (q *Queue) higher(i Item) int {
 	var cost int
-	for p := i.rank() + 1; p < Priorities; p++ {
+	for p := i.rank() + 1; p < PriorityCount; p++ {
 		cost += q.classes[p].lane(i).cost
 	}
-	if i.class >= Priorities {
+	if i.class >= PriorityCount {
 		cost += q.classes[i.rank()].lane(i).cost
 	}
 	return cost
@@ -119,7 +119,7 @@
 // yields says nothing of when it is served.
 func (q *Queue) wait(i Item, l *lane, ahead int) time.Duration {
 	wait := q.lanes[l.number].drain.wait(q.higher(i) + ahead)
-	if i.class < Priorities {
+	if i.class < PriorityCount {
 		wait = max(wait, l.drain.wait(ahead))
 	}
 	return wait
@@ -154,10 +154,10 @@
 }
 
 // refusal says why the item is refused on arrival, or gives nil.
-func (q *Queue) refusal(now time.Time, i Item, c caller, g Grounds, random *rand.Rand) *Refusal {
-	reason, detail := work.ReasonCallerShare, DetailShare
+func (q *Queue) refusal(now time.Time, i Item, c caller, g DecisionInputs, random *rand.Rand) *Refusal {
+	reason, detail := domain.ReasonCallerShare, DetailCallerShare
 	if g.HotKey {
-		reason, detail = work.ReasonNoRoom, DetailHotKey
+		reason, detail = domain.ReasonNoRoom, DetailHotKey
 	}
 	if g.CallerItems >= g.CallerLimit {
 		return q.refuse(now, i, reason, detail, g, random)
@@ -166,13 +166,13 @@
 	if lapse.IsZero() || !now.Add(g.Wait).After(lapse) {
 		return nil
 	}
-	if now.Add(g.FreshWait).After(lapse) {
-		reason, detail = work.ReasonTooLate, DetailWait
+	if now.Add(g.NewCallerWait).After(lapse) {
+		reason, detail = domain.ReasonTooLate, DetailExpectedWait
 	}
 	return q.refuse(now, i, reason, detail, g, random)
 }
 
-func (q *Queue) refuse(now time.Time, i Item, reason work.Reason, detail Detail, g Grounds, random *rand.Rand) *Refusal {
+func (q *Queue) refuse(now time.Time, i Item, reason domain.Reason, detail Detail, g DecisionInputs, random *rand.Rand) *Refusal {
 	excess := g.Wait
 	if lapse := i.lapse(); !lapse.IsZero() {
 		excess = now.Add(g.Wait).Sub(lapse)
@@ -180,8 +180,8 @@
 	return &Refusal{
 		Reason:     reason,
 		Detail:     detail,
-		RetryAfter: q.returns.after(now, excess, q.lanes[laneOf(i.Prompt)].drain.wait(i.Cost()), random),
-		Grounds:    g,
+		RetryAfter: q.returns.after(now, excess, q.lanes[laneOf(i.PromptTokens)].drain.wait(i.Cost()), random),
+		Inputs:     g,
 	}
 }
 
@@ -189,5 +189,5 @@
 func (q *Queue) shed(now time.Time, e *entry, random *rand.Rand) Refused {
 	g := q.grounds(now, e.item, e.flow.caller)
 	q.unlink(now, e)
-	return Refused{Item: e.item, Refusal: *q.refuse(now, e.item, work.ReasonNoRoom, DetailShed, g, random)}
+	return Refused{Item: e.item, Refusal: *q.refuse(now, e.item, domain.ReasonNoRoom, DetailShed, g, random)}
 }
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -33,7 +33,7 @@
 	"sync"
 	"time"
 
-	"jacinthworks/work"
+	"jacinthworks/domain"
 )
 
 // Limit is a rate and what may be saved up, in whatever requests cost.
@@ -42,45 +42,45 @@
 	Rate, Burst float64
 }
 
-// Part gives a part of the limit.
-func (l Limit) Part(part float64) Limit { return Limit{Rate: l.Rate * part, Burst: l.Burst * part} }
+// Scale gives a part of the limit.
+func (l Limit) Scale(part float64) Limit { return Limit{Rate: l.Rate * part, Burst: l.Burst * part} }
 
-// Terms are what an account may have: its quota, and what the operators allow over
+// Allowance are what an account may have: its quota, and what the operators allow over
 // it.
-type Terms struct {
-	Quota, Over Limit
+type Allowance struct {
+	Quota, Excess Limit
 }
 
 // all is the limit of everything that an account has.
-func (t Terms) all() Limit {
-	return Limit{Rate: t.Quota.Rate + t.Over.Rate, Burst: t.Quota.Burst + t.Over.Burst}
+func (t Allowance) all() Limit {
+	return Limit{Rate: t.Quota.Rate + t.Excess.Rate, Burst: t.Quota.Burst + t.Excess.Burst}
 }
 
 // Tolerance is how far an account may go over its quota: in any window, by a part of
 // the quota for that time and by a fixed amount.
 type Tolerance struct {
-	Window time.Duration
-	Part   float64
-	Slack  float64
+	Window      time.Duration
+	Fraction    float64
+	FixedExcess float64
 }
 
-// Over gives a part of the tolerance, for one account, as a limit under which no
+// ExcessLimit gives a part of the tolerance, for one account, as a limit under which no
 // window has more than that. Half of the slack is for clumps, half comes back within
 // a window.
-func (t Tolerance) Over(quota Limit, part float64) Limit {
+func (t Tolerance) ExcessLimit(quota Limit, part float64) Limit {
 	if t.Window <= 0 {
 		return Limit{}
 	}
-	half := part * t.Slack / 2
-	return Limit{Rate: part*t.Part*quota.Rate + half/t.Window.Seconds(), Burst: part*t.Part*quota.Burst + half}
+	half := part * t.FixedExcess / 2
+	return Limit{Rate: part*t.Fraction*quota.Rate + half/t.Window.Seconds(), Burst: part*t.Fraction*quota.Burst + half}
 }
 
-// Verdict is the answer to a request for a part of a quota.
-type Verdict struct {
+// Decision is the answer to a request for a part of a quota.
+type Decision struct {
 	Granted bool `json:"granted"`
-	// Over says that it goes over the quota: it is for a request that takes nothing from
+	// ExcessLimit says that it goes over the quota: it is for a request that takes nothing from
 	// others.
-	Over bool `json:"over,omitempty"`
+	OverQuota bool `json:"over,omitempty"`
 	// Wait is when the account will have enough, where it was not granted.
 	Wait time.Duration `json:"wait"`
 	// Level is what is left of what was saved up.
@@ -103,18 +103,18 @@
 // where the whole cost is saved up, a small one takes each bit that comes back, and one
 // of five times the size never finds enough. With a debt the next one waits for it,
 // whatever its size.
-func (b *Bucket) Take(now time.Time, l Limit, cost float64) Verdict {
+func (b *Bucket) Take(now time.Time, l Limit, cost float64) Decision {
 	b.refill(now, l)
 	if b.level <= 0 {
 		wait := time.Duration((1 - b.level) / l.Rate * float64(time.Second))
-		return Verdict{Wait: wait, Level: b.level}
+		return Decision{Wait: wait, Level: b.level}
 	}
 	b.level -= cost
-	return Verdict{Granted: true, Level: b.level}
+	return Decision{Granted: true, Level: b.level}
 }
 
-// Give gives back what a request cost that has not run.
-func (b *Bucket) Give(now time.Time, l Limit, cost float64) {
+// Refund gives back what a request cost that has not run.
+func (b *Bucket) Refund(now time.Time, l Limit, cost float64) {
 	b.refill(now, l)
 	b.level = min(b.level+cost, l.Burst)
 }
@@ -138,38 +138,38 @@
 	Since time.Time
 
 	mu sync.Mutex
-	of map[work.Account]*buckets
+	of map[domain.Account]*buckets
 }
 
 // buckets are all that an account had, and the part of it within its quota.
 type buckets struct{ all, quota Bucket }
 
 // Take takes the cost of a request.
-func (c *Counter) Take(now time.Time, a work.Account, t Terms, cost float64) Verdict {
+func (c *Counter) Take(now time.Time, a domain.Account, t Allowance, cost float64) Decision {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	b := c.buckets(a)
 	v := b.all.Take(now, t.all(), cost)
 	if v.Granted {
-		v.Over = !b.quota.Take(now, t.Quota, cost).Granted
+		v.OverQuota = !b.quota.Take(now, t.Quota, cost).Granted
 	}
 	return v
 }
 
-// Give gives back what a request cost that has not run; over is what was said of it.
-func (c *Counter) Give(now time.Time, a work.Account, t Terms, cost float64, over bool) {
+// Refund gives back what a request cost that has not run; over is what was said of it.
+func (c *Counter) Refund(now time.Time, a domain.Account, t Allowance, cost float64, over bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	b := c.buckets(a)
-	b.all.Give(now, t.all(), cost)
+	b.all.Refund(now, t.all(), cost)
 	if !over {
-		b.quota.Give(now, t.Quota, cost)
+		b.quota.Refund(now, t.Quota, cost)
 	}
 }
 
-func (c *Counter) buckets(a work.Account) *buckets {
+func (c *Counter) buckets(a domain.Account) *buckets {
 	if c.of == nil {
-		c.of = make(map[work.Account]*buckets)
+		c.of = make(map[domain.Account]*buckets)
 	}
 	if c.of[a] == nil {
 		c.of[a] = &buckets{all: Bucket{at: c.Since}, quota: Bucket{at: c.Since}}
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -15,7 +15,7 @@
 
 var (
 	limit = Limit{Rate: 36000, Burst: 36000}
-	terms = Terms{Quota: limit, Over: Limit{Rate: 4000, Burst: 42000}}
+	terms = Allowance{Quota: limit, Excess: Limit{Rate: 4000, Burst: 42000}}
 	began = time.Unix(1000, 0)
 )
 
@@ -40,7 +40,7 @@
 				continue
 			}
 			if rapid.IntRange(0, 9).Draw(t, "unrun") == 0 {
-				c.Give(now, "a", terms, cost, v.Over)
+				c.Refund(now, "a", terms, cost, v.OverQuota)
 				continue
 			}
 			runs, largest = append(runs, run{now, cost}), max(largest, cost)
@@ -76,7 +76,7 @@
 // had its burst. It gets the rate from the start on and no second burst.
 func TestAStartSavesUpNothing(t *testing.T) {
 	c := Counter{Since: began}
-	terms := Terms{Quota: limit}
+	terms := Allowance{Quota: limit}
 	require.True(t, c.Take(began.Add(10*time.Millisecond), "a", terms, 5000).Granted, "one, that leaves a debt")
 	require.False(t, c.Take(began.Add(11*time.Millisecond), "a", terms, 200).Granted)
 	require.True(t, c.Take(began.Add(time.Minute), "b", terms, 36000).Granted)
@@ -89,7 +89,7 @@
 	c := Counter{Since: began}
 	now := began.Add(time.Minute)
 	require.True(t, c.Take(now, "a", terms, 1000).Granted)
-	lower := Terms{Quota: Limit{Rate: 400, Burst: 400}}
+	lower := Allowance{Quota: Limit{Rate: 400, Burst: 400}}
 	require.True(t, c.Take(now, "a", lower, 400).Granted)
 	require.False(t, c.Take(now, "a", lower, 400).Granted)
 }
@@ -100,7 +100,7 @@
 	c := Counter{Since: began}
 	now := began.Add(time.Minute)
 	require.True(t, c.Take(now, "a", terms, 36000).Granted)
-	lower := Terms{Quota: Limit{Rate: 400, Burst: 20000}}
+	lower := Allowance{Quota: Limit{Rate: 400, Burst: 20000}}
 	require.True(t, c.Take(now.Add(time.Second), "a", lower, 20000).Granted)
 }
 
@@ -115,7 +115,7 @@
 	for range 4000 {
 		now = now.Add(time.Duration(random.ExpFloat64() * float64(74*time.Millisecond)))
 		cost := []float64{3000, 13000}[random.IntN(2)]
-		if c.Take(now, "a", Terms{Quota: limit}, cost).Granted {
+		if c.Take(now, "a", Allowance{Quota: limit}, cost).Granted {
 			served[cost]++
 		}
 	}
@@ -132,7 +132,7 @@
 	for range 10 {
 		v := c.Take(now, "a", terms, 7000)
 		require.True(t, v.Granted)
-		if v.Over {
+		if v.OverQuota {
 			over++
 		}
 	}
@@ -141,7 +141,7 @@
 	for range 4 * 8 * 5 { // eight seconds of requests at four times the rate
 		now = now.Add(50 * time.Millisecond)
 		switch v := c.Take(now, "a", terms, 7200); {
-		case v.Granted && v.Over:
+		case v.Granted && v.OverQuota:
 			beyond += 7200
 		case v.Granted:
 			within += 7200
@@ -154,8 +154,8 @@
 // Story: operators allow so much in any window. With the whole tolerance given out, an
 // account that asks for all it can get has just that.
 func TestTheToleranceIsThatOfAWindow(t *testing.T) {
-	w := Tolerance{Window: 8 * time.Second, Part: 0.1, Slack: 140_000}
-	full := Terms{Quota: limit, Over: w.Over(limit, 1)}
+	w := Tolerance{Window: 8 * time.Second, Fraction: 0.1, FixedExcess: 140_000}
+	full := Allowance{Quota: limit, Excess: w.ExcessLimit(limit, 1)}
 	c := Counter{Since: began}
 	now := began.Add(time.Minute)
 	had := 0.0
@@ -164,7 +164,7 @@
 			had += 500
 		}
 	}
-	allowed := (limit.Rate*w.Window.Seconds()+limit.Burst)*1.1 + w.Slack
+	allowed := (limit.Rate*w.Window.Seconds()+limit.Burst)*1.1 + w.FixedExcess
 	require.InDelta(t, allowed, had, 1000)
-	require.Zero(t, Tolerance{Slack: 10}.Over(limit, 1))
+	require.Zero(t, Tolerance{FixedExcess: 10}.ExcessLimit(limit, 1))
 }
--- a/relay/first.go
+++ b/relay/first.go
@@ -7,19 +7,19 @@
 	"github.com/pkg/errors"
 )
 
-// FirstAfter is the time after which the next process is asked while those before it have
+// HedgeDelay is the time after which the next process is asked while those before it have
 // not answered: more than an answer takes that is ready.
-const FirstAfter = 50 * time.Millisecond
+const HedgeDelay = 50 * time.Millisecond
 
 // errNobody says that there is nobody to ask.
 var errNobody = errors.New("relay: nobody to ask")
 
-// First asks processes in their order, the next one when another has failed or has not
+// Hedge asks processes in their order, the next one when another has failed or has not
 // answered for some time, and gives the first answer. The others are given up.
 //
 // Failure: one of the relays is up and can't list the source, which turns it away. A
 // process that starts waits for it as long as a relay may take that is just starting.
-func First[A any](ctx context.Context, after time.Duration, peers []*Peer, ask func(context.Context, *Peer) (A, error)) (A, error) {
+func Hedge[A any](ctx context.Context, after time.Duration, peers []*Peer, ask func(context.Context, *Peer) (A, error)) (A, error) {
 	type end struct {
 		answer A
 		err    error
