--- a/relay/first_test.go
+++ b/relay/first_test.go
@@ -9,7 +9,7 @@
 	"github.com/pkg/errors"
 	"github.com/stretchr/testify/require"
 
-	"jacinthworks/work"
+	"jacinthworks/domain"
 )
 
 // Guards against a start that waits for one process as long as it may take, while another
@@ -18,7 +18,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		all := []*Peer{{Member: Member{Name: "silent"}}, {Member: Member{Name: "failing"}}, {Member: Member{Name: "sound"}}}
 		began := time.Now()
-		by, err := First(t.Context(), FirstAfter, all, func(ctx context.Context, p *Peer) (work.Host, error) {
+		by, err := Hedge(t.Context(), HedgeDelay, all, func(ctx context.Context, p *Peer) (domain.Host, error) {
 			switch p.Name {
 			case "silent":
 				<-ctx.Done()
@@ -29,16 +29,16 @@
 			return p.Name, nil
 		})
 		require.NoError(t, err)
-		require.Equal(t, work.Host("sound"), by)
-		require.Equal(t, FirstAfter, time.Since(began), "the one after a failure is asked at once")
+		require.Equal(t, domain.Host("sound"), by)
+		require.Equal(t, HedgeDelay, time.Since(began), "the one after a failure is asked at once")
 		synctest.Wait()
 	})
 }
 
 func TestWithoutAnAnswerTheLastCauseIsGiven(t *testing.T) {
 	cause := errors.New("cause")
-	_, err := First(t.Context(), time.Millisecond, []*Peer{{}, {}}, func(context.Context, *Peer) (int, error) { return 0, cause })
+	_, err := Hedge(t.Context(), time.Millisecond, []*Peer{{}, {}}, func(context.Context, *Peer) (int, error) { return 0, cause })
 	require.ErrorIs(t, err, cause)
-	_, err = First(t.Context(), time.Millisecond, nil, func(context.Context, *Peer) (int, error) { return 0, nil })
+	_, err = Hedge(t.Context(), time.Millisecond, nil, func(context.Context, *Peer) (int, error) { return 0, nil })
 	require.ErrorIs(t, err, errNobody)
 }
--- a/relay/fleet.go
+++ b/relay/fleet.go
@@ -10,23 +10,23 @@
 
 	"github.com/cespare/xxhash/v2"
 
+	"jacinthworks/domain"
 	"jacinthworks/send"
-	"jacinthworks/work"
 )
 
 const (
 	// relays is how many processes watch the source for all: one may be lost
 	// without a call more to the source.
 	relays = 2
-	// DefaultDegree is how many processes one passes changes on to, about. Beyond that
+	// DefaultFanOut is how many processes one passes changes on to, about. Beyond that
 	// number for each relay, others stand between the relays and the rest.
-	DefaultDegree = 64
+	DefaultFanOut = 64
 	// middles is how many of these each process asks, before the relays.
 	middles = 2
-	// DefaultFewest is the number of processes from which relays are used. A few
+	// DefaultMinMembers is the number of processes from which relays are used. A few
 	// watches are cheap, and small deployments bound changes more tightly than a
 	// relay that falls silent is found.
-	DefaultFewest = 12
+	DefaultMinMembers = 12
 	// The time for which a relay that did not answer is left alone doubles from
 	// the first to the longest: one that was frozen is back within seconds, one
 	// whose host is gone stays on record for minutes.
@@ -39,25 +39,25 @@
 
 // Member is a process of the fleet.
 type Member struct {
-	Name work.Host
-	Zone work.Zone
+	Name domain.Host
+	Zone domain.Zone
 	// Addr is where others ask it; invalid where they can't.
 	Addr netip.AddrPort
 	// Cores is its host's share of a processor.
 	Cores float64
-	// Since is when its first start put it on record.
+	// ChangesSince is when its first start put it on record.
 	Since time.Time
 }
 
-// Relays gives the members that watch for all, if there are as many as the fewest
-// (zero is DefaultFewest): the largest hosts, in different availability zones. All
+// SelectRelays gives the members that watch for all, if there are as many as the fewest
+// (zero is DefaultMinMembers): the largest hosts, in different availability zones. All
 // processes that know the same members choose the same ones. One that knows others
 // asks a process that does not watch, and is told that it can't vouch for anything.
-func Relays(all []Member, fewest int) []Member { return chosenOf(ranked(all), fewest) }
+func SelectRelays(all []Member, fewest int) []Member { return chosenOf(ranked(all), fewest) }
 
 func chosenOf(able []Member, fewest int) []Member {
 	if fewest <= 0 {
-		fewest = DefaultFewest
+		fewest = DefaultMinMembers
 	}
 	if len(able) < fewest {
 		return nil
@@ -98,8 +98,8 @@
 	}
 	most := (len(able) + degree - 1) / degree
 	var some []Member
-	inZone := make(map[work.Zone]int)
-	taken := make(map[work.Host]bool)
+	inZone := make(map[domain.Zone]int)
+	taken := make(map[domain.Host]bool)
 	for _, m := range chosen {
 		taken[m.Name] = true
 	}
@@ -173,7 +173,7 @@
 }
 
 // Do makes a call to the process.
-func (p *Peer) Do(ctx context.Context, r send.Request) (*send.Reply, error) {
+func (p *Peer) Do(ctx context.Context, r send.Request) (*send.Response, error) {
 	return p.client.Do(ctx, r)
 }
 
@@ -186,19 +186,19 @@
 // Fleet is who relays, as this process knows it. Set Self first; the zero value
 // knows of none, so that the source is watched directly. It must not be copied.
 type Fleet struct {
-	Self work.Host
+	Self domain.Host
 	// Seeds are where some processes can be asked before the members are known; they may be
 	// out of date. SelfAddr is where this one is asked.
 	Seeds    []netip.AddrPort
 	SelfAddr netip.AddrPort
-	// Degree is how many processes one passes changes on to; zero is DefaultDegree.
-	Degree int
-	// First says that the whole fleet starts for the first time: members that are not on
+	// FanOut is how many processes one passes changes on to; zero is DefaultFanOut.
+	FanOut int
+	// Bootstrap says that the whole fleet starts for the first time: members that are not on
 	// record yet are still to come.
-	First bool
-	// Fewest is the number of processes from which relays are used; zero is
-	// DefaultFewest.
-	Fewest int
+	Bootstrap bool
+	// MinMembers is the number of processes from which relays are used; zero is
+	// DefaultMinMembers.
+	MinMembers int
 
 	mu    sync.Mutex // a leaf
 	relay bool
@@ -223,11 +223,11 @@
 	began   time.Time
 }
 
-// Set takes the members of the fleet; whole says that those which started together
+// SetMembers takes the members of the fleet; whole says that those which started together
 // with this one had time to be among them.
-func (f *Fleet) Set(all []Member, whole bool) {
+func (f *Fleet) SetMembers(all []Member, whole bool) {
 	able := ranked(all)
-	chosen := chosenOf(able, f.Fewest)
+	chosen := chosenOf(able, f.MinMembers)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.known = f.known || whole
@@ -239,11 +239,11 @@
 	if !slices.Equal(chosen, f.chosen) {
 		f.settled = boottime().Add(handover)
 	}
-	degree := f.Degree
+	degree := f.FanOut
 	if degree <= 0 {
-		degree = DefaultDegree
+		degree = DefaultFanOut
 	}
-	roles := make(map[work.Host]role)
+	roles := make(map[domain.Host]role)
 	for _, m := range between(able, chosen, degree) {
 		roles[m.Name] = middleRole
 	}
@@ -251,7 +251,7 @@
 		roles[m.Name] = relayRole
 	}
 	f.relay = roles[f.Self] == relayRole
-	var zone work.Zone
+	var zone domain.Zone
 	if f.place >= 0 {
 		zone = able[f.place].Zone
 	}
@@ -287,7 +287,7 @@
 }
 
 // distance is zero within an availability zone.
-func distance(a, b work.Zone) int {
+func distance(a, b domain.Zone) int {
 	if a == b {
 		return 0
 	}
@@ -295,7 +295,7 @@
 }
 
 func (f *Fleet) newPeer(m Member) *Peer {
-	p := &Peer{Member: m, client: &send.Client{Base: m.Addr, DialTimeout: peerDial, Keep: peerKeep}}
+	p := &Peer{Member: m, client: &send.Client{Base: m.Addr, DialTimeout: peerDial, IdleTimeout: peerKeep}}
 	if f.connect != nil {
 		f.connect(p)
 	}
@@ -327,7 +327,7 @@
 	for _, at := range all {
 		known := slices.ContainsFunc(f.seeds, func(p *Peer) bool { return p.Addr == at })
 		if at != f.SelfAddr && !known {
-			fresh = append(fresh, f.newPeer(Member{Name: work.Host(at.String()), Addr: at}))
+			fresh = append(fresh, f.newPeer(Member{Name: domain.Host(at.String()), Addr: at}))
 		}
 	}
 	f.spread(fresh)
@@ -336,7 +336,7 @@
 
 // bySeeds says whether the seeds relay: until it is known which processes there are.
 func (f *Fleet) bySeeds() bool {
-	return (f.seed || len(f.seeds) > 0) && !f.known && len(f.peers) == 0 && !f.relay && (f.First || len(f.others) == 0)
+	return (f.seed || len(f.seeds) > 0) && !f.known && len(f.peers) == 0 && !f.relay && (f.Bootstrap || len(f.others) == 0)
 }
 
 // Relays gives all relays where this process is one of them; else none.
@@ -356,23 +356,23 @@
 	return f.others[:min(len(f.others), most)]
 }
 
-// Known counts the processes that are known, this one included.
-func (f *Fleet) Known() int {
+// MemberCount counts the processes that are known, this one included.
+func (f *Fleet) MemberCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.others) + 1
 }
 
-// Place gives the place of this process among all, the largest hosts first, from
+// Rank gives the place of this process among all, the largest hosts first, from
 // zero; false while it is not known.
-func (f *Fleet) Place() (int, bool) {
+func (f *Fleet) Rank() (int, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.place, f.known && f.place >= 0
 }
 
-// Relayed says whether some processes watch for all.
-func (f *Fleet) Relayed() bool {
+// UsesRelays says whether some processes watch for all.
+func (f *Fleet) UsesRelays() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.relay || len(f.peers) > 0 || f.bySeeds()
@@ -401,9 +401,9 @@
 	return p.settled
 }
 
-// Asked gives the processes that relay for this one, in the order in which they are asked;
+// RelayPeers gives the processes that relay for this one, in the order in which they are asked;
 // none where it relays itself or nobody does.
-func (f *Fleet) Asked(now time.Time) []*Peer { return f.plan(now).ask }
+func (f *Fleet) RelayPeers(now time.Time) []*Peer { return f.plan(now).ask }
 
 func (f *Fleet) plan(now time.Time) plan {
 	f.mu.Lock()
--- a/relay/fleet_test.go
+++ b/relay/fleet_test.go
@@ -8,14 +8,14 @@
 
 	"github.com/stretchr/testify/require"
 
-	"jacinthworks/work"
+	"jacinthworks/domain"
 )
 
 // large gives so many members in five availability zones, one in seven on a large host.
 func large(n int) (all []Member) {
 	for i := range n {
 		m := Member{
-			Name: work.Host(fmt.Sprintf("front-%d", i)), Zone: work.Zone(fmt.Sprint("zone-", i%5)), Cores: 0.144,
+			Name: domain.Host(fmt.Sprintf("front-%d", i)), Zone: domain.Zone(fmt.Sprint("zone-", i%5)), Cores: 0.144,
 			Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), 7380), Since: day,
 		}
 		if i%7 == 0 {
@@ -30,13 +30,13 @@
 func TestNobodyPassesNewsOnToTooMany(t *testing.T) {
 	for _, n := range []int{12, 100, 357, 1000} {
 		all := large(n)
-		asked := make(map[work.Host]int)
+		asked := make(map[domain.Host]int)
 		near := 0
 		for _, m := range all {
 			f := &Fleet{Self: m.Name}
-			f.Set(all, true)
+			f.SetMembers(all, true)
 			if f.relay {
-				require.Empty(t, f.Asked(day))
+				require.Empty(t, f.RelayPeers(day))
 				continue
 			}
 			first := f.peers[0]
@@ -44,25 +44,25 @@
 			if first.Zone == m.Zone {
 				near++
 			}
-			require.Len(t, f.Asked(day), len(f.peers))
+			require.Len(t, f.RelayPeers(day), len(f.peers))
 			require.Contains(t, []int{relays, relays + middles}, len(f.peers), "the relays stand behind")
 		}
 		for name, times := range asked {
-			require.LessOrEqual(t, times, 2*DefaultDegree, "%d processes, %s", n, name)
+			require.LessOrEqual(t, times, 2*DefaultFanOut, "%d processes, %s", n, name)
 		}
-		if n > relays*DefaultDegree {
+		if n > relays*DefaultFanOut {
 			require.Greater(t, near, n*3/4, "most ask in their own availability zone")
 		}
 	}
 }
 
 func TestNobodyStandsBetweenInASmallFleet(t *testing.T) {
-	all := ranked(large(relays * DefaultDegree))
-	require.Empty(t, between(all, chosenOf(all, 0), DefaultDegree))
-	all = ranked(large(relays*DefaultDegree + 1))
-	some := between(all, chosenOf(all, 0), DefaultDegree)
+	all := ranked(large(relays * DefaultFanOut))
+	require.Empty(t, between(all, chosenOf(all, 0), DefaultFanOut))
+	all = ranked(large(relays*DefaultFanOut + 1))
+	some := between(all, chosenOf(all, 0), DefaultFanOut)
 	require.Len(t, some, 3)
-	require.Empty(t, between(all, nil, DefaultDegree), "without relays")
+	require.Empty(t, between(all, nil, DefaultFanOut), "without relays")
 	for _, m := range some {
 		require.NotContains(t, chosenOf(all, 0), m)
 	}
@@ -71,21 +71,21 @@
 // Guards against seeds that are asked on and on: they relay until the members are known.
 func TestSeedsRelayUntilTheMembersAreKnown(t *testing.T) {
 	at := netip.MustParseAddrPort
-	f := &Fleet{Self: "front-1", SelfAddr: at("10.0.0.1:7"), Seeds: []netip.AddrPort{at("10.0.0.1:7"), at("10.0.0.9:7")}, First: true}
+	f := &Fleet{Self: "front-1", SelfAddr: at("10.0.0.1:7"), Seeds: []netip.AddrPort{at("10.0.0.1:7"), at("10.0.0.9:7")}, Bootstrap: true}
 	require.True(t, f.plan(day).alone)
 	f.Seed(nil)
 	require.True(t, f.plan(day).self, "it is a seed")
 	f.Seed([]netip.AddrPort{at("10.0.0.5:7")})
 	require.False(t, f.plan(day).self, "others relayed last")
-	require.Len(t, f.Asked(day), 2, "they, and then the seeds")
-	require.Equal(t, at("10.0.0.5:7"), f.Asked(day)[0].Addr)
-	f.Set(large(5), false)
-	require.Len(t, f.Asked(day), 2, "more are still to come at a first start")
-	f.Set(large(5), true)
+	require.Len(t, f.RelayPeers(day), 2, "they, and then the seeds")
+	require.Equal(t, at("10.0.0.5:7"), f.RelayPeers(day)[0].Addr)
+	f.SetMembers(large(5), false)
+	require.Len(t, f.RelayPeers(day), 2, "more are still to come at a first start")
+	f.SetMembers(large(5), true)
 	require.True(t, f.plan(day).alone, "few watch for themselves")
 	later := &Fleet{Self: "front-1", Seeds: f.Seeds}
 	later.Seed(nil)
-	later.Set(large(5), false)
+	later.SetMembers(large(5), false)
 	require.True(t, later.plan(day).alone, "those on record are all")
 }
 
@@ -96,7 +96,7 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			f := &Fleet{Self: "front-9"}
 			for b.Loop() {
-				f.Set(all, true)
+				f.SetMembers(all, true)
 			}
 		})
 	}
@@ -106,7 +106,7 @@
 func BenchmarkOwners(b *testing.B) {
 	for _, n := range []int{357, 1000, 3000} {
 		f := &Fleet{Self: "front-9"}
-		f.Set(large(n), true)
+		f.SetMembers(large(n), true)
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			for b.Loop() {
 				f.Owners(day.Add(time.Hour), "account/someone", 2)
--- a/relay/hub.go
+++ b/relay/hub.go
@@ -15,11 +15,11 @@
 // Beyond it those who know less list the source.
 const knownMost = 20000
 
-// Hub holds a copy of a collection, for others to ask. The zero value is ready to
+// Replica holds a copy of a collection, for others to ask. The zero value is ready to
 // use; it must not be copied. It is safe for concurrent use; its lock is a leaf. Times
 // passed in are on a clock that counts the time for which the host was suspended: else a
 // process that was frozen takes what it heard before for news.
-type Hub[T any] struct {
+type Replica[T any] struct {
 	mu sync.Mutex
 	// known has the newest change of each member: of all members while the copy is
 	// whole, and of those that have gone in (floor, at].
@@ -72,15 +72,15 @@
 	stale bool
 }
 
-// Listed takes a page of a list of the source; first says that it begins one, stale
+// ApplyListPage takes a page of a list of the source; first says that it begins one, stale
 // that it may be old. With the last page it takes the place of what was known.
-func (h *Hub[T]) Listed(now time.Time, first, stale bool, p feed.Page[T]) {
+func (h *Replica[T]) ApplyListPage(now time.Time, first, stale bool, p feed.Page[T]) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if first || h.pages.items == nil {
-		h.pages = listing[T]{items: make(map[string]feed.Item[T], len(p.Items)), at: p.At, began: now}
+		h.pages = listing[T]{items: make(map[string]feed.Item[T], len(p.Items)), at: p.Revision, began: now}
 	}
-	h.pages.at = min(h.pages.at, p.At)
+	h.pages.at = min(h.pages.at, p.Revision)
 	h.pages.stale = h.pages.stale || stale
 	for _, i := range p.Items {
 		h.pages.items[i.Name] = i
@@ -97,12 +97,12 @@
 	h.tell()
 }
 
-// Copied takes the collection as a relay gave it, which the source told it at the time
+// ApplySnapshot takes the collection as a relay gave it, which the source told it at the time
 // given.
-func (h *Hub[T]) Copied(heard time.Time, p feed.Page[T]) {
+func (h *Replica[T]) ApplySnapshot(heard time.Time, p feed.Page[T]) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	l := listing[T]{items: make(map[string]feed.Item[T], len(p.Items)), at: p.At}
+	l := listing[T]{items: make(map[string]feed.Item[T], len(p.Items)), at: p.Revision}
 	for _, i := range p.Items {
 		l.items[i.Name] = i
 	}
@@ -116,7 +116,7 @@
 //
 // Load pattern: the source has forgotten its history. Each of hundreds of processes
 // lists the whole collection, although hardly anything has changed.
-func (h *Hub[T]) replace(l listing[T]) {
+func (h *Replica[T]) replace(l listing[T]) {
 	goesOn := h.whole && l.at >= h.at && l.at.Era() == h.at.Era()
 	if goesOn {
 		h.addGap(gap{h.at, l.at})
@@ -125,14 +125,14 @@
 	}
 	for name, i := range l.items {
 		old, was := h.known[name]
-		if was && !old.change.Gone && i.Unread == nil && i.Revision != 0 && old.change.Revision == i.Revision {
+		if was && !old.change.Deleted && i.DecodeErr == nil && i.Revision != 0 && old.change.Revision == i.Revision {
 			continue
 		}
 		h.known[name] = known[T]{feed.Change[T]{Item: i}, l.at}
 	}
 	for name, k := range h.known {
-		if _, there := l.items[name]; !there && !k.change.Gone {
-			k.change.Gone = true
+		if _, there := l.items[name]; !there && !k.change.Deleted {
+			k.change.Deleted = true
 			h.known[name] = known[T]{k.change, l.at}
 		}
 	}
@@ -145,7 +145,7 @@
 // Failure: a member came and went between the two, and a process that has heard of it from
 // elsewhere is told that nothing has changed. It shows as an upstream that one process goes
 // on using.
-func (h *Hub[T]) addGap(g gap) {
+func (h *Replica[T]) addGap(g gap) {
 	if g.to <= g.from+1 {
 		return
 	}
@@ -157,18 +157,18 @@
 }
 
 // inGap says whether a revision lies within a gap.
-func (h *Hub[T]) inGap(at feed.Revision) bool {
+func (h *Replica[T]) inGap(at feed.Revision) bool {
 	return slices.ContainsFunc(h.gaps, func(g gap) bool { return g.from < at && at < g.to })
 }
 
 // prune forgets members that have gone, once there are many. Those who know less list
 // the collection.
-func (h *Hub[T]) prune() {
+func (h *Replica[T]) prune() {
 	if len(h.known) <= knownMost {
 		return
 	}
 	for name, k := range h.known {
-		if k.change.Gone {
+		if k.change.Deleted {
 			delete(h.known, name)
 		}
 	}
@@ -179,24 +179,24 @@
 	}
 }
 
-// Watched takes an answer of the source to a watch.
-func (h *Hub[T]) Watched(now time.Time, after feed.Revision, changes []feed.Change[T], at feed.Revision) {
+// ApplyWatch takes an answer of the source to a watch.
+func (h *Replica[T]) ApplyWatch(now time.Time, after feed.Revision, changes []feed.Change[T], at feed.Revision) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.heard, h.direct, h.refused = now, true, time.Time{}
 	h.take(after, changes, at)
 }
 
-// Relayed takes the answer of a relay, which the source told it at the time given.
-func (h *Hub[T]) Relayed(heard time.Time, after feed.Revision, changes []feed.Change[T], at feed.Revision) {
+// ApplyRelayed takes the answer of a relay, which the source told it at the time given.
+func (h *Replica[T]) ApplyRelayed(heard time.Time, after feed.Revision, changes []feed.Change[T], at feed.Revision) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.heard, h.direct = heard, false
 	h.take(after, changes, at)
 }
 
-// Lost notes that the source does not answer this process.
-func (h *Hub[T]) Lost(now time.Time) {
+// MarkSourceLost notes that the source does not answer this process.
+func (h *Replica[T]) MarkSourceLost(now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.heard, h.direct, h.refused = time.Time{}, false, now
@@ -208,7 +208,7 @@
 // Failure: a part of the changes is missing here, and one who asks is told that
 // nothing else has changed. It shows as an upstream that one process never hears
 // of. After a gap nothing before it is vouched for.
-func (h *Hub[T]) take(after feed.Revision, changes []feed.Change[T], at feed.Revision) {
+func (h *Replica[T]) take(after feed.Revision, changes []feed.Change[T], at feed.Revision) {
 	if after > h.at || !h.listed {
 		clear(h.known)
 		h.floor, h.at, h.gaps, h.listed, h.whole = after, after, nil, true, false
@@ -232,7 +232,7 @@
 }
 
 // tell wakes those who wait for changes.
-func (h *Hub[T]) tell() {
+func (h *Replica[T]) tell() {
 	h.version++
 	if h.news != nil {
 		close(h.news)
@@ -243,12 +243,12 @@
 // errBehind says that another process knows more than the hub.
 var errBehind = errors.New("relay: behind")
 
-// Since gives the changes after a revision, and the revision to go on from.
+// ChangesSince gives the changes after a revision, and the revision to go on from.
 // ErrStale says that the source was not heard lately, errBehind that it has not yet
-// told as much as the other knows, feed.ErrHistory that the changes are not known so
+// told as much as the other knows, feed.ErrCompacted that the changes are not known so
 // far back. next, given without an error and with errBehind, is closed when there
 // may be more.
-func (h *Hub[T]) Since(now time.Time, after feed.Revision) (changes []feed.Change[T], at feed.Revision, next <-chan struct{}, err error) {
+func (h *Replica[T]) ChangesSince(now time.Time, after feed.Revision) (changes []feed.Change[T], at feed.Revision, next <-chan struct{}, err error) {
 	n, err := h.since(now, after)
 	return n.changes, n.at, n.next, err
 }
@@ -263,14 +263,14 @@
 	next    <-chan struct{}
 }
 
-func (h *Hub[T]) since(now time.Time, after feed.Revision) (n news[T], err error) {
+func (h *Replica[T]) since(now time.Time, after feed.Revision) (n news[T], err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	switch {
 	case !h.fresh(now):
 		return n, ErrStale
 	case after < h.floor, h.inGap(after):
-		return n, feed.ErrHistory
+		return n, feed.ErrCompacted
 	}
 	n.next = h.waited()
 	if after > h.at {
@@ -289,7 +289,7 @@
 }
 
 // waited gives what is closed at the next change of anything.
-func (h *Hub[T]) waited() <-chan struct{} {
+func (h *Replica[T]) waited() <-chan struct{} {
 	if h.news == nil {
 		h.news = make(chan struct{})
 	}
@@ -297,17 +297,17 @@
 }
 
 // fresh says whether the source was heard lately.
-func (h *Hub[T]) fresh(now time.Time) bool {
-	most := Fresh
+func (h *Replica[T]) fresh(now time.Time) bool {
+	most := MaxAge
 	if !h.direct {
-		most = FreshRelayed
+		most = MaxRelayedAge
 	}
 	return h.listed && !h.heard.IsZero() && now.Sub(h.heard) <= most
 }
 
 // all gives all members, none of which has gone. ErrStale says that the source was not
 // heard lately, or that members are missing here.
-func (h *Hub[T]) all(now time.Time) (n news[T], err error) {
+func (h *Replica[T]) all(now time.Time) (n news[T], err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	n.next = h.waited()
@@ -316,22 +316,22 @@
 	}
 	n.at, n.version, n.heard = h.at, h.version, h.heard
 	for _, k := range h.known {
-		if !k.change.Gone {
+		if !k.change.Deleted {
 			n.changes = append(n.changes, k.change)
 		}
 	}
 	return n, nil
 }
 
-// At is the newest revision that is known here, zero for none.
-func (h *Hub[T]) At() feed.Revision {
+// Revision is the newest revision that is known here, zero for none.
+func (h *Replica[T]) Revision() feed.Revision {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.at
 }
 
 // watchWait is how long a relay's watch of the source waits.
-func (h *Hub[T]) watchWait() time.Duration {
+func (h *Replica[T]) watchWait() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if !h.direct {
@@ -341,7 +341,7 @@
 }
 
 // mayAsk says whether the source may be asked although no relay hears of it.
-func (h *Hub[T]) mayAsk(now time.Time) bool {
+func (h *Replica[T]) mayAsk(now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.refused.IsZero() || now.Sub(h.refused) >= directEvery
@@ -349,7 +349,7 @@
 
 // from notes where changes come from, and whether this process relays them, and logs
 // when either changes.
-func (h *Hub[T]) from(log hclog.Logger, name, source string, relays bool, why string) {
+func (h *Replica[T]) from(log hclog.Logger, name, source string, relays bool, why string) {
 	h.mu.Lock()
 	changed := h.source != source || h.relays != relays
 	h.source, h.relays = source, relays
--- a/relay/hub_test.go
+++ b/relay/hub_test.go
@@ -18,21 +18,21 @@
 	return feed.Change[int]{Item: feed.Item[int]{Name: name, Revision: at, Value: int(at)}}
 }
 
-func page(at feed.Revision) feed.Page[int] { return feed.Page[int]{At: at} }
+func page(at feed.Revision) feed.Page[int] { return feed.Page[int]{Revision: at} }
 
 func TestAHubGivesWhatCameAfter(t *testing.T) {
-	var h Hub[int]
-	h.Listed(start, true, false, page(10))
-	h.Watched(start, 10, []feed.Change[int]{put("a", 11), put("b", 12)}, 12)
-	h.Watched(start, 12, []feed.Change[int]{put("a", 14)}, 15)
-	all, at, _, err := h.Since(start, 10)
+	var h Replica[int]
+	h.ApplyListPage(start, true, false, page(10))
+	h.ApplyWatch(start, 10, []feed.Change[int]{put("a", 11), put("b", 12)}, 12)
+	h.ApplyWatch(start, 12, []feed.Change[int]{put("a", 14)}, 15)
+	all, at, _, err := h.ChangesSince(start, 10)
 	require.NoError(t, err)
 	require.EqualValues(t, 15, at)
 	require.ElementsMatch(t, []feed.Change[int]{put("a", 14), put("b", 12)}, all, "the newest of each")
-	all, _, next, err := h.Since(start, 15)
+	all, _, next, err := h.ChangesSince(start, 15)
 	require.NoError(t, err)
 	require.Empty(t, all)
-	h.Watched(start, 15, nil, 20)
+	h.ApplyWatch(start, 15, nil, 20)
 	select {
 	case <-next:
 	default:
@@ -44,23 +44,23 @@
 // Others that ask it would be told that nothing has changed, and go on by an old
 // configuration. It vouches for nothing that it has not heard itself lately.
 func TestAHubThatHearsNothingVouchesForNothing(t *testing.T) {
-	var h Hub[int]
-	_, _, _, err := h.Since(start, 0)
+	var h Replica[int]
+	_, _, _, err := h.ChangesSince(start, 0)
 	require.ErrorIs(t, err, ErrStale, "nothing was ever heard")
-	h.Listed(start, true, true, page(10))
-	_, _, _, err = h.Since(start, 10)
+	h.ApplyListPage(start, true, true, page(10))
+	_, _, _, err = h.ChangesSince(start, 10)
 	require.ErrorIs(t, err, ErrStale, "a stale list may be seconds old")
-	h.Watched(start, 10, nil, 10)
-	_, _, _, err = h.Since(start.Add(Fresh), 10)
+	h.ApplyWatch(start, 10, nil, 10)
+	_, _, _, err = h.ChangesSince(start.Add(MaxAge), 10)
 	require.NoError(t, err)
-	_, _, _, err = h.Since(start.Add(Fresh+1), 10)
+	_, _, _, err = h.ChangesSince(start.Add(MaxAge+1), 10)
 	require.ErrorIs(t, err, ErrStale)
-	h.Watched(start.Add(time.Minute), 10, nil, 11)
-	h.Lost(start)
-	_, _, _, err = h.Since(start.Add(time.Minute), 10)
+	h.ApplyWatch(start.Add(time.Minute), 10, nil, 11)
+	h.MarkSourceLost(start)
+	_, _, _, err = h.ChangesSince(start.Add(time.Minute), 10)
 	require.ErrorIs(t, err, ErrStale)
-	h.Relayed(time.Time{}, 11, []feed.Change[int]{put("a", 12)}, 12)
-	_, _, _, err = h.Since(start.Add(time.Minute), 10)
+	h.ApplyRelayed(time.Time{}, 11, []feed.Change[int]{put("a", 12)}, 12)
+	_, _, _, err = h.ChangesSince(start.Add(time.Minute), 10)
 	require.ErrorIs(t, err, ErrStale, "what another relay said is not passed on as heard")
 }
 
@@ -68,13 +68,13 @@
 // behind. Told that nothing has changed after what it knows, it would miss what the
 // second one has not heard yet.
 func TestAHubThatIsBehindSaysSo(t *testing.T) {
-	var h Hub[int]
-	h.Listed(start, true, false, page(10))
-	_, _, next, err := h.Since(start, 12)
+	var h Replica[int]
+	h.ApplyListPage(start, true, false, page(10))
+	_, _, next, err := h.ChangesSince(start, 12)
 	require.ErrorIs(t, err, errBehind)
-	h.Watched(start, 10, []feed.Change[int]{put("a", 13)}, 13)
+	h.ApplyWatch(start, 10, []feed.Change[int]{put("a", 13)}, 13)
 	<-next
-	all, _, _, err := h.Since(start, 12)
+	all, _, _, err := h.ChangesSince(start, 12)
 	require.NoError(t, err)
 	require.Len(t, all, 1)
 }
@@ -82,21 +82,21 @@
 // Story: a relay started later than the process that asks, or missed a part of the
 // changes. It does not know what happened in between.
 func TestAHubKnowsNothingBeforeItsListOrAGap(t *testing.T) {
-	var h Hub[int]
-	h.Listed(start, true, false, page(10))
-	_, _, _, err := h.Since(start, 9)
-	require.ErrorIs(t, err, feed.ErrHistory)
-	h.Watched(start, 10, []feed.Change[int]{put("a", 11)}, 11)
-	h.Watched(start, 20, []feed.Change[int]{put("b", 21)}, 21)
-	_, _, _, err = h.Since(start, 11)
-	require.ErrorIs(t, err, feed.ErrHistory)
-	all, _, _, err := h.Since(start, 20)
+	var h Replica[int]
+	h.ApplyListPage(start, true, false, page(10))
+	_, _, _, err := h.ChangesSince(start, 9)
+	require.ErrorIs(t, err, feed.ErrCompacted)
+	h.ApplyWatch(start, 10, []feed.Change[int]{put("a", 11)}, 11)
+	h.ApplyWatch(start, 20, []feed.Change[int]{put("b", 21)}, 21)
+	_, _, _, err = h.ChangesSince(start, 11)
+	require.ErrorIs(t, err, feed.ErrCompacted)
+	all, _, _, err := h.ChangesSince(start, 20)
 	require.NoError(t, err)
 	require.Equal(t, []feed.Change[int]{put("b", 21)}, all)
 }
 
 func pageOf(at feed.Revision, changes ...feed.Change[int]) feed.Page[int] {
-	p := feed.Page[int]{At: at}
+	p := feed.Page[int]{Revision: at}
 	for _, c := range changes {
 		p.Items = append(p.Items, c.Item)
 	}
@@ -105,19 +105,19 @@
 
 // Guards against a list by every process where the source has forgotten its history.
 func TestAListTellsOthersWhatItChanges(t *testing.T) {
-	var h Hub[int]
-	h.Listed(start, true, false, pageOf(10, put("a", 1), put("b", 2), put("c", 3)))
-	h.Listed(start, true, false, feed.Page[int]{At: 20, More: true, Items: []feed.Item[int]{put("a", 1).Item}})
-	all, at, _, err := h.Since(start, 10)
+	var h Replica[int]
+	h.ApplyListPage(start, true, false, pageOf(10, put("a", 1), put("b", 2), put("c", 3)))
+	h.ApplyListPage(start, true, false, feed.Page[int]{Revision: 20, More: true, Items: []feed.Item[int]{put("a", 1).Item}})
+	all, at, _, err := h.ChangesSince(start, 10)
 	require.NoError(t, err)
 	require.EqualValues(t, 10, at, "the list is not whole yet")
 	require.Empty(t, all)
-	h.Listed(start, false, false, pageOf(21, put("b", 15), put("d", 16)))
-	all, at, _, err = h.Since(start, 10)
+	h.ApplyListPage(start, false, false, pageOf(21, put("b", 15), put("d", 16)))
+	all, at, _, err = h.ChangesSince(start, 10)
 	require.NoError(t, err)
 	require.EqualValues(t, 20, at)
 	gone := put("c", 3)
-	gone.Gone = true
+	gone.Deleted = true
 	require.ElementsMatch(t, []feed.Change[int]{put("b", 15), put("d", 16), gone}, all)
 	n, err := h.all(start)
 	require.NoError(t, err)
@@ -127,40 +127,40 @@
 // Guards against a list that is passed on with members missing, or from before a copy of
 // the source that is older than another.
 func TestOnlyAWholeCopyIsPassedOn(t *testing.T) {
-	var h Hub[int]
-	h.Listed(start, true, false, pageOf(10, put("a", 1)))
-	h.Watched(start, 12, []feed.Change[int]{put("b", 13)}, 13)
+	var h Replica[int]
+	h.ApplyListPage(start, true, false, pageOf(10, put("a", 1)))
+	h.ApplyWatch(start, 12, []feed.Change[int]{put("b", 13)}, 13)
 	_, err := h.all(start)
 	require.ErrorIs(t, err, ErrStale, "what came between 10 and 12 is missing")
-	h.Listed(start, true, false, pageOf(14, put("a", 1), put("b", 13)))
+	h.ApplyListPage(start, true, false, pageOf(14, put("a", 1), put("b", 13)))
 	_, err = h.all(start)
 	require.NoError(t, err)
-	later := epoch.At(1, 5)
-	h.Listed(start, true, false, pageOf(later, put("a", epoch.At(1, 1))))
-	_, _, _, err = h.Since(start, 14)
-	require.ErrorIs(t, err, feed.ErrHistory, "who knows the earlier copy has to list")
-	h.Copied(time.Time{}, pageOf(later, put("a", epoch.At(1, 1))))
+	later := epoch.New(1, 5)
+	h.ApplyListPage(start, true, false, pageOf(later, put("a", epoch.New(1, 1))))
+	_, _, _, err = h.ChangesSince(start, 14)
+	require.ErrorIs(t, err, feed.ErrCompacted, "who knows the earlier copy has to list")
+	h.ApplySnapshot(time.Time{}, pageOf(later, put("a", epoch.New(1, 1))))
 	_, err = h.all(start)
 	require.ErrorIs(t, err, ErrStale, "what a relay gave that did not say when it heard it")
 }
 
 // Guards against a hub that grows with each member that ever was.
 func TestMembersThatAreGoneAreForgotten(t *testing.T) {
-	var h Hub[int]
-	h.Listed(start, true, false, pageOf(1, put("a", 1)))
+	var h Replica[int]
+	h.ApplyListPage(start, true, false, pageOf(1, put("a", 1)))
 	at := feed.Revision(1)
 	for range knownMost + 10 {
 		c := put(fmt.Sprint("upstream-", at), at+1)
-		c.Gone = true
-		h.Watched(start, at, []feed.Change[int]{c}, at+1)
+		c.Deleted = true
+		h.ApplyWatch(start, at, []feed.Change[int]{c}, at+1)
 		at++
 	}
 	require.LessOrEqual(t, len(h.known), knownMost)
 	n, err := h.all(start)
 	require.NoError(t, err)
 	require.Len(t, n.changes, 1)
-	_, _, _, err = h.Since(start, 1)
-	require.ErrorIs(t, err, feed.ErrHistory)
+	_, _, _, err = h.ChangesSince(start, 1)
+	require.ErrorIs(t, err, feed.ErrCompacted)
 }
 
 // world is a collection with its history, as the source has it.
@@ -172,7 +172,7 @@
 func (w *world) change(t *rapid.T) {
 	w.at += feed.Revision(rapid.IntRange(1, 3).Draw(t, "step"))
 	c := put(rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "name"), w.at)
-	c.Gone = rapid.IntRange(0, 3).Draw(t, "gone") == 0
+	c.Deleted = rapid.IntRange(0, 3).Draw(t, "gone") == 0
 	w.history = append(w.history, c)
 }
 
@@ -184,7 +184,7 @@
 
 // page is the whole collection.
 func (w *world) page() feed.Page[int] {
-	p := feed.Page[int]{At: w.at}
+	p := feed.Page[int]{Revision: w.at}
 	for name, value := range w.state(w.at) {
 		p.Items = append(p.Items, put(name, feed.Revision(value)).Item)
 	}
@@ -203,7 +203,7 @@
 
 func apply(s map[string]int, changes []feed.Change[int]) {
 	for _, c := range changes {
-		if c.Gone {
+		if c.Deleted {
 			delete(s, c.Name)
 		} else {
 			s[c.Name] = c.Value
@@ -218,8 +218,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		w := &world{at: 5}
 		now := start
-		hubs := []*Hub[int]{{}, {}}
-		var own Hub[int]
+		hubs := []*Replica[int]{{}, {}}
+		var own Replica[int]
 		at, copied := feed.Revision(0), map[string]int{}
 		list := func() { at, copied = w.at, w.state(w.at) }
 		list()
@@ -232,31 +232,31 @@
 				if h.listed {
 					from := h.at
 					to := from + feed.Revision(rapid.IntRange(0, int(w.at-from)).Draw(t, "to"))
-					h.Watched(now, from, w.since(from, to), to)
+					h.ApplyWatch(now, from, w.since(from, to), to)
 				}
 			case 3: // the relay starts anew
-				*h = Hub[int]{}
-				h.Listed(now, true, rapid.Bool().Draw(t, "stale"), w.page())
+				*h = Replica[int]{}
+				h.ApplyListPage(now, true, rapid.Bool().Draw(t, "stale"), w.page())
 			case 7: // the source has forgotten its history, and the relay lists anew
-				h.Listed(now, true, false, w.page())
+				h.ApplyListPage(now, true, false, w.page())
 			case 8: // a relay gives the whole collection
 				n, err := h.all(now)
-				if err != nil || n.at < own.At() {
+				if err != nil || n.at < own.Revision() {
 					continue
 				}
-				own.Copied(time.Time{}, pageOf(n.at, n.changes...))
+				own.ApplySnapshot(time.Time{}, pageOf(n.at, n.changes...))
 				at, copied = n.at, map[string]int{}
 				apply(copied, n.changes)
 			case 4:
-				h.Lost(now)
+				h.MarkSourceLost(now)
 			case 5:
 				now = now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond)
 			case 6:
-				changes, to, _, err := h.Since(now, at)
+				changes, to, _, err := h.ChangesSince(now, at)
 				if err != nil {
 					continue
 				}
-				own.Relayed(time.Time{}, at, changes, to)
+				own.ApplyRelayed(time.Time{}, at, changes, to)
 				apply(copied, changes)
 				if to < at {
 					t.Fatalf("went back from %d to %d", at, to)
--- a/relay/owners.go
+++ b/relay/owners.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"jacinthworks/work"
+	"jacinthworks/domain"
 )
 
 // keeper is a process as a keeper of state; peer is nil for this one.
@@ -46,7 +46,7 @@
 			able = append(able, k)
 		}
 	}
-	Rank(key, able, func(k *keeper) work.Host { return k.Name })
+	RendezvousSort(key, able, func(k *keeper) domain.Host { return k.Name })
 	var owners []Owner
 	for _, k := range able[:min(len(able), most)] {
 		owners = append(owners, Owner{k.peer})
@@ -67,10 +67,10 @@
 	}
 }
 
-// Rank sorts processes into the order in which they keep the state of a key, by
+// RendezvousSort sorts processes into the order in which they keep the state of a key, by
 // rendezvous hashing: all that know the same processes find the same order, and one that
 // is lost moves only its own keys.
-func Rank[T any](key string, all []T, name func(T) work.Host) {
+func RendezvousSort[T any](key string, all []T, name func(T) domain.Host) {
 	type weighed struct {
 		t      T
 		weight uint64
--- a/relay/owners_test.go
+++ b/relay/owners_test.go
@@ -8,12 +8,12 @@
 
 	"github.com/stretchr/testify/require"
 
-	"jacinthworks/work"
+	"jacinthworks/domain"
 )
 
 var (
 	day   = time.Unix(100_000, 0)
-	owner = func(f *Fleet, now time.Time, key string) work.Host {
+	owner = func(f *Fleet, now time.Time, key string) domain.Host {
 		all := f.Owners(now, key, 1)
 		if len(all) == 0 {
 			return ""
@@ -28,7 +28,7 @@
 // fleetOf gives members of which every fifth is on a large host.
 func fleetOf(n int) (all []Member) {
 	for i := range n {
-		m := Member{Name: work.Host(fmt.Sprintf("h%d", i)), Addr: netip.MustParseAddrPort(fmt.Sprintf("10.0.0.%d:7", i+1)), Cores: 0.144, Since: day}
+		m := Member{Name: domain.Host(fmt.Sprintf("h%d", i)), Addr: netip.MustParseAddrPort(fmt.Sprintf("10.0.0.%d:7", i+1)), Cores: 0.144, Since: day}
 		if i%5 == 0 {
 			m.Cores = 0.8
 		}
@@ -37,10 +37,10 @@
 	return all
 }
 
-func fleets(names []work.Host, all []Member) (out []*Fleet) {
+func fleets(names []domain.Host, all []Member) (out []*Fleet) {
 	for _, name := range names {
 		f := &Fleet{Self: name}
-		f.Set(all, true)
+		f.SetMembers(all, true)
 		out = append(out, f)
 	}
 	return out
@@ -50,8 +50,8 @@
 // that counts for it, a large one, and the accounts spread over those.
 func TestAllFindTheSameOwner(t *testing.T) {
 	all := fleetOf(25)
-	known := fleets([]work.Host{"h0", "h1", "h7", "h20"}, all)
-	owners := make(map[work.Host]int)
+	known := fleets([]domain.Host{"h0", "h1", "h7", "h20"}, all)
+	owners := make(map[domain.Host]int)
 	for k := range 200 {
 		key := fmt.Sprintf("account-%d", k)
 		first := owner(known[0], day, key)
@@ -70,8 +70,8 @@
 func TestALostHostMovesItsOwnKeysOnly(t *testing.T) {
 	all := fleetOf(25)
 	before, after := &Fleet{Self: "h1"}, &Fleet{Self: "h1"}
-	before.Set(all, true)
-	after.Set(all[1:], true) // h0 is large
+	before.SetMembers(all, true)
+	after.SetMembers(all[1:], true) // h0 is large
 	for k := range 200 {
 		key := fmt.Sprintf("account-%d", k)
 		if was := owner(before, day, key); was != "h0" {
@@ -86,8 +86,8 @@
 	all := fleetOf(25)
 	fresh := Member{Name: "new", Addr: netip.MustParseAddrPort("10.0.1.1:7"), Cores: 0.8, Since: day.Add(time.Minute)}
 	old := &Fleet{Self: "h1"}
-	old.Set(all, true)
-	knows := fleets([]work.Host{"new", "h2"}, append(all, fresh))
+	old.SetMembers(all, true)
+	knows := fleets([]domain.Host{"new", "h2"}, append(all, fresh))
 	moved := 0
 	for k := range 200 {
 		key := fmt.Sprintf("account-%d", k)
--- a/relay/pack.go
+++ b/relay/pack.go
@@ -23,9 +23,9 @@
 }
 
 func (t wired[T]) change() feed.Change[T] {
-	c := feed.Change[T]{Item: feed.Item[T]{Name: t.Name, Revision: t.Revision, Value: t.Value}, Gone: t.Gone}
+	c := feed.Change[T]{Item: feed.Item[T]{Name: t.Name, Revision: t.Revision, Value: t.Value}, Deleted: t.Gone}
 	if t.Unread != "" {
-		c.Unread = errors.New(t.Unread)
+		c.DecodeErr = errors.New(t.Unread)
 	}
 	return c
 }
@@ -64,7 +64,7 @@
 	items := make([]feed.Item[T], 0, len(changes))
 	seen := make(map[string]bool, len(changes))
 	for _, c := range changes {
-		if c.Gone || seen[c.Name] {
+		if c.Deleted || seen[c.Name] {
 			return nil, errors.Errorf("relay: a list names %q twice, or as gone", c.Name)
 		}
 		seen[c.Name] = true
@@ -77,9 +77,9 @@
 func encode[T any](changes []feed.Change[T]) ([]byte, error) {
 	all := make([]wired[T], 0, len(changes))
 	for _, c := range changes {
-		t := wired[T]{Name: c.Name, Revision: c.Revision, Value: c.Value, Gone: c.Gone}
-		if c.Unread != nil {
-			t.Unread = c.Unread.Error()
+		t := wired[T]{Name: c.Name, Revision: c.Revision, Value: c.Value, Gone: c.Deleted}
+		if c.DecodeErr != nil {
+			t.Unread = c.DecodeErr.Error()
 		}
 		all = append(all, t)
 	}
--- a/relay/poll.go
+++ b/relay/poll.go
@@ -33,7 +33,7 @@
 )
 
 // Handler answers polls, and who lists the collection, from the hub.
-func Handler[T any](h *Hub[T]) http.Handler {
+func Handler[T any](h *Replica[T]) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		q := r.URL.Query()
 		ms, err := strconv.ParseInt(q.Get(queryWait), 10, 64)
@@ -41,7 +41,7 @@
 			http.Error(w, "wait_ms must be a whole number", http.StatusBadRequest)
 			return
 		}
-		wait := min(time.Duration(ms)*time.Millisecond, PollWait)
+		wait := min(time.Duration(ms)*time.Millisecond, PollTimeout)
 		if q.Has(queryList) {
 			answerList(w, r, h, wait)
 			return
@@ -55,11 +55,11 @@
 	})
 }
 
-func answerPoll[T any](w http.ResponseWriter, r *http.Request, h *Hub[T], after feed.Revision, wait time.Duration) {
+func answerPoll[T any](w http.ResponseWriter, r *http.Request, h *Replica[T], after feed.Revision, wait time.Duration) {
 	called := boottime()
 	n, err := await(r.Context(), h, after, wait)
 	switch {
-	case errors.Is(err, feed.ErrHistory):
+	case errors.Is(err, feed.ErrCompacted):
 		w.WriteHeader(http.StatusGone)
 	case err != nil:
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -72,7 +72,7 @@
 	}
 }
 
-func answerList[T any](w http.ResponseWriter, r *http.Request, h *Hub[T], wait time.Duration) {
+func answerList[T any](w http.ResponseWriter, r *http.Request, h *Replica[T], wait time.Duration) {
 	called := boottime()
 	n, err := awaitAll(r.Context(), h, wait)
 	if err != nil {
@@ -83,7 +83,7 @@
 }
 
 // await waits for changes after a revision.
-func await[T any](ctx context.Context, h *Hub[T], after feed.Revision, wait time.Duration) (news[T], error) {
+func await[T any](ctx context.Context, h *Replica[T], after feed.Revision, wait time.Duration) (news[T], error) {
 	end := time.NewTimer(wait)
 	defer end.Stop()
 	for {
@@ -106,12 +106,12 @@
 //
 // Load pattern: all processes start at once, the relays among them. Turned away by a relay
 // that has just begun its own list, each of the others lists the source.
-func awaitAll[T any](ctx context.Context, h *Hub[T], wait time.Duration) (news[T], error) {
+func awaitAll[T any](ctx context.Context, h *Replica[T], wait time.Duration) (news[T], error) {
 	end := time.NewTimer(wait)
 	defer end.Stop()
 	for {
 		n, err := h.all(boottime())
-		if err == nil || h.At() > 0 {
+		if err == nil || h.Revision() > 0 {
 			return n, err
 		}
 		select {
@@ -134,7 +134,7 @@
 }
 
 // write sends changes, as they were packed for another before where it can.
-func write[T any](w http.ResponseWriter, h *Hub[T], key packed, called time.Time, n news[T]) {
+func write[T any](w http.ResponseWriter, h *Replica[T], key packed, called time.Time, n news[T]) {
 	body, err := h.packs.pack(key, func() ([]byte, error) { return encode(n.changes) })
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
@@ -162,7 +162,7 @@
 		return feed.Page[T]{}, time.Time{}, err
 	}
 	items, err := itemsOf(t.changes)
-	return feed.Page[T]{At: t.at, Items: items}, t.heard, errors.Wrap(err, string(p.Name))
+	return feed.Page[T]{Revision: t.at, Items: items}, t.heard, errors.Wrap(err, string(p.Name))
 }
 
 // ask makes one call at a relay.
@@ -171,14 +171,14 @@
 	defer cancel()
 	target := Path + name + "?" + query + "&" + queryWait + "=" + strconv.FormatInt(wait.Milliseconds(), 10)
 	called := boottime()
-	reply, err := p.get(ctx, send.Request{Method: http.MethodGet, Target: target, Silence: wait + pollPatience})
+	reply, err := p.get(ctx, send.Request{Method: http.MethodGet, Target: target, ReadTimeout: wait + pollPatience})
 	if err != nil {
 		return told[T]{}, errors.Wrap(err, "relay: "+string(p.Name))
 	}
 	switch reply.status {
 	case http.StatusOK, http.StatusNoContent:
 	case http.StatusGone:
-		return told[T]{}, errors.Wrap(feed.ErrHistory, "relay: "+string(p.Name))
+		return told[T]{}, errors.Wrap(feed.ErrCompacted, "relay: "+string(p.Name))
 	case http.StatusServiceUnavailable:
 		return told[T]{}, errors.Wrap(ErrStale, "relay: "+string(p.Name))
 	default:
@@ -221,7 +221,7 @@
 	if err != nil {
 		return nil, err
 	}
-	body, err := reply.All(maxAnswer)
+	body, err := reply.ReadAll(maxAnswer)
 	if err != nil {
 		return nil, err
 	}
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -10,7 +10,7 @@
 // revisions: a relay holds the newest change of each member, and gives those after the
 // revision that the other names. It says how long ago the source told it, and answers only
 // while that is within Fresh; in a large fleet, where processes stand between the relays
-// and the rest, these answer within FreshRelayed. So a copy is at most that and a round trip
+// and the rest, these answer within MaxRelayedAge. So a copy is at most that and a round trip
 // older than one that is watched directly, also where a relay is cut off from the source;
 // a relay that is frozen, or gone, is found by the poll that it does not answer. Nothing that a relay holds is kept anywhere: each process
 // that starts lists the source itself.
@@ -19,7 +19,7 @@
 //
 //	fleet := relay.Fleet{Self: "front-1", SelfAddr: addr, Seeds: seeds}
 //	fleet.Seed(recorded) // the relays on record, asked before the members are known
-//	hub := &relay.Hub[roster.Server]{}
+//	hub := &relay.Replica[roster.Server]{}
 //	source := relay.Source[roster.Server]{Name: "upstreams", Direct: store, Hub: hub, Fleet: &fleet, Log: log}
 //	mux.Handle("GET "+relay.Path+"upstreams", relay.Handler(hub)) // where the others ask
 //	fleet.Set(members, true)                                      // whenever the members are read
@@ -44,16 +44,16 @@
 	// relayWait is how long a relay's watch of the source waits: the answer, with
 	// or without changes, is what its freshness is counted from.
 	relayWait = time.Second
-	// Fresh is the age of its last answer from the source up to which a relay
+	// MaxAge is the age of its last answer from the source up to which a relay
 	// answers others: a watch, and a source that takes most of a second to answer.
-	Fresh = relayWait + 800*time.Millisecond
-	// FreshRelayed is the same for one that was told by another relay: it polls that one
+	MaxAge = relayWait + 800*time.Millisecond
+	// MaxRelayedAge is the same for one that was told by another relay: it polls that one
 	// for so much longer, at the most.
-	FreshRelayed = Fresh + PollWait + pollPatience
-	// PollWait is how long a poll of a relay waits for a change, and pollPatience
+	MaxRelayedAge = MaxAge + PollTimeout + pollPatience
+	// PollTimeout is how long a poll of a relay waits for a change, and pollPatience
 	// what the answer may take beyond it: by then a frozen relay is found, well
 	// within the seconds in which a change is to be in force.
-	PollWait     = time.Second
+	PollTimeout  = time.Second
 	pollPatience = 500 * time.Millisecond
 	// listWait is how long a relay that has just started may take for its own list.
 	listWait = 400 * time.Millisecond
@@ -92,7 +92,7 @@
 	// Name is the collection's, in the log and among the processes.
 	Name   string
 	Direct feed.Source[T]
-	Hub    *Hub[T]
+	Hub    *Replica[T]
 	Fleet  *Fleet
 	Log    hclog.Logger
 }
@@ -114,7 +114,7 @@
 	stale = stale && !plan.self
 	p, err := s.Direct.List(ctx, after, stale)
 	if err == nil {
-		s.Hub.Listed(boottime(), after == "", stale, p)
+		s.Hub.ApplyListPage(boottime(), after == "", stale, p)
 	}
 	return p, err
 }
@@ -124,19 +124,19 @@
 func (s Source[T]) listed(ctx context.Context) (feed.Page[T], bool) {
 	began := boottime()
 	for {
-		from, err := First(ctx, FirstAfter, s.Fleet.plan(boottime()).ask, s.listAt)
+		from, err := Hedge(ctx, HedgeDelay, s.Fleet.plan(boottime()).ask, s.listAt)
 		page := from.page
 		took := boottime().Sub(began)
 		switch {
 		case err == nil:
-			s.Hub.Copied(from.heard, page)
-			s.Log.Info("collection listed by a relay", "feed", s.Name, "members", len(page.Items), "revision", page.At.String(), "took", took)
+			s.Hub.ApplySnapshot(from.heard, page)
+			s.Log.Info("collection listed by a relay", "feed", s.Name, "members", len(page.Items), "revision", page.Revision.String(), "took", took)
 			return page, true
 		case !errors.Is(err, syscall.ECONNREFUSED) || ctx.Err() != nil || took > upWithin:
 			s.Log.Info("collection not listed by relays", "feed", s.Name, "err", err, "took", took)
 			return feed.Page[T]{}, false
 		}
-		group.Pause(ctx, upAgain/2+rand.N(upAgain))
+		group.Sleep(ctx, upAgain/2+rand.N(upAgain))
 	}
 }
 
@@ -150,7 +150,7 @@
 func (s Source[T]) listAt(ctx context.Context, p *Peer) (copied[T], error) {
 	page, heard, err := list[T](ctx, p, s.Name, listWait)
 	switch {
-	case err == nil && page.At < s.Hub.At():
+	case err == nil && page.Revision < s.Hub.Revision():
 		err = errBehind
 	case err == nil:
 		p.answered()
@@ -176,7 +176,7 @@
 	changes, at, err := s.polled(ctx, after, wait)
 	patience := plan.patience(boottime())
 	for errors.Is(err, ErrStale) && boottime().Before(patience) && s.Hub.mayAsk(boottime()) && ctx.Err() == nil {
-		group.Pause(ctx, staleAgain/2+rand.N(staleAgain))
+		group.Sleep(ctx, staleAgain/2+rand.N(staleAgain))
 		began := boottime()
 		changes, at, err = s.polled(ctx, after, wait)
 		if now := boottime(); now.Sub(began) > staleAgain {
@@ -184,7 +184,7 @@
 		}
 	}
 	switch {
-	case err == nil, errors.Is(err, feed.ErrHistory), ctx.Err() != nil:
+	case err == nil, errors.Is(err, feed.ErrCompacted), ctx.Err() != nil:
 		return changes, at, err
 	case errors.Is(err, ErrStale) && !s.Hub.mayAsk(boottime()):
 		return nil, 0, errors.Wrap(err, "relay: all relays")
@@ -197,20 +197,20 @@
 var errResting = errors.New("relay: all relays rest")
 
 // polled asks the relays for changes, one after the other. ErrStale says that all of them
-// answer and none hears the source, feed.ErrHistory that the collection has to be listed.
+// answer and none hears the source, feed.ErrCompacted that the collection has to be listed.
 func (s Source[T]) polled(ctx context.Context, after feed.Revision, wait time.Duration) ([]feed.Change[T], feed.Revision, error) {
 	plan := s.Fleet.plan(boottime())
 	cause := errResting
 	allStale := plan.stale && len(plan.ask) > 0
 	for _, p := range plan.ask {
-		t, err := poll[T](ctx, p, s.Name, after, min(wait, PollWait))
+		t, err := poll[T](ctx, p, s.Name, after, min(wait, PollTimeout))
 		switch {
 		case err == nil:
 			p.answered()
-			s.Hub.Relayed(t.heard, after, t.changes, t.at)
+			s.Hub.ApplyRelayed(t.heard, after, t.changes, t.at)
 			s.Hub.from(s.Log, s.Name, string(p.Name), false, "answers")
 			return t.changes, t.at, nil
-		case ctx.Err() != nil, errors.Is(err, feed.ErrHistory):
+		case ctx.Err() != nil, errors.Is(err, feed.ErrCompacted):
 			return nil, 0, err
 		case !errors.Is(err, ErrStale):
 			p.failed(boottime())
@@ -232,12 +232,12 @@
 	defer cancel()
 	changes, at, err := s.Direct.Watch(within, after, wait)
 	switch {
-	case errors.Is(err, feed.ErrEra):
+	case errors.Is(err, feed.ErrEraChanged):
 		return nil, 0, err // it answers, and is listed next
 	case err != nil:
-		s.Hub.Lost(boottime())
+		s.Hub.MarkSourceLost(boottime())
 		return nil, 0, err
 	}
-	s.Hub.Watched(boottime(), after, changes, at)
+	s.Hub.ApplyWatch(boottime(), after, changes, at)
 	return changes, at, nil
 }
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -15,9 +15,9 @@
 	"github.com/pkg/errors"
 	"github.com/stretchr/testify/require"
 
+	"jacinthworks/domain"
 	"jacinthworks/feed"
 	"jacinthworks/lease"
-	"jacinthworks/work"
 )
 
 // origin is a source in memory that counts the calls.
@@ -79,7 +79,7 @@
 	if o.down {
 		return feed.Page[int]{}, errDown
 	}
-	p := feed.Page[int]{At: o.at}
+	p := feed.Page[int]{Revision: o.at}
 	for _, c := range o.log {
 		p.Items = append(p.Items, c.Item)
 	}
@@ -103,7 +103,7 @@
 		case down:
 			return nil, 0, errDown
 		case after < floor:
-			return nil, 0, feed.ErrHistory
+			return nil, 0, feed.ErrCompacted
 		case len(all) > 0:
 			return all, at, nil
 		}
@@ -119,10 +119,10 @@
 
 // process is one that follows the collection, as a relay or through them.
 type process struct {
-	name   work.Host
+	name   domain.Host
 	direct feed.Source[int]
 	fleet  Fleet
-	hub    Hub[int]
+	hub    Replica[int]
 	http   *httptest.Server
 	// frozen leaves polls unanswered.
 	frozen atomic.Bool
@@ -131,19 +131,19 @@
 }
 
 func (p *process) member() Member {
-	return Member{Name: p.name, Zone: work.Zone(p.name), Addr: netip.MustParseAddrPort(p.http.Listener.Addr().String()), Cores: 1}
+	return Member{Name: p.name, Zone: domain.Zone(p.name), Addr: netip.MustParseAddrPort(p.http.Listener.Addr().String()), Cores: 1}
 }
 
 func (p *process) run(ctx context.Context) {
 	f := feed.Feed[int]{
 		Name: "numbers", Log: hclog.NewNullLogger(), Wait: 10 * time.Second,
 		Source: Source[int]{Name: "numbers", Direct: p.direct, Hub: &p.hub, Fleet: &p.fleet, Log: hclog.NewNullLogger()},
-		Listed: func(_ time.Time, all []feed.Item[int]) {
+		OnList: func(_ time.Time, all []feed.Item[int]) {
 			for _, i := range all {
 				p.saw(i.Revision)
 			}
 		},
-		Changed: func(_ time.Time, all []feed.Change[int]) {
+		OnChange: func(_ time.Time, all []feed.Change[int]) {
 			for _, c := range all {
 				p.saw(c.Revision)
 			}
@@ -160,7 +160,7 @@
 	all := make([]*process, n)
 	var members []Member
 	for i := range all {
-		p := &process{name: work.Host(fmt.Sprintf("front-%d", i)), direct: of, ended: make(chan error, 1)}
+		p := &process{name: domain.Host(fmt.Sprintf("front-%d", i)), direct: of, ended: make(chan error, 1)}
 		for _, source := range sources {
 			p.direct = source(i)
 		}
@@ -180,7 +180,7 @@
 		members[i].Cores = float64(n - i) // the first ones are the largest
 	}
 	for _, p := range all {
-		p.fleet.Set(members, true)
+		p.fleet.SetMembers(members, true)
 		go p.run(ctx)
 	}
 	t.Cleanup(func() {
@@ -236,7 +236,7 @@
 	all[0].frozen.Store(true)
 	began := time.Now()
 	allSee(t, all, o.put("second"), 10*time.Second)
-	require.Less(t, time.Since(began), PollWait+2*pollPatience)
+	require.Less(t, time.Since(began), PollTimeout+2*pollPatience)
 	require.Less(t, o.calls.Load()-before, int64(20), "the other relay answers them")
 }
 
@@ -336,7 +336,7 @@
 		o.put("there")
 		f := &Fleet{Self: "self"}
 		f.Seed([]netip.AddrPort{netip.MustParseAddrPort(h.Listener.Addr().String())})
-		s := Source[int]{Name: "numbers", Direct: o, Hub: &Hub[int]{}, Fleet: f, Log: hclog.NewNullLogger()}
+		s := Source[int]{Name: "numbers", Direct: o, Hub: &Replica[int]{}, Fleet: f, Log: hclog.NewNullLogger()}
 		p, err := s.List(t.Context(), "", true)
 		require.NoError(t, err, name)
 		require.Len(t, p.Items, 1, name)
@@ -365,10 +365,10 @@
 	})
 	began := time.Now()
 	allSee(t, all[relays:], o.put("first"), 10*time.Second)
-	require.Less(t, time.Since(began), Fresh+directEvery)
+	require.Less(t, time.Since(began), MaxAge+directEvery)
 	began = time.Now()
 	allSee(t, all[relays:], o.put("second"), 10*time.Second)
-	require.Less(t, time.Since(began), Fresh+directEvery)
+	require.Less(t, time.Since(began), MaxAge+directEvery)
 }
 
 // Story: the source is away for seconds. Each of 40 processes asked it several
@@ -395,28 +395,28 @@
 func TestTheLargestHostsOfDifferentZonesRelay(t *testing.T) {
 	var all []Member
 	for n := range 30 {
-		m := Member{Name: work.Host(fmt.Sprint("front-", n)), Zone: work.Zone(fmt.Sprint("zone-", n%3)), Cores: 0.144, Addr: netip.MustParseAddrPort("10.0.0.1:7380")}
+		m := Member{Name: domain.Host(fmt.Sprint("front-", n)), Zone: domain.Zone(fmt.Sprint("zone-", n%3)), Cores: 0.144, Addr: netip.MustParseAddrPort("10.0.0.1:7380")}
 		if n%3 == 0 && n < 12 {
 			m.Cores = 0.8
 		}
 		all = append(all, m)
 	}
-	chosen := Relays(all, 0)
+	chosen := SelectRelays(all, 0)
 	require.Len(t, chosen, relays)
 	require.Equal(t, 0.8, chosen[0].Cores)
 	require.NotEqual(t, chosen[0].Zone, chosen[1].Zone)
-	require.Equal(t, chosen, Relays(append(all[10:30:30], all[:10]...), 0), "whatever the order of the records")
-	require.Empty(t, Relays(all[:DefaultFewest-1], 0), "few processes watch for themselves")
-	require.Len(t, Relays(all[:3], 2), relays)
+	require.Equal(t, chosen, SelectRelays(append(all[10:30:30], all[:10]...), 0), "whatever the order of the records")
+	require.Empty(t, SelectRelays(all[:DefaultMinMembers-1], 0), "few processes watch for themselves")
+	require.Len(t, SelectRelays(all[:3], 2), relays)
 	for n := range all {
 		all[n].Addr = netip.AddrPort{}
 	}
-	require.Empty(t, Relays(all, 0), "of an older version, or without an address for others")
+	require.Empty(t, SelectRelays(all, 0), "of an older version, or without an address for others")
 }
 
 func TestABadPollIsRefused(t *testing.T) {
-	var h Hub[int]
-	h.Listed(start, true, false, page(1))
+	var h Replica[int]
+	h.ApplyListPage(start, true, false, page(1))
 	for _, query := range []string{"", "?after=x&wait_ms=1", "?after=-1&wait_ms=1", "?after=1&wait_ms=-5", "?after=1"} {
 		w := httptest.NewRecorder()
 		Handler(&h).ServeHTTP(w, httptest.NewRequest("GET", Path+"numbers"+query, nil))
--- a/relay/silent.go
+++ b/relay/silent.go
@@ -13,20 +13,20 @@
 	silentForgotten = time.Minute
 )
 
-// Silent are the processes that did not answer, until they do. The zero value is ready
+// Unresponsive are the processes that did not answer, until they do. The zero value is ready
 // to use; it must not be copied.
 //
 // Failure: a large host is taken away for good, and its record stays for minutes. Tried
 // again by a request each second, it held up one in ten by the time that a call has,
 // which is most of what a plain call aims at. Here the next entry is asked at once, and
 // the lost one is tried beside the requests.
-type Silent struct {
+type Unresponsive struct {
 	mu   sync.Mutex          // a leaf
 	lost map[*Peer]time.Time // when to try again
 }
 
-// Use says whether a process is to be asked, and else whether to try it now.
-func (s *Silent) Use(now time.Time, p *Peer) (ask, try bool) {
+// Check says whether a process is to be asked, and else whether to try it now.
+func (s *Unresponsive) Check(now time.Time, p *Peer) (ask, try bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	next, lost := s.lost[p]
@@ -40,8 +40,8 @@
 	return false, true
 }
 
-// Lose notes a process that did not answer.
-func (s *Silent) Lose(now time.Time, p *Peer) {
+// MarkDown notes a process that did not answer.
+func (s *Unresponsive) MarkDown(now time.Time, p *Peer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.lost == nil {
@@ -55,8 +55,8 @@
 	s.lost[p] = now.Add(probeAgain)
 }
 
-// Regain notes one that answers again.
-func (s *Silent) Regain(p *Peer) {
+// MarkUp notes one that answers again.
+func (s *Unresponsive) MarkUp(p *Peer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.lost, p)
--- a/relay/silent_test.go
+++ b/relay/silent_test.go
@@ -11,28 +11,28 @@
 // request of each entry waited for its answer in vain, and plain calls were late by it.
 // After the first no request waits: it is tried beside them, and asked when it answers.
 func TestALostKeeperHoldsUpOneRequest(t *testing.T) {
-	var k Silent
+	var k Unresponsive
 	p, other := &Peer{}, &Peer{}
 	now := time.Now()
-	ask, try := k.Use(now, p)
+	ask, try := k.Check(now, p)
 	require.True(t, ask)
 	require.False(t, try)
-	k.Lose(now, p)
+	k.MarkDown(now, p)
 	tries := 0
 	for at := time.Duration(0); at < 20*time.Second; at += 50 * time.Millisecond {
-		ask, try := k.Use(now.Add(at), p)
+		ask, try := k.Check(now.Add(at), p)
 		require.False(t, ask)
 		if try {
 			tries++
 		}
 	}
 	require.InDelta(t, 19, tries, 1)
-	ask, _ = k.Use(now, other)
+	ask, _ = k.Check(now, other)
 	require.True(t, ask, "the others are asked")
-	k.Regain(p)
-	ask, _ = k.Use(now.Add(21*time.Second), p)
+	k.MarkUp(p)
+	ask, _ = k.Check(now.Add(21*time.Second), p)
 	require.True(t, ask)
-	k.Lose(now, p)
-	k.Lose(now.Add(2*silentForgotten), other)
+	k.MarkDown(now, p)
+	k.MarkDown(now.Add(2*silentForgotten), other)
 	require.Len(t, k.lost, 1, "what nobody asks for any more is forgotten")
 }
--- a/relay/spread_test.go
+++ b/relay/spread_test.go
@@ -18,9 +18,9 @@
 	"github.com/hashicorp/go-hclog"
 	"github.com/stretchr/testify/require"
 
+	"jacinthworks/domain"
 	"jacinthworks/feed"
 	"jacinthworks/send"
-	"jacinthworks/work"
 )
 
 // spread is a fleet on one source in virtual time: calls between processes take time, get
@@ -41,7 +41,7 @@
 // spreader is one process of the fleet.
 type spreader struct {
 	member Member
-	hub    Hub[int]
+	hub    Replica[int]
 	fleet  Fleet
 	seen   atomic.Uint64
 	// calls and bytes are what it answered to others.
@@ -95,10 +95,10 @@
 func begin(ctx context.Context, seed uint64, n int, lost float64) *spread {
 	s := &spread{origin: newOrigin(), lost: lost, random: rand.New(rand.NewPCG(seed, 1))}
 	var members []Member
-	byName := make(map[work.Host]*spreader)
+	byName := make(map[domain.Host]*spreader)
 	for i := range n {
 		m := Member{
-			Name: work.Host(fmt.Sprintf("front-%d", i)), Zone: work.Zone(fmt.Sprint("zone-", i%5)), Cores: 0.144,
+			Name: domain.Host(fmt.Sprintf("front-%d", i)), Zone: domain.Zone(fmt.Sprint("zone-", i%5)), Cores: 0.144,
 			Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), 7380),
 		}
 		if i%7 == 0 {
@@ -111,19 +111,19 @@
 	for _, p := range s.all {
 		p.fleet.Self = p.member.Name
 		p.fleet.connect = func(to *Peer) { to.call = s.call(byName[to.Name]) }
-		p.fleet.Set(members, true)
+		p.fleet.SetMembers(members, true)
 		source := Source[int]{Name: "numbers", Direct: s, Hub: &p.hub, Fleet: &p.fleet, Log: hclog.NewNullLogger()}
 		if !p.fleet.plan(boottime()).self {
 			source.Direct = others{s}
 		}
 		f := feed.Feed[int]{
 			Name: "numbers", Log: hclog.NewNullLogger(), Wait: 10 * time.Second, Source: source,
-			Listed: func(_ time.Time, all []feed.Item[int]) {
+			OnList: func(_ time.Time, all []feed.Item[int]) {
 				for _, i := range all {
 					p.seen.Store(max(p.seen.Load(), uint64(i.Revision)))
 				}
 			},
-			Changed: func(_ time.Time, all []feed.Change[int]) {
+			OnChange: func(_ time.Time, all []feed.Change[int]) {
 				for _, c := range all {
 					p.seen.Store(max(p.seen.Load(), uint64(c.Revision)))
 				}
@@ -195,10 +195,10 @@
 			after, bytes := s.busiest()
 			t.Logf("%d processes: last one after %v; busiest answers %d calls and %d bytes in 10 s; source %d calls", n, longest, after-calls, bytes, s.calls.Load()-before)
 			require.Less(t, longest, time.Second)
-			if n >= DefaultFewest {
+			if n >= DefaultMinMembers {
 				require.Zero(t, s.watches.Load(), "%d processes", n)
 				require.Less(t, s.calls.Load()-before, int64(4*20*relays))
-				require.Less(t, after-calls, int64(2*DefaultDegree*40), "%d processes", n)
+				require.Less(t, after-calls, int64(2*DefaultFanOut*40), "%d processes", n)
 			}
 		})
 	}
@@ -233,7 +233,7 @@
 			for i := range 10 {
 				took, ok := s.reach(s.put(fmt.Sprint("change-", i)), 10*time.Second)
 				require.True(t, ok)
-				require.Less(t, took, 2*(PollWait+2*pollPatience)+time.Second)
+				require.Less(t, took, 2*(PollTimeout+2*pollPatience)+time.Second)
 				time.Sleep(200 * time.Millisecond)
 			}
 		})
@@ -253,11 +253,11 @@
 			return &answered{http.StatusNoContent, http.Header{headerAt: {"7"}, headerHeard: {heard}}, nil}, nil
 		}}
 		began := time.Now()
-		told, err := poll[int](t.Context(), p, "numbers", 7, PollWait)
+		told, err := poll[int](t.Context(), p, "numbers", 7, PollTimeout)
 		require.NoError(t, err)
 		require.Equal(t, began.Add(100*time.Millisecond), told.heard)
 		for _, heard = range []string{"9000", "", "soon", "1e3"} {
-			_, err = poll[int](t.Context(), p, "numbers", 7, PollWait)
+			_, err = poll[int](t.Context(), p, "numbers", 7, PollTimeout)
 			require.Error(t, err, heard)
 		}
 	})
--- a/retry/attempts.go
+++ b/retry/attempts.go
@@ -1,6 +1,6 @@
 package retry
 
-import "jacinthworks/work"
+import "jacinthworks/domain"
 
 // MaxSends bounds the sends of one request of any outcome, refused and unsent
 // ones included: it is more than the upstreams of most pools.
@@ -21,7 +21,7 @@
 	Limit      int
 
 	sends, runs int
-	ran         work.Ran
+	ran         domain.Execution
 }
 
 // Sent counts a send. It gives its number.
@@ -31,17 +31,17 @@
 }
 
 // Ended takes what is known of a send's run.
-func (a *Attempts) Ended(ran work.Ran) {
-	if a.ran = a.Ran().Worse(ran); ran != work.NotRun {
+func (a *Attempts) Ended(ran domain.Execution) {
+	if a.ran = a.Ran().Merge(ran); ran != domain.NotRun {
 		a.runs++
 	}
 }
 
 // Ran is the worst that is known of all sends: NotRun promises that the request
 // ran nowhere and will not.
-func (a *Attempts) Ran() work.Ran {
+func (a *Attempts) Ran() domain.Execution {
 	if a.ran == "" {
-		return work.NotRun
+		return domain.NotRun
 	}
 	return a.ran
 }
@@ -52,20 +52,20 @@
 // Runs counts the sends that ran or may have.
 func (a *Attempts) Runs() int { return a.runs }
 
-// LeavesRoom says whether yet another send may follow one that now runs: then
+// CanRepeat says whether yet another send may follow one that now runs: then
 // the one need not be waited for to the request's end.
-func (a *Attempts) LeavesRoom() bool { return a.Repeatable && a.runs+1 < a.Limit }
+func (a *Attempts) CanRepeat() bool { return a.Repeatable && a.runs+1 < a.Limit }
 
-// May says whether another send may follow one of which this is known. The
+// Allow says whether another send may follow one of which this is known. The
 // budget is the caller's to ask.
-func (a *Attempts) May(last work.Ran) Verdict {
+func (a *Attempts) Allow(last domain.Execution) Decision {
 	switch {
-	case last != work.NotRun && !a.Repeatable:
+	case last != domain.NotRun && !a.Repeatable:
 		return MayHaveRun
-	case last != work.NotRun && a.runs >= a.Limit:
+	case last != domain.NotRun && a.runs >= a.Limit:
 		return Exhausted
 	case a.sends >= MaxSends:
 		return Exhausted
 	}
-	return Again
+	return Allowed
 }
--- a/retry/attempts_test.go
+++ b/retry/attempts_test.go
@@ -6,37 +6,37 @@
 
 	"github.com/stretchr/testify/require"
 
-	"jacinthworks/work"
+	"jacinthworks/domain"
 )
 
 // end is how a send can end: what this side knows, and what is true.
 type end struct {
-	known work.Ran
+	known domain.Execution
 	runs  bool
 }
 
 var ends = []end{
-	{work.NotRun, false}, // unsent, or refused unrun
-	{work.Unknown, false},
-	{work.Unknown, true},
-	{work.DidRun, true},
+	{domain.NotRun, false}, // unsent, or refused unrun
+	{domain.Unknown, false},
+	{domain.Unknown, true},
+	{domain.DidRun, true},
 }
 
 // attempter is the rule under test, or one with a guard taken out.
 type attempter interface {
 	Sent() int
-	Ended(work.Ran)
-	Ran() work.Ran
-	May(work.Ran) Verdict
+	Ended(domain.Execution)
+	Ran() domain.Execution
+	Allow(domain.Execution) Decision
 }
 
 // walk tries each way in which the sends of a request can end, and gives the
 // first that breaks a promise.
 func walk(repeatable bool, limit int, path []end, fresh func() attempter) error {
 	a := fresh()
-	runs, verdict := 0, Again
+	runs, verdict := 0, Allowed
 	for n, e := range path {
-		if verdict != Again {
+		if verdict != Allowed {
 			return nil // walked already, with a shorter path
 		}
 		a.Sent()
@@ -44,19 +44,19 @@
 			runs++
 		}
 		a.Ended(e.known)
-		verdict = a.May(e.known)
+		verdict = a.Allow(e.known)
 		switch {
 		case !repeatable && runs > 1:
 			return fmt.Errorf("ran %d times: %v", runs, path[:n+1])
 		case repeatable && runs > limit:
 			return fmt.Errorf("ran on %d upstreams, limit %d: %v", runs, limit, path[:n+1])
-		case a.Ran() == work.NotRun && runs > 0:
+		case a.Ran() == domain.NotRun && runs > 0:
 			return fmt.Errorf("told not to have run, ran: %v", path[:n+1])
 		case n >= MaxSends:
 			return fmt.Errorf("%d sends: %v", n+1, path)
 		}
 	}
-	if verdict != Again {
+	if verdict != Allowed {
 		return nil
 	}
 	for _, e := range ends {
@@ -96,30 +96,30 @@
 	sendsForEver   struct{ *Attempts }
 )
 
-func (a repeatsUnknown) May(last work.Ran) Verdict {
-	if last == work.Unknown {
-		return Again
+func (a repeatsUnknown) Allow(last domain.Execution) Decision {
+	if last == domain.Unknown {
+		return Allowed
 	}
-	return a.Attempts.May(last)
+	return a.Attempts.Allow(last)
 }
 
-func (a knowsNoLimit) May(last work.Ran) Verdict {
+func (a knowsNoLimit) Allow(last domain.Execution) Decision {
 	if a.Repeatable && a.sends < MaxSends {
-		return Again
+		return Allowed
 	}
-	return a.Attempts.May(last)
+	return a.Attempts.Allow(last)
 }
 
-func (a forgetsRuns) Ended(ran work.Ran) {
+func (a forgetsRuns) Ended(ran domain.Execution) {
 	a.Attempts.Ended(ran)
 	a.ran = ran // the last word in place of the worst
 }
 
-func (a sendsForEver) May(last work.Ran) Verdict {
-	if last == work.NotRun {
-		return Again
+func (a sendsForEver) Allow(last domain.Execution) Decision {
+	if last == domain.NotRun {
+		return Allowed
 	}
-	return a.Attempts.May(last)
+	return a.Attempts.Allow(last)
 }
 
 func TestTheWalkCatchesEachGuardTakenOut(t *testing.T) {
@@ -135,9 +135,9 @@
 
 func TestRoomForAnother(t *testing.T) {
 	a := Attempts{Repeatable: true, Limit: 2}
-	require.True(t, a.LeavesRoom())
+	require.True(t, a.CanRepeat())
 	a.Sent()
-	a.Ended(work.Unknown)
-	require.False(t, a.LeavesRoom(), "the second is the last")
-	require.False(t, (&Attempts{Limit: 2}).LeavesRoom(), "nothing follows a run")
+	a.Ended(domain.Unknown)
+	require.False(t, a.CanRepeat(), "the second is the last")
+	require.False(t, (&Attempts{Limit: 2}).CanRepeat(), "nothing follows a run")
 }
--- a/retry/blame.go
+++ b/retry/blame.go
@@ -7,22 +7,22 @@
 	"time"
 )
 
-// Standing says what evidence there is against a request.
-type Standing string
+// Suspicion says what evidence there is against a request.
+type Suspicion string
 
 // The standings.
 const (
 	// Clear has no death against it, or only such as another explains.
-	Clear Standing = "clear"
+	Clear Suspicion = "clear"
 	// Suspect ran in one unexplained death. It may run, but beside no other
 	// suspect: then the next death tells the two apart.
-	Suspect Standing = "suspect"
+	Suspect Suspicion = "suspect"
 	// Ambiguous ran in two deaths together with another that ran in both as
 	// well. It may run only alone; surviving clears it and condemns the other.
-	Ambiguous Standing = "ambiguous"
-	// Stopped ran in two deaths that no other request explains. It is refused
-	// with work.ReasonCrashes, a fresh send of it as well.
-	Stopped Standing = "stopped"
+	Ambiguous Suspicion = "ambiguous"
+	// Blocked ran in two deaths that no other request explains. It is refused
+	// with domain.ReasonCrashes, a fresh send of it as well.
+	Blocked Suspicion = "stopped"
 )
 
 // CrashLimit is how many upstreams may die running a request.
@@ -36,7 +36,7 @@
 func (s set) without(o set) set  { return s &^ o }
 func (s set) with(index int) set { return s | 1<<index }
 
-// Judge weighs the evidence as of now and gives the standing of each request
+// Attribute weighs the evidence as of now and gives the standing of each request
 // that it speaks against; all others are Clear.
 //
 // A request's score is the number of upstreams that died running it after it
@@ -46,14 +46,14 @@
 // death counts against none of the neighbours any longer. One that ran only in
 // deaths in which another ran, too, cannot be told apart from that one and is
 // not stopped for them.
-func Judge(r Record, now time.Time) map[Identity]Standing {
-	r = r.Since(wireTime(now.Add(-Memory)))
+func Attribute(r Record, now time.Time) map[Identity]Suspicion {
+	r = r.Since(wireTime(now.Add(-EvidenceTTL)))
 	against := scores(r)
-	standing := make(map[Identity]Standing)
+	standing := make(map[Identity]Suspicion)
 	for stopped := condemn(against); len(stopped) > 0; stopped = condemn(against) {
 		var explained set
 		for _, id := range stopped {
-			standing[id] = Stopped
+			standing[id] = Blocked
 			explained |= against[id]
 		}
 		for id, deaths := range against {
@@ -128,16 +128,16 @@
 type Ledger struct {
 	mu       sync.Mutex
 	record   Record
-	standing map[Identity]Standing
+	standing map[Identity]Suspicion
 	expires  time.Time // when the oldest death in record leaves Memory
 }
 
-// Died adds the evidence of a death.
-func (l *Ledger) Died(d Death) { l.Merge(d.Time, Record{Deaths: []Death{d}}) }
+// RecordDeath adds the evidence of a death.
+func (l *Ledger) RecordDeath(d Death) { l.Merge(d.Time, Record{Deaths: []Death{d}}) }
 
-// Survived says that a request ran to its end. Without a death against it that
+// RecordSurvival says that a request ran to its end. Without a death against it that
 // needs no memory.
-func (l *Ledger) Survived(now time.Time, id Identity) {
+func (l *Ledger) RecordSurvival(now time.Time, id Identity) {
 	l.mu.Lock()
 	_, known := l.standing[id]
 	l.mu.Unlock()
@@ -162,8 +162,8 @@
 	return Record{slices.Clone(l.record.Deaths), slices.Clone(l.record.Survivals)}
 }
 
-// Standing gives what stands against a request.
-func (l *Ledger) Standing(now time.Time, id Identity) Standing {
+// Suspicion gives what stands against a request.
+func (l *Ledger) Suspicion(now time.Time, id Identity) Suspicion {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.refresh(now)
@@ -173,17 +173,17 @@
 	return Clear
 }
 
-// Beside reports whether an upstream that runs the given requests may take
+// MayRunWith reports whether an upstream that runs the given requests may take
 // this one, too. The side asks before it takes a request, and answers not_run
 // when it may not: it alone knows exactly what runs. Without this rule an
 // innocent neighbour could be retried next to the culprit, die with it again,
 // and look the same.
-func (l *Ledger) Beside(now time.Time, id Identity, running []Identity) bool {
+func (l *Ledger) MayRunWith(now time.Time, id Identity, running []Identity) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.refresh(now)
 	switch l.standing[id] {
-	case Stopped:
+	case Blocked:
 		return false
 	case Ambiguous:
 		return len(running) == 0
@@ -204,9 +204,9 @@
 }
 
 func (l *Ledger) judge(now time.Time) {
-	l.record = l.record.Since(wireTime(now.Add(-Memory)))
-	l.standing = Judge(l.record, now)
+	l.record = l.record.Since(wireTime(now.Add(-EvidenceTTL)))
+	l.standing = Attribute(l.record, now)
 	if n := len(l.record.Deaths); n > 0 {
-		l.expires = l.record.Deaths[n-1].Time.Add(Memory + time.Microsecond)
+		l.expires = l.record.Deaths[n-1].Time.Add(EvidenceTTL + time.Microsecond)
 	}
 }
--- a/retry/crashes.go
+++ b/retry/crashes.go
@@ -20,9 +20,9 @@
 // a request that crashes what runs it send it again within seconds.
 const deathsTold = 8
 
-// Saw takes in a death that this process saw, and says whether it is to be told.
-func (c *Crashes[U, R]) Saw(d Death) bool {
-	c.Ledger.Died(d)
+// RecordDeath takes in a death that this process saw, and says whether it is to be told.
+func (c *Crashes[U, R]) RecordDeath(d Death) bool {
+	c.Ledger.RecordDeath(d)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.own = c.own.Merge(Record{Deaths: []Death{d}})
@@ -32,16 +32,16 @@
 	return first
 }
 
-// Told gives what is to be told now.
-func (c *Crashes[U, R]) Told() Record {
+// TakeNotice gives what is to be told now.
+func (c *Crashes[U, R]) TakeNotice() Record {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.telling = false
 	return c.own
 }
 
-// HasOwn says whether this process saw upstreams die.
-func (c *Crashes[U, R]) HasOwn() bool {
+// HasDeaths says whether this process saw upstreams die.
+func (c *Crashes[U, R]) HasDeaths() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.own.Deaths) > 0
@@ -70,8 +70,8 @@
 	}
 }
 
-// At gives what an upstream has of this process's, the given request included.
-func (c *Crashes[U, R]) At(id U, r R, identity Identity) []Identity {
+// RunningOn gives what an upstream has of this process's, the given request included.
+func (c *Crashes[U, R]) RunningOn(id U, r R, identity Identity) []Identity {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	all := []Identity{identity}
--- a/retry/record.go
+++ b/retry/record.go
@@ -8,14 +8,14 @@
 	"slices"
 	"time"
 
-	"jacinthworks/work"
+	"jacinthworks/domain"
 )
 
 const (
-	// Memory is how long evidence counts. A caller that sends again does so
+	// EvidenceTTL is how long evidence counts. A caller that sends again does so
 	// within minutes; a body that crashed an engine ten minutes ago may meet a
 	// repaired one.
-	Memory = 10 * time.Minute
+	EvidenceTTL = 10 * time.Minute
 	// MaxDeaths bounds the deaths in a record, the newest kept. A fleet that
 	// loses more in ten minutes has another trouble than one request. Judge
 	// relies on its being at most 64.
@@ -34,7 +34,7 @@
 // Identify gives the identity of a request from caller, service and the parts
 // that make the work, such as path and body. 128 bits of SHA-256 keep one
 // caller from finding a body that condemns another's.
-func Identify(caller work.Account, service work.Service, parts ...[]byte) Identity {
+func Identify(caller domain.Account, service domain.Service, parts ...[]byte) Identity {
 	h := sha256.New()
 	write := func(b []byte) {
 		// The length first, so that no two lists of parts read alike.
@@ -52,12 +52,12 @@
 // Death is the evidence of an upstream that died: what it ran just then. A
 // planned stop, or a cancelled request, is no evidence.
 type Death struct {
-	Upstream work.Host `json:"upstream"`
+	Upstream domain.Host `json:"upstream"`
 	// Incarnation is the life of the upstream that ended. Reports of one death
 	// from several processes must give the same.
-	Incarnation work.Incarnation `json:"incarnation"`
-	Time        time.Time        `json:"time"`
-	Running     []Identity       `json:"running"`
+	Incarnation domain.Incarnation `json:"incarnation"`
+	Time        time.Time          `json:"time"`
+	Running     []Identity         `json:"running"`
 }
 
 // Survival is the evidence that a request ran to its end. It outweighs the
@@ -77,8 +77,8 @@
 }
 
 type life struct {
-	upstream    work.Host
-	incarnation work.Incarnation
+	upstream    domain.Host
+	incarnation domain.Incarnation
 }
 
 // Merge gives the evidence of both records, within the bounds.
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -17,20 +17,20 @@
 //
 //	var p retry.Policy
 //	p.Budget.Accepted()                               // for each accepted request
-//	v := p.Decide(now, retry.Failure{Attempt: 1, Ran: work.NotRun, Deadline: deadline})
-//	if v == retry.Again { ... }
+//	v := p.Decide(now, retry.Failure{Attempt: 1, Ran: domain.NotRun, Deadline: deadline})
+//	if v == retry.Allowed { ... }
 //
 //	a := retry.Attempts{Repeatable: true, Limit: 2}   // the sends of one request
 //	a.Sent()
-//	a.Ended(work.Unknown)
-//	if a.May(work.Unknown) == retry.Again { ... }     // a.Ran() is what its caller is told
+//	a.Ended(domain.Unknown)
+//	if a.May(domain.Unknown) == retry.Allowed { ... }     // a.Ran() is what its caller is told
 //
 //	var l retry.Ledger                                // one in each entry and side
 //	id := retry.Identify(caller, service, body)
 //	l.Died(retry.Death{Upstream: host, Incarnation: n, Time: now, Running: ids})
 //	l.Survived(now, id)                               // after each whole answer
 //	switch l.Standing(now, id) {                      // before each attempt
-//	case retry.Stopped: // refuse with work.ReasonCrashes
+//	case retry.Blocked: // refuse with domain.ReasonCrashes
 //	}
 //	ok := l.Beside(now, id, running)                  // at the side, before it takes one
 //	l.Merge(now, record)                                // from another process: l.Record(now)
@@ -40,13 +40,13 @@
 	"sync"
 	"time"
 
-	"jacinthworks/work"
+	"jacinthworks/domain"
 )
 
 const (
-	// Share is how many retries each accepted request pays for. At a tenth,
+	// RetryRatio is how many retries each accepted request pays for. At a tenth,
 	// retries cannot push a pool that runs at 90% over its capacity.
-	Share = 0.1
+	RetryRatio = 0.1
 	// Burst is how many retries may be made at once, such as for what ran on
 	// one upstream that was lost: some tens of places at its engine.
 	Burst = 32.0
@@ -55,45 +55,45 @@
 	MaxAttempts = 3
 )
 
-// Verdict is the answer to whether a request may be sent again.
-type Verdict string
+// Decision is the answer to whether a request may be sent again.
+type Decision string
 
 // The verdicts. All but Again end the request.
 const (
-	Again      Verdict = "again"
-	MayHaveRun Verdict = "may_have_run"
-	Exhausted  Verdict = "attempts_exhausted"
-	TooLate    Verdict = "too_late"
-	OverBudget Verdict = "over_budget"
+	Allowed    Decision = "again"
+	MayHaveRun Decision = "may_have_run"
+	Exhausted  Decision = "attempts_exhausted"
+	TooLate    Decision = "too_late"
+	OverBudget Decision = "over_budget"
 )
 
 // Failure describes the attempt that failed.
 type Failure struct {
 	// Attempt is the number of the attempt that failed.
-	Attempt work.Attempt
+	Attempt domain.Attempt
 	// Ran is what is known of it.
-	Ran work.Ran
+	Ran domain.Execution
 	// Idempotent is what the operators' table says of the kind.
 	Idempotent bool
 	// Deadline is when the caller must have the end of the answer.
 	Deadline time.Time
-	// Needs is the least time that another attempt takes; zero when unknown.
-	Needs time.Duration
+	// MinDuration is the least time that another attempt takes; zero when unknown.
+	MinDuration time.Duration
 }
 
-// May is the rule by itself, without the budget. A request whose attempt ran,
+// Allow is the rule by itself, without the budget. A request whose attempt ran,
 // or may have, goes again only if it is idempotent: an ascent that is logged
 // twice is worse than one that is refused as unknown.
-func May(now time.Time, f Failure) Verdict {
+func Allow(now time.Time, f Failure) Decision {
 	switch {
-	case f.Ran != work.NotRun && !f.Idempotent:
+	case f.Ran != domain.NotRun && !f.Idempotent:
 		return MayHaveRun
 	case f.Attempt >= MaxAttempts:
 		return Exhausted
-	case !now.Add(f.Needs).Before(f.Deadline):
+	case !now.Add(f.MinDuration).Before(f.Deadline):
 		return TooLate
 	}
-	return Again
+	return Allowed
 }
 
 // Policy is the rule with its budget. The zero value is ready to use; it must
@@ -104,14 +104,14 @@
 
 // Decide applies the rule and, if it allows another attempt, takes it from the
 // budget.
-func (p *Policy) Decide(now time.Time, f Failure) Verdict {
-	if v := May(now, f); v != Again {
+func (p *Policy) Decide(now time.Time, f Failure) Decision {
+	if v := Allow(now, f); v != Allowed {
 		return v
 	}
 	if !p.Budget.Take() {
 		return OverBudget
 	}
-	return Again
+	return Allowed
 }
 
 // Budget is a bucket that accepted requests fill by Share and retries empty by
@@ -127,7 +127,7 @@
 func (b *Budget) Accepted() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.spent = max(0, b.spent-Share)
+	b.spent = max(0, b.spent-RetryRatio)
 }
 
 // Take takes one retry, and reports false when there is none left.
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
+	"jacinthworks/domain"
 	"jacinthworks/test/seeded"
-	"jacinthworks/work"
 )
 
 func TestMain(m *testing.M) { seeded.Main(m) }
@@ -23,18 +23,18 @@
 	later := start.Add(time.Second)
 	for _, c := range []struct {
 		failure Failure
-		want    Verdict
+		want    Decision
 	}{
-		{Failure{Attempt: 1, Ran: work.NotRun, Deadline: later}, Again},
-		{Failure{Attempt: 1, Ran: work.Unknown, Deadline: later}, MayHaveRun},
-		{Failure{Attempt: 1, Ran: work.DidRun, Deadline: later}, MayHaveRun},
+		{Failure{Attempt: 1, Ran: domain.NotRun, Deadline: later}, Allowed},
+		{Failure{Attempt: 1, Ran: domain.Unknown, Deadline: later}, MayHaveRun},
+		{Failure{Attempt: 1, Ran: domain.DidRun, Deadline: later}, MayHaveRun},
 		{Failure{Attempt: 1, Deadline: later}, MayHaveRun},
-		{Failure{Attempt: 1, Ran: work.Unknown, Idempotent: true, Deadline: later}, Again},
-		{Failure{Attempt: 3, Ran: work.NotRun, Deadline: later}, Exhausted},
-		{Failure{Attempt: 1, Ran: work.NotRun, Deadline: start}, TooLate},
-		{Failure{Attempt: 1, Ran: work.NotRun, Deadline: later, Needs: time.Second}, TooLate},
+		{Failure{Attempt: 1, Ran: domain.Unknown, Idempotent: true, Deadline: later}, Allowed},
+		{Failure{Attempt: 3, Ran: domain.NotRun, Deadline: later}, Exhausted},
+		{Failure{Attempt: 1, Ran: domain.NotRun, Deadline: start}, TooLate},
+		{Failure{Attempt: 1, Ran: domain.NotRun, Deadline: later, MinDuration: time.Second}, TooLate},
 	} {
-		require.Equal(t, c.want, May(start, c.failure), "%+v", c.failure)
+		require.Equal(t, c.want, Allow(start, c.failure), "%+v", c.failure)
 	}
 }
 
@@ -46,10 +46,10 @@
 		n := 0
 		for range 10000 {
 			p.Budget.Accepted()
-			for a := work.Attempt(1); ; a++ {
+			for a := domain.Attempt(1); ; a++ {
 				n++
-				f := Failure{Attempt: a, Ran: work.NotRun, Deadline: start.Add(time.Second)}
-				if budget && p.Decide(start, f) != Again || !budget && May(start, f) != Again {
+				f := Failure{Attempt: a, Ran: domain.NotRun, Deadline: start.Add(time.Second)}
+				if budget && p.Decide(start, f) != Allowed || !budget && Allow(start, f) != Allowed {
 					break
 				}
 			}
@@ -94,7 +94,7 @@
 }
 
 func death(upstream string, at int, running ...Identity) Death {
-	return Death{work.Host(upstream), 1, start.Add(time.Duration(at) * time.Second), running}
+	return Death{domain.Host(upstream), 1, start.Add(time.Duration(at) * time.Second), running}
 }
 
 // A pedigree file crashes the engine that runs it; two other sellers' files
@@ -102,21 +102,21 @@
 // fourth. It is stopped then, and none of the four others is.
 func TestCulpritIsStoppedAndNeighboursAreNot(t *testing.T) {
 	var l Ledger
-	l.Died(death("side-1", 0, "bad", "near-1", "near-2"))
+	l.RecordDeath(death("side-1", 0, "bad", "near-1", "near-2"))
 	now := start.Add(time.Second)
-	require.Equal(t, Suspect, l.Standing(now, "bad"))
-	require.False(t, l.Beside(now, "near-1", []Identity{"bad"}), "two suspects apart")
-	require.True(t, l.Beside(now, "near-1", []Identity{"clear"}))
-	require.True(t, l.Beside(now, "clear", []Identity{"bad"}))
-	l.Survived(now, "near-1")
-	l.Died(death("side-2", 2, "bad", "near-3"))
+	require.Equal(t, Suspect, l.Suspicion(now, "bad"))
+	require.False(t, l.MayRunWith(now, "near-1", []Identity{"bad"}), "two suspects apart")
+	require.True(t, l.MayRunWith(now, "near-1", []Identity{"clear"}))
+	require.True(t, l.MayRunWith(now, "clear", []Identity{"bad"}))
+	l.RecordSurvival(now, "near-1")
+	l.RecordDeath(death("side-2", 2, "bad", "near-3"))
 	now = start.Add(3 * time.Second)
-	require.Equal(t, Stopped, l.Standing(now, "bad"))
+	require.Equal(t, Blocked, l.Suspicion(now, "bad"))
 	for _, id := range []Identity{"near-1", "near-2", "near-3"} {
-		require.Equal(t, Clear, l.Standing(now, id))
+		require.Equal(t, Clear, l.Suspicion(now, id))
 	}
-	require.False(t, l.Beside(now, "bad", nil))
-	require.Equal(t, Clear, l.Standing(start.Add(2*time.Second+Memory+time.Millisecond), "bad"), "remembered for a bounded time")
+	require.False(t, l.MayRunWith(now, "bad", nil))
+	require.Equal(t, Clear, l.Suspicion(start.Add(2*time.Second+EvidenceTTL+time.Millisecond), "bad"), "remembered for a bounded time")
 }
 
 // Evidence comes late to one side, and a neighbour dies beside the culprit a
@@ -124,16 +124,16 @@
 // innocent. Each runs alone; the one that survives clears itself.
 func TestAmbiguousRunsAlone(t *testing.T) {
 	var l Ledger
-	l.Died(death("side-1", 0, "bad", "near"))
-	l.Died(death("side-2", 1, "bad", "near"))
+	l.RecordDeath(death("side-1", 0, "bad", "near"))
+	l.RecordDeath(death("side-2", 1, "bad", "near"))
 	now := start.Add(2 * time.Second)
-	require.Equal(t, Ambiguous, l.Standing(now, "near"))
-	require.False(t, l.Beside(now, "near", []Identity{"clear"}))
-	require.False(t, l.Beside(now, "clear", []Identity{"near"}))
-	require.True(t, l.Beside(now, "near", nil))
-	l.Survived(now, "near")
-	require.Equal(t, Clear, l.Standing(now, "near"))
-	require.Equal(t, Stopped, l.Standing(now, "bad"))
+	require.Equal(t, Ambiguous, l.Suspicion(now, "near"))
+	require.False(t, l.MayRunWith(now, "near", []Identity{"clear"}))
+	require.False(t, l.MayRunWith(now, "clear", []Identity{"near"}))
+	require.True(t, l.MayRunWith(now, "near", nil))
+	l.RecordSurvival(now, "near")
+	require.Equal(t, Clear, l.Suspicion(now, "near"))
+	require.Equal(t, Blocked, l.Suspicion(now, "bad"))
 }
 
 func drawRecord(t *rapid.T, name string) Record {
@@ -141,8 +141,8 @@
 	var r Record
 	for range rapid.IntRange(0, 5).Draw(t, name+" deaths") {
 		r.Deaths = append(r.Deaths, Death{
-			work.Host(rapid.SampledFrom([]string{"s1", "s2", "s3"}).Draw(t, "upstream")),
-			work.Incarnation(rapid.IntRange(1, 2).Draw(t, "incarnation")),
+			domain.Host(rapid.SampledFrom([]string{"s1", "s2", "s3"}).Draw(t, "upstream")),
+			domain.Incarnation(rapid.IntRange(1, 2).Draw(t, "incarnation")),
 			start.Add(time.Duration(rapid.IntRange(0, 700).Draw(t, "at")) * time.Second),
 			rapid.SliceOfN(ids, 0, 4).Draw(t, "running"),
 		})
@@ -185,7 +185,7 @@
 	require.Equal(t, merged, merged.Merge(merged))
 	require.Len(t, merged.Deaths, MaxDeaths)
 	require.Len(t, merged.Deaths[0].Running, MaxRunning)
-	Judge(merged, start)
+	Attribute(merged, start)
 }
 
 // naiveCondemned is the rule by lists: whoever is in at least two deaths which
@@ -229,12 +229,12 @@
 		r.Survivals = nil
 		now := start.Add(700 * time.Second)
 		var lists [][]Identity
-		for _, d := range r.Since(now.Add(-Memory)).Deaths {
+		for _, d := range r.Since(now.Add(-EvidenceTTL)).Deaths {
 			lists = append(lists, d.Running)
 		}
 		var got []Identity
-		for id, s := range Judge(r, now) {
-			if s == Stopped {
+		for id, s := range Attribute(r, now) {
+			if s == Blocked {
 				got = append(got, id)
 			}
 		}
@@ -254,23 +254,23 @@
 		for second := 0; second < 120; second += 2 {
 			now := start.Add(time.Duration(second) * time.Second)
 			for range MaxAttempts {
-				if attribute && l.Standing(now, "bad") == Stopped {
+				if attribute && l.Suspicion(now, "bad") == Blocked {
 					break
 				}
 				running := []Identity{"bad"}
 				for range 7 {
 					next++
 					id := Identity(fmt.Sprint("ok-", next-x.IntN(4))) // some are retried
-					if !attribute || l.Beside(now, id, running) {
+					if !attribute || l.MayRunWith(now, id, running) {
 						running = append(running, id)
 					}
 				}
 				o.deaths++
-				l.Died(Death{work.Host(fmt.Sprint(x.IntN(9))), work.Incarnation(o.deaths), now, running})
+				l.RecordDeath(Death{domain.Host(fmt.Sprint(x.IntN(9))), domain.Incarnation(o.deaths), now, running})
 			}
 		}
 		for id, s := range l.standing {
-			if id != "bad" && s == Stopped {
+			if id != "bad" && s == Blocked {
 				o.stoppedInnocent++
 			}
 		}
@@ -285,9 +285,9 @@
 // BenchmarkStanding measures the look-up before each attempt.
 func BenchmarkStanding(b *testing.B) {
 	var l Ledger
-	l.Died(death("s", 0, "bad"))
+	l.RecordDeath(death("s", 0, "bad"))
 	for b.Loop() {
-		l.Standing(start, "other")
+		l.Suspicion(start, "other")
 	}
 }
 
--- a/retry/window.go
+++ b/retry/window.go
@@ -24,12 +24,12 @@
 	repeats  slots
 }
 
-// Terms are the operators' figures for a Window.
-type Terms struct {
+// WindowConfig are the operators' figures for a Window.
+type WindowConfig struct {
 	// Ratio is the part of the requests, Share this process's part of the
 	// fixed number.
 	Ratio float64
-	Share float64
+	Fixed float64
 	Span  time.Duration
 }
 
@@ -69,26 +69,26 @@
 	return total
 }
 
-// Left says whether Take would give one now.
-func (w *Window) Left(now time.Time, t Terms) bool {
+// Available says whether Take would give one now.
+func (w *Window) Available(now time.Time, t WindowConfig) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.left(t.slot(now), t)
 }
 
-func (w *Window) left(slot int64, t Terms) bool {
-	return float64(w.repeats.sum(slot)+1) <= t.Ratio*float64(w.requests.sum(slot))+t.Share
+func (w *Window) left(slot int64, t WindowConfig) bool {
+	return float64(w.repeats.sum(slot)+1) <= t.Ratio*float64(w.requests.sum(slot))+t.Fixed
 }
 
-// Spend counts a send beyond the first that has happened already, whatever is
+// Record counts a send beyond the first that has happened already, whatever is
 // left: what follows finds that much less.
-func (w *Window) Spend(now time.Time, t Terms) {
+func (w *Window) Record(now time.Time, t WindowConfig) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.repeats.add(t.slot(now))
 }
 
-func (t Terms) slot(now time.Time) int64 {
+func (t WindowConfig) slot(now time.Time) int64 {
 	return int64(now.Sub(epoch) / max(t.Span/windowSlots, time.Millisecond))
 }
 
@@ -97,7 +97,7 @@
 var epoch = time.Now().Add(-time.Hour)
 
 // Accepted counts a request.
-func (w *Window) Accepted(now time.Time, t Terms) {
+func (w *Window) Accepted(now time.Time, t WindowConfig) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.requests.add(t.slot(now))
@@ -105,7 +105,7 @@
 
 // Take takes one send beyond the first, and reports false when there is none
 // left.
-func (w *Window) Take(now time.Time, t Terms) bool {
+func (w *Window) Take(now time.Time, t WindowConfig) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	slot := t.slot(now)
--- a/retry/window_test.go
+++ b/retry/window_test.go
@@ -10,7 +10,7 @@
 	"jacinthworks/retry"
 )
 
-var terms = retry.Terms{Ratio: 0.2, Share: 3, Span: 10 * time.Second}
+var terms = retry.WindowConfig{Ratio: 0.2, Fixed: 3, Span: 10 * time.Second}
 
 // Story: a pool fails all that it gets. In no span of ten seconds, wherever it
 // begins, may repeats pass the part of the requests and the fixed number.
@@ -43,7 +43,7 @@
 		for _, end := range repeats {
 			// Slots are counted whole, so that the part is taken of up to one
 			// slot more than the span.
-			allowed := terms.Ratio*float64(within(requests, end, terms.Span*11/10)) + terms.Share
+			allowed := terms.Ratio*float64(within(requests, end, terms.Span*11/10)) + terms.Fixed
 			if n := within(repeats, end, terms.Span); float64(n) > allowed+1e-9 {
 				t.Fatalf("%d repeats, %v allowed", n, allowed)
 			}
@@ -55,10 +55,10 @@
 	var w retry.Window
 	now := time.Now()
 	for range 3 {
-		w.Spend(now, terms)
+		w.Record(now, terms)
 	}
 	require.False(t, w.Take(now, terms))
 	require.True(t, w.Take(now.Add(terms.Span*12/10), terms), "they are over with the span")
 	var zero retry.Window
-	require.False(t, zero.Take(now, retry.Terms{}))
+	require.False(t, zero.Take(now, retry.WindowConfig{}))
 }
--- a/place/even.go
+++ b/roles/even.go
@@ -1,17 +1,17 @@
-package place
+package roles
 
 import (
 	"slices"
 	"time"
 
-	"jacinthworks/work"
+	"jacinthworks/domain"
 )
 
 // evenOut gives two pools of a model of which one should give an engine to the
 // other although neither is in need.
 func (p *Planner) evenOut(now time.Time, states []state) (to, from state, found bool) {
-	t := p.Tempo.orDefaults()
-	if t.Even == 0 {
+	t := p.Timing.orDefaults()
+	if t.BalanceMargin == 0 {
 		return to, from, false
 	}
 	for _, need := range states {
@@ -30,13 +30,13 @@
 	return to, from, found
 }
 
-// Pending gives how long pools that were seen uneven must still be so before an engine
+// NextBalance gives how long pools that were seen uneven must still be so before an engine
 // moves; false where none were. The next look is due then: a look each second makes a
 // Hold of a tenth of one last a second, in which a burst goes on.
-func (p *Planner) Pending(now time.Time) (time.Duration, bool) {
+func (p *Planner) NextBalance(now time.Time) (time.Duration, bool) {
 	left, found := time.Duration(0), false
 	for _, since := range p.uneven {
-		if one := p.Tempo.orDefaults().Hold - now.Sub(since); !found || one < left {
+		if one := p.Timing.orDefaults().Hold - now.Sub(since); !found || one < left {
 			left, found = max(0, one), true
 		}
 	}
@@ -45,14 +45,14 @@
 
 // evener gives the pool of the same model that can give one an engine so that
 // the fuller of the two gets less full.
-func (p *Planner) evener(now time.Time, t Tempo, states []state, need state) (state, bool) {
-	if need.pool.Role == work.RoleApp || need.changing > 0 || !p.settled(now, need.pool) {
+func (p *Planner) evener(now time.Time, t Timing, states []state, need state) (state, bool) {
+	if need.pool.Role == domain.RoleApp || need.changing > 0 || !p.settled(now, need.pool) {
 		return state{}, false
 	}
 	for _, s := range states {
-		canGive := s.pool != need.pool && s.pool.Model == need.pool.Model && s.pool.Role != work.RoleApp &&
+		canGive := s.pool != need.pool && s.pool.Model == need.pool.Model && s.pool.Role != domain.RoleApp &&
 			s.changing == 0 && len(s.engines) > MinReplicas && p.settled(now, s.pool)
-		if canGive && len(evenPick(t.Even, need, s)) > 0 {
+		if canGive && len(evenPick(t.BalanceMargin, need, s)) > 0 {
 			return s, true
 		}
 	}
@@ -60,10 +60,10 @@
 }
 
 const (
-	// EvenStep is the part of a pool that may leave it at once to even pools out:
+	// BalanceStep is the part of a pool that may leave it at once to even pools out:
 	// the rest has to carry its load while they change. One at a time, 14 of 38
 	// engines stayed with prefill that had work for six.
-	EvenStep = 0.5
+	BalanceStep = 0.5
 	// evenLeast is how full a pool must be for it to be evened out: what is
 	// known of one that has hardly any load is noise.
 	evenLeast = 0.02
@@ -78,12 +78,12 @@
 	if to.pressure(0) < evenLeast {
 		return nil
 	}
-	if from.pool.Role == work.RoleDecode {
+	if from.pool.Role == domain.RoleDecode {
 		margin *= evenBack
 	}
 	fuller := func(moved int) float64 { return max(to.pressure(moved), from.pressure(-moved)) }
 	best := 0
-	most := min(max(1, int(EvenStep*float64(len(from.engines)))), len(from.engines)-MinReplicas)
+	most := min(max(1, int(BalanceStep*float64(len(from.engines)))), len(from.engines)-MinReplicas)
 	for n := 1; n <= most; n++ {
 		if fuller(n) < fuller(best) {
 			best = n
--- a/place/even_test.go
+++ b/roles/even_test.go
@@ -1,4 +1,4 @@
-package place_test
+package roles_test
 
 import (
 	"fmt"
@@ -7,32 +7,32 @@
 
 	"github.com/stretchr/testify/require"
 
+	"jacinthworks/domain"
 	"jacinthworks/fence"
-	"jacinthworks/place"
-	"jacinthworks/work"
+	"jacinthworks/roles"
 )
 
 // fleet plans once a second for a model's engines, which change at once.
 type fleet struct {
-	planner place.Planner
-	roles   []work.Role
-	number  fence.Number
+	planner roles.Planner
+	roles   []domain.Role
+	number  fence.Token
 	now     time.Time
 	orders  int
 }
 
 func newFleet(prefill, decode int) *fleet {
-	f := &fleet{planner: place.Planner{Tempo: place.TempoOf(6 * time.Second)}, now: time.Now()}
+	f := &fleet{planner: roles.Planner{Timing: roles.TimingFor(6 * time.Second)}, now: time.Now()}
 	for range prefill {
-		f.roles = append(f.roles, work.RolePrefill)
+		f.roles = append(f.roles, domain.RolePrefill)
 	}
 	for range decode {
-		f.roles = append(f.roles, work.RoleDecode)
+		f.roles = append(f.roles, domain.RoleDecode)
 	}
 	return f
 }
 
-func (f *fleet) count(r work.Role) int {
+func (f *fleet) count(r domain.Role) int {
 	n := 0
 	for _, role := range f.roles {
 		if role == r {
@@ -44,14 +44,14 @@
 
 // run plans for so many seconds at the given demands, in engines kept busy.
 func (f *fleet) run(seconds int, prefill, decode float64) {
-	pool := func(r work.Role) place.Pool { return place.Pool{Model: "m", Role: r} }
+	pool := func(r domain.Role) roles.Pool { return roles.Pool{Model: "m", Role: r} }
 	for range seconds {
 		f.now = f.now.Add(time.Second)
-		v := place.View{Demand: map[place.Pool]float64{pool(work.RolePrefill): prefill, pool(work.RoleDecode): decode}}
+		v := roles.View{Demand: map[roles.Pool]float64{pool(domain.RolePrefill): prefill, pool(domain.RoleDecode): decode}}
 		for n, r := range f.roles {
-			v.Engines = append(v.Engines, place.Engine{Host: work.Host(fmt.Sprint(n)), Pool: pool(r)})
+			v.Engines = append(v.Engines, roles.Engine{Host: domain.Host(fmt.Sprint(n)), Pool: pool(r)})
 		}
-		next := func(time.Time) (fence.Number, error) { f.number++; return f.number, nil }
+		next := func(time.Time) (fence.Token, error) { f.number++; return f.number, nil }
 		for _, o := range f.planner.Plan(f.now, v, next) {
 			var n int
 			_, _ = fmt.Sscan(string(o.Host), &n)
@@ -67,19 +67,19 @@
 func TestRolesAreEvenedOut(t *testing.T) {
 	f := newFleet(4, 5)
 	f.run(10, 1.3, 3.6)
-	require.Equal(t, 6, f.count(work.RoleDecode))
+	require.Equal(t, 6, f.count(domain.RoleDecode))
 	f.run(120, 1.3, 3.6)
-	require.Equal(t, 6, f.count(work.RoleDecode), "another would make prefill the fuller one")
+	require.Equal(t, 6, f.count(domain.RoleDecode), "another would make prefill the fuller one")
 	require.Equal(t, 1, f.orders)
 }
 
 func TestALargePoolChangesAPartAtOnce(t *testing.T) {
 	f := newFleet(16, 28)
 	f.run(10, 4, 24)
-	require.Equal(t, 36, f.count(work.RoleDecode), "half of the prefill engines: the others are at half of what they can")
+	require.Equal(t, 36, f.count(domain.RoleDecode), "half of the prefill engines: the others are at half of what they can")
 	f.run(60, 4, 24)
-	require.Less(t, 24/float64(f.count(work.RoleDecode)), 0.67, "no pool is fuller than it has to be")
-	require.GreaterOrEqual(t, f.count(work.RolePrefill), 5, "they are not all taken")
+	require.Less(t, 24/float64(f.count(domain.RoleDecode)), 0.67, "no pool is fuller than it has to be")
+	require.GreaterOrEqual(t, f.count(domain.RolePrefill), 5, "they are not all taken")
 }
 
 // Story: the load turns every few seconds. Engines that follow it are away for
@@ -91,8 +91,8 @@
 		f.run(4, 1, 4)
 	}
 	require.LessOrEqual(t, f.orders, 8, "orders in 240 s")
-	require.GreaterOrEqual(t, f.count(work.RolePrefill), 1)
-	require.GreaterOrEqual(t, f.count(work.RoleDecode), 1)
+	require.GreaterOrEqual(t, f.count(domain.RolePrefill), 1)
+	require.GreaterOrEqual(t, f.count(domain.RoleDecode), 1)
 }
 
 func TestWithoutLoadNothingMoves(t *testing.T) {
@@ -101,7 +101,7 @@
 	require.Zero(t, f.orders)
 	lone := newFleet(1, 5)
 	lone.run(60, 0.1, 4.9)
-	require.Equal(t, 1, lone.count(work.RolePrefill), "the last of a role stays")
+	require.Equal(t, 1, lone.count(domain.RolePrefill), "the last of a role stays")
 }
 
 // Story: a load begins, and a burst follows five seconds later. Pools that are seen
@@ -109,18 +109,18 @@
 // whole one: the engines are back a second later than they could be, in the burst.
 func TestTheSecondLookIsDueWhenThePoolsHaveBeenUnevenLongEnough(t *testing.T) {
 	f := newFleet(44, 73)
-	_, pending := f.planner.Pending(f.now)
+	_, pending := f.planner.NextBalance(f.now)
 	require.False(t, pending)
 	f.run(1, 3, 26)
 	require.Zero(t, f.orders)
-	left, pending := f.planner.Pending(f.now)
+	left, pending := f.planner.NextBalance(f.now)
 	require.True(t, pending)
 	require.Equal(t, 100*time.Millisecond, left)
 	f.now = f.now.Add(left - time.Second)
 	f.run(1, 3, 26)
 	require.Greater(t, f.orders, 10)
 	f.run(1, 3, 26)
-	_, pending = f.planner.Pending(f.now)
+	_, pending = f.planner.NextBalance(f.now)
 	require.False(t, pending, "the pools have to settle first")
 }
 
--- a/place/mix.go
+++ b/roles/mix.go
@@ -1,11 +1,11 @@
-package place
+package roles
 
 import (
 	"math"
 	"time"
 )
 
-// Mix measures what a request takes of the engines of each role, of the requests
+// Profile measures what a request takes of the engines of each role, of the requests
 // that this process has lately sent. The zero value knows nothing.
 //
 // Load pattern: a load that begins, or doubles for some seconds. The memory that is
@@ -13,7 +13,7 @@
 // whether a prefill engine was busy when it was asked says little. Judged by
 // these, roles follow a burst when it is over. What a request takes of each role
 // is the same in and out of a burst, and is known from a few of them.
-type Mix struct {
+type Profile struct {
 	at time.Time
 	// What was seen; all fades alike. requests counts those sent, prompts is their
 	// prompt tokens, held the answers' tokens by the part of an engine's memory
@@ -52,7 +52,7 @@
 	unseen = 0.5
 )
 
-func (m *Mix) fade(now time.Time) {
+func (m *Profile) fade(now time.Time) {
 	if passed := now.Sub(m.at); !m.at.IsZero() && passed > 0 {
 		keep := math.Exp(-float64(passed) / float64(mixMemory))
 		for _, v := range []*float64{
@@ -64,17 +64,17 @@
 	m.at = now
 }
 
-// Sent notes a request: its prompt and the likely length of its answer, in tokens,
+// RecordRequest notes a request: its prompt and the likely length of its answer, in tokens,
 // and the part of a decode engine's memory that it takes.
-func (m *Mix) Sent(now time.Time, prompt, answer int, memory float64) {
+func (m *Profile) RecordRequest(now time.Time, prompt, answer int, memory float64) {
 	m.fade(now)
 	m.requests++
 	m.prompts += float64(prompt)
 	m.held += memory * float64(answer)
 }
 
-// Prefilled notes a prompt that found its engine idle and took so long.
-func (m *Mix) Prefilled(now time.Time, prompt int, took time.Duration) {
+// RecordPrefill notes a prompt that found its engine idle and took so long.
+func (m *Profile) RecordPrefill(now time.Time, prompt int, took time.Duration) {
 	m.fade(now)
 	each := took.Seconds() / float64(max(prompt, 1))
 	m.seen++
@@ -90,31 +90,33 @@
 	m.prefill = min(each, m.prefill*(1+step*prefillLow))
 }
 
-// PromptTime is the time for a token of a prompt that found its engine idle; zero
+// PromptTokenTime is the time for a token of a prompt that found its engine idle; zero
 // while none was seen.
-func (m *Mix) PromptTime() time.Duration { return time.Duration(m.prefill * float64(time.Second)) }
+func (m *Profile) PromptTokenTime() time.Duration {
+	return time.Duration(m.prefill * float64(time.Second))
+}
 
-// Answered notes tokens of an answer that took so long.
-func (m *Mix) Answered(now time.Time, answer int, took time.Duration) {
+// RecordAnswer notes tokens of an answer that took so long.
+func (m *Profile) RecordAnswer(now time.Time, answer int, took time.Duration) {
 	m.fade(now)
 	m.answers.tokens += float64(answer)
 	m.answers.seconds += took.Seconds()
 }
 
 // Sample gives what was seen, to be added to what others saw.
-func (m *Mix) Sample(now time.Time) Sample {
+func (m *Profile) Sample(now time.Time) Sample {
 	m.fade(now)
 	return Sample{
-		Requests: m.requests, Prompts: m.prompts, Held: m.held, AnswerTokens: m.answers.tokens, AnswerSeconds: m.answers.seconds,
+		Requests: m.requests, Prompts: m.prompts, MemoryTokens: m.held, AnswerTokens: m.answers.tokens, AnswerSeconds: m.answers.seconds,
 		Prefill: m.prefill, Prefills: float64(min(m.seen, prefillWeight)),
 	}
 }
 
 // Ratio gives that of the process's own requests.
-func (m *Mix) Ratio() (float64, bool) { return m.Sample(m.at).Ratio() }
+func (m *Profile) Ratio() (float64, bool) { return m.Sample(m.at).Ratio() }
 
-// Sure is Sample.Sure of the process's own requests.
-func (m *Mix) Sure() bool { return m.Sample(m.at).Sure() }
+// Sufficient is Sample.Sufficient of the process's own requests.
+func (m *Profile) Sufficient() bool { return m.Sample(m.at).Sufficient() }
 
 // prefillWeight is the most prompts for which a process's measure of the time for a
 // prompt counts, which follows the latest of them.
@@ -129,9 +131,9 @@
 type Sample struct {
 	// Requests counts those sent, Prompts their prompt tokens, Held the answers'
 	// tokens by the part of an engine's memory that each takes.
-	Requests float64 `json:"requests"`
-	Prompts  float64 `json:"prompts"`
-	Held     float64 `json:"held"`
+	Requests     float64 `json:"requests"`
+	Prompts      float64 `json:"prompts"`
+	MemoryTokens float64 `json:"held"`
 	// AnswerTokens came in AnswerSeconds, summed over the answers.
 	AnswerTokens  float64 `json:"answer_tokens"`
 	AnswerSeconds float64 `json:"answer_seconds"`
@@ -146,7 +148,7 @@
 // Failure: another process sends nonsense, or its clock went wrong. It shows as
 // engines that all leave a role. Nonsense counts for nothing.
 func (s Sample) sound() bool {
-	for _, v := range []float64{s.Requests, s.Prompts, s.Held, s.AnswerTokens, s.AnswerSeconds, s.Prefill, s.Prefills} {
+	for _, v := range []float64{s.Requests, s.Prompts, s.MemoryTokens, s.AnswerTokens, s.AnswerSeconds, s.Prefill, s.Prefills} {
 		if !(v >= 0) || v > sampleMost { // not a number is neither
 			return false
 		}
@@ -163,7 +165,7 @@
 		return s
 	}
 	sum := Sample{
-		Requests: s.Requests + o.Requests, Prompts: s.Prompts + o.Prompts, Held: s.Held + o.Held,
+		Requests: s.Requests + o.Requests, Prompts: s.Prompts + o.Prompts, MemoryTokens: s.MemoryTokens + o.MemoryTokens,
 		AnswerTokens: s.AnswerTokens + o.AnswerTokens, AnswerSeconds: s.AnswerSeconds + o.AnswerSeconds,
 		Prefills: s.Prefills + o.Prefills,
 	}
@@ -178,16 +180,16 @@
 // the more is added for what they may not have shown: a prefill engine too many
 // idles, one too few leaves prompts to decode engines.
 func (s Sample) Ratio() (float64, bool) {
-	decode := s.Held * s.AnswerSeconds / max(s.AnswerTokens, 1)
+	decode := s.MemoryTokens * s.AnswerSeconds / max(s.AnswerTokens, 1)
 	if s.Requests < mixRequests || s.AnswerTokens < mixTokens || s.Prefill == 0 || decode <= 0 {
 		return 0, false
 	}
 	return s.Prompts * s.Prefill / decode * (1 + unseen/math.Sqrt(s.Requests)), true
 }
 
-// Sure says whether enough was seen to take engines from decode by the ratio.
+// Sufficient says whether enough was seen to take engines from decode by the ratio.
 //
 // Failure: the first request has the shortest of answers, and by it alone prefill
 // needs half of all engines. It shows as a third of the decode engines that leave in
 // the first seconds, and are away for ten.
-func (s Sample) Sure() bool { return s.Requests >= mixSure }
+func (s Sample) Sufficient() bool { return s.Requests >= mixSure }
--- a/place/mix_test.go
+++ b/roles/mix_test.go
@@ -1,4 +1,4 @@
-package place_test
+package roles_test
 
 import (
 	"math"
@@ -8,9 +8,9 @@
 
 	"github.com/stretchr/testify/require"
 
+	"jacinthworks/domain"
 	"jacinthworks/fence"
-	"jacinthworks/place"
-	"jacinthworks/work"
+	"jacinthworks/roles"
 )
 
 // The load of the tests: prompts of 3,200 tokens at 30 us each, answers of 900 at
@@ -23,19 +23,19 @@
 	holds   = memory * answer * 3.5e-3
 )
 
-func note(m *place.Mix, now time.Time, requests int, length func() float64) {
+func note(m *roles.Profile, now time.Time, requests int, length func() float64) {
 	for range requests {
 		x := length()
-		m.Sent(now, prompt, int(answer*x), memory)
-		m.Prefilled(now, prompt, 96*time.Millisecond)
-		m.Answered(now, int(answer*x), time.Duration(3.5e6*answer*x))
+		m.RecordRequest(now, prompt, int(answer*x), memory)
+		m.RecordPrefill(now, prompt, 96*time.Millisecond)
+		m.RecordAnswer(now, int(answer*x), time.Duration(3.5e6*answer*x))
 	}
 }
 
 func same() float64 { return 1 }
 
 func TestTheRatioIsThatOfTheWork(t *testing.T) {
-	var m place.Mix
+	var m roles.Profile
 	_, known := m.Ratio()
 	require.False(t, known)
 	now := time.Now()
@@ -46,12 +46,12 @@
 
 	// What waits for the engine is no work of it.
 	for range 20 {
-		m.Prefilled(now, prompt, 300*time.Millisecond)
+		m.RecordPrefill(now, prompt, 300*time.Millisecond)
 	}
 	later, _ := m.Ratio()
 	require.Less(t, later, 1.8*r)
 	for range 200 {
-		m.Prefilled(now, prompt, 300*time.Millisecond)
+		m.RecordPrefill(now, prompt, 300*time.Millisecond)
 	}
 	slow, _ := m.Ratio()
 	require.Greater(t, slow, 2.5*r, "engines that turn slow show in the end")
@@ -64,18 +64,18 @@
 	x := rand.New(rand.NewPCG(5, 6))
 	now := time.Now()
 	length := func() float64 { return math.Exp(0.7*x.NormFloat64() - 0.245) }
-	var sum place.Sample
-	var one place.Mix
+	var sum roles.Sample
+	var one roles.Profile
 	for n := range 68 {
-		var m place.Mix
+		var m roles.Profile
 		note(&m, now, 2, length)
 		sum = sum.Add(m.Sample(now))
 		if n == 0 {
 			one = m
 		}
 	}
-	require.False(t, one.Sure())
-	require.True(t, sum.Sure())
+	require.False(t, one.Sufficient())
+	require.True(t, sum.Sufficient())
 	r, known := sum.Ratio()
 	require.True(t, known)
 	require.InDelta(t, onePart/holds, r, 0.2*onePart/holds)
@@ -86,22 +86,22 @@
 // Story: an entry of another version, or one whose clock went wrong, tells nonsense.
 // All engines would leave a role at once.
 func TestNonsenseAddsNothing(t *testing.T) {
-	var m place.Mix
+	var m roles.Profile
 	now := time.Now()
 	note(&m, now, 100, same)
 	good := m.Sample(now)
-	for _, bad := range []place.Sample{
-		{Requests: -5}, {Prompts: math.NaN()}, {Held: math.Inf(1)}, {AnswerSeconds: -1e9}, {Prefill: 1e300}, {Prefills: 1e6, Prefill: 1},
+	for _, bad := range []roles.Sample{
+		{Requests: -5}, {Prompts: math.NaN()}, {MemoryTokens: math.Inf(1)}, {AnswerSeconds: -1e9}, {Prefill: 1e300}, {Prefills: 1e6, Prefill: 1},
 	} {
 		require.Equal(t, good, good.Add(bad), "%+v", bad)
 	}
-	require.Equal(t, good, good.Add(place.Sample{}))
+	require.Equal(t, good, good.Add(roles.Sample{}))
 }
 
 // Story: the first requests happen to have short prompts. Judged by them alone
 // half of the prefill engines leave, and come back for many seconds.
 func TestFewRequestsCountForTheirLeast(t *testing.T) {
-	var few, many place.Mix
+	var few, many roles.Profile
 	now := time.Now()
 	note(&few, now, 1, same)
 	note(&many, now, 100, same)
@@ -115,11 +115,11 @@
 // takes prefill for five times as fast as it is, and gives its engines away in the
 // midst of a burst; prompts are read by decode engines for half a minute.
 func TestAPromptReadAgainIsNoMeasureOfAll(t *testing.T) {
-	var m place.Mix
+	var m roles.Profile
 	now := time.Now()
 	note(&m, now, 30, same)
 	before, _ := m.Ratio()
-	m.Prefilled(now, prompt, 19*time.Millisecond)
+	m.RecordPrefill(now, prompt, 19*time.Millisecond)
 	after, _ := m.Ratio()
 	require.Greater(t, after, 0.9*before)
 }
@@ -127,10 +127,10 @@
 // Story: the first prompt waited behind others for long. It must not count for more
 // than the next ones.
 func TestTheFirstPromptsCountAlike(t *testing.T) {
-	var m, waited place.Mix
+	var m, waited roles.Profile
 	now := time.Now()
 	note(&m, now, 12, same)
-	waited.Prefilled(now, prompt, 500*time.Millisecond)
+	waited.RecordPrefill(now, prompt, 500*time.Millisecond)
 	note(&waited, now, 12, same)
 	a, _ := m.Ratio()
 	b, _ := waited.Ratio()
@@ -140,11 +140,11 @@
 // Story: a client's guess of its answer's length is off by ten times. It moves the
 // ratio by no more than the one request it came with.
 func TestOneLieMovesLittle(t *testing.T) {
-	var m, lied place.Mix
+	var m, lied roles.Profile
 	now := time.Now()
 	note(&m, now, 100, same)
 	note(&lied, now, 100, same)
-	lied.Sent(now, prompt, 10*answer, memory)
+	lied.RecordRequest(now, prompt, 10*answer, memory)
 	a, _ := m.Ratio()
 	b, _ := lied.Ratio()
 	require.InDelta(t, a, b, 0.12*a)
@@ -164,13 +164,13 @@
 // there.
 func unmet(byMix bool) float64 {
 	x := rand.New(rand.NewPCG(3, 4))
-	p := place.Planner{Tempo: place.TempoOf(6 * time.Second)}
-	prefills, decodes := place.Pool{Model: "m", Role: work.RolePrefill}, place.Pool{Model: "m", Role: work.RoleDecode}
-	engineRoles := []work.Role{work.RolePrefill, work.RolePrefill, work.RolePrefill, work.RolePrefill, work.RoleDecode, work.RoleDecode, work.RoleDecode, work.RoleDecode, work.RoleDecode}
+	p := roles.Planner{Timing: roles.TimingFor(6 * time.Second)}
+	prefills, decodes := roles.Pool{Model: "m", Role: domain.RolePrefill}, roles.Pool{Model: "m", Role: domain.RoleDecode}
+	engineRoles := []domain.Role{domain.RolePrefill, domain.RolePrefill, domain.RolePrefill, domain.RolePrefill, domain.RoleDecode, domain.RoleDecode, domain.RoleDecode, domain.RoleDecode, domain.RoleDecode}
 	back := make([]int, len(engineRoles))
 	now, decode, short := time.Now(), 0.0, 0.0
-	var m place.Mix
-	var number fence.Number
+	var m roles.Profile
+	var number fence.Token
 	for second := range 34 {
 		now = now.Add(time.Second)
 		rate := 12.0
@@ -180,21 +180,21 @@
 		note(&m, now, int(rate/4), func() float64 { return math.Exp(0.5*x.NormFloat64() - 0.125) })
 		decode += (rate*holds - decode) / 3 // answers take three seconds
 		busy := rate * onePart
-		v := place.View{Demand: map[place.Pool]float64{decodes: decode, prefills: float64(int(busy + x.Float64()))}}
+		v := roles.View{Demand: map[roles.Pool]float64{decodes: decode, prefills: float64(int(busy + x.Float64()))}}
 		if r, known := m.Ratio(); byMix && known {
 			v.Demand[prefills] = r * decode
 		}
 		serving := 0
 		for n, r := range engineRoles {
-			v.Engines = append(v.Engines, place.Engine{
-				Host: work.Host(rune('a' + n)), Pool: place.Pool{Model: "m", Role: r}, Changing: second < back[n], Since: now,
+			v.Engines = append(v.Engines, roles.Engine{
+				Host: domain.Host(rune('a' + n)), Pool: roles.Pool{Model: "m", Role: r}, Changing: second < back[n], Since: now,
 			})
-			if r == work.RoleDecode && second >= back[n] {
+			if r == domain.RoleDecode && second >= back[n] {
 				serving++
 			}
 		}
 		short += max(0, decode/0.9-float64(serving))
-		for _, o := range p.Plan(now, v, func(time.Time) (fence.Number, error) { number++; return number, nil }) {
+		for _, o := range p.Plan(now, v, func(time.Time) (fence.Token, error) { number++; return number, nil }) {
 			n := int(o.Host[0] - 'a')
 			engineRoles[n], back[n] = o.To.Role, second+6
 		}
--- a/place/place.go
+++ b/roles/roles.go
@@ -1,4 +1,4 @@
-// Package place decides which engine serves which model in which role, and
+// Package roles decides which engine serves which model in which role, and
 // changes that slowly enough to do more good than harm. It imports no network;
 // times are passed in.
 //
@@ -24,12 +24,12 @@
 //
 // # Usage
 //
-//	var p place.Planner                       // in the process that holds the planning lease
+//	var p roles.Planner                       // in the process that holds the planning lease
 //	orders := p.Plan(now, view, guard.May)    // every few seconds; see package fence
 //	for _, o := range orders {
 //		log.Info("placement", "host", o.Host, "from", o.From, "to", o.To, "grounds", o.Grounds)
 //	}
-package place
+package roles
 
 import (
 	"cmp"
@@ -37,25 +37,25 @@
 	"slices"
 	"time"
 
+	"jacinthworks/domain"
 	"jacinthworks/fence"
-	"jacinthworks/work"
 )
 
 const (
-	// High is the pressure above which a pool needs another engine. Beyond
+	// HighWatermark is the pressure above which a pool needs another engine. Beyond
 	// some 85% busy, waits grow faster than the load.
-	High = 0.85
-	// Low is the pressure that a giving pool must stay under. The gap to High
+	HighWatermark = 0.85
+	// LowWatermark is the pressure that a giving pool must stay under. The gap to High
 	// is more than one engine of nine makes, and more than the noise of a
 	// smoothed load.
-	Low = 0.70
-	// Smooth is the time constant of the smoothed demand, about that of a
+	LowWatermark = 0.70
+	// SmoothingTime is the time constant of the smoothed demand, about that of a
 	// change, so that nothing shorter than a change brings one about.
-	Smooth = 30 * time.Second
-	// Fall is the time constant at which a giving pool's demand is believed to
+	SmoothingTime = 30 * time.Second
+	// DecayTime is the time constant at which a giving pool's demand is believed to
 	// have fallen, while its rise is believed at once: an engine is not taken
 	// from a pool that needed it some minutes ago.
-	Fall = 3 * time.Minute
+	DecayTime = 3 * time.Minute
 	// Hold is how long a pool must be above High first. Smoothing alone would
 	// do, but for a planner that has just started and knows but few samples.
 	Hold = 30 * time.Second
@@ -63,26 +63,26 @@
 	// some of Smooth for its effect to be seen. It doubles, up to CooldownMax,
 	// each time that a pool goes back on its last change within Swing times
 	// the cool-down.
-	Cooldown    = 2 * time.Minute
-	CooldownMax = 32 * time.Minute
-	Swing       = 5
-	// Step is the part of a pool that may change at once; at least one engine.
-	Step = 0.1
+	Cooldown       = 2 * time.Minute
+	CooldownMax    = 32 * time.Minute
+	ReversalFactor = 5
+	// MaxStep is the part of a pool that may change at once; at least one engine.
+	MaxStep = 0.1
 	// MinReplicas is what a pool keeps.
 	MinReplicas = 1
-	// Loads is among how many loads the weight store's rate is shared out. With
+	// MaxLoads is among how many loads the weight store's rate is shared out. With
 	// fixed shares a load takes as long as its order says, and two failures
 	// of long loads leave room for a third engine.
-	Loads = 2
-	// Stuck is when an engine that is changing no longer holds up its pools.
+	MaxLoads = 2
+	// ChangeTimeout is when an engine that is changing no longer holds up its pools.
 	// It counts as lost until it reports that it is done.
-	Stuck = 10 * time.Minute
+	ChangeTimeout = 10 * time.Minute
 )
 
 // Pool is the engines of one model in one role.
 type Pool struct {
-	Model work.Service `json:"model"`
-	Role  work.Role    `json:"role"`
+	Model domain.Service `json:"model"`
+	Role  domain.Role    `json:"role"`
 }
 
 // String gives model and role.
@@ -91,8 +91,8 @@
 // Engine is an engine that may be moved. Engines that are draining or lost are
 // left out of a View.
 type Engine struct {
-	Host work.Host
-	Zone work.Zone
+	Host domain.Host
+	Zone domain.Zone
 	// Pool is what it serves or, while it is changing, will serve.
 	Pool Pool
 	// Changing says that an order is under way, since the given time; Loading
@@ -110,23 +110,23 @@
 	Demand map[Pool]float64
 	// BytesPerSecond is the weight store's rate, Sizes are its models' bytes.
 	BytesPerSecond int64
-	Sizes          map[work.Service]int64
+	Sizes          map[domain.Service]int64
 }
 
 // Order moves one engine.
 type Order struct {
-	Host work.Host `json:"host"`
-	From Pool      `json:"from"`
-	To   Pool      `json:"to"`
+	Host domain.Host `json:"host"`
+	From Pool        `json:"from"`
+	To   Pool        `json:"to"`
 	// Fence grows with each order; whoever passes it on refuses a lower one
 	// than it has seen.
-	Fence fence.Number `json:"fence"`
+	Fence fence.Token `json:"fence"`
 	// BytesPerSecond is the share of the weight store's rate that the load may
 	// use, Takes how long it takes by that. Both are zero for a change of role.
 	BytesPerSecond int64         `json:"bytes_per_second,omitempty"`
-	Takes          time.Duration `json:"takes_ns,omitempty"`
-	// Grounds says in one line why.
-	Grounds string `json:"grounds"`
+	LoadTime       time.Duration `json:"takes_ns,omitempty"`
+	// Reason says in one line why.
+	Reason string `json:"grounds"`
 }
 
 // Planner keeps what hysteresis needs to remember. The zero value is ready to
@@ -134,7 +134,7 @@
 // was lost, first has to see Hold pass, so that a change of planners changes
 // nothing else.
 type Planner struct {
-	Tempo Tempo
+	Timing Timing
 
 	began  time.Time
 	last   time.Time
@@ -153,28 +153,28 @@
 }
 
 // Plan gives the orders that should go out now, each with a number from next,
-// which is fence.Guard.May: without the lease there are no orders. All orders
+// which is fence.Guard.Issue: without the lease there are no orders. All orders
 // of one call move engines from one pool to one other.
-func (p *Planner) Plan(now time.Time, v View, next func(time.Time) (fence.Number, error)) []Order {
+func (p *Planner) Plan(now time.Time, v View, next func(time.Time) (fence.Token, error)) []Order {
 	p.smooth(now, v.Demand)
 	states := p.states(now, v)
 	p.watch(now, states)
 	to, from, found := p.choose(now, v, states)
 	if found {
 		engines := p.pick(v, to, from)
-		if t := p.Tempo; t.Even > 0 && to.pool.Model == from.pool.Model {
-			engines = evenPick(t.Even, to, from)
+		if t := p.Timing; t.BalanceMargin > 0 && to.pool.Model == from.pool.Model {
+			engines = evenPick(t.BalanceMargin, to, from)
 		}
 		return p.orders(now, v, to, from, engines, next)
 	}
 	if to, from, found = p.evenOut(now, states); found {
-		return p.orders(now, v, to, from, evenPick(p.Tempo.Even, to, from), next)
+		return p.orders(now, v, to, from, evenPick(p.Timing.BalanceMargin, to, from), next)
 	}
 	return nil
 }
 
 // orders gives the orders that move the engines.
-func (p *Planner) orders(now time.Time, v View, to, from state, engines []Engine, next func(time.Time) (fence.Number, error)) []Order {
+func (p *Planner) orders(now time.Time, v View, to, from state, engines []Engine, next func(time.Time) (fence.Token, error)) []Order {
 	var orders []Order
 	for _, e := range engines {
 		n, err := next(now)
@@ -182,11 +182,11 @@
 			break
 		}
 		o := Order{Host: e.Host, From: from.pool, To: to.pool, Fence: n}
-		o.Grounds = fmt.Sprintf("%s at %.2f, %s would be at %.2f", to.pool, to.pressure(0), from.pool, from.without(1))
+		o.Reason = fmt.Sprintf("%s at %.2f, %s would be at %.2f", to.pool, to.pressure(0), from.pool, from.without(1))
 		if from.pool.Model != to.pool.Model && v.BytesPerSecond > 0 {
-			o.BytesPerSecond = v.BytesPerSecond / Loads
+			o.BytesPerSecond = v.BytesPerSecond / MaxLoads
 			seconds := float64(v.Sizes[to.pool.Model]) / float64(max(1, o.BytesPerSecond))
-			o.Takes = time.Duration(seconds * float64(time.Second))
+			o.LoadTime = time.Duration(seconds * float64(time.Second))
 		}
 		orders = append(orders, o)
 	}
@@ -213,24 +213,24 @@
 }
 
 func (p *Planner) needs(now time.Time, s state) bool {
-	if p.Tempo.Even > 0 && len(s.engines) > 0 {
+	if p.Timing.BalanceMargin > 0 && len(s.engines) > 0 {
 		return false // its pools are evened out at any load
 	}
 	since, above := p.above[s.pool]
-	if !above || s.pool.Role == work.RoleApp || s.changing > 0 || !p.settled(now, s.pool) {
+	if !above || s.pool.Role == domain.RoleApp || s.changing > 0 || !p.settled(now, s.pool) {
 		return false
 	}
 	// A pool without any engine refuses all that is asked of it: no Hold.
-	return len(s.engines) == 0 || now.Sub(since) >= p.Tempo.orDefaults().Hold
+	return len(s.engines) == 0 || now.Sub(since) >= p.Timing.orDefaults().Hold
 }
 
 func (p *Planner) giver(now time.Time, v View, states []state, need state) (state, bool) {
 	var best state
 	found := false
 	for _, s := range states {
-		canGive := s.pool != need.pool && s.pool.Role != work.RoleApp && s.changing == 0 &&
-			len(s.engines) > MinReplicas && s.without(1) < Low && p.settled(now, s.pool)
-		if !canGive || s.pool.Model != need.pool.Model && loading(v) >= Loads {
+		canGive := s.pool != need.pool && s.pool.Role != domain.RoleApp && s.changing == 0 &&
+			len(s.engines) > MinReplicas && s.without(1) < LowWatermark && p.settled(now, s.pool)
+		if !canGive || s.pool.Model != need.pool.Model && loading(v) >= MaxLoads {
 			continue
 		}
 		if !found || better(s, best, need) {
@@ -267,14 +267,14 @@
 // store has shares left. They come from the zone where the giver has most, so
 // that both pools stay spread over the zones.
 func (p *Planner) pick(v View, to, from state) []Engine {
-	most := max(1, int(Step*float64(len(from.engines))))
+	most := max(1, int(MaxStep*float64(len(from.engines))))
 	if from.pool.Model != to.pool.Model {
-		most = min(most, Loads-loading(v))
+		most = min(most, MaxLoads-loading(v))
 	}
 	left := slices.Clone(from.engines)
 	var picked []Engine
-	for len(picked) < most && len(left) > MinReplicas && to.pressure(len(picked)) > High &&
-		from.without(len(picked)+1) < Low {
+	for len(picked) < most && len(left) > MinReplicas && to.pressure(len(picked)) > HighWatermark &&
+		from.without(len(picked)+1) < LowWatermark {
 		i := mostCrowded(left, append(slices.Clone(to.engines), picked...))
 		picked = append(picked, left[i])
 		left = slices.Delete(left, i, i+1)
@@ -299,7 +299,7 @@
 	return best
 }
 
-func inZone(engines []Engine, z work.Zone) int {
+func inZone(engines []Engine, z domain.Zone) int {
 	n := 0
 	for _, e := range engines {
 		if e.Zone == z {
--- a/place/place_test.go
+++ b/roles/roles_test.go
@@ -1,4 +1,4 @@
-package place
+package roles
 
 import (
 	"fmt"
@@ -10,19 +10,19 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
+	"jacinthworks/domain"
 	"jacinthworks/fence"
 	"jacinthworks/test/seeded"
-	"jacinthworks/work"
 )
 
 func TestMain(m *testing.M) { seeded.Main(m) }
 
 var (
 	start   = time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC)
-	prefill = Pool{"appraiser-lm", work.RolePrefill}
-	decode  = Pool{"appraiser-lm", work.RoleDecode}
-	other   = Pool{"notes-lm", work.RoleDecode}
-	zones   = []work.Zone{"salt-lake", "new-town", "howrah"}
+	prefill = Pool{"appraiser-lm", domain.RolePrefill}
+	decode  = Pool{"appraiser-lm", domain.RoleDecode}
+	other   = Pool{"notes-lm", domain.RoleDecode}
+	zones   = []domain.Zone{"salt-lake", "new-town", "howrah"}
 )
 
 // changeTime is how long an engine is out of service in the simulations.
@@ -31,14 +31,14 @@
 func fleet(pools ...Pool) []Engine {
 	engines := make([]Engine, len(pools))
 	for i, p := range pools {
-		engines[i] = Engine{Host: work.Host(fmt.Sprintf("engine-%03d", i)), Zone: zones[i%3], Pool: p}
+		engines[i] = Engine{Host: domain.Host(fmt.Sprintf("engine-%03d", i)), Zone: zones[i%3], Pool: p}
 	}
 	return engines
 }
 
-func numbers() func(time.Time) (fence.Number, error) {
-	var n fence.Number
-	return func(time.Time) (fence.Number, error) { n++; return n, nil }
+func numbers() func(time.Time) (fence.Token, error) {
+	var n fence.Token
+	return func(time.Time) (fence.Token, error) { n++; return n, nil }
 }
 
 // naivePlan follows the load at once: it moves an engine whenever that evens
@@ -198,7 +198,7 @@
 func TestWithoutTheLeaseThereAreNoOrders(t *testing.T) {
 	var p Planner
 	v := View{Engines: fleet(prefill, decode, decode, decode), Demand: map[Pool]float64{prefill: 2, decode: 0.5}}
-	refuse := func(time.Time) (fence.Number, error) { return 0, errors.WithStack(fence.ErrNotHolder) }
+	refuse := func(time.Time) (fence.Token, error) { return 0, errors.WithStack(fence.ErrNotHolder) }
 	for i := range 100 {
 		require.Empty(t, p.Plan(start.Add(time.Duration(i)*time.Second), v, refuse))
 	}
@@ -214,21 +214,21 @@
 	}
 	v := View{
 		Engines: fleet(pools...), Demand: map[Pool]float64{decode: 20, other: 8},
-		BytesPerSecond: 1 << 30, Sizes: map[work.Service]int64{"notes-lm": 30 << 30},
+		BytesPerSecond: 1 << 30, Sizes: map[domain.Service]int64{"notes-lm": 30 << 30},
 	}
 	var p Planner
 	orders := p.Plan(start, v, numbers())
-	require.Len(t, orders, Loads, "an empty pool does not wait for Hold")
+	require.Len(t, orders, MaxLoads, "an empty pool does not wait for Hold")
 	for _, o := range orders {
 		require.Equal(t, int64(1<<29), o.BytesPerSecond)
-		require.Equal(t, time.Minute, o.Takes)
+		require.Equal(t, time.Minute, o.LoadTime)
 	}
 	require.NotEqual(t, orders[0].Host, orders[1].Host)
 	require.Greater(t, orders[1].Fence, orders[0].Fence)
 	for i := range v.Engines[:2] {
 		v.Engines[i].Pool, v.Engines[i].Changing, v.Engines[i].Loading, v.Engines[i].Since = other, true, true, start
 	}
-	third := Pool{"third-lm", work.RoleDecode}
+	third := Pool{"third-lm", domain.RoleDecode}
 	v.Demand[third] = 1
 	for i := range 500 {
 		require.Empty(t, p.Plan(start.Add(time.Duration(i)*time.Second), v, numbers()), "while two load")
@@ -285,9 +285,9 @@
 	allowed := make(map[[2]Pool]bool)
 	for _, to := range []Pool{prefill, decode, other} {
 		for _, from := range []Pool{prefill, decode, other} {
-			needs := v.Demand[to] > High*count[to] && v.Demand[to] > 0
-			spares := count[from] > MinReplicas && v.Demand[from] < Low*(count[from]-1)
-			room := to.Model == from.Model || loads < Loads
+			needs := v.Demand[to] > HighWatermark*count[to] && v.Demand[to] > 0
+			spares := count[from] > MinReplicas && v.Demand[from] < LowWatermark*(count[from]-1)
+			room := to.Model == from.Model || loads < MaxLoads
 			if to != from && !changing[to] && !changing[from] && needs && spares && room {
 				allowed[[2]Pool{from, to}] = true
 			}
--- a/place/state.go
+++ b/roles/state.go
@@ -1,4 +1,4 @@
-package place
+package roles
 
 import (
 	"cmp"
@@ -48,9 +48,9 @@
 			p.demand[pool] = d
 		}
 	}
-	t := p.Tempo.orDefaults()
+	t := p.Timing.orDefaults()
 	passed := now.Sub(p.last)
-	rise, fall := part(passed, t.Smooth), part(passed, t.Fall)
+	rise, fall := part(passed, t.SmoothingTime), part(passed, t.DecayTime)
 	// Guard: until Smooth has passed, the plain mean of all samples. An
 	// exponential mean that starts from one sample would believe it for
 	// longer than Hold, and a burst at the start would move an engine.
@@ -86,7 +86,7 @@
 		switch {
 		case !e.Changing:
 			s.engines = append(s.engines, e)
-		case now.Sub(e.Since) < Stuck:
+		case now.Sub(e.Since) < ChangeTimeout:
 			s.changing++
 		}
 	}
@@ -103,7 +103,7 @@
 // watch notes since when each pool is over High.
 func (p *Planner) watch(now time.Time, states []state) {
 	for _, s := range states {
-		if s.pressure(0) <= High {
+		if s.pressure(0) <= HighWatermark {
 			delete(p.above, s.pool)
 			continue
 		}
@@ -121,8 +121,8 @@
 // soon therefore doubles the rest, until changes are too rare to cost much.
 func (p *Planner) note(now time.Time, pool Pool, gained bool) {
 	last, moved := p.moved[pool]
-	cooldown := p.Tempo.orDefaults().Cooldown
-	within := time.Duration(Swing * float64(last.cooldown))
+	cooldown := p.Timing.orDefaults().Cooldown
+	within := time.Duration(ReversalFactor * float64(last.cooldown))
 	if moved && last.gained != gained && now.Sub(last.at) <= within {
 		cooldown = min(2*last.cooldown, CooldownMax)
 	}
--- a/roster/access.go
+++ b/roster/access.go
@@ -2,55 +2,55 @@
 
 import "time"
 
-// Bar is why an upstream is to be sent nothing new.
-type Bar string
+// ExclusionReason is why an upstream is to be sent nothing new.
+type ExclusionReason string
 
 // The bars.
 const (
-	// BarGone is of one that has left the directory.
-	BarGone Bar = "gone"
-	// BarDraining is of one that is on its way out as the registry has it, BarLeaving of
+	// ExcludedRemoved is of one that has left the directory.
+	ExcludedRemoved ExclusionReason = "gone"
+	// ExcludedDraining is of one that is on its way out as the registry has it, ExcludedLeaving of
 	// one that says so itself.
-	BarDraining Bar = "draining"
-	BarLeaving  Bar = "leaving"
-	// BarBackoff is of one that wants nothing of this process for a time.
-	BarBackoff Bar = "backoff"
+	ExcludedDraining ExclusionReason = "draining"
+	ExcludedLeaving  ExclusionReason = "leaving"
+	// ExcludedBackoff is of one that wants nothing of this process for a time.
+	ExcludedBackoff ExclusionReason = "backoff"
 )
 
-// Access says whether an upstream may be sent something new.
-type Access struct {
-	// Bar is why not; empty where it may.
-	Bar Bar
-	// Left is how long the bar lasts yet; zero where no time ends it.
-	Left time.Duration
+// Eligibility says whether an upstream may be sent something new.
+type Eligibility struct {
+	// Reason is why not; empty where it may.
+	Reason ExclusionReason
+	// Remaining is how long the bar lasts yet; zero where no time ends it.
+	Remaining time.Duration
 }
 
-// Open says that it may.
-func (a Access) Open() bool { return a.Bar == "" }
+// Eligible says that it may.
+func (a Eligibility) Eligible() bool { return a.Reason == "" }
 
-// Access says whether the upstream may be sent something new, by the registry's word and
+// Eligibility says whether the upstream may be sent something new, by the registry's word and
 // its own. Ask at the choice of an upstream, and again just before the send: an answer to
 // another request may have come between.
-func (u *Upstream) Access(now time.Time) Access {
+func (u *Upstream) Eligibility(now time.Time) Eligibility {
 	u.mu.Lock()
 	gone, draining := u.gone, u.server.Draining
 	u.mu.Unlock()
 	switch {
 	case gone:
-		return Access{Bar: BarGone}
+		return Eligibility{Reason: ExcludedRemoved}
 	case draining:
-		return Access{Bar: BarDraining}
+		return Eligibility{Reason: ExcludedDraining}
 	}
-	return u.Seen.access(now)
+	return u.Stats.access(now)
 }
 
 // access says whether one that has said so much may be sent something new.
-func (s *Stated) access(now time.Time) Access {
-	if !s.Leaving.IsZero() {
-		return Access{Bar: BarLeaving}
+func (s *Announcement) access(now time.Time) Eligibility {
+	if !s.LeavingSince.IsZero() {
+		return Eligibility{Reason: ExcludedLeaving}
 	}
-	if left := s.Paused(now); left > 0 {
-		return Access{Bar: BarBackoff, Left: left}
+	if left := s.BackoffLeft(now); left > 0 {
+		return Eligibility{Reason: ExcludedBackoff, Remaining: left}
 	}
-	return Access{}
+	return Eligibility{}
 }
--- a/roster/access_test.go
+++ b/roster/access_test.go
@@ -23,7 +23,7 @@
 type model struct {
 	r    Roster
 	now  time.Time
-	said map[Key]told
+	said map[InstanceKey]told
 	// entries are the registry's as this process last heard of them, held all upstreams
 	// that requests may still have.
 	entries map[ID]Server
@@ -34,7 +34,7 @@
 }
 
 func newModel() *model {
-	m := &model{now: time.Now(), said: make(map[Key]told), entries: make(map[ID]Server)}
+	m := &model{now: time.Now(), said: make(map[InstanceKey]told), entries: make(map[ID]Server)}
 	m.born = m.now.Truncate(time.Millisecond)
 	m.r.Log = hclog.NewNullLogger()
 	return m
@@ -53,20 +53,20 @@
 	}
 	e.Draining = rapid.Bool().Draw(t, "draining")
 	m.entries[id] = e
-	m.r.Changed(m.now, []feed.Change[Server]{{Item: feed.Item[Server]{Name: string(id), Value: e}}})
-	m.held = append(m.held, m.r.Member(id))
+	m.r.Apply(m.now, []feed.Change[Server]{{Item: feed.Item[Server]{Name: string(id), Value: e}}})
+	m.held = append(m.held, m.r.Upstream(id))
 }
 
 // lapse has the registry drop an upstream, which may go on serving.
 func (m *model) lapse(t *rapid.T) {
 	id := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "id")
-	m.r.Changed(m.now, gone(id))
+	m.r.Apply(m.now, gone(id))
 }
 
 // back has the registry speak again of what it dropped, as it was.
 func (m *model) back(*rapid.T) {
 	for id, e := range m.entries {
-		m.r.Changed(m.now, []feed.Change[Server]{{Item: feed.Item[Server]{Name: string(id), Value: e}}})
+		m.r.Apply(m.now, []feed.Change[Server]{{Item: feed.Item[Server]{Name: string(id), Value: e}}})
 	}
 }
 
@@ -76,8 +76,8 @@
 		return
 	}
 	e := rapid.SampledFrom(m.earlier).Draw(t, "earlier")
-	if m.r.Member(e.ID) != nil {
-		m.r.Changed(m.now, []feed.Change[Server]{{Item: feed.Item[Server]{Name: string(e.ID), Value: e}}})
+	if m.r.Upstream(e.ID) != nil {
+		m.r.Apply(m.now, []feed.Change[Server]{{Item: feed.Item[Server]{Name: string(e.ID), Value: e}}})
 	}
 }
 
@@ -91,16 +91,16 @@
 	s := m.said[key]
 	switch rapid.IntRange(0, 3).Draw(t, "says") {
 	case 0:
-		u.Seen.Leave(m.now)
+		u.Stats.MarkLeaving(m.now)
 		s.leaving = true
 	case 1:
 		pause := time.Duration(rapid.IntRange(-1000, 4000).Draw(t, "pause")) * time.Millisecond
-		u.Seen.BackOff(m.now, pause)
+		u.Stats.BackOff(m.now, pause)
 		if until := m.now.Add(pause); pause > 0 && until.After(s.until) {
 			s.until = until
 		}
 	default: // nothing, which ends nothing
-		u.Seen.Answered(m.now, time.Millisecond, 1)
+		u.Stats.RecordSuccess(m.now, time.Millisecond, 1)
 	}
 	m.said[key] = s
 }
@@ -112,7 +112,7 @@
 // check holds each member's access against the model.
 func (m *model) check(t *rapid.T) {
 	for id := range m.entries {
-		u := m.r.Member(id)
+		u := m.r.Upstream(id)
 		if u == nil {
 			continue
 		}
@@ -120,22 +120,22 @@
 		if !server.Same(m.entries[id].Start) {
 			t.Fatalf("%s is of an earlier start", id)
 		}
-		s, got := m.said[server.Key()], u.Access(m.now)
-		want := Access{}
+		s, got := m.said[server.Key()], u.Eligibility(m.now)
+		want := Eligibility{}
 		switch {
 		case server.Draining:
-			want.Bar = BarDraining
+			want.Reason = ExcludedDraining
 		case s.leaving:
-			want.Bar = BarLeaving
+			want.Reason = ExcludedLeaving
 		case s.until.After(m.now):
-			want = Access{Bar: BarBackoff, Left: s.until.Sub(m.now)}
+			want = Eligibility{Reason: ExcludedBackoff, Remaining: s.until.Sub(m.now)}
 		}
 		if got != want {
 			t.Fatalf("%s: %+v, not %+v", id, got, want)
 		}
 	}
 	for _, u := range m.held {
-		if m.r.Member(u.Server().ID) != u && u.Access(m.now).Open() {
+		if m.r.Upstream(u.Server().ID) != u && u.Eligibility(m.now).Eligible() {
 			t.Fatalf("%s has left the directory and is open", u.Server().ID)
 		}
 	}
@@ -155,8 +155,8 @@
 // Guards against a question that costs more than what it saves at a large pool.
 func TestAccessAllocatesNothing(t *testing.T) {
 	r := pool(1)
-	u, now := r.Of("cards")[0], time.Now()
-	require.Zero(t, testing.AllocsPerRun(100, func() { u.Access(now) }))
+	u, now := r.Upstreams("cards")[0], time.Now()
+	require.Zero(t, testing.AllocsPerRun(100, func() { u.Eligibility(now) }))
 }
 
 func pool(n int) *Roster {
@@ -165,17 +165,17 @@
 	for i := range n {
 		all = append(all, item(fmt.Sprint("i-", i), false))
 	}
-	r.Listed(time.Now(), all)
+	r.SetAll(time.Now(), all)
 	return r
 }
 
 // BenchmarkAccess measures the question at each of 640 upstreams; ns/op is that of all.
 func BenchmarkAccess(b *testing.B) {
-	all, now := pool(640).Of("cards"), time.Now()
+	all, now := pool(640).Upstreams("cards"), time.Now()
 	b.ReportAllocs()
 	for b.Loop() {
 		for _, u := range all {
-			u.Access(now)
+			u.Eligibility(now)
 		}
 	}
 }
--- a/roster/copy.go
+++ b/roster/copy.go
@@ -24,9 +24,9 @@
 	doubtedFor = 5 * time.Second
 )
 
-// Rewound notes that the registry has come back from an older copy, of which a list
+// RegistryRestored notes that the registry has come back from an older copy, of which a list
 // follows. What it lacks may have come since, as after an outage.
-func (r *Roster) Rewound(now time.Time) {
+func (r *Roster) RegistryRestored(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.away, r.returned, r.rewound = false, now, true
@@ -38,7 +38,7 @@
 // again, until they are gone for the registry a second time. What an upstream has said
 // of its leaving holds until it writes its entry anew.
 func (r *Roster) corrected(now time.Time, i feed.Item[Server]) feed.Item[Server] {
-	if i.Unread != nil || i.Value.Draining {
+	if i.DecodeErr != nil || i.Value.Draining {
 		return i
 	}
 	u := r.members[i.Value.ID]
@@ -63,7 +63,7 @@
 // gone remembers a start that has left.
 func (r *Roster) gone(now time.Time, u *Upstream) {
 	if r.past == nil {
-		r.past = make(map[Key]departed)
+		r.past = make(map[InstanceKey]departed)
 	}
 	for k, d := range r.past {
 		if now.Sub(d.at) >= pastFor {
--- a/roster/copy_test.go
+++ b/roster/copy_test.go
@@ -16,7 +16,7 @@
 
 func draining(r *Roster) map[ID]bool {
 	all := make(map[ID]bool)
-	for _, u := range r.Of("cards") {
+	for _, u := range r.Upstreams("cards") {
 		all[u.Server().ID] = u.Server().Draining
 	}
 	return all
@@ -27,16 +27,16 @@
 func TestAnOlderCopyOfTheRegistry(t *testing.T) {
 	r := Roster{Log: hclog.NewNullLogger()}
 	now := time.Now().Add(-doubtedFor - time.Second)
-	r.Listed(now, []feed.Item[Server]{entryOf("stays", false), entryOf("leaves", false), entryOf("left", false), entryOf("new", false)})
-	r.Changed(now, []feed.Change[Server]{{Item: entryOf("leaves", true)}, {Item: entryOf("left", true)}, {Item: entryOf("left", true), Gone: true}})
+	r.SetAll(now, []feed.Item[Server]{entryOf("stays", false), entryOf("leaves", false), entryOf("left", false), entryOf("new", false)})
+	r.Apply(now, []feed.Change[Server]{{Item: entryOf("leaves", true)}, {Item: entryOf("left", true)}, {Item: entryOf("left", true), Deleted: true}})
 
 	copied := time.Now()
-	r.Rewound(copied)
-	r.Listed(copied, []feed.Item[Server]{entryOf("stays", false), entryOf("leaves", false), entryOf("left", false)})
+	r.RegistryRestored(copied)
+	r.SetAll(copied, []feed.Item[Server]{entryOf("stays", false), entryOf("leaves", false), entryOf("left", false)})
 	require.Equal(t, map[ID]bool{"stays": false, "leaves": true, "left": true, "new": false}, draining(&r))
 
 	// What an upstream writes anew counts, and so does what has stood for long enough.
-	r.Changed(copied, []feed.Change[Server]{{Item: entryOf("leaves", false)}})
+	r.Apply(copied, []feed.Change[Server]{{Item: entryOf("leaves", false)}})
 	require.False(t, draining(&r)["leaves"])
 	r.mu.Lock()
 	r.believe(copied.Add(doubtedFor + time.Second))
@@ -46,9 +46,9 @@
 
 	// What is still missing after the grace is gone; later lists are believed as they are.
 	r.mu.Lock()
-	r.expire(copied.Add(Grace + time.Second))
+	r.expire(copied.Add(ReregisterGrace + time.Second))
 	r.mu.Unlock()
 	require.NotContains(t, draining(&r), ID("new"))
-	r.Listed(time.Now(), []feed.Item[Server]{entryOf("new", false)})
+	r.SetAll(time.Now(), []feed.Item[Server]{entryOf("new", false)})
 	require.False(t, draining(&r)["new"])
 }
--- a/roster/roster.go
+++ b/roster/roster.go
@@ -26,15 +26,15 @@
 
 	"github.com/hashicorp/go-hclog"
 
+	"jacinthworks/domain"
 	"jacinthworks/feed"
 	"jacinthworks/send"
-	"jacinthworks/work"
 )
 
-// Grace is how long after the registry's return a member that it dropped is
+// ReregisterGrace is how long after the registry's return a member that it dropped is
 // kept. Members register anew within about two seconds of the return; one that
 // is still missing then is gone.
-const Grace = 2 * time.Second
+const ReregisterGrace = 2 * time.Second
 
 // The timeouts of connections to upstreams. A dial takes under 2 ms between
 // availability zones; 250 ms leave time for another upstream within a target
@@ -50,23 +50,23 @@
 // Server is what the registry says of an upstream.
 type Server struct {
 	Start
-	Service work.Service
+	Service domain.Service
 	Addr    netip.AddrPort
-	Zone    work.Zone
+	Zone    domain.Zone
 	// Slots is how many requests it serves at once.
 	Slots int
 	// Draining members end what they have and get nothing new.
 	Draining bool
 	// Role is that of a model engine; empty for a plain server.
-	Role work.Role
+	Role domain.Role
 }
 
 // Upstream is a member of the directory.
 type Upstream struct {
 	// Client sends to it.
 	Client *send.Client
-	// Seen is what this process knows of it by its answers.
-	Seen Seen
+	// Stats is what this process knows of it by its answers.
+	Stats Stats
 
 	mu     sync.Mutex // a leaf
 	server Server
@@ -74,7 +74,7 @@
 	gone   bool
 	// next is the role that it is changing to, and from when it should have it; empty for
 	// none.
-	next   work.Role
+	next   domain.Role
 	nextAt time.Time
 	// restarted says that a later start has taken its place.
 	restarted bool
@@ -86,30 +86,30 @@
 	defer u.mu.Unlock()
 	if u.next != "" && !time.Now().Before(u.nextAt) {
 		u.server.Role, u.next = u.next, ""
-		u.Seen.Back()
+		u.Stats.RoleChanged()
 	}
 	return u.server
 }
 
-// Becomes notes that it has taken an order to change its role, which is done by a time.
+// ExpectRole notes that it has taken an order to change its role, which is done by a time.
 //
 // Failure: an engine changes its role while the registry is away, which does not tell. Each
 // process takes it for one of its former role, and is turned away by each of them.
-func (u *Upstream) Becomes(role work.Role, at time.Time) {
+func (u *Upstream) ExpectRole(role domain.Role, at time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.next, u.nextAt = role, at
 }
 
-// Age is how long ago the registry last spoke of it.
-func (u *Upstream) Age(now time.Time) time.Duration {
+// EntryAge is how long ago the registry last spoke of it.
+func (u *Upstream) EntryAge(now time.Time) time.Duration {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return now.Sub(u.heard)
 }
 
-// Gone says that it has left the directory; what it does is of no interest.
-func (u *Upstream) Gone() bool {
+// Removed says that it has left the directory; what it does is of no interest.
+func (u *Upstream) Removed() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.gone
@@ -130,7 +130,7 @@
 	mu      sync.Mutex
 	members map[ID]*Upstream
 	// pools is made anew on each change and never written to.
-	pools map[work.Service][]*Upstream
+	pools map[domain.Service][]*Upstream
 	// lapsed are members that the registry dropped around an outage, and when
 	// they are gone unless it speaks of them again.
 	lapsed   map[ID]time.Time
@@ -140,45 +140,45 @@
 	// rewound says that the next list is of an older copy of the registry.
 	rewound bool
 	// past are starts that are gone.
-	past map[Key]departed
+	past map[InstanceKey]departed
 	// doubted are entries of an older copy that were corrected, until they are written
 	// anew or have stood long enough.
 	doubted map[ID]doubt
 }
 
-// Known says whether the registry was ever read.
-func (r *Roster) Known() bool {
+// Loaded says whether the registry was ever read.
+func (r *Roster) Loaded() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.known
 }
 
-// Of gives the members of a service, those on their way out included. The
+// Upstreams gives the members of a service, those on their way out included. The
 // caller must not change the slice.
-func (r *Roster) Of(s work.Service) []*Upstream {
+func (r *Roster) Upstreams(s domain.Service) []*Upstream {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.expire(time.Now())
 	return r.pools[s]
 }
 
-// Member gives the upstream of an id; nil for none.
-func (r *Roster) Member(id ID) *Upstream {
+// Upstream gives the upstream of an id; nil for none.
+func (r *Roster) Upstream(id ID) *Upstream {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.members[id]
 }
 
-// Started gives the upstream of a start; nil where it has ended.
-func (r *Roster) Started(s Start) *Upstream {
-	if u := r.Member(s.ID); u != nil && u.Server().Same(s) {
+// ByInstance gives the upstream of a start; nil where it has ended.
+func (r *Roster) ByInstance(s Start) *Upstream {
+	if u := r.Upstream(s.ID); u != nil && u.Server().Same(s) {
 		return u
 	}
 	return nil
 }
 
-// Listed takes the whole registry.
-func (r *Roster) Listed(now time.Time, all []feed.Item[Server]) {
+// SetAll takes the whole registry.
+func (r *Roster) SetAll(now time.Time, all []feed.Item[Server]) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.known = true
@@ -199,12 +199,12 @@
 	r.rebuild()
 }
 
-// Changed takes changes of the registry.
-func (r *Roster) Changed(now time.Time, changes []feed.Change[Server]) {
+// Apply takes changes of the registry.
+func (r *Roster) Apply(now time.Time, changes []feed.Change[Server]) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, c := range changes {
-		if c.Gone {
+		if c.Deleted {
 			r.dropped(now, ID(c.Name))
 			continue
 		}
@@ -221,7 +221,7 @@
 // be read names no upstream to use; one that lives writes its own again within a
 // heartbeat.
 func (r *Roster) take(now time.Time, i feed.Item[Server]) {
-	if i.Unread == nil {
+	if i.DecodeErr == nil {
 		r.put(now, i.Value)
 		return
 	}
@@ -230,15 +230,15 @@
 	}
 }
 
-// Lost notes that the registry does not answer.
-func (r *Roster) Lost(time.Time) {
+// RegistryLost notes that the registry does not answer.
+func (r *Roster) RegistryLost(time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.away = true
 }
 
-// Regained notes that it answers again.
-func (r *Roster) Regained(now time.Time) {
+// RegistryRecovered notes that it answers again.
+func (r *Roster) RegistryRecovered(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.away, r.returned = false, now
@@ -262,7 +262,7 @@
 	if u == nil {
 		back := r.back(s)
 		if u = back; u == nil {
-			u = &Upstream{Client: &send.Client{Base: s.Addr, DialTimeout: dialTimeout, UserTimeout: userTimeout, Keep: keepUnstated}}
+			u = &Upstream{Client: &send.Client{Base: s.Addr, DialTimeout: dialTimeout, UserTimeout: userTimeout, IdleTimeout: keepUnstated}}
 		}
 		r.members[s.ID] = u
 		r.Log.Info("upstream known", "again", back != nil, "upstream", s.ID, "service", s.Service, "addr", s.Addr, "zone", s.Zone, "role", s.Role, "slots", s.Slots, "draining", s.Draining, "born", s.Born)
@@ -275,7 +275,7 @@
 	}
 	u.mu.Unlock()
 	if old.ID != "" && old.Role != s.Role {
-		u.Seen.Back()
+		u.Stats.RoleChanged()
 	}
 	if old.ID != "" && (old.Draining != s.Draining || old.Role != s.Role) {
 		r.Log.Info("upstream changed", "upstream", s.ID, "service", s.Service, "draining", s.Draining, "role", s.Role)
@@ -293,7 +293,7 @@
 	u.restarted = true
 	u.mu.Unlock()
 	r.remove(u.Server().ID, "started anew")
-	u.Client.Abandon()
+	u.Client.CloseAll()
 }
 
 // dropped handles a member that the registry does not name any more.
@@ -301,7 +301,7 @@
 	if r.members[id] == nil {
 		return
 	}
-	until := r.returned.Add(Grace)
+	until := r.returned.Add(ReregisterGrace)
 	if !r.returned.IsZero() && now.Before(until) && !r.members[id].Server().Draining {
 		if _, lapsed := r.lapsed[id]; !lapsed {
 			r.lapsed[id] = until
@@ -318,7 +318,7 @@
 	u.gone = true
 	s := u.server
 	u.mu.Unlock()
-	u.Client.Forget()
+	u.Client.CloseIdleConnections()
 	r.gone(time.Now(), u)
 	delete(r.members, id)
 	delete(r.lapsed, id)
@@ -326,9 +326,9 @@
 	r.Log.Info("upstream gone", "upstream", id, "service", s.Service, "addr", s.Addr, "why", why)
 }
 
-// Misdirected notes that another start answers at the member's address: this
+// InstanceReplaced notes that another start answers at the member's address: this
 // one has ended, whatever the registry says.
-func (r *Roster) Misdirected(u *Upstream) {
+func (r *Roster) InstanceReplaced(u *Upstream) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	id := u.Server().ID
@@ -356,7 +356,7 @@
 }
 
 func (r *Roster) rebuild() {
-	r.pools = make(map[work.Service][]*Upstream)
+	r.pools = make(map[domain.Service][]*Upstream)
 	for _, u := range r.members {
 		s := u.Server().Service
 		r.pools[s] = append(r.pools[s], u)
--- a/roster/seen.go
+++ b/roster/seen.go
@@ -29,9 +29,9 @@
 	failPrior = 1.5
 )
 
-// Seen is what this process knows of an upstream by its answers. The zero
+// Stats is what this process knows of an upstream by its answers. The zero
 // value knows nothing. It is safe for concurrent use; its lock is a leaf.
-type Seen struct {
+type Stats struct {
 	mu sync.Mutex
 	// running counts what this process has there, tokens its memory, queued
 	// the prompt tokens that it has yet to read.
@@ -58,39 +58,39 @@
 	// reads is when the prompts that it was given to read here will be read.
 	reads time.Time
 	// limit is the rate limit that it states.
-	limit pacer.Belief
+	limit pacer.LimitState
 	// paused keeps work away until its rate limit allows some.
 	paused time.Time
 	// stated is what it has said of itself beside.
-	stated Stated
+	stated Announcement
 }
 
-// Work is what one request takes of an upstream.
-type Work struct {
-	// Tokens is the memory it needs, Prompt the tokens to be read.
-	Tokens, Prompt int
+// Cost is what one request takes of an upstream.
+type Cost struct {
+	// MemoryTokens is the memory it needs, Prompt the tokens to be read.
+	MemoryTokens, PromptTokens int
 }
 
-// Begin counts a request that is sent.
-func (s *Seen) Begin(w Work) {
+// RequestStarted counts a request that is sent.
+func (s *Stats) RequestStarted(w Cost) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.running++
-	s.tokens += w.Tokens
-	s.queued += w.Prompt
+	s.tokens += w.MemoryTokens
+	s.queued += w.PromptTokens
 }
 
-// End counts one that is over.
-func (s *Seen) End(w Work) {
+// RequestEnded counts one that is over.
+func (s *Stats) RequestEnded(w Cost) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.running--
-	s.tokens -= w.Tokens
-	s.queued -= w.Prompt
+	s.tokens -= w.MemoryTokens
+	s.queued -= w.PromptTokens
 }
 
-// Answered notes an answer that came after the given time for so many units.
-func (s *Seen) Answered(now time.Time, took time.Duration, units int) {
+// RecordSuccess notes an answer that came after the given time for so many units.
+func (s *Stats) RecordSuccess(now time.Time, took time.Duration, units int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.decay(now)
@@ -104,16 +104,16 @@
 	s.speed = time.Duration(speedKeep*float64(s.speed) + (1-speedKeep)*float64(each))
 }
 
-// Failed notes a request that it failed.
-func (s *Seen) Failed(now time.Time) {
+// RecordFailure notes a request that it failed.
+func (s *Stats) RecordFailure(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.decay(now)
 	s.fails++
 }
 
-// Full notes that it said that it has no room, and keeps work away until then.
-func (s *Seen) Full(until time.Time) {
+// HoldOff notes that it said that it has no room, and keeps work away until then.
+func (s *Stats) HoldOff(until time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if until.After(s.holdUntil) {
@@ -128,7 +128,7 @@
 	refusedLongest = 8 * time.Second
 )
 
-// Refused notes that it refused a request for which it had held room, or one
+// RecordRefusal notes that it refused a request for which it had held room, or one
 // that needs none, as a prefill.
 //
 // Failure: an engine changes its role, which takes seconds; it holds room
@@ -136,7 +136,7 @@
 // change when it is done. It shows as prompts read in vain, one after the
 // other. Keeping away longer each time costs little where the refusal was a
 // single one.
-func (s *Seen) Refused(now time.Time) {
+func (s *Stats) RecordRefusal(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.decay(now)
@@ -153,12 +153,12 @@
 	untakenLongest = time.Second
 )
 
-// NotTaken notes that it took no connection.
+// RecordDialFailure notes that it took no connection.
 //
 // Failure: an upstream crashed, and its entry lives on for seconds. It shows as
 // one refused connection for each request, and as prompts of which both tries met
 // the same dead engines. It is tried again soon, by one request.
-func (s *Seen) NotTaken(now time.Time) {
+func (s *Stats) RecordDialFailure(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	until := now.Add(min(untakenFirst<<min(s.untaken, 10), untakenLongest))
@@ -168,9 +168,9 @@
 	s.untaken++
 }
 
-// Read notes that it is given a prompt to read that takes so long, and gives the
+// QueuePrefill notes that it is given a prompt to read that takes so long, and gives the
 // wait, up to the longest, until those before are read.
-func (s *Seen) Read(now time.Time, took, longest time.Duration) time.Duration {
+func (s *Stats) QueuePrefill(now time.Time, took, longest time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	wait := min(max(0, s.reads.Sub(now)), longest)
@@ -178,16 +178,16 @@
 	return wait
 }
 
-// Away keeps work away until then: it is known to take none.
-func (s *Seen) Away(until time.Time) {
+// SuspendUntil keeps work away until then: it is known to take none.
+func (s *Stats) SuspendUntil(until time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.away = until
 }
 
-// Order says whether an order to change the role, by its fencing number, is newer
+// AcceptOrder says whether an order to change the role, by its fencing number, is newer
 // than all that were known of.
-func (s *Seen) Order(number uint64) bool {
+func (s *Stats) AcceptOrder(number uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if number <= s.order {
@@ -197,112 +197,112 @@
 	return true
 }
 
-// Back notes that it has changed its role: what was known of its speed and of
+// RoleChanged notes that it has changed its role: what was known of its speed and of
 // its refusals was that of the other one.
-func (s *Seen) Back() {
+func (s *Stats) RoleChanged() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.away, s.holdUntil, s.refused, s.refusals, s.speed = time.Time{}, time.Time{}, 0, 0, 0
 }
 
-// Reported notes the load that an answer told of: all requests there, running
+// RecordLoad notes the load that an answer told of: all requests there, running
 // or waiting, of which this process knows its own.
-func (s *Seen) Reported(now time.Time, all int) {
+func (s *Stats) RecordLoad(now time.Time, all int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.others = max(0, float64(all-s.running))
 	s.reportedAt = now
 }
 
-// Limit takes what an answer said of its rate limit, and gives the rate that was
+// ObserveRateLimit takes what an answer said of its rate limit, and gives the rate that was
 // believed before and the one that is now.
-func (s *Seen) Limit(st pacer.Statement) (before, now pacer.Rate) {
+func (s *Stats) ObserveRateLimit(st pacer.Observation) (before, now pacer.Rate) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	before = s.limit.Rate()
-	if s.limit.Learn(st) {
+	if s.limit.Observe(st) {
 		s.paused = time.Time{}
 	}
 	return before, s.limit.Rate()
 }
 
-// LimitSaid gives what the belief of its rate limit rests on.
-func (s *Seen) LimitSaid() pacer.Statement {
+// RateLimitObservation gives what the belief of its rate limit rests on.
+func (s *Stats) RateLimitObservation() pacer.Observation {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.limit.Statement()
+	return s.limit.Observation()
 }
 
-// Pause keeps work away until then, since its rate limit allows none before.
-func (s *Seen) Pause(until time.Time) {
+// SetRateLimitWait keeps work away until then, since its rate limit allows none before.
+func (s *Stats) SetRateLimitWait(until time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.paused = until
 }
 
-// Paused gives for how long its rate limit allows no work.
-func (s *Seen) Paused(now time.Time) time.Duration {
+// RateLimitWait gives for how long its rate limit allows no work.
+func (s *Stats) RateLimitWait(now time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return max(0, s.paused.Sub(now))
 }
 
-// Limited gives its rate limit, and how long ago an answer spoke of it.
-func (s *Seen) Limited(now time.Time) (pacer.Rate, time.Duration) {
+// RateLimit gives its rate limit, and how long ago an answer spoke of it.
+func (s *Stats) RateLimit(now time.Time) (pacer.Rate, time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.limit.Rate().Limited() {
-		return pacer.None, 0
+		return pacer.Unlimited, 0
 	}
 	return s.limit.Rate(), s.limit.Age(now)
 }
 
-// Leave takes an answer that says that it leaves, and says whether it is the first.
-func (s *Seen) Leave(now time.Time) (news bool) {
+// MarkLeaving takes an answer that says that it leaves, and says whether it is the first.
+func (s *Stats) MarkLeaving(now time.Time) (news bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.stated.Leave(now)
+	return s.stated.MarkLeaving(now)
 }
 
 // BackOff takes an answer that asks for a pause, and says whether it lasts longer by it.
-func (s *Seen) BackOff(now time.Time, pause time.Duration) (longer bool) {
+func (s *Stats) BackOff(now time.Time, pause time.Duration) (longer bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.stated.BackOff(now, pause)
 }
 
-func (s *Seen) access(now time.Time) Access {
+func (s *Stats) access(now time.Time) Eligibility {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.stated.access(now)
 }
 
-// Stated gives what it has said of itself.
-func (s *Seen) Stated() Stated {
+// Announcement gives what it has said of itself.
+func (s *Stats) Announcement() Announcement {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.stated
 }
 
-// Offer gives the figures that a choice goes by.
-func (s *Seen) Offer(now time.Time) route.Offer {
+// Candidate gives the figures that a choice goes by.
+func (s *Stats) Candidate(now time.Time) route.Candidate {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.decay(now)
 	others := s.others * fade(now.Sub(s.reportedAt), loadHalf)
-	return route.Offer{
-		Own:    s.running,
-		Others: others,
-		Tokens: s.tokens,
-		Queued: s.queued,
-		Fails:  s.fails / (s.fails + s.answers + failPrior),
-		Sure:   s.answers >= sureAnswers && s.fails+s.refusals < s.answers*sureFails,
-		Speed:  s.speed,
-		Held:   now.Before(s.holdUntil) || now.Before(s.away) || now.Before(s.paused),
+	return route.Candidate{
+		OwnRequests:   s.running,
+		OtherRequests: others,
+		OwnTokens:     s.tokens,
+		QueuedTokens:  s.queued,
+		FailureRate:   s.fails / (s.fails + s.answers + failPrior),
+		Responsive:    s.answers >= sureAnswers && s.fails+s.refusals < s.answers*sureFails,
+		UnitTime:      s.speed,
+		RecentlyFull:  now.Before(s.holdUntil) || now.Before(s.away) || now.Before(s.paused),
 	}
 }
 
-func (s *Seen) decay(now time.Time) {
+func (s *Stats) decay(now time.Time) {
 	if !s.decayedAt.IsZero() {
 		by := fade(now.Sub(s.decayedAt), failHalf)
 		s.fails *= by
--- a/roster/start.go
+++ b/roster/start.go
@@ -9,22 +9,22 @@
 // or ordered of it is of one start: after it the upstream knows nothing of it.
 type Start struct {
 	ID ID `json:"upstream"`
-	// Born is when it started, in whole milliseconds; zero where it does not say.
+	// StartedAtMillis is when it started, in whole milliseconds; zero where it does not say.
 	Born time.Time `json:"born,omitzero"`
 }
 
-// Key is a Start as a key of maps.
-type Key struct {
-	ID   ID
-	Born int64 // Unix milliseconds, zero for unknown
+// InstanceKey is a Start as a key of maps.
+type InstanceKey struct {
+	ID              ID
+	StartedAtMillis int64 // Unix milliseconds, zero for unknown
 }
 
 // Key gives the start as a key.
-func (s Start) Key() Key {
+func (s Start) Key() InstanceKey {
 	if s.Born.IsZero() {
-		return Key{ID: s.ID}
+		return InstanceKey{ID: s.ID}
 	}
-	return Key{s.ID, s.Born.UnixMilli()}
+	return InstanceKey{s.ID, s.Born.UnixMilli()}
 }
 
 // Same says whether both are one start. One that does not say when it was is
--- a/roster/start_test.go
+++ b/roster/start_test.go
@@ -26,25 +26,25 @@
 func TestAnUpstreamThatStartsAnewIsAnother(t *testing.T) {
 	r := &Roster{Log: hclog.NewNullLogger()}
 	now := time.Now()
-	r.Listed(now, []feed.Item[Server]{born("a", 1000)})
-	first := r.Member("a")
-	first.Seen.Away(now.Add(time.Hour))
-	first.Seen.Failed(now)
-	r.Changed(now, changed(born("a", 1000)))
-	require.Same(t, first, r.Member("a"), "a heartbeat is no start")
+	r.SetAll(now, []feed.Item[Server]{born("a", 1000)})
+	first := r.Upstream("a")
+	first.Stats.SuspendUntil(now.Add(time.Hour))
+	first.Stats.RecordFailure(now)
+	r.Apply(now, changed(born("a", 1000)))
+	require.Same(t, first, r.Upstream("a"), "a heartbeat is no start")
 
-	r.Changed(now, changed(born("a", 2000)))
-	second := r.Member("a")
+	r.Apply(now, changed(born("a", 2000)))
+	second := r.Upstream("a")
 	require.NotSame(t, first, second)
-	require.True(t, first.Gone())
+	require.True(t, first.Removed())
 	require.True(t, first.Restarted())
-	require.False(t, second.Seen.Offer(now).Held)
-	require.Zero(t, second.Seen.Offer(now).Fails)
-	require.Nil(t, r.Started(Start{ID: "a", Born: time.UnixMilli(1000)}), "an order to the earlier start")
-	require.Same(t, second, r.Started(Start{ID: "a", Born: time.UnixMilli(2000)}))
+	require.False(t, second.Stats.Candidate(now).RecentlyFull)
+	require.Zero(t, second.Stats.Candidate(now).FailureRate)
+	require.Nil(t, r.ByInstance(Start{ID: "a", Born: time.UnixMilli(1000)}), "an order to the earlier start")
+	require.Same(t, second, r.ByInstance(Start{ID: "a", Born: time.UnixMilli(2000)}))
 
-	r.Listed(now, []feed.Item[Server]{born("a", 1000)})
-	require.Same(t, second, r.Member("a"), "a late word of the earlier start")
+	r.SetAll(now, []feed.Item[Server]{born("a", 1000)})
+	require.Same(t, second, r.Upstream("a"), "a late word of the earlier start")
 	require.Equal(t, int64(2000), second.Server().Born.UnixMilli())
 }
 
@@ -53,12 +53,12 @@
 func TestAnEntryThatCannotBeReadNamesNoUpstream(t *testing.T) {
 	r := &Roster{Log: hclog.NewNullLogger()}
 	now := time.Now()
-	r.Listed(now, []feed.Item[Server]{item("a", false), item("b", false)})
-	bad := feed.Item[Server]{Name: "a", Unread: errors.New("no object")}
-	r.Changed(now, changed(bad))
+	r.SetAll(now, []feed.Item[Server]{item("a", false), item("b", false)})
+	bad := feed.Item[Server]{Name: "a", DecodeErr: errors.New("no object")}
+	r.Apply(now, changed(bad))
 	require.Equal(t, []ID{"b"}, ids(r))
-	r.Changed(now, changed(item("a", false)))
+	r.Apply(now, changed(item("a", false)))
 	require.Equal(t, []ID{"a", "b"}, ids(r), "its own writing is read again")
-	r.Listed(now, []feed.Item[Server]{bad, item("b", false)})
+	r.SetAll(now, []feed.Item[Server]{bad, item("b", false)})
 	require.Equal(t, []ID{"b"}, ids(r))
 }
--- a/route/bench_test.go
+++ b/route/bench_test.go
@@ -19,8 +19,8 @@
 			for n := range prefills / 4 {
 				m.Prefills.SetDraining(host("prefill", n), true)
 			}
-			j := Job{Prompt: 3000, Output: 100, Prefix: 7, PrefixTokens: 1000, KVBytes: 4e8, KVLife: time.Second,
-				FirstToken: time.Second, TokenGap: 48 * time.Millisecond}
+			j := Job{PromptTokens: 3000, MaxOutputTokens: 100, Prefix: 7, PrefixTokens: 1000, KVBytes: 4e8, KVLifetime: time.Second,
+				FirstTokenTarget: time.Second, TokenGap: 48 * time.Millisecond}
 			b.ReportAllocs()
 			for b.Loop() {
 				p, _, ok := m.Choose(start, j, source)
--- a/route/cache.go
+++ b/route/cache.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"jacinthworks/work"
+	"jacinthworks/domain"
 )
 
 // beliefHalfLife is the age at which a prefix is believed to be cached with
@@ -34,7 +34,7 @@
 
 // holder is a host believed to hold a prefix.
 type holder struct {
-	host   work.Host
+	host   domain.Host
 	tokens int
 	seen   time.Time
 	// missing is the host's count of missing events when the prefix was seen.
@@ -50,7 +50,7 @@
 // beliefs is what is believed of caches. The zero value believes nothing.
 type beliefs struct {
 	holders map[uint64][]holder
-	streams map[work.Host]stream
+	streams map[domain.Host]stream
 	// order is a ring of prefixes by entry, of which the oldest makes place.
 	order []uint64
 	next  int
@@ -59,12 +59,12 @@
 func (b *beliefs) init() {
 	if b.holders == nil {
 		b.holders = make(map[uint64][]holder)
-		b.streams = make(map[work.Host]stream)
+		b.streams = make(map[domain.Host]stream)
 	}
 }
 
 // event takes in an event of the host. Events already seen are ignored.
-func (b *beliefs) event(now time.Time, h work.Host, e CacheEvent) {
+func (b *beliefs) event(now time.Time, h domain.Host, e CacheEvent) {
 	b.init()
 	s := b.streams[h]
 	if e.Seq <= s.seq {
@@ -83,7 +83,7 @@
 }
 
 // believe records that the host holds the prefix.
-func (b *beliefs) believe(now time.Time, h work.Host, prefix uint64, tokens int) {
+func (b *beliefs) believe(now time.Time, h domain.Host, prefix uint64, tokens int) {
 	if prefix == 0 || tokens <= 0 {
 		return
 	}
@@ -99,7 +99,7 @@
 	b.holders[prefix] = append(list, holder{host: h, tokens: tokens, seen: now, missing: b.streams[h].missing})
 }
 
-func (b *beliefs) drop(prefix uint64, h work.Host) {
+func (b *beliefs) drop(prefix uint64, h domain.Host) {
 	list, ok := b.holders[prefix]
 	if ok {
 		b.holders[prefix] = slices.DeleteFunc(list, func(o holder) bool { return o.host == h })
@@ -119,7 +119,7 @@
 
 // tokens gives the tokens of the prefix that the host is believed to hold,
 // weighed by how likely that still is.
-func (b *beliefs) tokens(now time.Time, h work.Host, prefix uint64) int {
+func (b *beliefs) tokens(now time.Time, h domain.Host, prefix uint64) int {
 	for _, o := range b.holders[prefix] {
 		if o.host != h {
 			continue
--- a/route/grounds.go
+++ b/route/grounds.go
@@ -3,25 +3,25 @@
 import (
 	"time"
 
-	"jacinthworks/work"
+	"jacinthworks/domain"
 )
 
-// Exclusion says why a candidate or a pair cannot take a job now.
-type Exclusion string
+// ExclusionReason says why a candidate or a pair cannot take a job now.
+type ExclusionReason string
 
 // The exclusions.
 const (
-	ExcludedZone      Exclusion = "zone_weight_zero"
-	ExcludedLong      Exclusion = "short_prompts_only"
-	ExcludedQueue     Exclusion = "prefill_queue_full"
-	ExcludedSlots     Exclusion = "no_decode_slot"
-	ExcludedMemory    Exclusion = "no_decode_memory"
-	ExcludedTokenGap  Exclusion = "token_gap_passes_target"
-	ExcludedKVExpires Exclusion = "kv_would_be_evicted"
+	ExcludedZone      ExclusionReason = "zone_weight_zero"
+	ExcludedLong      ExclusionReason = "short_prompts_only"
+	ExcludedQueue     ExclusionReason = "prefill_queue_full"
+	ExcludedSlots     ExclusionReason = "no_decode_slot"
+	ExcludedMemory    ExclusionReason = "no_decode_memory"
+	ExcludedTokenGap  ExclusionReason = "token_gap_passes_target"
+	ExcludedKVExpires ExclusionReason = "kv_would_be_evicted"
 )
 
-// Exclusions counts what was looked at and excluded, for each reason.
-type Exclusions struct {
+// ExclusionCounts counts what was looked at and excluded, for each reason.
+type ExclusionCounts struct {
 	// Unusable are draining, ejected or have not reported lately.
 	Unusable  int `json:"unusable"`
 	Zone      int `json:"zone_weight_zero"`
@@ -33,7 +33,7 @@
 	KVExpires int `json:"kv_would_be_evicted"`
 }
 
-func (x *Exclusions) add(why Exclusion) {
+func (x *ExclusionCounts) add(why ExclusionReason) {
 	switch why {
 	case ExcludedZone:
 		x.Zone++
@@ -52,8 +52,8 @@
 	}
 }
 
-// Grounds are the figures behind a choice, for the decision's log line.
-type Grounds struct {
+// Evaluation are the figures behind a choice, for the decision's log line.
+type Evaluation struct {
 	// PrefillPool and DecodePool are the numbers of candidates known, and
 	// Pairs how many pairs were compared.
 	PrefillPool int `json:"prefill_pool"`
@@ -61,20 +61,20 @@
 	Pairs       int `json:"pairs"`
 	// Prefills and Decodes are the candidates drawn, of which the first
 	// PrefillsDrawn and DecodesDrawn are filled.
-	Prefills      [prefillSample + cachedSample]PrefillGrounds `json:"-"`
-	Decodes       [decodeSample]DecodeGrounds                  `json:"-"`
-	PrefillsDrawn int                                          `json:"prefills_drawn"`
-	DecodesDrawn  int                                          `json:"decodes_drawn"`
+	Prefills      [prefillSample + cachedSample]PrefillCandidate `json:"-"`
+	Decodes       [decodeSample]DecodeCandidate                  `json:"-"`
+	PrefillsDrawn int                                            `json:"prefills_drawn"`
+	DecodesDrawn  int                                            `json:"decodes_drawn"`
 	// Excluded counts candidates that were looked at and not drawn, and pairs.
-	Excluded Exclusions `json:"excluded"`
+	Excluded ExclusionCounts `json:"excluded"`
 	// Chosen is the estimate of the pair that was chosen.
 	Chosen Estimate `json:"chosen"`
 }
 
-// PrefillGrounds are the figures of a prefill candidate.
-type PrefillGrounds struct {
-	Host work.Host `json:"host"`
-	Zone work.Zone `json:"zone"`
+// PrefillCandidate are the figures of a prefill candidate.
+type PrefillCandidate struct {
+	Host domain.Host `json:"host"`
+	Zone domain.Zone `json:"zone"`
 	// Queue is the wait before the prefill, Prefill what it takes after the
 	// Cached tokens.
 	Queue   time.Duration `json:"queue"`
@@ -84,10 +84,10 @@
 	Weight float64 `json:"weight"`
 }
 
-// DecodeGrounds are the figures of a decode candidate.
-type DecodeGrounds struct {
-	Host work.Host `json:"host"`
-	Zone work.Zone `json:"zone"`
+// DecodeCandidate are the figures of a decode candidate.
+type DecodeCandidate struct {
+	Host domain.Host `json:"host"`
+	Zone domain.Zone `json:"zone"`
 	// FreeRequests and FreeTokens are its room, TokenGap the time between
 	// tokens once the job has joined its batch.
 	FreeRequests int           `json:"free_requests"`
@@ -108,18 +108,18 @@
 	Score  float64       `json:"score"`
 }
 
-func (g *Grounds) addPrefill(p PrefillGrounds) {
+func (g *Evaluation) addPrefill(p PrefillCandidate) {
 	g.Prefills[g.PrefillsDrawn] = p
 	g.PrefillsDrawn++
 }
 
-func (g *Grounds) addDecode(d DecodeGrounds) {
+func (g *Evaluation) addDecode(d DecodeCandidate) {
 	g.Decodes[g.DecodesDrawn] = d
 	g.DecodesDrawn++
 }
 
 // hasPrefill says whether the host was drawn already.
-func (g *Grounds) hasPrefill(h work.Host) bool {
+func (g *Evaluation) hasPrefill(h domain.Host) bool {
 	for n := range g.prefills() {
 		if g.Prefills[n].Host == h {
 			return true
@@ -128,5 +128,5 @@
 	return false
 }
 
-func (g *Grounds) prefills() []PrefillGrounds { return g.Prefills[:g.PrefillsDrawn] }
-func (g *Grounds) decodes() []DecodeGrounds   { return g.Decodes[:g.DecodesDrawn] }
+func (g *Evaluation) prefills() []PrefillCandidate { return g.Prefills[:g.PrefillsDrawn] }
+func (g *Evaluation) decodes() []DecodeCandidate   { return g.Decodes[:g.DecodesDrawn] }
--- a/route/link.go
+++ b/route/link.go
@@ -3,16 +3,16 @@
 import (
 	"time"
 
-	"jacinthworks/work"
+	"jacinthworks/domain"
 )
 
-// Path names the shared link that KV cache takes between two zones, or within
+// ZonePair names the shared link that KV cache takes between two zones, or within
 // one.
-type Path struct{ From, To work.Zone }
+type ZonePair struct{ From, To domain.Zone }
 
 // LinkReport is what was last measured of a link.
 type LinkReport struct {
-	// Rate is in bytes a second; zero stands for a link that is no bottleneck.
+	// EstimateRate is in bytes a second; zero stands for a link that is no bottleneck.
 	Rate float64
 	// QueuedBytes wait for the link or are on their way.
 	QueuedBytes int64
@@ -32,9 +32,9 @@
 }
 
 // links holds the links by path. The zero value knows none.
-type links map[Path]*link
+type links map[ZonePair]*link
 
-func (s *links) update(p Path, at time.Time, r LinkReport) {
+func (s *links) update(p ZonePair, at time.Time, r LinkReport) {
 	if *s == nil {
 		*s = make(links)
 	}
@@ -59,7 +59,7 @@
 }
 
 // planned records a transfer that the report does not show yet.
-func (s links) planned(p Path, at time.Time, bytes int64) {
+func (s links) planned(p ZonePair, at time.Time, bytes int64) {
 	if l, ok := s[p]; ok {
 		l.own = append(l.own, transfer{at: at, bytes: bytes})
 		l.total += bytes
@@ -68,7 +68,7 @@
 
 // wait gives the time that a transfer waits for the link and the time it takes,
 // if it begins at the given time from now.
-func (s links) wait(now time.Time, p Path, begins time.Duration, bytes int64) (wait, takes time.Duration) {
+func (s links) wait(now time.Time, p ZonePair, begins time.Duration, bytes int64) (wait, takes time.Duration) {
 	l, ok := s[p]
 	if !ok || l.report.Rate <= 0 {
 		return 0, 0
--- a/route/offer.go
+++ b/route/offer.go
@@ -5,60 +5,60 @@
 	"time"
 )
 
-// Offer is what is known of an upstream that is reached without a process of
+// Candidate is what is known of an upstream that is reached without a process of
 // ours beside it: by its own answers, and by what this process has there.
-type Offer struct {
+type Candidate struct {
 	// Name is for the log.
 	Name string `json:"name"`
-	// Near says that it is in this process's availability zone.
-	Near bool `json:"near"`
+	// SameZone says that it is in this process's availability zone.
+	SameZone bool `json:"near"`
 	// Slots is how many requests it serves at once, zero for unknown; Own how
 	// many this process has there, Others what others have, as far as known.
-	Slots  int     `json:"slots"`
-	Own    int     `json:"own"`
-	Others float64 `json:"others"`
-	// Memory is an engine's room in tokens, zero for unknown; Tokens what this
+	Slots         int     `json:"slots"`
+	OwnRequests   int     `json:"own"`
+	OtherRequests float64 `json:"others"`
+	// MemoryTokens is an engine's room in tokens, zero for unknown; Tokens what this
 	// process has there, Queued the prompt tokens that it has yet to read.
-	Memory int `json:"memory,omitempty"`
-	Tokens int `json:"tokens,omitempty"`
-	Queued int `json:"queued,omitempty"`
-	// Fails is the share of its answers that failed, 0 to 1, lately.
-	Fails float64 `json:"fails"`
-	// Sure says that it answered just lately and has not failed since.
-	Sure bool `json:"sure,omitempty"`
-	// Speed is the time of a unit of work, a call or a prompt token; zero for
+	MemoryTokens int `json:"memory,omitempty"`
+	OwnTokens    int `json:"tokens,omitempty"`
+	QueuedTokens int `json:"queued,omitempty"`
+	// FailureRate is the share of its answers that failed, 0 to 1, lately.
+	FailureRate float64 `json:"fails"`
+	// Responsive says that it answered just lately and has not failed since.
+	Responsive bool `json:"sure,omitempty"`
+	// UnitTime is the time of a unit of work, a call or a prompt token; zero for
 	// unknown.
-	Speed time.Duration `json:"speed"`
-	// Held says that it has just refused for want of room.
-	Held bool `json:"held"`
+	UnitTime time.Duration `json:"speed"`
+	// RecentlyFull says that it has just refused for want of room.
+	RecentlyFull bool `json:"held"`
 }
 
-// Load is a request to place.
-type Load struct {
-	// Units are the units of work that Offer.Speed counts.
+// Request is a request to place.
+type Request struct {
+	// Units are the units of work that Candidate.UnitTime counts.
 	Units int
-	// Tokens is the memory it needs.
+	// OwnTokens is the memory it needs.
 	Tokens int
-	// Usual are the units and the memory of a request of others.
-	Usual Usual
-	// SkipHeld leaves out offers that have just refused for want of room; an
+	// Typical are the units and the memory of a request of others.
+	Typical RequestSize
+	// SkipRecentlyFull leaves out offers that have just refused for want of room; an
 	// estimate that one is full keeps none out then, since it will say so.
-	SkipHeld bool
-	// OnlySure leaves out offers that are not sure to answer: where a failure
+	SkipRecentlyFull bool
+	// OnlyResponsive leaves out offers that are not sure to answer: where a failure
 	// could not be followed by another try.
-	OnlySure bool
-	// FullCost is the time that a request takes longer at an engine whose
+	OnlyResponsive bool
+	// MemoryPressureCost is the time that a request takes longer at an engine whose
 	// memory is full of others, which it shares its steps with.
-	FullCost time.Duration
-	// FailCost is the time that a failure costs: that of another try, or far
+	MemoryPressureCost time.Duration
+	// FailureCost is the time that a failure costs: that of another try, or far
 	// more where there can be none.
-	FailCost time.Duration
-	// FarCost is the time that the bytes to another zone are worth.
-	FarCost time.Duration
+	FailureCost time.Duration
+	// CrossZoneCost is the time that the bytes to another zone are worth.
+	CrossZoneCost time.Duration
 }
 
-// Usual is what a request takes as a rule.
-type Usual struct{ Units, Tokens int }
+// RequestSize is what a request takes as a rule.
+type RequestSize struct{ Units, Tokens int }
 
 // Figures for an offer that has answered nothing yet, or little.
 const (
@@ -74,19 +74,21 @@
 )
 
 // running is how many requests it has, as far as known.
-func (o Offer) running() float64 { return float64(o.Own) + o.Others }
+func (o Candidate) running() float64 { return float64(o.OwnRequests) + o.OtherRequests }
 
 // memory is how much of its memory is taken, as far as known.
-func (o Offer) memory(l Load) float64 { return float64(o.Tokens) + o.Others*float64(l.Usual.Tokens) }
+func (o Candidate) memory(l Request) float64 {
+	return float64(o.OwnTokens) + o.OtherRequests*float64(l.Typical.Tokens)
+}
 
-// Wait estimates the time to an answer from what is there before it.
-func (o Offer) Wait(l Load) time.Duration {
-	return time.Duration(float64(o.Speed) * (float64(l.Units+o.Queued) + o.Others*float64(l.Usual.Units)))
+// EstimateWait estimates the time to an answer from what is there before it.
+func (o Candidate) EstimateWait(l Request) time.Duration {
+	return time.Duration(float64(o.UnitTime) * (float64(l.Units+o.QueuedTokens) + o.OtherRequests*float64(l.Typical.Units)))
 }
 
-// Rate estimates how many calls it answers a second.
-func (o Offer) Rate() float64 {
-	speed := o.Speed
+// EstimateRate estimates how many calls it answers a second.
+func (o Candidate) EstimateRate() float64 {
+	speed := o.UnitTime
 	if speed == 0 {
 		speed = defaultCall
 	}
@@ -94,47 +96,47 @@
 }
 
 // Score estimates the time to an answer, failures counted by what they cost.
-func (o Offer) Score(l Load) time.Duration {
-	speed := o.Speed
+func (o Candidate) Score(l Request) time.Duration {
+	speed := o.UnitTime
 	if speed == 0 {
 		speed = defaultCall / time.Duration(max(l.Units, 1))
 	}
 	own := float64(speed) * float64(max(l.Units, 1))
-	score := own + float64(speed)*(float64(o.Queued)+o.Others*float64(l.Usual.Units))
+	score := own + float64(speed)*(float64(o.QueuedTokens)+o.OtherRequests*float64(l.Typical.Units))
 	if o.Slots > 0 {
 		score += own * slowdown * min(o.running()/float64(o.Slots), 1)
 		if over := o.running() + 1 - float64(o.Slots); over > 0 {
 			score += own * fullWait * over / float64(o.Slots)
 		}
 	}
-	if o.Memory > 0 {
-		score += o.memory(l) / float64(o.Memory) * float64(l.FullCost)
+	if o.MemoryTokens > 0 {
+		score += o.memory(l) / float64(o.MemoryTokens) * float64(l.MemoryPressureCost)
 	}
-	score += o.Fails * float64(l.FailCost)
-	if !o.Near {
-		score += float64(l.FarCost)
+	score += o.FailureRate * float64(l.FailureCost)
+	if !o.SameZone {
+		score += float64(l.CrossZoneCost)
 	}
 	return time.Duration(score)
 }
 
 // room says whether the offer can take the request at all, as far as known.
-func (o Offer) room(l Load) bool {
-	if o.Held || o.Slots > 0 && o.running() >= float64(o.Slots) {
+func (o Candidate) room(l Request) bool {
+	if o.RecentlyFull || o.Slots > 0 && o.running() >= float64(o.Slots) {
 		return false
 	}
-	return o.Memory == 0 || o.memory(l)+float64(l.Tokens) <= float64(o.Memory)
+	return o.MemoryTokens == 0 || o.memory(l)+float64(l.Tokens) <= float64(o.MemoryTokens)
 }
 
-// Best gives the index of the offer with the lowest score, those with room
+// SelectBest gives the index of the offer with the lowest score, those with room
 // first; -1 for none. full says that none has room, as far as known.
-func Best(offers []Offer, l Load, random *rand.Rand) (best int, full bool) {
+func SelectBest(offers []Candidate, l Request, random *rand.Rand) (best int, full bool) {
 	best, full = -1, true
 	var least float64
 	for i, o := range offers {
-		if l.SkipHeld && o.Held || l.OnlySure && !o.Sure {
+		if l.SkipRecentlyFull && o.RecentlyFull || l.OnlyResponsive && !o.Responsive {
 			continue
 		}
-		room := l.SkipHeld || o.room(l)
+		room := l.SkipRecentlyFull || o.room(l)
 		if !room && !full {
 			continue
 		}
--- a/route/pool.go
+++ b/route/pool.go
@@ -6,13 +6,13 @@
 	"slices"
 	"time"
 
-	"jacinthworks/work"
+	"jacinthworks/domain"
 )
 
-// Stale is the age from which a report says nothing any more. Reports come
+// MaxReportAge is the age from which a report says nothing any more. Reports come
 // several times a second; without one for this long the host is lost, or this
 // process was paused and knows nothing yet.
-const Stale = 2 * time.Second
+const MaxReportAge = 2 * time.Second
 
 // probes bounds how many candidates are looked at for each one wanted, so that
 // a choice costs the same in a pool of nine and of a thousand. With three in
@@ -22,18 +22,18 @@
 // Pool holds the candidates of one role and what each last reported. The zero
 // value is empty and ready to use.
 type Pool[R any] struct {
-	// ShortOnly keeps long prompts away from one candidate in this many; zero
-	// stands for DefaultShortOnly, negative for none. Set it before Update.
-	ShortOnly int
+	// ShortOnlyEvery keeps long prompts away from one candidate in this many; zero
+	// stands for DefaultShortOnlyEvery, negative for none. Set it before Update.
+	ShortOnlyEvery int
 
 	members []*member[R]
-	index   map[work.Host]int
+	index   map[domain.Host]int
 }
 
 // member is one candidate.
 type member[R any] struct {
-	host   work.Host
-	zone   work.Zone
+	host   domain.Host
+	zone   domain.Zone
 	report R
 	at     time.Time
 	// draining is the side's own word; withheld is the part of its work that
@@ -57,7 +57,7 @@
 // Update records a report. The time is on this process's clock and no later
 // than the report was made: that at which the message was sent that the report
 // answers. An older report than the one known is ignored, since messages cross.
-func (p *Pool[R]) Update(h work.Host, z work.Zone, at time.Time, r R) {
+func (p *Pool[R]) Update(h domain.Host, z domain.Zone, at time.Time, r R) {
 	m := p.find(h)
 	if m == nil {
 		m = p.add(h, z)
@@ -70,22 +70,22 @@
 }
 
 // SetDraining records whether the candidate's side says it is draining.
-func (p *Pool[R]) SetDraining(h work.Host, draining bool) {
+func (p *Pool[R]) SetDraining(h domain.Host, draining bool) {
 	if m := p.find(h); m != nil {
 		m.draining = draining
 	}
 }
 
-// SetShare gives an ejected candidate only part of the work it would get: 0
+// SetTrafficShare gives an ejected candidate only part of the work it would get: 0
 // for none, 1 for all.
-func (p *Pool[R]) SetShare(h work.Host, share float64) {
+func (p *Pool[R]) SetTrafficShare(h domain.Host, share float64) {
 	if m := p.find(h); m != nil {
 		m.withheld = 1 - min(max(share, 0), 1)
 	}
 }
 
 // Remove forgets a candidate that has left.
-func (p *Pool[R]) Remove(h work.Host) {
+func (p *Pool[R]) Remove(h domain.Host) {
 	n, ok := p.index[h]
 	if !ok {
 		return
@@ -99,16 +99,16 @@
 // Len is the number of candidates known.
 func (p *Pool[R]) Len() int { return len(p.members) }
 
-func (p *Pool[R]) find(h work.Host) *member[R] {
+func (p *Pool[R]) find(h domain.Host) *member[R] {
 	if n, ok := p.index[h]; ok {
 		return p.members[n]
 	}
 	return nil
 }
 
-func (p *Pool[R]) add(h work.Host, z work.Zone) *member[R] {
+func (p *Pool[R]) add(h domain.Host, z domain.Zone) *member[R] {
 	if p.index == nil {
-		p.index = make(map[work.Host]int)
+		p.index = make(map[domain.Host]int)
 	}
 	m := &member[R]{host: h, zone: z}
 	p.index[h] = len(p.members)
@@ -123,17 +123,17 @@
 	p.index[p.members[b].host] = b
 }
 
-// DefaultShortOnly makes one prefill engine in three take no long prompts. Short
+// DefaultShortOnlyEvery makes one prefill engine in three take no long prompts. Short
 // work is a seventh (Tollygunge) to a third (Registry) of all prompt tokens, and
 // needs slack to meet a target of seconds; docs/decisions.md has the runs.
-const DefaultShortOnly = 3
+const DefaultShortOnlyEvery = 3
 
-// rankShortOnly marks every ShortOnly-th candidate by name. All entries that know the
+// rankShortOnly marks every ShortOnlyEvery-th candidate by name. All entries that know the
 // same hosts mark the same ones, without asking each other.
 func (p *Pool[R]) rankShortOnly() {
-	part := p.ShortOnly
+	part := p.ShortOnlyEvery
 	if part == 0 {
-		part = DefaultShortOnly
+		part = DefaultShortOnlyEvery
 	}
 	sorted := slices.Clone(p.members)
 	slices.SortFunc(sorted, func(a, b *member[R]) int { return cmp.Compare(a.host, b.host) })
@@ -163,7 +163,7 @@
 
 // usable says whether the candidate may get work now.
 func (m *member[R]) usable(now time.Time, random *rand.Rand) bool {
-	if m.draining || now.Sub(m.at) > Stale {
+	if m.draining || now.Sub(m.at) > MaxReportAge {
 		return false
 	}
 	return m.withheld == 0 || random.Float64() >= m.withheld
--- a/route/route.go
+++ b/route/route.go
@@ -20,7 +20,7 @@
 //
 // # Usage
 //
-//	var m route.Model
+//	var m route.EngineSelector
 //	m.Prefills.Update(host, zone, sent, route.PrefillReport{QueuedTokens: 9_000, Rate: 20_000})
 //	m.Decodes.Update(host, zone, sent, route.DecodeReport{FreeRequests: 4, FreeTokens: 100_000, Batch: 12, GapBase: base, GapStep: step})
 //	pair, grounds, ok := m.Choose(now, job, random)
@@ -38,7 +38,7 @@
 	"math/rand/v2"
 	"time"
 
-	"jacinthworks/work"
+	"jacinthworks/domain"
 )
 
 // The candidates that a choice compares. Two random ones of each pool are
@@ -51,7 +51,7 @@
 )
 
 // longPrompt is the prompt left to fill, in tokens, from which a short-only
-// engine is not used; as queue.LongPrompt.
+// engine is not used; as queue.LongPromptTokens.
 const longPrompt = 8000
 
 // Figures that stand in where a report or a row gives none.
@@ -83,49 +83,49 @@
 
 // Job is the work to place.
 type Job struct {
-	Prompt int
-	Output int
+	PromptTokens    int
+	MaxOutputTokens int
 	// Prefix names the first PrefixTokens of the prompt in caches; zero for none.
 	Prefix       uint64
 	PrefixTokens int
 	// KVBytes is the size of the KV cache; KVLife how long it stays after the
 	// prefill, zero for unknown.
-	KVBytes int64
-	KVLife  time.Duration
-	// FirstToken and TokenGap are the row's targets, zero for none.
-	FirstToken time.Duration
-	TokenGap   time.Duration
-	// LongestWait is the most that prefill may queue at the engine; zero is any.
-	LongestWait time.Duration
+	KVBytes    int64
+	KVLifetime time.Duration
+	// FirstTokenTarget and TokenGap are the row's targets, zero for none.
+	FirstTokenTarget time.Duration
+	TokenGap         time.Duration
+	// MaxQueueWait is the most that prefill may queue at the engine; zero is any.
+	MaxQueueWait time.Duration
 	// WastedPrefillWeight is the row's, in percent.
 	WastedPrefillWeight int
-	Weights             Weights
+	Weights             ZoneWeights
 	// MayPrefill and MayDecode say which hosts may take the job; nil is any.
-	MayPrefill func(work.Host) bool
-	MayDecode  func(work.Host) bool
+	MayPrefill func(domain.Host) bool
+	MayDecode  func(domain.Host) bool
 }
 
-// Weights are the zones' shares from the table; nil weighs all alike. A zone
+// ZoneWeights are the zones' shares from the table; nil weighs all alike. A zone
 // that is missing or has zero gets nothing.
-type Weights map[work.Zone]int
+type ZoneWeights map[domain.Zone]int
 
 // of gives the weight of a zone; only its ratio to the others' counts.
-func (w Weights) of(z work.Zone) float64 {
+func (w ZoneWeights) of(z domain.Zone) float64 {
 	if w == nil {
 		return 1
 	}
 	return float64(max(w[z], 0)) / 100
 }
 
-// Pair is a choice.
-type Pair struct {
-	Prefill work.Host `json:"prefill"`
-	Decode  work.Host `json:"decode"`
+// EnginePair is a choice.
+type EnginePair struct {
+	Prefill domain.Host `json:"prefill"`
+	Decode  domain.Host `json:"decode"`
 }
 
-// Model holds what is known of the engines of one model, and chooses among
+// EngineSelector holds what is known of the engines of one model, and chooses among
 // them. The zero value knows none.
-type Model struct {
+type EngineSelector struct {
 	Prefills Pool[PrefillReport]
 	Decodes  Pool[DecodeReport]
 
@@ -135,19 +135,21 @@
 
 // UpdateLink records a measurement of a shared link; the time is as for
 // Pool.Update.
-func (m *Model) UpdateLink(p Path, at time.Time, r LinkReport) { m.links.update(p, at, r) }
+func (m *EngineSelector) UpdateLink(p ZonePair, at time.Time, r LinkReport) { m.links.update(p, at, r) }
 
 // CacheEvent records an event of a prefill engine's cache.
-func (m *Model) CacheEvent(now time.Time, h work.Host, e CacheEvent) { m.caches.event(now, h, e) }
+func (m *EngineSelector) CacheEvent(now time.Time, h domain.Host, e CacheEvent) {
+	m.caches.event(now, h, e)
+}
 
 // Choose gives the pair with the lowest score among those drawn; false when
 // none of them can take the job now, and then Grounds.Excluded says why.
-func (m *Model) Choose(now time.Time, j Job, random *rand.Rand) (Pair, Grounds, bool) {
-	g := Grounds{PrefillPool: m.Prefills.Len(), DecodePool: m.Decodes.Len()}
+func (m *EngineSelector) Choose(now time.Time, j Job, random *rand.Rand) (EnginePair, Evaluation, bool) {
+	g := Evaluation{PrefillPool: m.Prefills.Len(), DecodePool: m.Decodes.Len()}
 	m.drawPrefills(now, j, random, &g)
 	m.drawDecodes(now, j, random, &g)
 	best := Estimate{}
-	var pair Pair
+	var pair EnginePair
 	found := false
 	for p := range g.prefills() {
 		for d := range g.decodes() {
@@ -159,7 +161,7 @@
 			}
 			if !found || e.Score < best.Score {
 				found, best = true, e
-				pair = Pair{Prefill: g.Prefills[p].Host, Decode: g.Decodes[d].Host}
+				pair = EnginePair{Prefill: g.Prefills[p].Host, Decode: g.Decodes[d].Host}
 			}
 		}
 	}
@@ -168,31 +170,31 @@
 }
 
 // Started counts a job that was sent to a pair, until the reports show it.
-func (m *Model) Started(now time.Time, p Pair, j Job) {
-	left := j.Prompt - m.cached(now, p.Prefill, j)
+func (m *EngineSelector) Started(now time.Time, p EnginePair, j Job) {
+	left := j.PromptTokens - m.cached(now, p.Prefill, j)
 	from, to := m.Prefills.find(p.Prefill), m.Decodes.find(p.Decode)
 	if from != nil {
 		from.took(load{at: now, tokens: left})
 		m.caches.believe(now, p.Prefill, j.Prefix, j.PrefixTokens)
 	}
 	if to != nil {
-		to.took(load{at: now, requests: 1, tokens: j.Prompt + j.Output})
+		to.took(load{at: now, requests: 1, tokens: j.PromptTokens + j.MaxOutputTokens})
 	}
 	if from != nil && to != nil {
-		m.links.planned(Path{From: from.zone, To: to.zone}, now, j.KVBytes)
+		m.links.planned(ZonePair{From: from.zone, To: to.zone}, now, j.KVBytes)
 	}
 }
 
 // Ended counts a job whose decode room came free.
-func (m *Model) Ended(now time.Time, p Pair, j Job) {
+func (m *EngineSelector) Ended(now time.Time, p EnginePair, j Job) {
 	if to := m.Decodes.find(p.Decode); to != nil {
-		to.took(load{at: now, requests: -1, tokens: -j.Prompt - j.Output})
+		to.took(load{at: now, requests: -1, tokens: -j.PromptTokens - j.MaxOutputTokens})
 	}
 }
 
 // Cached gives the most tokens of the prompt that any engine is believed to
 // hold: what the job's cost is less by.
-func (m *Model) Cached(now time.Time, j Job) int {
+func (m *EngineSelector) Cached(now time.Time, j Job) int {
 	most := 0
 	for _, h := range m.caches.holders[j.Prefix] {
 		most = max(most, m.cached(now, h.host, j))
@@ -201,16 +203,16 @@
 }
 
 // cached gives the prompt's tokens that the host is believed to hold.
-func (m *Model) cached(now time.Time, h work.Host, j Job) int {
+func (m *EngineSelector) cached(now time.Time, h domain.Host, j Job) int {
 	if j.Prefix == 0 {
 		return 0
 	}
-	return min(m.caches.tokens(now, h, j.Prefix), j.PrefixTokens, j.Prompt)
+	return min(m.caches.tokens(now, h, j.Prefix), j.PrefixTokens, j.PromptTokens)
 }
 
 // drawPrefills fills the grounds with prefill candidates: those believed to
 // hold the prefix, and a random sample.
-func (m *Model) drawPrefills(now time.Time, j Job, random *rand.Rand, g *Grounds) {
+func (m *EngineSelector) drawPrefills(now time.Time, j Job, random *rand.Rand, g *Evaluation) {
 	take := func(c *member[PrefillReport]) bool {
 		if g.hasPrefill(c.host) || j.MayPrefill != nil && !j.MayPrefill(c.host) {
 			return false
@@ -234,7 +236,7 @@
 	g.Excluded.Unusable += m.Prefills.draw(now, random, prefillSample, take)
 }
 
-func (m *Model) drawDecodes(now time.Time, j Job, random *rand.Rand, g *Grounds) {
+func (m *EngineSelector) drawDecodes(now time.Time, j Job, random *rand.Rand, g *Evaluation) {
 	g.Excluded.Unusable += m.Decodes.draw(now, random, decodeSample, func(c *member[DecodeReport]) bool {
 		if j.MayDecode != nil && !j.MayDecode(c.host) {
 			return false
