--- a/route/route_test.go
+++ b/route/route_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"jacinthworks/work"
+	"jacinthworks/domain"
 )
 
 // One seed, so that a run repeats.
@@ -27,15 +27,15 @@
 
 func random() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
-func host(role string, n int) work.Host { return work.Host(fmt.Sprintf("%s-%04d", role, n)) }
+func host(role string, n int) domain.Host { return domain.Host(fmt.Sprintf("%s-%04d", role, n)) }
 
-func zone(n int) work.Zone {
-	return []work.Zone{"salt-lake", "new-town", "howrah"}[n%3]
+func zone(n int) domain.Zone {
+	return []domain.Zone{"salt-lake", "new-town", "howrah"}[n%3]
 }
 
 // model makes pools with drawn queues and batches.
-func model(prefills, decodes int, queued, batch func(n int) int) *Model {
-	m := &Model{}
+func model(prefills, decodes int, queued, batch func(n int) int) *EngineSelector {
+	m := &EngineSelector{}
 	for n := range prefills {
 		m.Prefills.Update(host("prefill", n), zone(n), start, PrefillReport{QueuedTokens: queued(n), Rate: 20_000})
 	}
@@ -56,13 +56,13 @@
 	for p, q := range queued {
 		for _, b := range batch {
 			gap := 0.010 + 0.002*float64(b+1)
-			first := float64(q+j.Prompt)/20_000 + gap
-			long := p%DefaultShortOnly == DefaultShortOnly-1 && j.Prompt >= longPrompt
+			first := float64(q+j.PromptTokens)/20_000 + gap
+			long := p%DefaultShortOnlyEvery == DefaultShortOnlyEvery-1 && j.PromptTokens >= longPrompt
 			if b >= 16 || long || gap > j.TokenGap.Seconds() {
 				scores = append(scores, math.Inf(1))
 				continue
 			}
-			scores = append(scores, first/j.FirstToken.Seconds()+gap/j.TokenGap.Seconds())
+			scores = append(scores, first/j.FirstTokenTarget.Seconds()+gap/j.TokenGap.Seconds())
 		}
 	}
 	slices.Sort(scores)
@@ -74,7 +74,7 @@
 		queued := rapid.SliceOfN(rapid.IntRange(0, 60_000), 1, prefillSample).Draw(t, "queued")
 		batch := rapid.SliceOfN(rapid.IntRange(0, 16), 1, decodeSample).Draw(t, "batch")
 		m := model(len(queued), len(batch), func(n int) int { return queued[n] }, func(n int) int { return batch[n] })
-		j := Job{Prompt: rapid.IntRange(1, 50_000).Draw(t, "prompt"), Output: 100, FirstToken: time.Second, TokenGap: 40 * time.Millisecond}
+		j := Job{PromptTokens: rapid.IntRange(1, 50_000).Draw(t, "prompt"), MaxOutputTokens: 100, FirstTokenTarget: time.Second, TokenGap: 40 * time.Millisecond}
 		best := exhaustive(j, queued, batch)[0]
 		_, g, ok := m.Choose(start, j, random())
 		require.Equal(t, !math.IsInf(best, 1), ok)
@@ -93,7 +93,7 @@
 		queued, batch = append(queued, source.IntN(60_000)), append(batch, source.IntN(15))
 	}
 	m := model(200, 200, func(n int) int { return queued[n] }, func(n int) int { return batch[n] })
-	j := Job{Prompt: 2000, Output: 100, FirstToken: time.Second, TokenGap: 48 * time.Millisecond}
+	j := Job{PromptTokens: 2000, MaxOutputTokens: 100, FirstTokenTarget: time.Second, TokenGap: 48 * time.Millisecond}
 	all := exhaustive(j, queued, batch)
 	var sum float64
 	for range 500 {
@@ -109,8 +109,8 @@
 // the report has to count.
 func TestNoHerdingBetweenReports(t *testing.T) {
 	m := model(6, 3, none, none)
-	j := Job{Prompt: 4000, Output: 10}
-	sent := map[work.Host]int{}
+	j := Job{PromptTokens: 4000, MaxOutputTokens: 10}
+	sent := map[domain.Host]int{}
 	source := random()
 	for range 24 {
 		p, _, ok := m.Choose(start, j, source)
@@ -130,29 +130,29 @@
 // newest shows must not be counted twice.
 func TestCrossedReportIsIgnored(t *testing.T) {
 	m := model(1, 1, none, none)
-	p := Pair{Prefill: host("prefill", 0), Decode: host("decode", 0)}
-	m.Started(start.Add(time.Second), p, Job{Prompt: 100, Output: 10})
+	p := EnginePair{Prefill: host("prefill", 0), Decode: host("decode", 0)}
+	m.Started(start.Add(time.Second), p, Job{PromptTokens: 100, MaxOutputTokens: 10})
 	full := DecodeReport{FreeRequests: 0}
 	free := DecodeReport{FreeRequests: 1, FreeTokens: 1000}
 	m.Decodes.Update(p.Decode, zone(0), start.Add(2*time.Second), free)
 	m.Decodes.Update(p.Decode, zone(0), start.Add(time.Second), full)
 	m.Prefills.Update(p.Prefill, zone(0), start.Add(2*time.Second), PrefillReport{})
-	_, g, ok := m.Choose(start.Add(2*time.Second), Job{Prompt: 100, Output: 10}, random())
+	_, g, ok := m.Choose(start.Add(2*time.Second), Job{PromptTokens: 100, MaxOutputTokens: 10}, random())
 	require.True(t, ok)
 	require.Equal(t, 1, g.Decodes[0].FreeRequests)
-	m.Ended(start.Add(3*time.Second), p, Job{Prompt: 100, Output: 10})
-	_, g, _ = m.Choose(start.Add(3*time.Second), Job{Prompt: 100, Output: 10}, random())
+	m.Ended(start.Add(3*time.Second), p, Job{PromptTokens: 100, MaxOutputTokens: 10})
+	_, g, _ = m.Choose(start.Add(3*time.Second), Job{PromptTokens: 100, MaxOutputTokens: 10}, random())
 	require.Equal(t, 2, g.Decodes[0].FreeRequests)
 }
 
 func TestUnusableCandidatesAreNotChosen(t *testing.T) {
-	cases := map[string]func(m *Model){
-		"draining": func(m *Model) { m.Prefills.SetDraining(host("prefill", 0), true) },
-		"ejected":  func(m *Model) { m.Prefills.SetShare(host("prefill", 0), 0) },
-		"removed":  func(m *Model) { m.Prefills.Remove(host("prefill", 0)) },
-		"stale": func(m *Model) {
+	cases := map[string]func(m *EngineSelector){
+		"draining": func(m *EngineSelector) { m.Prefills.SetDraining(host("prefill", 0), true) },
+		"ejected":  func(m *EngineSelector) { m.Prefills.SetTrafficShare(host("prefill", 0), 0) },
+		"removed":  func(m *EngineSelector) { m.Prefills.Remove(host("prefill", 0)) },
+		"stale": func(m *EngineSelector) {
 			m.Prefills.Remove(host("prefill", 0))
-			m.Prefills.Update(host("prefill", 0), zone(0), start.Add(-Stale-1), PrefillReport{})
+			m.Prefills.Update(host("prefill", 0), zone(0), start.Add(-MaxReportAge-1), PrefillReport{})
 		},
 	}
 	for name, spoil := range cases {
@@ -160,7 +160,7 @@
 			m := model(2, 1, none, none)
 			spoil(m)
 			for range 20 {
-				p, _, ok := m.Choose(start, Job{Prompt: 10}, random())
+				p, _, ok := m.Choose(start, Job{PromptTokens: 10}, random())
 				require.True(t, ok)
 				require.Equal(t, host("prefill", 1), p.Prefill)
 			}
@@ -173,9 +173,9 @@
 // known before the prefill started.
 func TestPrefillIsNotStartedWhenItsCacheWouldBeEvicted(t *testing.T) {
 	m := model(1, 1, none, none)
-	path := Path{From: zone(0), To: zone(0)}
+	path := ZonePair{From: zone(0), To: zone(0)}
 	m.UpdateLink(path, start, LinkReport{Rate: 1e9, QueuedBytes: 5e9})
-	j := Job{Prompt: 50_000, Output: 10, KVBytes: 3e8, KVLife: 800 * time.Millisecond}
+	j := Job{PromptTokens: 50_000, MaxOutputTokens: 10, KVBytes: 3e8, KVLifetime: 800 * time.Millisecond}
 	_, g, ok := m.Choose(start, j, random()) // 2.5 s of prefill, then 2.5 s of queue
 	require.False(t, ok)
 	require.Equal(t, 1, g.Excluded.KVExpires)
@@ -206,7 +206,7 @@
 
 func TestCachedPrefixDrawsUnlessItsEngineIsBusy(t *testing.T) {
 	m := model(60, 3, none, none)
-	j := Job{Prompt: 10_000, Prefix: 7, PrefixTokens: 9000}
+	j := Job{PromptTokens: 10_000, Prefix: 7, PrefixTokens: 9000}
 	m.CacheEvent(start, host("prefill", 40), CacheEvent{Seq: 1, Prefix: 7, Tokens: 9000})
 	p, _, _ := m.Choose(start, j, random())
 	require.Equal(t, host("prefill", 40), p.Prefill)
@@ -216,7 +216,7 @@
 }
 
 func TestAppWithLeastInFlight(t *testing.T) {
-	var a Apps
+	var a AppSelector
 	for n := range 2 {
 		a.Pool.Update(host("app", n), zone(n), start, AppReport{InFlight: 3 * n, Limit: 8})
 	}
@@ -226,6 +226,6 @@
 		a.Started(start, h)
 	}
 	require.Equal(t, 7, a.Pool.find(host("app", 0)).total.requests)
-	_, _, ok := a.Choose(start, Weights{zone(5): 100}, random())
+	_, _, ok := a.Choose(start, ZoneWeights{zone(5): 100}, random())
 	require.False(t, ok)
 }
--- a/route/search.go
+++ b/route/search.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Search bounds what one process asks of the engines of a pool when its requests
+// CapacityBackoff bounds what one process asks of the engines of a pool when its requests
 // look for room: how many engines, and how soon the same one again.
 //
 // Load pattern: engines are full, and each of many processes asks one after the
@@ -15,7 +15,7 @@
 // The pool as a whole is asked at a steady rate, whatever the number of processes
 // and engines: each engine so many times a second by all of them together. The
 // zero value is one process that asks.
-type Search struct {
+type CapacityBackoff struct {
 	// Processes is the number of processes that ask.
 	Processes int
 }
@@ -28,13 +28,13 @@
 	searchEvery = 20 * time.Millisecond
 	// searchLeast is the least time between two questions of one process.
 	searchLeast = 80 * time.Millisecond
-	// SearchMost is how many engines one look asks. Where as many as that, drawn
+	// MaxEnginesPerSearch is how many engines one look asks. Where as many as that, drawn
 	// from the whole pool, have no room, fewer than one in ten has any, and the
 	// answer to the caller is worth more than a longer search.
-	SearchMost = 8
+	MaxEnginesPerSearch = 8
 )
 
-// Rest is how long an engine that has no room is not asked again.
-func (s Search) Rest() time.Duration {
+// Interval is how long an engine that has no room is not asked again.
+func (s CapacityBackoff) Interval() time.Duration {
 	return max(searchLeast, time.Duration(s.Processes)*searchEvery)
 }
--- a/route/search_test.go
+++ b/route/search_test.go
@@ -153,8 +153,8 @@
 func TestTheSearchForRoomEndsAtEverySize(t *testing.T) {
 	small := 0.0
 	for _, size := range []struct{ processes, engines int }{{4, 5}, {24, 28}, {68, 86}} {
-		bound := route.Search{Processes: size.processes}
-		s := searching{processes: size.processes, engines: size.engines, load: 2, rest: bound.Rest(), most: route.SearchMost}
+		bound := route.CapacityBackoff{Processes: size.processes}
+		s := searching{processes: size.processes, engines: size.engines, load: 2, rest: bound.Interval(), most: route.MaxEnginesPerSearch}
 		got := s.play(1)
 		s.rest, s.most = 80*time.Millisecond, 1<<30
 		naive := s.play(1)
@@ -179,7 +179,7 @@
 	for _, size := range []struct{ processes, engines int }{{4, 5}, {24, 28}, {68, 86}} {
 		s := searching{
 			processes: size.processes, engines: size.engines, load: 2,
-			rest: route.Search{Processes: size.processes}.Rest(), most: route.SearchMost,
+			rest: route.CapacityBackoff{Processes: size.processes}.Interval(), most: route.MaxEnginesPerSearch,
 		}
 		got := s.play(1)
 		require.Less(t, got.asks, 12*got.requests, "%d processes, %d engines", size.processes, size.engines)
@@ -187,8 +187,8 @@
 }
 
 func TestAFullEngineRestsLongerAmongMore(t *testing.T) {
-	require.Equal(t, 80*time.Millisecond, route.Search{}.Rest())
-	require.Equal(t, 80*time.Millisecond, route.Search{Processes: 4}.Rest())
-	require.Greater(t, route.Search{Processes: 68}.Rest(), 300*time.Millisecond)
-	require.Equal(t, 10*route.Search{Processes: 68}.Rest(), route.Search{Processes: 680}.Rest())
+	require.Equal(t, 80*time.Millisecond, route.CapacityBackoff{}.Interval())
+	require.Equal(t, 80*time.Millisecond, route.CapacityBackoff{Processes: 4}.Interval())
+	require.Greater(t, route.CapacityBackoff{Processes: 68}.Interval(), 300*time.Millisecond)
+	require.Equal(t, 10*route.CapacityBackoff{Processes: 68}.Interval(), route.CapacityBackoff{Processes: 680}.Interval())
 }
--- a/turns/line.go
+++ b/search/line.go
@@ -1,11 +1,11 @@
-// Package turns lets requests look for room one at a time, in the order of their queue.
+// Package search lets requests look for room one at a time, in the order of their queue.
 //
 // The load pattern it answers: engines are full. Where all look at once, a small request
 // takes each place that comes free, and one that needs more memory never finds enough of it.
 //
 // # Usage
 //
-//	var lines turns.Lines
+//	var lines search.Queues
 //	l := lines.Line(service)
 //	if refusal := l.Enter(ctx, item, until); refusal != nil {
 //		return refusal
@@ -15,7 +15,7 @@
 //	case <-l.Freed(): // a place may have come free
 //	case <-ctx.Done():
 //	}
-package turns
+package search
 
 import (
 	"context"
@@ -23,21 +23,21 @@
 	"sync"
 	"time"
 
-	"jacinthworks/again"
+	"jacinthworks/delay"
+	"jacinthworks/domain"
 	"jacinthworks/queue"
-	"jacinthworks/work"
 )
 
-// Line is that of one service. Get it from Lines; it must not be copied.
-type Line struct {
-	// Returns say when what is refused should return, Stagger the same where upstreams
+// Queue is that of one service. Get it from Lines; it must not be copied.
+type Queue struct {
+	// RetryAfter say when what is refused should return, Stagger the same where upstreams
 	// have asked for a pause.
-	Returns again.Returns
-	Stagger again.Stagger
+	RetryAfter delay.RetryEstimator
+	Stagger    delay.Stagger
 
 	mu     sync.Mutex // a leaf
 	queue  queue.Queue
-	turns  map[work.RequestID]chan *queue.Refusal
+	turns  map[domain.RequestID]chan *queue.Refusal
 	busy   bool
 	random *rand.Rand
 	// freed is told when a place may have come free.
@@ -50,23 +50,23 @@
 	large float64
 }
 
-// Lines holds the line of each service. The zero value is ready to use; it must not be
+// Queues holds the line of each service. The zero value is ready to use; it must not be
 // copied.
-type Lines struct {
+type Queues struct {
 	mu sync.Mutex // a leaf
-	of map[work.Service]*Line
+	of map[domain.Service]*Queue
 }
 
-// Line gives the line of a service.
-func (l *Lines) Line(s work.Service) *Line {
+// For gives the line of a service.
+func (l *Queues) For(s domain.Service) *Queue {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.of == nil {
-		l.of = make(map[work.Service]*Line)
+		l.of = make(map[domain.Service]*Queue)
 	}
 	if l.of[s] == nil {
-		l.of[s] = &Line{
-			turns: make(map[work.RequestID]chan *queue.Refusal), random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+		l.of[s] = &Queue{
+			turns: make(map[domain.RequestID]chan *queue.Refusal), random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 			freed: make(chan struct{}, 1), toFirst: firstGuess,
 		}
 	}
@@ -94,20 +94,20 @@
 	largeFade = 0.99
 )
 
-// NoRoom notes that an engine had no room.
-func (l *Line) NoRoom(now time.Time) {
+// RecordFull notes that an engine had no room.
+func (l *Queue) RecordFull(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.short = now
 }
 
-// Margin gives how much more memory than it needs a request must find.
+// Headroom gives how much more memory than it needs a request must find.
 //
 // Load pattern: engines are nearly full, and what comes free is taken at once
 // by whoever fits into it. Requests of 6,000 tokens were refused four times as
 // often as those of 2,000. While requests are refused, smaller ones have to
 // Leave part of a large one's room.
-func (l *Line) Margin(now time.Time, need int) int {
+func (l *Queue) Headroom(now time.Time, need int) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.large = max(largeFade*l.large, float64(need))
@@ -117,16 +117,16 @@
 	return int(marginPart * max(0, l.large-float64(need)))
 }
 
-// Saw notes the time from finding room to the first event.
-func (l *Line) Saw(took time.Duration) {
+// RecordFirstEvent notes the time from finding room to the first event.
+func (l *Queue) RecordFirstEvent(took time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.toFirst = time.Duration(firstKeep*float64(l.toFirst) + (1-firstKeep)*float64(took))
 }
 
-// Enter waits for the request's turn. A refusal says that there is none; else
+// Acquire waits for the request's turn. A refusal says that there is none; else
 // Leave must be called.
-func (l *Line) Enter(ctx context.Context, i queue.Item, until time.Time) *queue.Refusal {
+func (l *Queue) Acquire(ctx context.Context, i queue.Item, until time.Time) *queue.Refusal {
 	turn, refusal := l.arrive(i)
 	if turn == nil {
 		return refusal
@@ -152,12 +152,12 @@
 // timer may be early by less than that.
 const lapseAgain = 5 * time.Millisecond
 
-func (l *Line) arrive(i queue.Item) (chan *queue.Refusal, *queue.Refusal) {
+func (l *Queue) arrive(i queue.Item) (chan *queue.Refusal, *queue.Refusal) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
 	l.sweep(now)
-	v := l.queue.Arrive(now, i, l.random)
+	v := l.queue.Enqueue(now, i, l.random)
 	if v.Refusal != nil {
 		return nil, v.Refusal
 	}
@@ -172,7 +172,7 @@
 
 // abandon takes out a request whose caller is gone, and passes on a turn that
 // it was given meanwhile.
-func (l *Line) abandon(i queue.Item, turn chan *queue.Refusal) *queue.Refusal {
+func (l *Queue) abandon(i queue.Item, turn chan *queue.Refusal) *queue.Refusal {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
@@ -182,11 +182,11 @@
 		}
 	}
 	delete(l.turns, i.ID)
-	return &queue.Refusal{Reason: work.ReasonCallerGone}
+	return &queue.Refusal{Reason: domain.ReasonCallerGone}
 }
 
-// Leave passes the turn on.
-func (l *Line) Leave() {
+// Release passes the turn on.
+func (l *Queue) Release() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
@@ -194,15 +194,15 @@
 	l.next(now)
 }
 
-// Lapsed gives the refusal of the request whose turn it is and for which no
+// Expire gives the refusal of the request whose turn it is and for which no
 // room was found in time.
-func (l *Line) Lapsed(i queue.Item) *queue.Refusal {
+func (l *Queue) Expire(i queue.Item) *queue.Refusal {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	l.queue.Return(now, i)
-	own := &queue.Refusal{Reason: work.ReasonTooLate, Detail: queue.DetailLapsed}
-	for _, r := range l.queue.Lapsed(now, l.random) {
+	l.queue.Requeue(now, i)
+	own := &queue.Refusal{Reason: domain.ReasonTooLate, Detail: queue.DetailExpired}
+	for _, r := range l.queue.RemoveExpired(now, l.random) {
 		if r.Item.ID == i.ID {
 			own = &r.Refusal
 			continue
@@ -213,9 +213,9 @@
 	return own
 }
 
-func (l *Line) sweep(now time.Time) { l.refuse(l.queue.Lapsed(now, l.random)) }
+func (l *Queue) sweep(now time.Time) { l.refuse(l.queue.RemoveExpired(now, l.random)) }
 
-func (l *Line) refuse(all []queue.Refused) {
+func (l *Queue) refuse(all []queue.Refused) {
 	for _, r := range all {
 		if turn := l.turns[r.Item.ID]; turn != nil {
 			delete(l.turns, r.Item.ID)
@@ -224,8 +224,8 @@
 	}
 }
 
-func (l *Line) next(now time.Time) {
-	i, ok := l.queue.Next(now, queue.AnyPrompt)
+func (l *Queue) next(now time.Time) {
+	i, ok := l.queue.Dequeue(now, queue.AnyPrompt)
 	l.busy = ok
 	if ok {
 		turn := l.turns[i.ID]
@@ -234,8 +234,8 @@
 	}
 }
 
-// Free tells the one whose turn it is that a place may have come free.
-func (l *Line) Free() {
+// SignalFree tells the one whose turn it is that a place may have come free.
+func (l *Queue) SignalFree() {
 	select {
 	case l.freed <- struct{}{}:
 	default:
@@ -243,10 +243,10 @@
 }
 
 // Freed is told when a place may have come free.
-func (l *Line) Freed() <-chan struct{} { return l.freed }
+func (l *Queue) Freed() <-chan struct{} { return l.freed }
 
-// ToFirst is the time from finding room to the first event, as measured.
-func (l *Line) ToFirst() time.Duration {
+// TimeToFirstEvent is the time from finding room to the first event, as measured.
+func (l *Queue) TimeToFirstEvent() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.toFirst
--- a/send/conn.go
+++ b/send/conn.go
@@ -45,7 +45,7 @@
 		d.KeepAliveConfig = net.KeepAliveConfig{Enable: true, Idle: probe, Interval: probe, Count: probes}
 	}
 	if user > 0 {
-		d.Control = UserTimeout(user)
+		d.Control = ControlUserTimeout(user)
 	}
 	c, err := d.DialContext(ctx, "tcp", to.String())
 	if err != nil {
@@ -56,9 +56,9 @@
 	return k, nil
 }
 
-// UserTimeout gives a Control function of a dialer or a listener that bounds how
+// ControlUserTimeout gives a Control function of a dialer or a listener that bounds how
 // long sent data may stay unacknowledged.
-func UserTimeout(after time.Duration) func(network, address string, raw syscall.RawConn) error {
+func ControlUserTimeout(after time.Duration) func(network, address string, raw syscall.RawConn) error {
 	return func(_, _ string, raw syscall.RawConn) error {
 		var failed error
 		err := raw.Control(func(fd uintptr) {
--- a/send/failure.go
+++ b/send/failure.go
@@ -6,20 +6,20 @@
 	"github.com/pkg/errors"
 )
 
-// Stage says how far a request got that has no whole answer.
-type Stage string
+// FailureStage says how far a request got that has no whole answer.
+type FailureStage string
 
 // The stages.
 const (
 	// NotSent is a request for which no connection was had: no byte of it
 	// left this process.
-	NotSent Stage = "not_sent"
+	NotSent FailureStage = "not_sent"
 	// Broken is a connection that broke after it was given the request.
-	Broken Stage = "broken"
-	// Silent is a connection on which nothing came for the silence allowed.
-	Silent Stage = "silent"
-	// GivenUp is a request whose context ended first.
-	GivenUp Stage = "given_up"
+	Broken FailureStage = "broken"
+	// TimedOut is a connection on which nothing came for the silence allowed.
+	TimedOut FailureStage = "silent"
+	// Canceled is a request whose context ended first.
+	Canceled FailureStage = "given_up"
 )
 
 var (
@@ -29,7 +29,7 @@
 
 // Failure is the error of a request without a whole answer.
 type Failure struct {
-	Stage Stage
+	Stage FailureStage
 	Cause error
 }
 
@@ -39,8 +39,8 @@
 // Unwrap gives the cause.
 func (f *Failure) Unwrap() error { return f.Cause }
 
-// Outcome gives the stage of a Failure behind err, or "" where there is none.
-func Outcome(err error) Stage {
+// StageOf gives the stage of a Failure behind err, or "" where there is none.
+func StageOf(err error) FailureStage {
 	var f *Failure
 	if errors.As(err, &f) {
 		return f.Stage
@@ -64,12 +64,12 @@
 	case !sent:
 		return &Failure{Stage: NotSent, Cause: cause}
 	case errors.Is(cause, errSilent):
-		c.Forget()
-		return &Failure{Stage: Silent, Cause: cause}
+		c.CloseIdleConnections()
+		return &Failure{Stage: TimedOut, Cause: cause}
 	case errors.Is(cause, errAbandoned):
 		return &Failure{Stage: Broken, Cause: cause}
 	case ctx.Err() != nil:
-		return &Failure{Stage: GivenUp, Cause: cause}
+		return &Failure{Stage: Canceled, Cause: cause}
 	}
 	return &Failure{Stage: Broken, Cause: cause}
 }
--- a/send/reply.go
+++ b/send/reply.go
@@ -9,12 +9,12 @@
 	"github.com/pkg/errors"
 )
 
-// Reply is an answer whose header has come; Read gives its body.
-type Reply struct {
+// Response is an answer whose header has come; Read gives its body.
+type Response struct {
 	Status int
 	Header http.Header
-	// Fresh says that the connection was made for this request.
-	Fresh bool
+	// NewConn says that the connection was made for this request.
+	NewConn bool
 
 	body     io.ReadCloser
 	client   *Client
@@ -33,7 +33,7 @@
 
 // Read reads the body. Its error is io.EOF at the end of a whole body, else a
 // *Failure: a body cut short never looks whole.
-func (p *Reply) Read(b []byte) (int, error) {
+func (p *Response) Read(b []byte) (int, error) {
 	n, err := p.body.Read(b)
 	if n > 0 {
 		p.watchdog.reset(p.silence)
@@ -47,20 +47,20 @@
 	return n, err
 }
 
-// SetSilence changes how long the other end may send nothing from now on.
-func (p *Reply) SetSilence(d time.Duration) {
+// SetReadTimeout changes how long the other end may send nothing from now on.
+func (p *Response) SetReadTimeout(d time.Duration) {
 	p.silence = d
 	if !p.ended {
 		p.watchdog.reset(d)
 	}
 }
 
-// Lose gives the answer up as silent, from another goroutine than the reader's.
-func (p *Reply) Lose() { p.cancel(errSilent) }
+// Abort gives the answer up as silent, from another goroutine than the reader's.
+func (p *Response) Abort() { p.cancel(errSilent) }
 
 // finish keeps the connection after a whole answer, where nothing of this
 // exchange is left on it.
-func (p *Reply) finish() {
+func (p *Response) finish() {
 	if p.ended {
 		return
 	}
@@ -81,7 +81,7 @@
 // settled says whether the request was written whole. An upstream may answer
 // before it has read the body; the next request would stand where the rest is
 // due.
-func (p *Reply) settled() bool {
+func (p *Response) settled() bool {
 	if p.written == nil {
 		return true
 	}
@@ -94,7 +94,7 @@
 }
 
 // drop ends the exchange and its connection.
-func (p *Reply) drop() {
+func (p *Response) drop() {
 	p.ended = true
 	p.watchdog.stop()
 	p.unhook()
@@ -104,24 +104,24 @@
 
 // Close ends the reply. A body that was not read to its end costs the
 // connection.
-func (p *Reply) Close() {
+func (p *Response) Close() {
 	if !p.ended {
 		p.drop()
 	}
 }
 
-// ErrTooLarge says that a body is over the limit given to All.
-var ErrTooLarge = errors.New("send: answer too large")
+// ErrBodyTooLarge says that a body is over the limit given to All.
+var ErrBodyTooLarge = errors.New("send: answer too large")
 
-// All reads the whole body, of at most limit bytes, and closes the reply.
-func (p *Reply) All(limit int64) ([]byte, error) {
+// ReadAll reads the whole body, of at most limit bytes, and closes the reply.
+func (p *Response) ReadAll(limit int64) ([]byte, error) {
 	defer p.Close()
 	value, err := io.ReadAll(io.LimitReader(p, limit+1))
 	if err != nil {
 		return nil, err
 	}
 	if int64(len(value)) > limit {
-		return nil, ErrTooLarge
+		return nil, ErrBodyTooLarge
 	}
 	return value, nil
 }
--- a/send/send.go
+++ b/send/send.go
@@ -6,7 +6,7 @@
 //
 //	c := send.Client{Base: netip.MustParseAddrPort("127.0.0.1:9001")}
 //	reply, err := c.Do(ctx, send.Request{Method: http.MethodPost, Target: "/prefill", Body: body})
-//	if send.Outcome(err) == send.NotSent {
+//	if send.StageOf(err) == send.NotSent {
 //		// no byte of it left this process
 //	}
 //	defer reply.Close()
@@ -35,10 +35,10 @@
 // The timeouts of a Client that sets none. A dial within a deployment takes
 // less than a millisecond, so a second is an upstream that is gone.
 const (
-	DefaultDialTimeout = time.Second
-	DefaultSilence     = 10 * time.Second
-	DefaultKeep        = 30 * time.Second
-	DefaultIdle        = 256
+	DefaultDialTimeout  = time.Second
+	DefaultReadTimeout  = 10 * time.Second
+	DefaultIdleTimeout  = 30 * time.Second
+	DefaultMaxIdleConns = 256
 )
 
 // inlineBody is the longest body, in bytes, that is written before the answer
@@ -57,36 +57,36 @@
 	Base netip.AddrPort
 	// DialTimeout limits connecting; zero is DefaultDialTimeout.
 	DialTimeout time.Duration
-	// Silence is how long the other end may send nothing, before the header
-	// and between two reads of the body; zero is DefaultSilence.
-	Silence time.Duration
-	// Keep is how long a connection is kept without a request where the other
-	// end says nothing of it; zero is DefaultKeep.
-	Keep time.Duration
-	// UserTimeout is how long sent data may stay unacknowledged before the
+	// ReadTimeout is how long the other end may send nothing, before the header
+	// and between two reads of the body; zero is DefaultReadTimeout.
+	ReadTimeout time.Duration
+	// IdleTimeout is how long a connection is kept without a request where the other
+	// end says nothing of it; zero is DefaultIdleTimeout.
+	IdleTimeout time.Duration
+	// ControlUserTimeout is how long sent data may stay unacknowledged before the
 	// connection is given up; zero leaves it to the system.
 	UserTimeout time.Duration
-	// Probe, if not zero, is how soon an open connection on which nothing comes
+	// KeepAliveInterval, if not zero, is how soon an open connection on which nothing comes
 	// is probed, and how long the answer to a probe may take; after two probes
 	// without an answer the connection is given up. It finds a connection that
 	// went silent for good while this side waits.
-	Probe time.Duration
+	KeepAliveInterval time.Duration
 
 	mu   sync.Mutex // a leaf
 	idle []*conn    // the newest last
 	// open are the exchanges in progress.
 	open    map[*watchdog]struct{}
-	maxIdle int // zero is DefaultIdle
+	maxIdle int // zero is DefaultMaxIdleConns
 }
 
-// KeepAtMost bounds the connections that are kept without a request; zero is
-// DefaultIdle. It may be called at any time.
+// SetMaxIdleConns bounds the connections that are kept without a request; zero is
+// DefaultMaxIdleConns. It may be called at any time.
 //
 // Failure: an upstream takes so many connections from all its callers together,
 // and resets the next one. Connections that each of many callers keeps for
 // later use it up, and a request that came on the reset one, and may not be
 // repeated, is lost.
-func (c *Client) KeepAtMost(n int) {
+func (c *Client) SetMaxIdleConns(n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.maxIdle = n
@@ -101,24 +101,24 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Silence takes the place of the client's for this request if not zero.
-	Silence time.Duration
-	// Fresh sends the request on a connection made for it.
-	Fresh bool
-	// Mine, if set, says whether an answer belongs to this request. Others are
+	// ReadTimeout takes the place of the client's for this request if not zero.
+	ReadTimeout time.Duration
+	// NewConn sends the request on a connection made for it.
+	NewConn bool
+	// Match, if set, says whether an answer belongs to this request. Others are
 	// read and dropped.
-	Mine func(http.Header) bool
+	Match func(http.Header) bool
 }
 
 // Do sends the request and waits for the header of its answer. The error is a
 // *Failure. The caller closes the reply.
-func (c *Client) Do(ctx context.Context, r Request) (*Reply, error) {
-	silence := firstOf(r.Silence, c.Silence, DefaultSilence)
+func (c *Client) Do(ctx context.Context, r Request) (*Response, error) {
+	silence := firstOf(r.ReadTimeout, c.ReadTimeout, DefaultReadTimeout)
 	ctx, cancel := context.WithCancelCause(ctx)
 	watchdog := newWatchdog(cancel, silence)
 	c.begin(watchdog)
 	watchdog.ended = func() { c.end(watchdog) }
-	k, err := c.take(ctx, r.Fresh)
+	k, err := c.take(ctx, r.NewConn)
 	if err != nil {
 		watchdog.stop()
 		failure := c.fail(ctx, err, false)
@@ -126,9 +126,9 @@
 		return nil, failure
 	}
 	watchdog.of(k)
-	p := &Reply{
-		Fresh: k.uses == 0,
-		body:  nil, client: c, ctx: ctx, cancel: cancel, watchdog: watchdog, silence: silence, conn: k,
+	p := &Response{
+		NewConn: k.uses == 0,
+		body:    nil, client: c, ctx: ctx, cancel: cancel, watchdog: watchdog, silence: silence, conn: k,
 		unhook: context.AfterFunc(ctx, func() { _ = k.Close() }),
 	}
 	answer, err := p.exchange(r)
@@ -144,7 +144,7 @@
 }
 
 // exchange writes the request and reads the header of its answer.
-func (p *Reply) exchange(r Request) (*http.Response, error) {
+func (p *Response) exchange(r Request) (*http.Response, error) {
 	q, err := build(r, p.client.Base)
 	if err != nil {
 		return nil, err
@@ -164,7 +164,7 @@
 			return nil, errors.Wrap(err, "send: reading answer")
 		}
 		interim := answer.StatusCode < http.StatusOK
-		if !interim && (r.Mine == nil || r.Mine(answer.Header)) {
+		if !interim && (r.Match == nil || r.Match(answer.Header)) {
 			return answer, nil
 		}
 		// Failure: an upstream answers an earlier request a second time, and
@@ -221,7 +221,7 @@
 		}
 		_ = k.Close()
 	}
-	return dial(ctx, c.Base, firstOf(c.DialTimeout, DefaultDialTimeout), c.UserTimeout, c.Probe)
+	return dial(ctx, c.Base, firstOf(c.DialTimeout, DefaultDialTimeout), c.UserTimeout, c.KeepAliveInterval)
 }
 
 func (c *Client) pop() *conn {
@@ -241,13 +241,13 @@
 	now := time.Now()
 	k.since = now
 	if k.keep == 0 {
-		k.keep = firstOf(c.Keep, DefaultKeep)
+		k.keep = firstOf(c.IdleTimeout, DefaultIdleTimeout)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	most := c.maxIdle
 	if most == 0 {
-		most = DefaultIdle
+		most = DefaultMaxIdleConns
 	}
 	n := 0
 	for n < len(c.idle) && (c.idle[n].expired(now) || len(c.idle)-n >= most) {
@@ -272,10 +272,10 @@
 	delete(c.open, w)
 }
 
-// Abandon closes the idle connections and ends the exchanges in progress as
+// CloseAll closes the idle connections and ends the exchanges in progress as
 // broken: the other end is known to know nothing of them any more.
-func (c *Client) Abandon() {
-	c.Forget()
+func (c *Client) CloseAll() {
+	c.CloseIdleConnections()
 	c.mu.Lock()
 	var open []*watchdog
 	for w := range c.open {
@@ -287,8 +287,8 @@
 	}
 }
 
-// Forget closes the idle connections.
-func (c *Client) Forget() {
+// CloseIdleConnections closes the idle connections.
+func (c *Client) CloseIdleConnections() {
 	c.mu.Lock()
 	idle := c.idle
 	c.idle = nil
--- a/send/send_test.go
+++ b/send/send_test.go
@@ -67,13 +67,13 @@
 			c := send.Client{Base: addr}
 			reply, err := c.Do(t.Context(), send.Request{Method: http.MethodGet, Target: "/first"})
 			require.NoError(t, err)
-			body, err := reply.All(10)
+			body, err := reply.ReadAll(10)
 			require.NoError(t, err)
 			require.Equal(t, "ok", string(body))
 			require.Equal(t, "/first", (<-read).URL.Path)
 
 			_, err = c.Do(t.Context(), r)
-			require.Equal(t, send.Broken, send.Outcome(err), "%v", err)
+			require.Equal(t, send.Broken, send.StageOf(err), "%v", err)
 			require.Equal(t, "/ascents", (<-read).URL.Path)
 			require.Empty(t, read, "the call was sent a second time")
 		})
@@ -103,9 +103,9 @@
 	defer close(release)
 	c := send.Client{Base: netip.MustParseAddrPort(s.Listener.Addr().String())}
 	ask := func(target string, silence time.Duration) error {
-		reply, err := c.Do(t.Context(), send.Request{Method: http.MethodGet, Target: target, Silence: silence})
+		reply, err := c.Do(t.Context(), send.Request{Method: http.MethodGet, Target: target, ReadTimeout: silence})
 		if err == nil {
-			_, err = reply.All(10)
+			_, err = reply.ReadAll(10)
 		}
 		return err
 	}
@@ -114,11 +114,11 @@
 	require.NoError(t, err)
 	other, err := c.Do(t.Context(), send.Request{Method: http.MethodGet, Target: "/hold"})
 	require.NoError(t, err)
-	for _, p := range []*send.Reply{reply, other} {
-		_, err = p.All(10)
+	for _, p := range []*send.Response{reply, other} {
+		_, err = p.ReadAll(10)
 		require.NoError(t, err)
 	}
-	require.Equal(t, send.Silent, send.Outcome(ask("/silent", 10*time.Millisecond)))
+	require.Equal(t, send.TimedOut, send.StageOf(ask("/silent", 10*time.Millisecond)))
 	require.NoError(t, ask("/", 0))
 	require.EqualValues(t, 3, dials.Load(), "the silent one, the idle one, a fresh one")
 }
@@ -130,7 +130,7 @@
 	require.NoError(t, l.Close())
 	refused := send.Client{Base: addr}
 	_, err = refused.Do(t.Context(), send.Request{Method: http.MethodGet, Target: "/"})
-	require.Equal(t, send.NotSent, send.Outcome(err), "nobody listens")
+	require.Equal(t, send.NotSent, send.StageOf(err), "nobody listens")
 
 	gone, cancel := context.WithCancel(t.Context())
 	began := make(chan struct{})
@@ -147,12 +147,12 @@
 	c := send.Client{Base: netip.MustParseAddrPort(s.Listener.Addr().String())}
 	reply, err := c.Do(t.Context(), send.Request{Method: http.MethodGet, Target: "/short"})
 	require.NoError(t, err)
-	_, err = reply.All(100)
-	require.Equal(t, send.Broken, send.Outcome(err), "a body cut short is no body")
+	_, err = reply.ReadAll(100)
+	require.Equal(t, send.Broken, send.StageOf(err), "a body cut short is no body")
 
 	go func() { <-began; cancel() }()
 	_, err = c.Do(gone, send.Request{Method: http.MethodGet, Target: "/wait"})
-	require.Equal(t, send.GivenUp, send.Outcome(err))
+	require.Equal(t, send.Canceled, send.StageOf(err))
 	require.ErrorIs(t, err, context.Canceled)
 }
 
@@ -177,13 +177,13 @@
 	c, second := inTwo(t)
 	const silence = 50 * time.Millisecond
 	reply, err := c.Do(t.Context(), send.Request{
-		Method: http.MethodGet, Target: "/", Silence: silence,
-		Mine: func(http.Header) bool { <-time.After(silence * 3 / 2); return true }, // the host is held up
+		Method: http.MethodGet, Target: "/", ReadTimeout: silence,
+		Match: func(http.Header) bool { <-time.After(silence * 3 / 2); return true }, // the host is held up
 	})
 	require.NoError(t, err)
-	reply.SetSilence(time.Second)
+	reply.SetReadTimeout(time.Second)
 	close(second)
-	body, err := reply.All(100)
+	body, err := reply.ReadAll(100)
 	require.NoError(t, err)
 	require.Equal(t, "first second", string(body))
 }
@@ -194,10 +194,10 @@
 	reply, err := c.Do(t.Context(), send.Request{Method: http.MethodGet, Target: "/"})
 	require.NoError(t, err)
 	const silence = 20 * time.Millisecond
-	reply.SetSilence(silence)
+	reply.SetReadTimeout(silence)
 	close(second)
 	<-time.After(5 * silence) // the host is held up
-	body, err := reply.All(100)
+	body, err := reply.ReadAll(100)
 	require.NoError(t, err)
 	require.Equal(t, "first second", string(body))
 }
@@ -207,9 +207,9 @@
 	defer close(second)
 	reply, err := c.Do(t.Context(), send.Request{Method: http.MethodGet, Target: "/"})
 	require.NoError(t, err)
-	reply.SetSilence(20 * time.Millisecond)
-	_, err = reply.All(100)
-	require.Equal(t, send.Silent, send.Outcome(err))
+	reply.SetReadTimeout(20 * time.Millisecond)
+	_, err = reply.ReadAll(100)
+	require.Equal(t, send.TimedOut, send.StageOf(err))
 }
 
 // Story: an upstream starts anew without closing its connections. What waits for
@@ -228,18 +228,18 @@
 	c := &send.Client{Base: netip.MustParseAddrPort(h.Listener.Addr().String())}
 	ended := make(chan error, 2)
 	go func() {
-		_, err := c.Do(t.Context(), send.Request{Method: "GET", Target: "/silent", Silence: time.Minute})
+		_, err := c.Do(t.Context(), send.Request{Method: "GET", Target: "/silent", ReadTimeout: time.Minute})
 		ended <- err
 	}()
-	reply, err := c.Do(t.Context(), send.Request{Method: "GET", Target: "/stream", Silence: time.Minute})
+	reply, err := c.Do(t.Context(), send.Request{Method: "GET", Target: "/stream", ReadTimeout: time.Minute})
 	require.NoError(t, err)
 	go func() {
-		_, err := reply.All(1 << 10)
+		_, err := reply.ReadAll(1 << 10)
 		ended <- err
 	}()
 	<-began
 	<-began
-	c.Abandon()
-	require.Equal(t, send.Broken, send.Outcome(<-ended))
-	require.Equal(t, send.Broken, send.Outcome(<-ended))
+	c.CloseAll()
+	require.Equal(t, send.Broken, send.StageOf(<-ended))
+	require.Equal(t, send.Broken, send.StageOf(<-ended))
 }
--- a/settings.go
+++ b/settings.go
@@ -10,15 +10,15 @@
 	"github.com/pkg/errors"
 
 	"jacinthworks/conf"
-	"jacinthworks/steps"
-	"jacinthworks/work"
+	"jacinthworks/domain"
+	"jacinthworks/inject"
 )
 
 // settingsArgs are the arguments of the commands that run from a file.
 type settingsArgs struct {
 	Settings string `arg:"--settings,required" help:"TOML file with the settings" placeholder:"FILE"`
 	// Drill is for failure tests and rehearsals.
-	Drill steps.Drill `arg:"--drill" help:"exit or pause at a step, once, to rehearse a failure (exit:side_handed)" placeholder:"ACTION:STEP"`
+	Drill inject.Fault `arg:"--drill" help:"exit or pause at a step, once, to rehearse a failure (exit:side_handed)" placeholder:"ACTION:STEP"`
 }
 
 // parseArgs reads a command's arguments into dest; done says that the command
@@ -63,7 +63,7 @@
 
 // newLog gives the log of a process. The prompt and the secrets of a request
 // are never among the values that are logged.
-func newLog(l conf.Log, name string, host work.Host, to io.Writer) hclog.Logger {
+func newLog(l conf.Log, name string, host domain.Host, to io.Writer) hclog.Logger {
 	return hclog.New(&hclog.LoggerOptions{
 		Name: name, Level: hclog.LevelFromString(l.Level), JSONFormat: l.Format == "json", Output: to,
 	}).With("host", host)
--- a/side/claims.go
+++ b/side/claims.go
@@ -6,9 +6,9 @@
 	"time"
 
 	"jacinthworks/claim"
-	"jacinthworks/links"
+	"jacinthworks/domain"
+	"jacinthworks/peers"
 	"jacinthworks/wire"
-	"jacinthworks/work"
 )
 
 // Times of claims. None of them bears on safety, which rests on fences alone;
@@ -44,8 +44,8 @@
 // claims is the side's part in claiming: its book, the other members, and who
 // is known to own which shard. Its lock is taken before no other.
 type claims struct {
-	book    claim.Book
-	members links.Directory
+	book    claim.Ledger
+	members peers.Directory
 
 	mu     sync.Mutex
 	peers  map[*wire.Peer]bool
@@ -65,7 +65,7 @@
 
 // ownerSeen is the newest owner of a shard that was heard of, and from whom.
 type ownerSeen struct {
-	host  work.Host
+	host  domain.Host
 	epoch claim.Epoch
 }
 
@@ -78,11 +78,11 @@
 	c.owners = make(map[claim.Shard]ownerSeen)
 	c.missed = make(map[claim.Shard]time.Time)
 	local := *s.local()
-	local.Opened, local.Closed = nil, nil
-	local.Notice = func(p *wire.Peer, method string, params json.RawMessage) {
+	local.OnOpen, local.OnClose = nil, nil
+	local.HandleNotification = func(p *wire.Peer, method string, params json.RawMessage) {
 		var o wire.Owned
 		if method == wire.MethodOwned && json.Unmarshal(params, &o) == nil {
-			c.hear(p.Remote().Host, o.Shards)
+			c.hear(p.RemoteHello().Host, o.Shards)
 		}
 	}
 	c.members.Local = &local
@@ -96,7 +96,7 @@
 }
 
 // opened and closed keep the connections that others made to this side.
-func (c *claims) opened(p *wire.Peer, s work.Service) {
+func (c *claims) opened(p *wire.Peer, s domain.Service) {
 	c.mu.Lock()
 	c.peers[p] = true
 	c.mu.Unlock()
@@ -110,7 +110,7 @@
 }
 
 // hear notes which shards another member owns.
-func (c *claims) hear(from work.Host, shards []claim.Ownership) {
+func (c *claims) hear(from domain.Host, shards []claim.Ownership) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	held := make(map[claim.Shard]bool, len(shards))
--- a/side/death.go
+++ b/side/death.go
@@ -7,9 +7,9 @@
 	"time"
 
 	"jacinthworks/admit"
+	"jacinthworks/domain"
 	"jacinthworks/retry"
 	"jacinthworks/wire"
-	"jacinthworks/work"
 )
 
 // deathWithin is how long an upstream has to answer a fresh question after it
@@ -22,7 +22,7 @@
 	mu       sync.Mutex
 	last     retry.Death
 	reported bool
-	count    work.Incarnation // lives of an upstream that does not number them
+	count    domain.Incarnation // lives of an upstream that does not number them
 	reserved map[admit.Key]expected
 }
 
@@ -60,7 +60,7 @@
 
 // life names the upstream's present life: an engine's own incarnation, or the
 // number of deaths seen of an application server.
-func (s *Side) life() work.Incarnation {
+func (s *Side) life() domain.Incarnation {
 	if st := s.upstream.Load(); st != nil {
 		return st.Incarnation
 	}
@@ -90,7 +90,7 @@
 }
 
 // identities lists what the upstream was given and has not ended.
-func (l *Ledger) identities() []retry.Identity {
+func (l *OrderTable) identities() []retry.Identity {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var all []retry.Identity
@@ -115,7 +115,7 @@
 		}
 	}
 	s.deaths.mu.Unlock()
-	return s.crashes.Beside(now, id, running)
+	return s.crashes.MayRunWith(now, id, running)
 }
 
 // expect notes the identity of a reservation; forget drops it.
--- a/side/death_test.go
+++ b/side/death_test.go
@@ -8,16 +8,16 @@
 
 	"github.com/stretchr/testify/require"
 
+	"jacinthworks/domain"
 	"jacinthworks/engine"
 	"jacinthworks/retry"
 	"jacinthworks/wire"
-	"jacinthworks/work"
 )
 
 // lives is an engine that answers which life it is in, or nothing.
 type lives struct {
 	engine.Model
-	life work.Incarnation
+	life domain.Incarnation
 	err  error
 }
 
@@ -42,7 +42,7 @@
 	m.life = 2
 	d := s.died(t.Context(), o)
 	require.Equal(t, []retry.Identity{"identity-1"}, d.Running)
-	m.err = engine.ErrNotTaken
+	m.err = engine.ErrNotStarted
 	require.Equal(t, d, s.died(t.Context(), o), "one death gives the same evidence")
 }
 
--- a/side/deliver.go
+++ b/side/deliver.go
@@ -8,14 +8,14 @@
 	"github.com/pkg/errors"
 
 	"jacinthworks/claim"
+	"jacinthworks/domain"
 	"jacinthworks/wire"
-	"jacinthworks/work"
 )
 
 // deliver sends a book's messages, each to its receiver at the same time, and
 // takes the answers. What is lost is pending still and is sent again.
 func (s *Side) deliver(ctx context.Context, out claim.Outbox) {
-	to := make(map[work.Host][]func(context.Context) error)
+	to := make(map[domain.Host][]func(context.Context) error)
 	for _, m := range out.Fences {
 		to[m.To.Host] = append(to[m.To.Host], func(ctx context.Context) error { return s.sendFence(ctx, m) })
 	}
@@ -52,7 +52,7 @@
 }
 
 // callMember reaches another member, or this side itself.
-func (s *Side) callMember(ctx context.Context, host work.Host, method string, params, result any) error {
+func (s *Side) callMember(ctx context.Context, host domain.Host, method string, params, result any) error {
 	if host == s.Settings.Name {
 		return s.callSelf(method, params, result)
 	}
@@ -79,8 +79,8 @@
 	return errors.Wrap(json.Unmarshal(text, result), "side")
 }
 
-func (s *Side) sendFence(ctx context.Context, m claim.FenceOrder) error {
-	var got wire.Fenced
+func (s *Side) sendFence(ctx context.Context, m claim.FenceRequest) error {
+	var got wire.FenceReply
 	if err := s.callMember(ctx, m.To.Host, wire.MethodFence, m, &got); err != nil {
 		return err
 	}
@@ -99,7 +99,7 @@
 	return err
 }
 
-func (s *Side) sendRestore(ctx context.Context, m claim.Restore) error {
+func (s *Side) sendRestore(ctx context.Context, m claim.RestoreRequest) error {
 	var got claim.RestoreReply
 	if err := s.callMember(ctx, m.To.Host, wire.MethodRestore, m, &got); err != nil {
 		return err
--- a/side/ledger.go
+++ b/side/ledger.go
@@ -5,9 +5,9 @@
 	"sync"
 	"time"
 
+	"jacinthworks/domain"
 	"jacinthworks/story"
 	"jacinthworks/wire"
-	"jacinthworks/work"
 )
 
 // How much of the past a ledger keeps. An entry asks after an attempt within
@@ -35,7 +35,7 @@
 // order is one attempt at one stage, as its side knows it.
 type order struct {
 	run      wire.Run
-	entry    work.Host
+	entry    domain.Host
 	step     step
 	tokens   []string
 	last     bool
@@ -53,26 +53,26 @@
 	changed chan struct{}
 }
 
-// Ledger is the exact account of what a side was asked to do. Its rules: an
+// OrderTable is the exact account of what a side was asked to do. Its rules: an
 // attempt begins at most once; an attempt refused beforehand never begins; no
 // order that was cancelled or refused is handed to the upstream; an order ends
 // once. The zero value is ready to use. One lock guards it all; nothing is
 // called while it is held.
-type Ledger struct {
+type OrderTable struct {
 	mu     sync.Mutex
-	orders map[wire.Ref]*order
+	orders map[wire.AttemptRef]*order
 	// live are the orders that have not ended. What is asked at each call,
 	// heartbeat and sweep goes over these: orders remembers thousands.
-	live    map[wire.Ref]*order
-	refused map[wire.Ref]time.Time
-	ended   []wire.Ref
+	live    map[wire.AttemptRef]*order
+	refused map[wire.AttemptRef]time.Time
+	ended   []wire.AttemptRef
 	// forgotten is the highest number of a request that was dropped, by the
 	// life of the entry that numbered it.
 	forgotten map[story.ID]uint64
 }
 
 // begin takes an order in, or refuses it.
-func (l *Ledger) begin(run wire.Run, entry work.Host, cancel context.CancelFunc) (*order, *wire.Refused) {
+func (l *OrderTable) begin(run wire.Run, entry domain.Host, cancel context.CancelFunc) (*order, *wire.RefusalError) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.init()
@@ -80,21 +80,21 @@
 	// order was still on its way to a side that was frozen. It shows as work
 	// that runs after its refusal. Refusing by name beforehand holds, because
 	// the order can arrive no more than once and meets the name.
-	if _, given := l.refused[run.Ref]; given {
-		return nil, &wire.Refused{Reason: work.ReasonLost, Ran: work.NotRun, Detail: "the attempt was given up before it arrived"}
+	if _, given := l.refused[run.AttemptRef]; given {
+		return nil, &wire.RefusalError{Reason: domain.ReasonLost, Ran: domain.NotRun, Detail: "the attempt was given up before it arrived"}
 	}
-	if o := l.orders[run.Ref]; o != nil {
-		return nil, &wire.Refused{Reason: work.ReasonInProgress, Ran: work.Unknown, Detail: "the attempt is here already"}
+	if o := l.orders[run.AttemptRef]; o != nil {
+		return nil, &wire.RefusalError{Reason: domain.ReasonInProgress, Ran: domain.Unknown, Detail: "the attempt is here already"}
 	}
 	o := &order{run: run, entry: entry, cancel: cancel, attached: 1, changed: make(chan struct{})}
-	l.orders[run.Ref] = o
-	l.live[run.Ref] = o
+	l.orders[run.AttemptRef] = o
+	l.live[run.AttemptRef] = o
 	return o, nil
 }
 
 // hand marks the order as handed to the upstream, or reports false if it was
 // given up before. After true, only the upstream's word can make it not_run.
-func (l *Ledger) hand(o *order) bool {
+func (l *OrderTable) hand(o *order) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if o.gone || o.step != stepWaiting {
@@ -105,7 +105,7 @@
 }
 
 // token adds the token at the given offset; one at another offset is dropped.
-func (l *Ledger) token(o *order, offset int, text string, last bool) {
+func (l *OrderTable) token(o *order, offset int, text string, last bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if o.step == stepEnded || offset != len(o.tokens) {
@@ -117,50 +117,50 @@
 }
 
 // end settles the order; only the first end counts.
-func (l *Ledger) end(o *order, out wire.Outcome, now time.Time) {
+func (l *OrderTable) end(o *order, out wire.Outcome, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if o.step == stepEnded {
 		return
 	}
 	if o.step == stepWaiting {
-		out.Ran = work.NotRun
+		out.Ran = domain.NotRun
 	}
-	out.Ref, out.Tokens = o.run.Ref, len(o.tokens)
+	out.AttemptRef, out.Tokens = o.run.AttemptRef, len(o.tokens)
 	o.step, o.outcome, o.ended = stepEnded, out, now
 	// The entry that follows lets go as soon as it hears of the end: whether
 	// one was there is decided now.
 	o.untaken = o.attached == 0
-	delete(l.live, o.run.Ref)
-	l.ended = append(l.ended, o.run.Ref)
+	delete(l.live, o.run.AttemptRef)
+	l.ended = append(l.ended, o.run.AttemptRef)
 	o.wake()
 	l.forget(now)
 }
 
 // settle gives the account of an attempt, and refuses it for good if it is
 // not known here or was not handed over yet.
-func (l *Ledger) settle(ref wire.Ref, now time.Time) wire.Outcome {
+func (l *OrderTable) settle(ref wire.AttemptRef, now time.Time) wire.Outcome {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.init()
 	o := l.orders[ref]
 	if o == nil {
 		l.refused[ref] = now
-		return wire.Outcome{Ref: ref, Ran: l.ranUnseen(ref), Reason: work.ReasonLost}
+		return wire.Outcome{AttemptRef: ref, Ran: l.ranUnseen(ref), Reason: domain.ReasonLost}
 	}
 	switch o.step {
 	case stepWaiting:
 		o.gone = true
 		o.cancel()
-		return wire.Outcome{Ref: ref, Ran: work.NotRun, Reason: work.ReasonLost}
+		return wire.Outcome{AttemptRef: ref, Ran: domain.NotRun, Reason: domain.ReasonLost}
 	case stepHanded:
-		return wire.Outcome{Ref: ref, Ran: work.Unknown, Reason: work.ReasonInProgress}
+		return wire.Outcome{AttemptRef: ref, Ran: domain.Unknown, Reason: domain.ReasonInProgress}
 	}
 	return o.outcome
 }
 
 // giveUp marks the order as unwanted and stops its work.
-func (l *Ledger) giveUp(ref wire.Ref, now time.Time) {
+func (l *OrderTable) giveUp(ref wire.AttemptRef, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.init()
@@ -174,7 +174,7 @@
 }
 
 // attach joins the order; the caller must detach.
-func (l *Ledger) attach(ref wire.Ref) *order {
+func (l *OrderTable) attach(ref wire.AttemptRef) *order {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	o := l.orders[ref]
@@ -186,7 +186,7 @@
 	return o
 }
 
-func (l *Ledger) detach(o *order, now time.Time) {
+func (l *OrderTable) detach(o *order, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	o.attached--
@@ -197,7 +197,7 @@
 
 // follow gives the tokens from an offset on, whether the order has ended, and
 // a channel that closes at the next change.
-func (l *Ledger) follow(o *order, from int) (tokens []string, ended bool, changed <-chan struct{}) {
+func (l *OrderTable) follow(o *order, from int) (tokens []string, ended bool, changed <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if from < len(o.tokens) {
@@ -209,10 +209,10 @@
 // orphans gives up orders for models that no entry has been attached to for
 // the given time, and names them. A plain call is left to run: its outcome is
 // still wanted, by whoever sends the same key again.
-func (l *Ledger) orphans(now time.Time, after time.Duration) []wire.Ref {
+func (l *OrderTable) orphans(now time.Time, after time.Duration) []wire.AttemptRef {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var refs []wire.Ref
+	var refs []wire.AttemptRef
 	for ref, o := range l.live {
 		if o.gone || ref.Stage == wire.StageCall {
 			continue
@@ -229,7 +229,7 @@
 // holds says whether the request may rightly hold engine memory: an order of
 // it is in progress, or its prefill's cache still has life and an attempt
 // that wants it.
-func (l *Ledger) holds(id work.RequestID, now time.Time) bool {
+func (l *OrderTable) holds(id domain.RequestID, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for ref, o := range l.orders {
@@ -247,24 +247,24 @@
 }
 
 // busy counts the orders in progress.
-func (l *Ledger) busy() int {
+func (l *OrderTable) busy() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.live)
 }
 
 // untaken says whether the order ended with no entry attached to it.
-func (l *Ledger) untaken(o *order) bool {
+func (l *OrderTable) untaken(o *order) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return o.untaken
 }
 
-func (l *Ledger) init() {
+func (l *OrderTable) init() {
 	if l.orders == nil {
-		l.orders = make(map[wire.Ref]*order)
-		l.live = make(map[wire.Ref]*order)
-		l.refused = make(map[wire.Ref]time.Time)
+		l.orders = make(map[wire.AttemptRef]*order)
+		l.live = make(map[wire.AttemptRef]*order)
+		l.refused = make(map[wire.AttemptRef]time.Time)
 		l.forgotten = make(map[story.ID]uint64)
 	}
 }
@@ -273,17 +273,17 @@
 // it ran, and thousands of short calls have ended since. It shows as a true
 // "ran" that is told as "not run". An entry numbers its requests in order, so
 // that only one above all those dropped can never have been here.
-func (l *Ledger) ranUnseen(ref wire.Ref) work.Ran {
+func (l *OrderTable) ranUnseen(ref wire.AttemptRef) domain.Execution {
 	life, number := numbered(ref.Request)
 	if highest, dropped := l.forgotten[life]; dropped && number <= highest {
-		return work.Unknown
+		return domain.Unknown
 	}
-	return work.NotRun
+	return domain.NotRun
 }
 
 // numbered takes a request id apart into the entry's life, which is the id
 // without its number, and the number.
-func numbered(id work.RequestID) (life story.ID, number uint64) {
+func numbered(id domain.RequestID) (life story.ID, number uint64) {
 	parts, err := story.ParseID(id)
 	if err != nil {
 		return story.ID{}, 0
@@ -293,7 +293,7 @@
 }
 
 // forget drops what ended too long ago, and the oldest beyond the bound.
-func (l *Ledger) forget(now time.Time) {
+func (l *OrderTable) forget(now time.Time) {
 	for len(l.ended) > 0 {
 		o := l.orders[l.ended[0]]
 		if len(l.ended) <= keepMost && now.Sub(o.ended) < keepEnded {
@@ -320,7 +320,7 @@
 }
 
 // promptTokens counts the prompt tokens of prefills in progress.
-func (l *Ledger) promptTokens() int {
+func (l *OrderTable) promptTokens() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := 0
--- a/side/model_test.go
+++ b/side/model_test.go
@@ -8,10 +8,10 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
+	"jacinthworks/domain"
 	"jacinthworks/retry"
 	"jacinthworks/test/seeded"
 	"jacinthworks/wire"
-	"jacinthworks/work"
 )
 
 func TestMain(m *testing.M) { seeded.Main(m) }
@@ -22,7 +22,7 @@
 	what   string
 	at     time.Time
 	tokens []string
-	ran    work.Ran
+	ran    domain.Execution
 }
 
 type naiveOrder []naiveEvent
@@ -48,16 +48,16 @@
 }
 
 // ran is the account of the order: what its end said, or what its steps imply.
-func (n naiveOrder) ran() work.Ran {
+func (n naiveOrder) ran() domain.Execution {
 	for _, e := range n {
 		if e.what == "end" {
 			return e.ran
 		}
 	}
 	if n.has("hand") {
-		return work.Unknown
+		return domain.Unknown
 	}
-	return work.NotRun
+	return domain.NotRun
 }
 
 // attached counts the entries that follow the order, and gives when the last
@@ -77,20 +77,20 @@
 
 // ledgerTest drives one ledger and the naive one side by side.
 type ledgerTest struct {
-	l      Ledger
-	naive  map[wire.Ref]naiveOrder
-	orders map[wire.Ref]*order
-	notRun map[wire.Ref]bool // settled as not run
+	l      OrderTable
+	naive  map[wire.AttemptRef]naiveOrder
+	orders map[wire.AttemptRef]*order
+	notRun map[wire.AttemptRef]bool // settled as not run
 	now    time.Time
 }
 
-func (x *ledgerTest) add(r wire.Ref, e naiveEvent) {
+func (x *ledgerTest) add(r wire.AttemptRef, e naiveEvent) {
 	e.at = x.now
 	x.naive[r] = append(x.naive[r], e)
 }
 
-func (x *ledgerTest) begin(t *rapid.T, r wire.Ref) {
-	o, refused := x.l.begin(wire.Run{Ref: r, Identity: retry.Identity(r.Request)}, "entry-1", func() {})
+func (x *ledgerTest) begin(t *rapid.T, r wire.AttemptRef) {
+	o, refused := x.l.begin(wire.Run{AttemptRef: r, Identity: retry.Identity(r.Request)}, "entry-1", func() {})
 	unwanted := x.naive[r].has("refused")
 	require.Equal(t, unwanted || x.naive[r].has("begin"), refused != nil)
 	if refused == nil {
@@ -99,11 +99,11 @@
 		return
 	}
 	if unwanted {
-		require.Equal(t, work.NotRun, refused.Ran)
+		require.Equal(t, domain.NotRun, refused.Ran)
 	}
 }
 
-func (x *ledgerTest) hand(t *rapid.T, r wire.Ref) {
+func (x *ledgerTest) hand(t *rapid.T, r wire.AttemptRef) {
 	n := x.naive[r]
 	ok := x.l.hand(x.orders[r])
 	require.Equal(t, !n.has("hand") && !n.has("gone") && !n.has("end"), ok)
@@ -113,15 +113,15 @@
 	}
 }
 
-func (x *ledgerTest) end(r wire.Ref, ran work.Ran) {
+func (x *ledgerTest) end(r wire.AttemptRef, ran domain.Execution) {
 	x.l.end(x.orders[r], wire.Outcome{Ran: ran}, x.now)
 	if !x.naive[r].has("hand") {
-		ran = work.NotRun
+		ran = domain.NotRun
 	}
 	x.add(r, naiveEvent{what: "end", ran: ran})
 }
 
-func (x *ledgerTest) unwant(r wire.Ref) {
+func (x *ledgerTest) unwant(r wire.AttemptRef) {
 	if x.orders[r] == nil {
 		x.add(r, naiveEvent{what: "refused"})
 		return
@@ -129,25 +129,25 @@
 	x.add(r, naiveEvent{what: "gone"})
 }
 
-func (x *ledgerTest) settle(t *rapid.T, r wire.Ref) {
+func (x *ledgerTest) settle(t *rapid.T, r wire.AttemptRef) {
 	n := x.naive[r]
 	got := x.l.settle(r, x.now)
 	require.Equal(t, n.ran(), got.Ran)
-	require.False(t, x.notRun[r] && got.Ran != work.NotRun, "not_run was taken back")
-	x.notRun[r] = got.Ran == work.NotRun
+	require.False(t, x.notRun[r] && got.Ran != domain.NotRun, "not_run was taken back")
+	x.notRun[r] = got.Ran == domain.NotRun
 	if !n.has("hand") && !n.has("end") {
 		x.unwant(r)
 	}
 }
 
-func (x *ledgerTest) follow(t *rapid.T, r wire.Ref, from int) {
+func (x *ledgerTest) follow(t *rapid.T, r wire.AttemptRef, from int) {
 	want := x.naive[r].tokens()
 	got, ended, _ := x.l.follow(x.orders[r], from)
 	require.Equal(t, append([]string{}, want[min(from, len(want)):]...), append([]string{}, got...))
 	require.Equal(t, x.naive[r].has("end"), ended)
 }
 
-func (x *ledgerTest) token(r wire.Ref, offset int, text string) {
+func (x *ledgerTest) token(r wire.AttemptRef, offset int, text string) {
 	x.l.token(x.orders[r], offset, text, false)
 	if !x.naive[r].has("end") && offset == len(x.naive[r].tokens()) {
 		x.add(r, naiveEvent{what: "token", tokens: []string{text}})
@@ -155,7 +155,7 @@
 }
 
 func (x *ledgerTest) orphans(t *rapid.T, after time.Duration) {
-	var want []wire.Ref
+	var want []wire.AttemptRef
 	for r, n := range x.naive {
 		followers, let := n.attached()
 		if n.has("begin") && !n.has("end") && !n.has("gone") && r.Stage != wire.StageCall &&
@@ -170,7 +170,7 @@
 }
 
 // step does one thing to one order; the order of the cases is that of a life.
-func (x *ledgerTest) step(t *rapid.T, r wire.Ref) {
+func (x *ledgerTest) step(t *rapid.T, r wire.AttemptRef) {
 	what := rapid.SampledFrom([]string{"begin", "hand", "token", "follow", "end", "detach", "attach", "settle", "give up", "sweep"}).Draw(t, "what")
 	if o := x.orders[r]; o == nil && slices.Contains([]string{"hand", "token", "follow", "end", "detach", "attach"}, what) {
 		what = "begin"
@@ -186,7 +186,7 @@
 	case "follow":
 		x.follow(t, r, rapid.IntRange(0, 5).Draw(t, "from"))
 	case "end":
-		x.end(r, rapid.SampledFrom([]work.Ran{work.NotRun, work.DidRun, work.Unknown}).Draw(t, "ran"))
+		x.end(r, rapid.SampledFrom([]domain.Execution{domain.NotRun, domain.DidRun, domain.Unknown}).Draw(t, "ran"))
 	case "detach":
 		if followers > 0 {
 			x.l.detach(x.orders[r], x.now)
@@ -212,11 +212,11 @@
 func TestLedgerAgreesWithAListOfEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		x := ledgerTest{
-			naive: make(map[wire.Ref]naiveOrder), orders: make(map[wire.Ref]*order), notRun: make(map[wire.Ref]bool),
+			naive: make(map[wire.AttemptRef]naiveOrder), orders: make(map[wire.AttemptRef]*order), notRun: make(map[wire.AttemptRef]bool),
 			now: time.Date(2026, 12, 2, 20, 0, 0, 0, time.UTC),
 		}
-		refs := []wire.Ref{
-			orderOf(1, wire.StageDecode).Ref, orderOf(2, wire.StageCall).Ref, orderOf(3, wire.StagePrefill).Ref,
+		refs := []wire.AttemptRef{
+			orderOf(1, wire.StageDecode).AttemptRef, orderOf(2, wire.StageCall).AttemptRef, orderOf(3, wire.StagePrefill).AttemptRef,
 		}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			x.now = x.now.Add(time.Duration(rapid.IntRange(0, 700).Draw(t, "pause")) * time.Millisecond)
@@ -234,14 +234,14 @@
 // before the entry asked after it. The cause would be a side that takes what it
 // has forgotten for what never came.
 func TestForgottenOrderIsNotCalledNotRun(t *testing.T) {
-	var l Ledger
+	var l OrderTable
 	now := time.Date(2026, 12, 2, 20, 0, 0, 0, time.UTC)
 	for n := range keepMost + 2 {
 		o, refused := l.begin(orderOf(n+1, wire.StageCall), "entry-1", func() {})
 		require.Nil(t, refused)
 		require.True(t, l.hand(o))
-		l.end(o, wire.Outcome{Ran: work.DidRun}, now)
+		l.end(o, wire.Outcome{Ran: domain.DidRun}, now)
 	}
-	require.Equal(t, work.Unknown, l.settle(orderOf(1, wire.StageCall).Ref, now).Ran)
-	require.Equal(t, work.NotRun, l.settle(orderOf(keepMost+3, wire.StageCall).Ref, now).Ran)
+	require.Equal(t, domain.Unknown, l.settle(orderOf(1, wire.StageCall).AttemptRef, now).Ran)
+	require.Equal(t, domain.NotRun, l.settle(orderOf(keepMost+3, wire.StageCall).AttemptRef, now).Ran)
 }
--- a/side/orders.go
+++ b/side/orders.go
@@ -6,18 +6,18 @@
 
 	"github.com/pkg/errors"
 
+	"jacinthworks/domain"
 	"jacinthworks/engine"
 	"jacinthworks/fence"
 	"jacinthworks/lease"
 	"jacinthworks/wire"
-	"jacinthworks/work"
 )
 
 // giveWithin is the adapter's time for one order; the guard allows for longer.
-const giveWithin = fence.OrderTime - time.Second
+const giveWithin = fence.OrderTimeout - time.Second
 
 // ordersName is the object that holds the order lease of a side's engine.
-func ordersName(h work.Host) string { return "orders/" + string(h) }
+func ordersName(h domain.Host) string { return "orders/" + string(h) }
 
 // orderAsk is an order on its way to the goroutine that owns the guard.
 type orderAsk struct {
@@ -27,14 +27,14 @@
 }
 
 type orderDone struct {
-	given wire.Ordered
+	given wire.OrderReply
 	err   error
 }
 
 // order passes an operator's order to the goroutine that may give it.
 func (s *Side) order(ctx context.Context, o wire.Order) (any, error) {
 	if s.Model == nil || s.Objects == nil || o.Kind == engine.OrderRole {
-		return nil, &wire.Refused{Reason: work.ReasonBadInput, Ran: work.NotRun, Detail: "this side gives no such order; a role is changed in its settings"}
+		return nil, &wire.RefusalError{Reason: domain.ReasonBadInput, Ran: domain.NotRun, Detail: "this side gives no such order; a role is changed in its settings"}
 	}
 	ctx, cancel := context.WithTimeout(ctx, o.Within)
 	defer cancel()
@@ -42,13 +42,13 @@
 	select {
 	case s.orders <- ask:
 	case <-ctx.Done():
-		return nil, &wire.Refused{Reason: work.ReasonNoRoom, Ran: work.NotRun, Detail: "another order is being given"}
+		return nil, &wire.RefusalError{Reason: domain.ReasonNoRoom, Ran: domain.NotRun, Detail: "another order is being given"}
 	}
 	select {
 	case d := <-ask.done:
 		return d.given, d.err
 	case <-ctx.Done():
-		return nil, &wire.Refused{Reason: work.ReasonDeadline, Ran: work.Unknown, Detail: "the order may still be given"}
+		return nil, &wire.RefusalError{Reason: domain.ReasonDeadline, Ran: domain.Unknown, Detail: "the order may still be given"}
 	}
 }
 
@@ -74,22 +74,22 @@
 	}
 }
 
-func (s *Side) giveOrder(ctx context.Context, k *lease.Keeper, o wire.Order) (wire.Ordered, error) {
-	number, err := k.Hold(ctx)
+func (s *Side) giveOrder(ctx context.Context, k *lease.Keeper, o wire.Order) (wire.OrderReply, error) {
+	number, err := k.Acquire(ctx)
 	if err != nil {
-		return wire.Ordered{}, &wire.Refused{Reason: work.ReasonStale, Ran: work.NotRun, Detail: err.Error()}
+		return wire.OrderReply{}, &wire.RefusalError{Reason: domain.ReasonStale, Ran: domain.NotRun, Detail: err.Error()}
 	}
 	give, cancel := context.WithTimeout(ctx, giveWithin)
 	defer cancel()
 	err = s.Model.Give(give, engine.Order{Kind: o.Kind, Value: o.Value, Fence: uint64(number)})
-	overrun := k.Gave(number)
+	overrun := k.Complete(number)
 	switch {
-	case errors.Is(err, engine.ErrFenced), errors.Is(err, engine.ErrNotTaken):
-		return wire.Ordered{}, &wire.Refused{Reason: work.ReasonUpstream, Ran: work.NotRun, Detail: err.Error()}
+	case errors.Is(err, engine.ErrFenced), errors.Is(err, engine.ErrNotStarted):
+		return wire.OrderReply{}, &wire.RefusalError{Reason: domain.ReasonUpstream, Ran: domain.NotRun, Detail: err.Error()}
 	case err != nil:
-		return wire.Ordered{}, &wire.Refused{Reason: work.ReasonUpstream, Ran: work.Unknown, Detail: err.Error()}
+		return wire.OrderReply{}, &wire.RefusalError{Reason: domain.ReasonUpstream, Ran: domain.Unknown, Detail: err.Error()}
 	case overrun != nil:
-		return wire.Ordered{}, &wire.Refused{Reason: work.ReasonUpstream, Ran: work.Unknown, Detail: overrun.Error()}
+		return wire.OrderReply{}, &wire.RefusalError{Reason: domain.ReasonUpstream, Ran: domain.Unknown, Detail: overrun.Error()}
 	}
-	return wire.Ordered{Fence: uint64(number)}, nil
+	return wire.OrderReply{Fence: uint64(number)}, nil
 }
--- a/side/reconcile.go
+++ b/side/reconcile.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"jacinthworks/work"
+	"jacinthworks/domain"
 )
 
 // How the upstream is watched. A state is read five times in a cancel's
@@ -81,7 +81,7 @@
 
 // free tells the engine to drop what a request holds. A lost order is made up
 // for by the next reconcile.
-func (s *Side) free(id work.RequestID) {
+func (s *Side) free(id domain.RequestID) {
 	s.work.Go(s.workCtx, "cancel", func(ctx context.Context) error {
 		ctx, cancel := context.WithTimeout(ctx, callWithin)
 		defer cancel()
--- a/side/record.go
+++ b/side/record.go
@@ -10,11 +10,11 @@
 
 // followRecord dials the members of each record.
 func (s *Side) followRecord(ctx context.Context) error {
-	return member.Follow(ctx, s.Objects, s.Settings.Service, func(r member.Record) bool {
+	return member.Watch(ctx, s.Objects, s.Settings.Service, func(r member.Record) bool {
 		others := r
 		others.Members = nil
 		for _, m := range r.Members {
-			if m.Runs() && m.Host != s.Settings.Name {
+			if m.ExecutesWork() && m.Host != s.Settings.Name {
 				others.Members = append(others.Members, m)
 			}
 		}
@@ -52,7 +52,7 @@
 }
 
 func (s *Side) learn(ctx context.Context, r claim.Record) {
-	out, err := s.claims.book.Learn(r, time.Now())
+	out, err := s.claims.book.Apply(r, time.Now())
 	if err != nil {
 		s.Log.Error("claims record", "version", r.Version, "err", err)
 		return
--- a/side/room.go
+++ b/side/room.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"jacinthworks/admit"
-	"jacinthworks/work"
+	"jacinthworks/domain"
 )
 
 // room is the reservations of this side's engine, for use by many goroutines.
@@ -21,7 +21,7 @@
 const (
 	assumedRate   = 20_000 // tokens a second
 	mostPrefills  = 1 << 16
-	prefillWithin = admit.PrefillQueue
+	prefillWithin = admit.MaxPrefillQueueTime
 )
 
 // queuePrefill takes a place in the engine's prefill queue, bounded by the time
@@ -33,8 +33,8 @@
 	if rate <= 0 {
 		rate = assumedRate
 	}
-	r.prefill.Limits = admit.Limits{Requests: mostPrefills, Tokens: int(rate * prefillWithin.Seconds()), Ahead: true}
-	return r.prefill.Reserve(now, k, admit.Need{Requests: 1, Tokens: tokens}, until)
+	r.prefill.Limits = admit.Limits{Requests: mostPrefills, Tokens: int(rate * prefillWithin.Seconds()), QueuedOnly: true}
+	return r.prefill.Reserve(now, k, admit.Demand{Requests: 1, Tokens: tokens}, until)
 }
 
 // donePrefill gives the place back.
@@ -48,7 +48,7 @@
 func (r *room) reserve(now time.Time, k admit.Key, tokens int, hold time.Duration) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.decode.Reserve(now, k, admit.Need{Requests: 1, Tokens: tokens}, now.Add(hold))
+	return r.decode.Reserve(now, k, admit.Demand{Requests: 1, Tokens: tokens}, now.Add(hold))
 }
 
 // confirm turns a reservation into use, making it first if it has lapsed and
@@ -59,7 +59,7 @@
 	if r.decode.Confirm(now, k, until) == nil {
 		return nil
 	}
-	if err := r.decode.Reserve(now, k, admit.Need{Requests: 1, Tokens: tokens}, until); err != nil {
+	if err := r.decode.Reserve(now, k, admit.Demand{Requests: 1, Tokens: tokens}, until); err != nil {
 		return err
 	}
 	return r.decode.Confirm(now, k, until)
@@ -71,16 +71,16 @@
 	return r.decode.Renew(now, k, now.Add(hold))
 }
 
-func (r *room) release(id work.RequestID, a work.Attempt) {
+func (r *room) release(id domain.RequestID, a domain.Attempt) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.decode.Release(admit.Key{Request: id, Attempt: a})
 }
 
-func (r *room) free(now time.Time) admit.Room {
+func (r *room) free(now time.Time) admit.Capacity {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.decode.Room(now)
+	return r.decode.Capacity(now)
 }
 
 // resize takes the engine's own limits.
--- a/side/run.go
+++ b/side/run.go
@@ -5,15 +5,15 @@
 	"time"
 
 	"jacinthworks/admit"
-	"jacinthworks/steps"
+	"jacinthworks/domain"
+	"jacinthworks/inject"
 	"jacinthworks/story"
 	"jacinthworks/wire"
-	"jacinthworks/work"
 )
 
 // errApart refuses a request that has to run apart from what is here.
-var errApart = &wire.Refused{
-	Reason: work.ReasonNoRoom, Ran: work.NotRun,
+var errApart = &wire.RefusalError{
+	Reason: domain.ReasonNoRoom, Ran: domain.NotRun,
 	Detail: "suspected of crashing upstreams, beside another that is",
 }
 
@@ -21,12 +21,12 @@
 // it for the entry. The work outlives the connection: a lost one is taken up
 // again by attach, or by nobody and then swept.
 func (s *Side) run(ctx context.Context, p *wire.Peer, r wire.Run) (any, error) {
-	s.Step.At(steps.SideArrived)
+	s.FaultHook.Reach(inject.SideArrived)
 	if refused := s.mayRun(r); refused != nil {
 		return nil, refused
 	}
 	workCtx, cancel := context.WithTimeout(s.workCtx, r.Within)
-	o, refused := s.ledger.begin(r, p.Remote().Host, cancel)
+	o, refused := s.ledger.begin(r, p.RemoteHello().Host, cancel)
 	if refused != nil {
 		cancel()
 		return nil, refused
@@ -44,7 +44,7 @@
 	})
 	if !started {
 		cancel()
-		s.ledger.end(o, wire.Outcome{Reason: work.ReasonDraining}, time.Now())
+		s.ledger.end(o, wire.Outcome{Reason: domain.ReasonDraining}, time.Now())
 	}
 	defer func() { s.ledger.detach(o, time.Now()) }()
 	return s.follow(ctx, p, o, 0)
@@ -54,14 +54,14 @@
 func (s *Side) finish(ctx context.Context, o *order) {
 	r := o.run
 	s.record(o, story.Event{Kind: story.AttemptStarted})
-	s.Step.At(steps.SideBegun)
+	s.FaultHook.Reach(inject.SideBegun)
 	out := s.perform(ctx, o)
-	s.Step.At(steps.SideRan)
+	s.FaultHook.Reach(inject.SideRan)
 	s.ledger.end(o, out, time.Now())
-	s.Step.At(steps.SideEnded)
-	s.giveRoomBack(r.Ref)
+	s.FaultHook.Reach(inject.SideEnded)
+	s.giveRoomBack(r.AttemptRef)
 	if out.Reason == "" {
-		s.crashes.Survived(time.Now(), r.Identity)
+		s.crashes.RecordSurvival(time.Now(), r.Identity)
 	}
 	if s.ledger.untaken(o) {
 		s.orphans.add(r.Request)
@@ -74,26 +74,26 @@
 }
 
 // takeRoom takes what the stage needs at the upstream before it is handed over.
-func (s *Side) takeRoom(r wire.Run) *wire.Refused {
+func (s *Side) takeRoom(r wire.Run) *wire.RefusalError {
 	now := time.Now()
 	var err error
 	switch {
 	case r.Stage == wire.StageCall && !s.beside(now, r.Identity):
 		return errApart
 	case r.Stage == wire.StageDecode:
-		err = s.room.confirm(now, key(r.Ref), r.Tokens, now.Add(r.Within))
+		err = s.room.confirm(now, key(r.AttemptRef), r.Tokens, now.Add(r.Within))
 	case r.Stage == wire.StagePrefill && r.Prefill != nil:
 		rate, _, _, _ := s.pace.figures()
-		err = s.room.queuePrefill(now, key(r.Ref), r.Prefill.PromptTokens, rate, now.Add(r.Within))
+		err = s.room.queuePrefill(now, key(r.AttemptRef), r.Prefill.PromptTokens, rate, now.Add(r.Within))
 	}
 	if err != nil {
-		return &wire.Refused{Reason: work.ReasonNoRoom, Ran: work.NotRun, Detail: err.Error()}
+		return &wire.RefusalError{Reason: domain.ReasonNoRoom, Ran: domain.NotRun, Detail: err.Error()}
 	}
 	return nil
 }
 
 // giveRoomBack frees what an attempt's stage took or reserved.
-func (s *Side) giveRoomBack(r wire.Ref) {
+func (s *Side) giveRoomBack(r wire.AttemptRef) {
 	if r.Stage == wire.StagePrefill {
 		s.room.donePrefill(key(r))
 		return
@@ -104,20 +104,20 @@
 
 // mayRun refuses new work while draining. A decode whose room was reserved
 // before still runs: refusing it would waste its prefill.
-func (s *Side) mayRun(r wire.Run) *wire.Refused {
+func (s *Side) mayRun(r wire.Run) *wire.RefusalError {
 	if !s.draining.Load() {
 		return nil
 	}
-	if r.Stage == wire.StageDecode && s.room.renew(time.Now(), key(r.Ref), admit.Hold) == nil {
+	if r.Stage == wire.StageDecode && s.room.renew(time.Now(), key(r.AttemptRef), admit.ReservationTTL) == nil {
 		return nil
 	}
-	return &wire.Refused{Reason: work.ReasonDraining, Ran: work.NotRun, Detail: "the side is draining"}
+	return &wire.RefusalError{Reason: domain.ReasonDraining, Ran: domain.NotRun, Detail: "the side is draining"}
 }
 
 func (s *Side) attach(ctx context.Context, p *wire.Peer, a wire.Attach) (any, error) {
-	o := s.ledger.attach(a.Ref)
+	o := s.ledger.attach(a.AttemptRef)
 	if o == nil {
-		return s.ledger.settle(a.Ref, time.Now()), nil
+		return s.ledger.settle(a.AttemptRef, time.Now()), nil
 	}
 	defer func() { s.ledger.detach(o, time.Now()) }()
 	return s.follow(ctx, p, o, a.From)
@@ -128,14 +128,14 @@
 	for {
 		tokens, ended, changed := s.ledger.follow(o, from)
 		if len(tokens) > 0 {
-			f := wire.Frame{Ref: o.run.Ref, Offset: from, Tokens: tokens}
+			f := wire.Frame{AttemptRef: o.run.AttemptRef, Offset: from, Tokens: tokens}
 			if err := p.Notify(wire.MethodFrame, f); err != nil {
 				return nil, err
 			}
 			from += len(tokens)
 		}
 		if ended {
-			return s.ledger.settle(o.run.Ref, time.Now()), nil
+			return s.ledger.settle(o.run.AttemptRef, time.Now()), nil
 		}
 		select {
 		case <-changed:
@@ -147,27 +147,27 @@
 
 func (s *Side) reserve(r wire.Reserve) (any, error) {
 	if s.draining.Load() {
-		return nil, &wire.Refused{Reason: work.ReasonDraining, Ran: work.NotRun, Detail: "the side is draining"}
+		return nil, &wire.RefusalError{Reason: domain.ReasonDraining, Ran: domain.NotRun, Detail: "the side is draining"}
 	}
 	now := time.Now()
 	if !s.beside(now, r.Identity) {
 		return nil, errApart
 	}
 	if s.down.Load() {
-		return nil, &wire.Refused{Reason: work.ReasonNoUpstream, Ran: work.NotRun, Detail: "the upstream does not answer"}
+		return nil, &wire.RefusalError{Reason: domain.ReasonNoUpstream, Ran: domain.NotRun, Detail: "the upstream does not answer"}
 	}
-	if err := s.room.reserve(now, key(r.Ref), r.Tokens, r.Hold); err != nil {
-		return nil, &wire.Refused{Reason: work.ReasonNoRoom, Ran: work.NotRun, Detail: err.Error()}
+	if err := s.room.reserve(now, key(r.AttemptRef), r.Tokens, r.Hold); err != nil {
+		return nil, &wire.RefusalError{Reason: domain.ReasonNoRoom, Ran: domain.NotRun, Detail: err.Error()}
 	}
-	s.deaths.expect(key(r.Ref), expected{id: r.Identity, until: now.Add(r.Hold)})
+	s.deaths.expect(key(r.AttemptRef), expected{id: r.Identity, until: now.Add(r.Hold)})
 	free := s.room.free(now)
-	return wire.Reserved{FreeSlots: free.FreeRequests, FreeTokens: free.FreeTokens}, nil
+	return wire.ReserveReply{FreeSlots: free.FreeRequests, FreeTokens: free.FreeTokens}, nil
 }
 
-func key(r wire.Ref) admit.Key { return admit.Key{Request: r.Request, Attempt: r.Attempt} }
+func key(r wire.AttemptRef) admit.Key { return admit.Key{Request: r.Request, Attempt: r.Attempt} }
 
 // cancel frees whatever an attempt holds here, reserved or running.
-func (s *Side) cancel(r wire.Ref) {
+func (s *Side) cancel(r wire.AttemptRef) {
 	s.ledger.giveUp(r, time.Now())
 	s.giveRoomBack(r)
 }
@@ -184,10 +184,10 @@
 }
 
 // story gives the side's half of a request's story.
-func (s *Side) story(id work.RequestID) (any, error) {
+func (s *Side) story(id domain.RequestID) (any, error) {
 	t, found := s.recorder.Get(id)
 	if !found {
-		return nil, &wire.Refused{Reason: work.ReasonBadInput, Ran: work.Unknown, Detail: "nothing is known here of the request"}
+		return nil, &wire.RefusalError{Reason: domain.ReasonBadInput, Ran: domain.Unknown, Detail: "nothing is known here of the request"}
 	}
 	return t, nil
 }
--- a/side/side.go
+++ b/side/side.go
@@ -22,15 +22,15 @@
 	"github.com/pkg/errors"
 
 	"jacinthworks/conf"
+	"jacinthworks/domain"
 	"jacinthworks/engine"
 	"jacinthworks/group"
+	"jacinthworks/infra"
+	"jacinthworks/inject"
 	"jacinthworks/member"
-	"jacinthworks/plat"
 	"jacinthworks/retry"
-	"jacinthworks/steps"
 	"jacinthworks/story"
 	"jacinthworks/wire"
-	"jacinthworks/work"
 )
 
 // Figures of the two-second bound on engine memory that nobody owns: silence
@@ -47,15 +47,15 @@
 type Side struct {
 	Settings conf.Side
 	Log      hclog.Logger
-	Objects  plat.Objects
+	Objects  infra.Objects
 	Model    engine.Model
-	App      engine.App
-	// Step, if set, is told of the points that orders pass; for drills.
-	Step steps.Hook
-	// Listening, if set, is told the address once the side accepts entries.
-	Listening func(netip.AddrPort)
+	App      engine.AppServer
+	// FaultHook, if set, is told of the points that orders pass; for drills.
+	FaultHook inject.Hook
+	// OnListen, if set, is told the address once the side accepts entries.
+	OnListen func(netip.AddrPort)
 
-	ledger      Ledger
+	ledger      OrderTable
 	room        room
 	pace        pace
 	recorder    story.Recorder
@@ -64,7 +64,7 @@
 	deaths      deaths
 	orders      chan orderAsk
 	crashes     retry.Ledger
-	incarnation work.Incarnation
+	incarnation domain.Incarnation
 	upstream    atomic.Pointer[engine.State]
 	down        atomic.Bool
 	draining    atomic.Bool
@@ -107,7 +107,7 @@
 	if vars != nil {
 		loops.Go(serving, "vars", func(ctx context.Context) error { return s.serveVars(ctx, vars) })
 	}
-	if s.Objects != nil && s.Settings.Role != work.RolePrefill {
+	if s.Objects != nil && s.Settings.Role != domain.RolePrefill {
 		loops.Go(serving, "links", s.claims.members.Run)
 		loops.Go(serving, "record", s.followRecord)
 		loops.Go(serving, "claims", s.keepClaims)
@@ -120,8 +120,8 @@
 		loops.Go(serving, "cache", s.watchCache)
 		loops.Go(serving, "orders", s.giveOrders)
 	}
-	if s.Listening != nil {
-		s.Listening(address)
+	if s.OnListen != nil {
+		s.OnListen(address)
 	}
 	<-ctx.Done()
 	s.drain()
@@ -138,29 +138,29 @@
 		s.Log = hclog.NewNullLogger()
 	}
 	s.Settings.Timings = s.Settings.Timings.OrDefaults()
-	s.incarnation = work.NewIncarnation()
+	s.incarnation = domain.NewIncarnation()
 	s.recorder.Half = story.HalfSide
 	s.orders = make(chan orderAsk)
 	s.initClaims()
 }
 
-func (s *Side) local() *wire.Local {
-	return &wire.Local{
+func (s *Side) local() *wire.Handlers {
+	return &wire.Handlers{
 		Hello: wire.Hello{
 			Host: s.Settings.Name, Zone: s.Settings.Zone, Incarnation: s.incarnation,
 			Role: string(s.Settings.Role), Service: s.Settings.Service,
 		},
-		Beat:    s.beat,
-		Handle:  s.handle,
-		Notice:  s.notice,
-		Opened:  s.opened,
-		Closed:  s.claims.closed,
-		Every:   s.Settings.Timings.Heartbeat,
-		Silence: s.Settings.Timings.SilenceAfter,
+		Heartbeat:          s.beat,
+		Handle:             s.handle,
+		HandleNotification: s.notice,
+		OnOpen:             s.opened,
+		OnClose:            s.claims.closed,
+		HeartbeatInterval:  s.Settings.Timings.Heartbeat,
+		HeartbeatTimeout:   s.Settings.Timings.SilenceAfter,
 	}
 }
 
-func (s *Side) beat() wire.Beat {
+func (s *Side) beat() wire.Heartbeat {
 	free := s.room.free(time.Now())
 	load := &wire.Load{
 		Running: s.ledger.busy(), Slots: s.room.slots(), FreeSlots: free.FreeRequests,
@@ -170,7 +170,7 @@
 	if st := s.upstream.Load(); st != nil {
 		load.Upstream = st.Incarnation
 	}
-	return wire.Beat{Draining: s.draining.Load(), Load: load}
+	return wire.Heartbeat{Draining: s.draining.Load(), Load: load}
 }
 
 // opened tells a process that has connected what it needs to know of here.
@@ -200,9 +200,9 @@
 	case wire.MethodAttach:
 		return wire.Decode(params, func(a wire.Attach) (any, error) { return s.attach(ctx, p, a) })
 	case wire.MethodSettle:
-		return wire.Decode(params, func(r wire.Ref) (any, error) { return s.ledger.settle(r, time.Now()), nil })
+		return wire.Decode(params, func(r wire.AttemptRef) (any, error) { return s.ledger.settle(r, time.Now()), nil })
 	case wire.MethodCancel:
-		return wire.Decode(params, func(r wire.Ref) (any, error) { s.cancel(r); return struct{}{}, nil })
+		return wire.Decode(params, func(r wire.AttemptRef) (any, error) { s.cancel(r); return struct{}{}, nil })
 	case wire.MethodStory:
 		return wire.Decode(params, func(a wire.StoryAsk) (any, error) { return s.story(a.Request) })
 	case wire.MethodOrder:
@@ -211,11 +211,11 @@
 		s.stopTaking()
 		return struct{}{}, nil
 	}
-	return nil, &wire.Refused{Reason: work.ReasonBadInput, Ran: work.NotRun, Detail: "no method " + method}
+	return nil, &wire.RefusalError{Reason: domain.ReasonBadInput, Ran: domain.NotRun, Detail: "no method " + method}
 }
 
 func (s *Side) reap(context.Context) error {
-	for e := range s.work.Ends() {
+	for e := range s.work.Exits() {
 		if e.Err != nil {
 			s.Log.Debug("work ended", "name", e.Name, "err", e.Err)
 		}
@@ -237,7 +237,7 @@
 		Address: address, Incarnation: s.incarnation,
 	}
 	s.self.Store(&m)
-	return member.Keep(ctx, s.Objects, m, func(r member.Record) {
+	return member.JoinWithRetry(ctx, s.Objects, m, func(r member.Record) {
 		s.Log.Info("joined", "service", r.Service, "version", r.Version, "members", len(r.Members))
 	})
 }
--- a/side/stories.go
+++ b/side/stories.go
@@ -7,9 +7,9 @@
 
 	"github.com/pkg/errors"
 
-	"jacinthworks/plat"
+	"jacinthworks/domain"
+	"jacinthworks/infra"
 	"jacinthworks/story"
-	"jacinthworks/work"
 )
 
 // Times of the side's own story writes. They are rare: only what no entry was
@@ -24,19 +24,19 @@
 // the story would be lost with this host. The zero value is ready to use.
 type orphaned struct {
 	mu  sync.Mutex
-	ids map[work.RequestID]bool
+	ids map[domain.RequestID]bool
 }
 
-func (o *orphaned) add(id work.RequestID) {
+func (o *orphaned) add(id domain.RequestID) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.ids == nil {
-		o.ids = make(map[work.RequestID]bool)
+		o.ids = make(map[domain.RequestID]bool)
 	}
 	o.ids[id] = true
 }
 
-func (o *orphaned) take(id work.RequestID) bool {
+func (o *orphaned) take(id domain.RequestID) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	found := o.ids[id]
@@ -89,7 +89,7 @@
 		write, cancel := context.WithTimeout(ctx, storyWithin)
 		_, err := s.Objects.Put(write, segment.Name, segment.Data, 0)
 		cancel()
-		if err != nil && !errors.Is(err, plat.ErrConflict) {
+		if err != nil && !errors.Is(err, infra.ErrConflict) {
 			return
 		}
 		o.Done(segment.Name)
--- a/story/account.go
+++ b/story/account.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"jacinthworks/check"
-	"jacinthworks/work"
+	"jacinthworks/domain"
 )
 
 // State says how far an account goes.
@@ -26,13 +26,13 @@
 
 // Account is what is known of a request from all halves that were found.
 type Account struct {
-	Request work.RequestID `json:"request_id"`
-	State   State          `json:"state"`
+	Request domain.RequestID `json:"request_id"`
+	State   State            `json:"state"`
 	// Ran is the account given to the caller or, when that is lost, what the
 	// sides' halves bear out.
-	Ran work.Ran `json:"ran"`
+	Ran domain.Execution `json:"ran"`
 	// Reason is set when the request was refused.
-	Reason work.Reason `json:"reason,omitempty"`
+	Reason domain.Reason `json:"reason,omitempty"`
 	// Events are all halves' events by cause: by attempt, then by time.
 	Events []Event `json:"events"`
 	// Missing says in sentences what the account lacks.
@@ -44,9 +44,9 @@
 
 // Merge puts the halves of a request's story together. Halves of other
 // requests are passed over; one that is given twice counts once.
-func Merge(id work.RequestID, halves ...Story) Account {
-	a := Account{Request: id, State: StateLost, Ran: work.Unknown}
-	m := merger{account: &a, seen: make(map[string]bool), open: make(map[work.Host]bool)}
+func Merge(id domain.RequestID, halves ...Story) Account {
+	a := Account{Request: id, State: StateLost, Ran: domain.Unknown}
+	m := merger{account: &a, seen: make(map[string]bool), open: make(map[domain.Host]bool)}
 	for _, h := range halves {
 		if h.Request == id {
 			m.add(h)
@@ -64,7 +64,7 @@
 	// attempt and step order by cause across hosts whose clocks differ: the
 	// entry's events up to its first decision of an attempt come before all
 	// that the decision brought about. Time orders the rest.
-	attempt work.Attempt
+	attempt domain.Attempt
 	step    int
 	// time never runs backwards within one host's half.
 	time time.Time
@@ -75,8 +75,8 @@
 	placed   []placed
 	seen     map[string]bool
 	findings map[check.Finding]bool
-	open     map[work.Host]bool // live hosts whose half is still open
-	ongoing  bool               // the entry's is one of them
+	open     map[domain.Host]bool // live hosts whose half is still open
+	ongoing  bool                 // the entry's is one of them
 }
 
 const (
@@ -85,7 +85,7 @@
 )
 
 func (m *merger) add(h Story) {
-	var attempt, decided work.Attempt
+	var attempt, decided domain.Attempt
 	var latest time.Time
 	for _, e := range h.Events {
 		attempt = max(attempt, e.Attempt)
@@ -183,7 +183,7 @@
 		a.State = StateOpen
 	}
 	if e, ran := a.evidence(); ran {
-		a.Ran = work.DidRun
+		a.Ran = domain.DidRun
 		m.missingIf(a.State == StateLost, "the end: that it ran is known from %s at %s", e.Kind, e.Host)
 	}
 }
@@ -191,7 +191,7 @@
 // evidence gives an event that shows that the request ran.
 func (a *Account) evidence() (Event, bool) {
 	for _, e := range a.Events {
-		ranAttempt := e.Kind == AttemptEnded && e.Ran == work.DidRun
+		ranAttempt := e.Kind == AttemptEnded && e.Ran == domain.DidRun
 		if ranAttempt || e.Kind == PrefillDone || e.Kind == FirstToken {
 			return e, true
 		}
@@ -233,7 +233,7 @@
 }
 
 // lastOf gives the host's last event, by its own order.
-func (m *merger) lastOf(h work.Host) (Event, bool) {
+func (m *merger) lastOf(h domain.Host) (Event, bool) {
 	var last placed
 	found := false
 	for _, p := range m.placed {
@@ -248,8 +248,8 @@
 // sides' halves, and names those that have no counterpart or no end.
 func (m *merger) findMissingSides(id ID) {
 	type at struct {
-		host    work.Host
-		attempt work.Attempt
+		host    domain.Host
+		attempt domain.Attempt
 	}
 	ended := make(map[at]bool)
 	last := make(map[at]Event)
@@ -270,7 +270,7 @@
 		if e.Host != id.Entry || e.Kind != AttemptStarted {
 			continue
 		}
-		for _, side := range []work.Host{e.Upstream, e.Decode} {
+		for _, side := range []domain.Host{e.Upstream, e.Decode} {
 			if _, known := last[at{side, e.Attempt}]; side != "" && !known && m.account.State != StateOpen {
 				m.missing("the half of side %s for attempt %d", side, e.Attempt)
 			}
@@ -288,13 +288,13 @@
 	a := m.account
 	place := string(a.Request)
 	evidence, ran := a.evidence()
-	if a.State == StateRefused && a.Ran == work.NotRun && ran {
+	if a.State == StateRefused && a.Ran == domain.NotRun && ran {
 		m.find(check.Finding{Place: place, Problem: fmt.Sprintf("refused as not_run, but %s has %s", evidence.Host, evidence)})
 	}
-	runs := make(map[work.Attempt]bool)
+	runs := make(map[domain.Attempt]bool)
 	repeatable := true
 	for _, e := range a.Events {
-		if e.Kind == AttemptEnded && e.Ran == work.DidRun {
+		if e.Kind == AttemptEnded && e.Ran == domain.DidRun {
 			runs[e.Attempt] = true
 		}
 		if e.Kind == Accepted {
--- a/story/bench_test.go
+++ b/story/bench_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"jacinthworks/work"
+	"jacinthworks/domain"
 )
 
 // BenchmarkRecord measures the five events of an entry's half, with Take.
@@ -34,11 +34,11 @@
 // BenchmarkPack measures batches of entries' halves into segments.
 func BenchmarkPack(b *testing.B) {
 	x := rand.New(rand.NewPCG(1, 2))
-	side := func() work.Host { return work.Host(fmt.Sprintf("side-%d", x.IntN(9))) }
+	side := func() domain.Host { return domain.Host(fmt.Sprintf("side-%d", x.IntN(9))) }
 	var batch []*Story
 	for n := range FlushStories {
 		entry, _, _ := appraisal(uint64(n))
-		entry[0].Caller = work.Account(fmt.Sprintf("stud-%d", x.IntN(2100)))
+		entry[0].Caller = domain.Account(fmt.Sprintf("stud-%d", x.IntN(2100)))
 		entry[4].Tokens = x.IntN(900)
 		for i := range entry { // times, choices and costs as uneven as real ones
 			entry[i].Time = start.Add(time.Duration(n*1000+i*20)*time.Millisecond + time.Duration(x.IntN(15e6)))
--- a/story/event.go
+++ b/story/event.go
@@ -6,7 +6,7 @@
 	"unicode/utf8"
 
 	"jacinthworks/check"
-	"jacinthworks/work"
+	"jacinthworks/domain"
 )
 
 // EventKind says what happened.
@@ -41,7 +41,7 @@
 
 // Candidate is one upstream that a decision looked at.
 type Candidate struct {
-	Host work.Host `json:"host"`
+	Host domain.Host `json:"host"`
 	// Cost is the wait that the policy expected there.
 	Cost time.Duration `json:"cost_ns"`
 	// Note says what spoke against it, in a few words.
@@ -63,33 +63,33 @@
 // Event is one step of a request on one host. Which fields are set depends on
 // the kind; the zero value of a field says that it does not apply.
 type Event struct {
-	Kind    EventKind      `json:"event"`
-	Time    time.Time      `json:"time"`
-	Host    work.Host      `json:"host"`
-	Request work.RequestID `json:"request_id"`
-	Attempt work.Attempt   `json:"attempt,omitempty"`
+	Kind    EventKind        `json:"event"`
+	Time    time.Time        `json:"time"`
+	Host    domain.Host      `json:"host"`
+	Request domain.RequestID `json:"request_id"`
+	Attempt domain.Attempt   `json:"attempt,omitempty"`
 
 	// Service, RequestKind, Caller and Idempotent are set on Accepted, and on
 	// a side's AttemptStarted, so that a side's half tells whose work it was
 	// when the entry is lost.
-	Service     work.Service `json:"service,omitempty"`
-	RequestKind work.Kind    `json:"kind,omitempty"`
-	Caller      work.Account `json:"caller,omitempty"`
-	Idempotent  bool         `json:"idempotent,omitempty"`
+	Service     domain.Service `json:"service,omitempty"`
+	RequestKind domain.Kind    `json:"kind,omitempty"`
+	Caller      domain.Account `json:"caller,omitempty"`
+	Idempotent  bool           `json:"idempotent,omitempty"`
 
 	// Upstream is the side chosen, claimed at, reserved at or started on; for
 	// a model request the prefill side, with Decode beside it.
-	Upstream work.Host `json:"upstream,omitempty"`
-	Decode   work.Host `json:"decode,omitempty"`
+	Upstream domain.Host `json:"upstream,omitempty"`
+	Decode   domain.Host `json:"decode,omitempty"`
 	// Grounds is set on Decided.
 	Grounds *Grounds `json:"grounds,omitempty"`
 	// Tokens counts what the event is about: prompt tokens on Accepted and
 	// PrefillDone, tokens reserved on Reserved, tokens answered on ends.
 	Tokens int `json:"tokens,omitempty"`
 	// Ran is set on AttemptEnded, Answered and Refused.
-	Ran work.Ran `json:"ran,omitempty"`
+	Ran domain.Execution `json:"ran,omitempty"`
 	// Reason is set on Refused, and on AttemptEnded when it failed.
-	Reason work.Reason `json:"reason,omitempty"`
+	Reason domain.Reason `json:"reason,omitempty"`
 	// Detail is one sentence for a person. Never prompts, bodies or tokens.
 	Detail string `json:"detail,omitempty"`
 }
@@ -112,7 +112,7 @@
 		f.Add(place+" request_id", "%v", err)
 	}
 	needsRan := e.End() || e.Kind == AttemptEnded
-	if needsRan && e.Ran != work.NotRun && e.Ran != work.DidRun && e.Ran != work.Unknown {
+	if needsRan && e.Ran != domain.NotRun && e.Ran != domain.DidRun && e.Ran != domain.Unknown {
 		f.Add(place+" ran", "is not an account: %.40q", string(e.Ran))
 	}
 	if e.Kind == Refused && e.Reason == "" {
--- a/story/id.go
+++ b/story/id.go
@@ -7,20 +7,20 @@
 
 	"github.com/pkg/errors"
 
-	"jacinthworks/work"
+	"jacinthworks/domain"
 )
 
 // ID is a request id in its parts. It is comparable.
 type ID struct {
-	Entry       work.Host
-	Incarnation work.Incarnation
+	Entry       domain.Host
+	Incarnation domain.Incarnation
 	Number      uint64
 }
 
 // ParseID takes a request id apart: <entry>.<incarnation>.<number>, the two
 // numbers in decimal without leading zeros. The entry's name may hold dots,
 // but no slash and no tilde, which separate the parts of a segment's name.
-func ParseID(id work.RequestID) (ID, error) {
+func ParseID(id domain.RequestID) (ID, error) {
 	host, incarnation, rest, err := splitLast(string(id))
 	if err != nil {
 		return ID{}, err
@@ -30,12 +30,12 @@
 }
 
 // RequestID puts the parts together.
-func (d ID) RequestID() work.RequestID {
-	return work.RequestID(fmt.Sprintf("%s.%d.%d", d.Entry, d.Incarnation, d.Number))
+func (d ID) RequestID() domain.RequestID {
+	return domain.RequestID(fmt.Sprintf("%s.%d.%d", d.Entry, d.Incarnation, d.Number))
 }
 
 // splitLast takes <host>.<incarnation>.<rest> apart from its right end.
-func splitLast(s string) (work.Host, work.Incarnation, string, error) {
+func splitLast(s string) (domain.Host, domain.Incarnation, string, error) {
 	last := strings.LastIndexByte(s, '.')
 	if last < 0 {
 		return "", 0, "", errors.Errorf("story: not <host>.<incarnation>.<number>: %.80q", s)
@@ -45,13 +45,13 @@
 }
 
 // splitHost takes <host>.<incarnation> apart.
-func splitHost(s string) (work.Host, work.Incarnation, error) {
+func splitHost(s string) (domain.Host, domain.Incarnation, error) {
 	dot := strings.LastIndexByte(s, '.')
 	if dot < 0 || !validHost(s[:dot]) {
 		return "", 0, errors.Errorf("story: not <host>.<incarnation>: %.80q", s)
 	}
 	n, err := parseNumber(s[dot+1:])
-	return work.Host(s[:dot]), work.Incarnation(n), err
+	return domain.Host(s[:dot]), domain.Incarnation(n), err
 }
 
 func validHost(s string) bool { return s != "" && !strings.ContainsAny(s, "/~ \n") }
--- a/story/name.go
+++ b/story/name.go
@@ -9,7 +9,7 @@
 
 	"github.com/pkg/errors"
 
-	"jacinthworks/work"
+	"jacinthworks/domain"
 )
 
 // Prefix starts the name of each segment.
@@ -22,8 +22,8 @@
 // Range is a run of request numbers of one life of an entry, ends included.
 // Requests close out of order, so that a segment need not hold all of them.
 type Range struct {
-	Entry       work.Host
-	Incarnation work.Incarnation
+	Entry       domain.Host
+	Incarnation domain.Incarnation
 	First, Last uint64
 }
 
@@ -36,8 +36,8 @@
 // unique, so that a segment is only ever created: when the answer to a write is
 // lost, the same write again is harmless.
 type Name struct {
-	Host        work.Host
-	Incarnation work.Incarnation
+	Host        domain.Host
+	Incarnation domain.Incarnation
 	// Seq numbers the segments of one life of the host, from 1.
 	Seq uint64
 	// Written is when the segment was packed, to the second.
--- a/story/recorder.go
+++ b/story/recorder.go
@@ -5,7 +5,7 @@
 	"sync"
 	"time"
 
-	"jacinthworks/work"
+	"jacinthworks/domain"
 )
 
 // The defaults of a Recorder.
@@ -72,8 +72,8 @@
 	Flush time.Duration
 
 	mu      sync.Mutex
-	open    map[work.RequestID]*item
-	closed  map[work.RequestID]*list.Element
+	open    map[domain.RequestID]*item
+	closed  map[domain.RequestID]*list.Element
 	byAge   list.List // of *item, oldest close first
 	openAge list.List // of *item, oldest open first; used by sides only
 	pending []*Story
@@ -110,7 +110,7 @@
 }
 
 // Get gives the story of a request, if it is in memory.
-func (r *Recorder) Get(id work.RequestID) (Story, bool) {
+func (r *Recorder) Get(id domain.RequestID) (Story, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if i := r.open[id]; i != nil {
@@ -171,14 +171,14 @@
 
 func (r *Recorder) init() {
 	if r.open == nil {
-		r.open = make(map[work.RequestID]*item)
-		r.closed = make(map[work.RequestID]*list.Element)
+		r.open = make(map[domain.RequestID]*item)
+		r.closed = make(map[domain.RequestID]*list.Element)
 	}
 }
 
 // closedAsEntry guards against a request accepted twice under one id: a second
 // Accepted after the end would open a second story with a second end.
-func (r *Recorder) closedAsEntry(id work.RequestID) bool {
+func (r *Recorder) closedAsEntry(id domain.RequestID) bool {
 	return r.Half == HalfEntry && r.closed[id] != nil
 }
 
--- a/story/segment.go
+++ b/story/segment.go
@@ -11,7 +11,7 @@
 	"github.com/pkg/errors"
 
 	"jacinthworks/check"
-	"jacinthworks/work"
+	"jacinthworks/domain"
 )
 
 const (
@@ -31,11 +31,11 @@
 // header is the first line of a segment. Stories lets a reader see that lines
 // are missing.
 type header struct {
-	Format      string           `json:"format"`
-	Version     int              `json:"version"`
-	Host        work.Host        `json:"host"`
-	Incarnation work.Incarnation `json:"incarnation"`
-	Stories     int              `json:"stories"`
+	Format      string             `json:"format"`
+	Version     int                `json:"version"`
+	Host        domain.Host        `json:"host"`
+	Incarnation domain.Incarnation `json:"incarnation"`
+	Stories     int                `json:"stories"`
 }
 
 // Segment is a batch of closed stories, ready to be written.
@@ -49,8 +49,8 @@
 // Packer packs stories into segments. Set Host and Incarnation; it belongs to
 // one goroutine.
 type Packer struct {
-	Host        work.Host
-	Incarnation work.Incarnation
+	Host        domain.Host
+	Incarnation domain.Incarnation
 	seq         uint64
 }
 
--- a/story/story.go
+++ b/story/story.go
@@ -11,7 +11,7 @@
 //	var r story.Recorder                     // on a side: story.Recorder{Half: story.HalfSide}
 //	r.Record(story.Event{Kind: story.Accepted, Time: now, Host: host, Request: id, Caller: caller})
 //	r.Record(story.Event{Kind: story.Refused, Time: now, Host: host, Request: id,
-//		Reason: work.ReasonNoRoom, Ran: work.NotRun})
+//		Reason: domain.ReasonNoRoom, Ran: domain.NotRun})
 //
 //	p := story.Packer{Host: host, Incarnation: incarnation}
 //	if r.Due(now) {
@@ -36,7 +36,7 @@
 	"time"
 
 	"jacinthworks/check"
-	"jacinthworks/work"
+	"jacinthworks/domain"
 )
 
 // MaxEvents bounds the events of one story. A request with three attempts on a
@@ -59,9 +59,9 @@
 // which keeps the rule that it ends exactly once. The zero value is empty and
 // ready to use.
 type Story struct {
-	Request work.RequestID `json:"request_id"`
-	Half    Half           `json:"half,omitempty"`
-	Events  []Event        `json:"events,omitempty"`
+	Request domain.RequestID `json:"request_id"`
+	Half    Half             `json:"half,omitempty"`
+	Events  []Event          `json:"events,omitempty"`
 	// Open says that the story was still open on a live host when it was read.
 	Open bool `json:"open,omitempty"`
 	// Dropped counts events left out beyond MaxEvents.
--- a/story/story_test.go
+++ b/story/story_test.go
@@ -12,8 +12,8 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
+	"jacinthworks/domain"
 	"jacinthworks/test/seeded"
-	"jacinthworks/work"
 )
 
 func TestMain(m *testing.M) { seeded.Main(m) }
@@ -27,7 +27,7 @@
 func appraisal(n uint64) (entry, prefill, decode []Event) {
 	id := ID{"entry-1", 3, n}.RequestID()
 	owner := Event{Service: "appraiser-lm", RequestKind: "appraisal", Caller: "stud-farm"}
-	ev := func(k EventKind, ms int, h work.Host, a work.Attempt) Event {
+	ev := func(k EventKind, ms int, h domain.Host, a domain.Attempt) Event {
 		return Event{Kind: k, Time: at(ms), Host: h, Request: id, Attempt: a}
 	}
 	accepted := owner
@@ -38,18 +38,18 @@
 	started := ev(AttemptStarted, 3, "entry-1", 1)
 	started.Upstream, started.Decode = "side-4", "side-7"
 	answered := ev(Answered, 60, "entry-1", 0)
-	answered.Ran, answered.Tokens = work.DidRun, 40
+	answered.Ran, answered.Tokens = domain.DidRun, 40
 	entry = []Event{accepted, ev(Queued, 1, "entry-1", 0), decided, started, answered}
 	for _, s := range []struct {
 		half *[]Event
-		host work.Host
+		host domain.Host
 		mid  EventKind
 		from int
 	}{{&prefill, "side-4", PrefillDone, 5}, {&decode, "side-7", FirstToken, 0}} {
 		first := ev(AttemptStarted, s.from, s.host, 1)
 		first.Caller, first.Service, first.RequestKind = owner.Caller, owner.Service, owner.RequestKind
 		last := ev(AttemptEnded, s.from+50, s.host, 1)
-		last.Ran = work.DidRun
+		last.Ran = domain.DidRun
 		*s.half = []Event{ev(Reserved, s.from, s.host, 1), first, ev(s.mid, s.from+20, s.host, 1), last}
 	}
 	return entry, prefill, decode
@@ -76,7 +76,7 @@
 	var r Recorder
 	entry, _, _ := appraisal(1)
 	record(&r, entry)
-	r.Record(Event{Kind: Refused, Time: at(65), Host: "entry-1", Request: entry[0].Request, Ran: work.Unknown, Reason: work.ReasonLost})
+	r.Record(Event{Kind: Refused, Time: at(65), Host: "entry-1", Request: entry[0].Request, Ran: domain.Unknown, Reason: domain.ReasonLost})
 	s, ok := r.Get(entry[0].Request)
 	require.True(t, ok)
 	end, _ := s.End()
@@ -97,14 +97,14 @@
 	rapid.Check(t, func(t *rapid.T) {
 		r := Recorder{Recent: 4, Age: 50 * time.Millisecond}
 		kinds := rapid.SliceOfN(rapid.SampledFrom([]EventKind{Accepted, Queued, Answered, Refused, CallerGone, AttemptEnded}), 1, 80).Draw(t, "kinds")
-		naive := make(map[work.RequestID]EventKind) // the first end, or Accepted
+		naive := make(map[domain.RequestID]EventKind) // the first end, or Accepted
 		for i, k := range kinds {
 			id := ID{"e", 1, uint64(rapid.IntRange(0, 5).Draw(t, "id"))}.RequestID()
 			_, known := naive[id]
 			if _, held := r.Get(id); known && !held && k == Accepted {
 				continue // a number given twice is only seen while its story is held
 			}
-			r.Record(Event{Kind: k, Time: at(i * 9), Host: "e", Request: id, Ran: work.NotRun})
+			r.Record(Event{Kind: k, Time: at(i * 9), Host: "e", Request: id, Ran: domain.NotRun})
 			if k == Accepted && !known || naive[id] == Accepted && (k == Answered || k == Refused) {
 				naive[id] = k
 			}
@@ -191,7 +191,7 @@
 
 	lost := Merge(id, half(HalfSide, prefill), half(HalfSide, decode))
 	require.Equal(t, StateLost, lost.State)
-	require.Equal(t, work.DidRun, lost.Ran)
+	require.Equal(t, domain.DidRun, lost.Ran)
 	require.Contains(t, strings.Join(lost.Missing, "\n"), "entry entry-1.3 was lost before it wrote")
 
 	cutOff := Merge(id, half(HalfEntry, entry[:4]), half(HalfSide, prefill))
@@ -202,7 +202,7 @@
 	require.Contains(t, strings.Join(died.Missing, "\n"), "side side-7: lost after first_token")
 
 	none := Merge(id)
-	require.Equal(t, work.Unknown, none.Ran)
+	require.Equal(t, domain.Unknown, none.Ran)
 	require.Contains(t, none.Missing[0], "no half")
 
 	var b bytes.Buffer
@@ -216,7 +216,7 @@
 func TestUntrueNotRunIsFound(t *testing.T) {
 	entry, prefill, _ := appraisal(5)
 	end := &entry[len(entry)-1]
-	end.Kind, end.Ran, end.Reason = Refused, work.NotRun, work.ReasonLost
+	end.Kind, end.Ran, end.Reason = Refused, domain.NotRun, domain.ReasonLost
 	a := Merge(entry[0].Request, half(HalfEntry, entry), half(HalfSide, prefill))
 	require.Len(t, a.Findings, 1)
 	require.Contains(t, a.Findings[0].Problem, "refused as not_run")
@@ -252,7 +252,7 @@
 		_, prefill, _ := appraisal(uint64(n))
 		s := Story{Half: HalfSide}
 		for _, e := range prefill {
-			e.Request = ID{work.Host(fmt.Sprintf("entry-%d", n%20)), 1, uint64(n)}.RequestID()
+			e.Request = ID{domain.Host(fmt.Sprintf("entry-%d", n%20)), 1, uint64(n)}.RequestID()
 			s.Add(e)
 		}
 		batch = append(batch, &s)
--- a/table/column.go
+++ b/table/column.go
@@ -7,7 +7,7 @@
 
 	"github.com/pkg/errors"
 
-	"jacinthworks/work"
+	"jacinthworks/domain"
 )
 
 // Column names a column of the table, as in JSON and in the CSV header.
@@ -31,9 +31,9 @@
 
 // columns are in the order of the CSV header.
 var columns = []column{
-	text(ColumnService, func(r *Row) *work.Service { return &r.Service }),
-	text(ColumnZone, func(r *Row) *work.Zone { return &r.Zone }),
-	text(ColumnKind, func(r *Row) *work.Kind { return &r.Kind }),
+	text(ColumnService, func(r *Row) *domain.Service { return &r.Service }),
+	text(ColumnZone, func(r *Row) *domain.Zone { return &r.Zone }),
+	text(ColumnKind, func(r *Row) *domain.Kind { return &r.Kind }),
 	text(ColumnTeam, func(r *Row) *string { return &r.Team }),
 	number("weight", func(r *Row) *int { return &r.Weight }),
 	number("in_flight", func(r *Row) *int { return &r.InFlight }),
--- a/table/helpers_test.go
+++ b/table/helpers_test.go
@@ -4,22 +4,22 @@
 	"testing"
 	"time"
 
+	"jacinthworks/domain"
 	"jacinthworks/test/seeded"
-	"jacinthworks/work"
 )
 
 // Random tests draw from one seed, so that two runs of the tests agree.
 func TestMain(m *testing.M) { seeded.Main(m) }
 
 // sample gives a valid row of appraiser-lm.
-func sample(zone work.Zone, kind work.Kind) Row {
+func sample(zone domain.Zone, kind domain.Kind) Row {
 	return Row{Service: "appraiser-lm", Zone: zone, Kind: kind, Team: "appraisal", Weight: 1, InFlight: 8,
 		QueueLimit: 32, CallerRate: 2.5, Deadline: Duration(30 * time.Second), FirstToken: Duration(2 * time.Second),
 		TokenGap: Duration(100 * time.Millisecond), Priority: 5, WastedPrefillWeight: 200}
 }
 
 // enquiry gives a valid row of marketplace-app, owned by another team.
-func enquiry(zone work.Zone) Row {
+func enquiry(zone domain.Zone) Row {
 	return Row{Service: "marketplace-app", Zone: zone, Kind: "enquiry", Team: "listing", Weight: 1, InFlight: 16,
 		Deadline: Duration(5 * time.Second), Priority: 9}
 }
--- a/table/row.go
+++ b/table/row.go
@@ -3,17 +3,17 @@
 import (
 	"time"
 
-	"jacinthworks/work"
+	"jacinthworks/domain"
 )
 
 // AnyZone stands for every availability zone without a row of its own.
-const AnyZone work.Zone = "*"
+const AnyZone domain.Zone = "*"
 
 // Row is one line of the table.
 type Row struct {
-	Service work.Service `json:"service"`
-	Zone    work.Zone    `json:"zone"`
-	Kind    work.Kind    `json:"kind"`
+	Service domain.Service `json:"service"`
+	Zone    domain.Zone    `json:"zone"`
+	Kind    domain.Kind    `json:"kind"`
 	// Team owns the row; only its tokens edit it.
 	Team string `json:"team"`
 	// Weight is this zone's share of the service's work, against the weights
--- a/table/rules.go
+++ b/table/rules.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"jacinthworks/check"
-	"jacinthworks/work"
+	"jacinthworks/domain"
 )
 
 // The bounds of cells. They refuse slips of the hand, such as a weight typed
@@ -125,7 +125,7 @@
 
 // knownService reports whether rows name the service, for findings that tell
 // a mistyped service from a missing row.
-func knownService(rows []Row, s work.Service) bool {
+func knownService(rows []Row, s domain.Service) bool {
 	for _, r := range rows {
 		if r.Service == s {
 			return true
--- a/table/table.go
+++ b/table/table.go
@@ -30,7 +30,7 @@
 	"cmp"
 	"slices"
 
-	"jacinthworks/work"
+	"jacinthworks/domain"
 )
 
 // Version orders tables: the platform's version of the object that holds the
@@ -39,9 +39,9 @@
 
 // Key names a row.
 type Key struct {
-	Service work.Service `json:"service"`
-	Zone    work.Zone    `json:"zone"`
-	Kind    work.Kind    `json:"kind"`
+	Service domain.Service `json:"service"`
+	Zone    domain.Zone    `json:"zone"`
+	Kind    domain.Kind    `json:"kind"`
 }
 
 // String gives the key as it is written on the command line.
@@ -89,7 +89,7 @@
 
 // Find gives the row for the zone, or else the service's row for AnyZone. Its
 // cost does not grow with the table: at most two lookups in a hash map.
-func (t Table) Find(service work.Service, zone work.Zone, kind work.Kind) (Row, bool) {
+func (t Table) Find(service domain.Service, zone domain.Zone, kind domain.Kind) (Row, bool) {
 	i, ok := t.index[Key{service, zone, kind}]
 	if !ok {
 		i, ok = t.index[Key{service, AnyZone, kind}]
@@ -101,8 +101,8 @@
 }
 
 // HasService reports whether any row names the service.
-func (t Table) HasService(service work.Service) bool {
-	i, _ := slices.BinarySearchFunc(t.rows, service, func(r Row, s work.Service) int { return cmp.Compare(r.Service, s) })
+func (t Table) HasService(service domain.Service) bool {
+	i, _ := slices.BinarySearchFunc(t.rows, service, func(r Row, s domain.Service) int { return cmp.Compare(r.Service, s) })
 	return i < len(t.rows) && t.rows[i].Service == service
 }
 
--- a/table/table_test.go
+++ b/table/table_test.go
@@ -8,14 +8,14 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"jacinthworks/work"
+	"jacinthworks/domain"
 )
 
 func TestFindFallsBackToAnyZone(t *testing.T) {
 	table := sampleTable()
 	r, ok := table.Find("appraiser-lm", "salt-lake", "appraisal")
 	require.True(t, ok)
-	require.Equal(t, work.Zone("salt-lake"), r.Zone)
+	require.Equal(t, domain.Zone("salt-lake"), r.Zone)
 	r, ok = table.Find("appraiser-lm", "howrah", "appraisal")
 	require.True(t, ok)
 	require.Equal(t, AnyZone, r.Zone)
@@ -78,7 +78,7 @@
 func TestATableTooLargeForThePlatformIsAFinding(t *testing.T) {
 	var rows []Row
 	for i := range 4000 {
-		rows = append(rows, sample(work.Zone(fmt.Sprintf("zone-%d", i)), "appraisal"))
+		rows = append(rows, sample(domain.Zone(fmt.Sprintf("zone-%d", i)), "appraisal"))
 	}
 	found := New(1, rows).Check()
 	require.Len(t, found, 1)
@@ -88,7 +88,7 @@
 func TestSizeOfARowAndOfTheHistory(t *testing.T) {
 	var rows []Row
 	for i := range 1000 {
-		rows = append(rows, sample(work.Zone(fmt.Sprintf("zone-%d", i)), "appraisal"))
+		rows = append(rows, sample(domain.Zone(fmt.Sprintf("zone-%d", i)), "appraisal"))
 	}
 	text, err := New(1, rows).Encode()
 	require.NoError(t, err)
@@ -97,7 +97,7 @@
 }
 
 // naiveFind looks at every row.
-func naiveFind(rows []Row, s work.Service, z work.Zone, k work.Kind) (Row, bool) {
+func naiveFind(rows []Row, s domain.Service, z domain.Zone, k domain.Kind) (Row, bool) {
 	var any Row
 	found := false
 	for _, r := range rows {
@@ -113,9 +113,9 @@
 
 func drawRows(rt *rapid.T) []Row {
 	keys := rapid.SliceOfNDistinct(rapid.Custom(func(rt *rapid.T) Key {
-		return Key{Service: work.Service(rapid.SampledFrom([]string{"a", "b"}).Draw(rt, "service")),
-			Zone: work.Zone(rapid.SampledFrom([]string{"x", "y", "*"}).Draw(rt, "zone")),
-			Kind: work.Kind(rapid.SampledFrom([]string{"k", "l"}).Draw(rt, "kind"))}
+		return Key{Service: domain.Service(rapid.SampledFrom([]string{"a", "b"}).Draw(rt, "service")),
+			Zone: domain.Zone(rapid.SampledFrom([]string{"x", "y", "*"}).Draw(rt, "zone")),
+			Kind: domain.Kind(rapid.SampledFrom([]string{"k", "l"}).Draw(rt, "kind"))}
 	}), 0, 12, rapid.ID[Key]).Draw(rt, "keys")
 	var rows []Row
 	for _, k := range keys {
@@ -131,8 +131,8 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		rows := drawRows(rt)
 		table := New(1, rows)
-		for _, s := range []work.Service{"a", "b", "c"} {
-			for _, z := range []work.Zone{"x", "y", "z"} {
+		for _, s := range []domain.Service{"a", "b", "c"} {
+			for _, z := range []domain.Zone{"x", "y", "z"} {
 				want, wantOK := naiveFind(rows, s, z, "k")
 				got, ok := table.Find(s, z, "k")
 				if got != want || ok != wantOK {
@@ -174,7 +174,7 @@
 	for _, n := range []int{15, 3000} {
 		var rows []Row
 		for i := range n {
-			rows = append(rows, sample(work.Zone(fmt.Sprintf("zone-%d", i)), "appraisal"))
+			rows = append(rows, sample(domain.Zone(fmt.Sprintf("zone-%d", i)), "appraisal"))
 		}
 		table := New(1, append(rows, sample(AnyZone, "appraisal")))
 		b.Run(fmt.Sprintf("rows=%d", n), func(b *testing.B) {
@@ -190,7 +190,7 @@
 	for _, n := range []int{18, 516, 3000} {
 		var rows []Row
 		for i := range n {
-			rows = append(rows, sample(work.Zone(fmt.Sprintf("zone-%d", i)), "appraisal"))
+			rows = append(rows, sample(domain.Zone(fmt.Sprintf("zone-%d", i)), "appraisal"))
 		}
 		text, err := New(1, rows).Encode()
 		require.NoError(b, err)
@@ -211,7 +211,7 @@
 	for _, n := range []int{18, 516, 3000} {
 		var rows []Row
 		for i := range n {
-			rows = append(rows, sample(work.Zone(fmt.Sprintf("zone-%d", i)), "appraisal"))
+			rows = append(rows, sample(domain.Zone(fmt.Sprintf("zone-%d", i)), "appraisal"))
 		}
 		t := New(1, rows)
 		e := Edit{ID: "e-1", Changes: []Change{Set(rows[0].Key(), Cell{Column: "weight", Value: "3"})}}
--- a/test/call.go
+++ b/test/call.go
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"jacinthworks/work"
+	"jacinthworks/domain"
 )
 
 // call is one request as its caller saw it.
@@ -27,7 +27,7 @@
 	mu      sync.Mutex
 	more    chan struct{} // closed and replaced at each token
 	stalled chan struct{} // non-nil and open while the caller does not read
-	id      work.RequestID
+	id      domain.RequestID
 	status  int
 	text    strings.Builder
 	tokens  int
@@ -39,10 +39,10 @@
 
 // problemView is a refusal as a caller reads it.
 type problemView struct {
-	Reason     work.Reason    `json:"reason"`
-	Ran        work.Ran       `json:"ran"`
-	RequestID  work.RequestID `json:"request_id"`
-	RetryAfter float64        `json:"retry_after_seconds"`
+	Reason     domain.Reason    `json:"reason"`
+	Ran        domain.Execution `json:"ran"`
+	RequestID  domain.RequestID `json:"request_id"`
+	RetryAfter float64          `json:"retry_after_seconds"`
 }
 
 func (c *call) hangUp() {
@@ -100,7 +100,7 @@
 	}
 	defer answer.Body.Close()
 	c.mu.Lock()
-	c.id = work.RequestID(answer.Header.Get("Request-Id"))
+	c.id = domain.RequestID(answer.Header.Get("Request-Id"))
 	c.status = answer.StatusCode
 	c.wake()
 	c.mu.Unlock()
@@ -195,7 +195,7 @@
 
 // view is what the caller has seen so far.
 type view struct {
-	id      work.RequestID
+	id      domain.RequestID
 	status  int
 	text    string
 	tokens  int
--- a/test/fleet.go
+++ b/test/fleet.go
@@ -17,7 +17,7 @@
 	"github.com/pkg/errors"
 
 	"jacinthworks/group"
-	"jacinthworks/platform/stand"
+	"jacinthworks/platform/fake"
 )
 
 // fleet is entries without sides, each a process of its own, and around them the
@@ -25,11 +25,11 @@
 // behind relays.
 type fleet struct {
 	w     *world
-	store *stand.Store
+	store *fake.Store
 
 	mu      sync.Mutex
 	servers map[string]*server
-	past    []*stand.Server // all that ever ran
+	past    []*fake.Server // all that ever ran
 	entries []*entryHost
 	spans   []span
 	calls   []fleetCall
@@ -43,7 +43,7 @@
 type server struct {
 	name, service, stage string
 	starts               int
-	now                  *stand.Server
+	now                  *fake.Server
 	relay                *relay
 }
 
@@ -81,7 +81,7 @@
 
 // leave is a server's word, taken by the store, that it takes no more work.
 type leave struct {
-	server *stand.Server
+	server *fake.Server
 	at     time.Time
 }
 
@@ -103,7 +103,7 @@
 // newFleet starts store, servers and entries, and waits until all are ready.
 // The store counts its eras where that is asked for.
 func newFleet(bin Binaries, dir string, eras bool) (*fleet, error) {
-	f := &fleet{w: newWorld(bin, dir), store: stand.NewStore(), servers: make(map[string]*server)}
+	f := &fleet{w: newWorld(bin, dir), store: fake.NewStore(), servers: make(map[string]*server)}
 	f.store.SetStale(time.Second)
 	if eras {
 		f.store.CountEras()
@@ -157,13 +157,13 @@
 	for i := range fleetVersions {
 		plain = append(plain, generation(i))
 	}
-	f.store.Put("config", "main", stand.Configuration(3+n*n*2+n, plain,
-		stand.Route{Prefix: "/once/", Kind: "non_idempotent", Service: "cards", Attempts: 2},
-		stand.Route{Prefix: "/again/", Kind: "idempotent", Service: "cards", Attempts: 2},
-		stand.Route{Prefix: "/stream/", Kind: "streaming", Service: "model", Attempts: 2},
-		stand.Route{Prefix: stand.LongPrefix, Kind: "streaming", Service: "model", Attempts: 1},
-		stand.Route{Prefix: "/resumed/", Kind: "streaming", Service: "model", Attempts: 2, Resumable: true},
-		stand.Route{Prefix: "/probe/", Kind: "idempotent", Service: generation(n), Attempts: 1},
+	f.store.Put("config", "main", fake.Configuration(3+n*n*2+n, plain,
+		fake.Route{Prefix: "/once/", Kind: "non_idempotent", Service: "cards", Attempts: 2},
+		fake.Route{Prefix: "/again/", Kind: "idempotent", Service: "cards", Attempts: 2},
+		fake.Route{Prefix: "/stream/", Kind: "streaming", Service: "model", Attempts: 2},
+		fake.Route{Prefix: fake.LongPrefix, Kind: "streaming", Service: "model", Attempts: 1},
+		fake.Route{Prefix: "/resumed/", Kind: "streaming", Service: "model", Attempts: 2, Resumable: true},
+		fake.Route{Prefix: "/probe/", Kind: "idempotent", Service: generation(n), Attempts: 1},
 	))
 }
 
@@ -184,7 +184,7 @@
 	}
 	f.w.relays.Go(f.w.ctx, id, r.run)
 	s.relay = r
-	s.now = stand.NewServer(f.store, stand.Entry{
+	s.now = fake.NewServer(f.store, fake.Entry{
 		ID: id, Service: service, Stage: stage, Zone: "here", Slots: 16, Address: r.address().String(),
 	})
 	s.now.SetPace(fleetPace)
@@ -298,7 +298,7 @@
 }
 
 func (f *fleet) untilReady(h *entryHost) error {
-	for until := time.Now().Add(Within); time.Now().Before(until); group.Pause(f.w.ctx, 20*time.Millisecond) {
+	for until := time.Now().Add(Within); time.Now().Before(until); group.Sleep(f.w.ctx, 20*time.Millisecond) {
 		if h.now().isReady() {
 			return nil
 		}
@@ -318,7 +318,7 @@
 		h.mu.Lock()
 		h.ready = misses < 2
 		h.mu.Unlock()
-		group.Pause(f.w.ctx, 200*time.Millisecond)
+		group.Sleep(f.w.ctx, 200*time.Millisecond)
 	}
 }
 
@@ -341,7 +341,7 @@
 	case <-time.After(Within):
 		return errors.Errorf("%s did not end", h.name)
 	}
-	group.Pause(f.w.ctx, fleetRestart)
+	group.Sleep(f.w.ctx, fleetRestart)
 	return f.start(h)
 }
 
--- a/test/fleetcalls.go
+++ b/test/fleetcalls.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"jacinthworks/group"
-	"jacinthworks/platform/stand"
+	"jacinthworks/platform/fake"
 )
 
 // fleetCall is one request, as its caller saw it.
@@ -16,7 +16,7 @@
 	id, kind, method, target, body string
 	entry, incarnation             int
 	sent, ended                    time.Time
-	got                            stand.Got
+	got                            fake.Got
 	// fresh says that its connection was made for it, left that its caller
 	// gave up.
 	fresh, left bool
@@ -41,7 +41,7 @@
 // caller makes requests until ctx ends. It keeps a connection for as long as the
 // entry lets it, also while the entry stops.
 func (f *fleet) caller(ctx context.Context, number int, r *rand.Rand) {
-	var c *stand.Caller
+	var c *fake.Caller
 	var h *entryHost
 	var l *incarnation
 	defer func() {
@@ -57,11 +57,11 @@
 			h = f.balanced(r)
 			if h == nil {
 				c = nil
-				group.Pause(ctx, fleetThinks)
+				group.Sleep(ctx, fleetThinks)
 				continue
 			}
 			l = h.now()
-			c = &stand.Caller{To: l.listen}
+			c = &fake.Caller{To: l.listen}
 		}
 		kind, givesUp := pick(r, fleetKinds), r.IntN(fleetGivesUpIn) == 0
 		if givesUp && r.IntN(2) == 0 {
@@ -70,7 +70,7 @@
 		one := call1(fmt.Sprintf("c%d-%d", number, n), kind)
 		one.entry, one.incarnation = h.index, l.number
 		f.call(c, one, givesUp, r)
-		group.Pause(ctx, fleetThinks)
+		group.Sleep(ctx, fleetThinks)
 		if ended(l) {
 			c.Close()
 			c = nil
@@ -100,14 +100,14 @@
 }
 
 // call makes one call and keeps what became of it.
-func (f *fleet) call(c *stand.Caller, one fleetCall, givesUp bool, r *rand.Rand) fleetCall {
+func (f *fleet) call(c *fake.Caller, one fleetCall, givesUp bool, r *rand.Rand) fleetCall {
 	patience := fleetPatience
 	if givesUp {
 		patience = time.Duration(20+r.IntN(150)) * time.Millisecond
 	}
 	ctx, cancel := context.WithTimeout(f.w.ctx, patience)
 	defer cancel()
-	a := stand.Ask{ID: one.id, Method: one.method, Target: one.target, Body: one.body, Within: fleetWithin}
+	a := fake.Ask{ID: one.id, Method: one.method, Target: one.target, Body: one.body, Within: fleetWithin}
 	if one.kind == "stream" || one.kind == "resumed" || one.kind == longKind {
 		a.Prompt, a.Output = 1000, 200
 	}
@@ -143,9 +143,9 @@
 		l := h.now()
 		one := call1("p"+strconv.Itoa(h.index)+"-"+strconv.Itoa(n), "probe")
 		one.entry, one.incarnation = h.index, l.number
-		c := &stand.Caller{To: l.listen}
+		c := &fake.Caller{To: l.listen}
 		f.call(c, one, false, nil)
 		c.Close()
-		group.Pause(ctx, fleetProbes)
+		group.Sleep(ctx, fleetProbes)
 	}
 }
--- a/test/fleetcopy.go
+++ b/test/fleetcopy.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"jacinthworks/group"
-	"jacinthworks/platform/stand"
+	"jacinthworks/platform/fake"
 )
 
 const (
@@ -31,7 +31,7 @@
 			},
 			end: func(f *fleet) error {
 				f.store.SetDown(false)
-				group.Pause(f.w.ctx, storeAnew)
+				group.Sleep(f.w.ctx, storeAnew)
 				f.writeAnew()
 				return nil
 			},
@@ -45,7 +45,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.writeConfig(f.configs[len(f.configs)-1].generation)
-	runs := make(map[*stand.Server]bool)
+	runs := make(map[*fake.Server]bool)
 	for _, s := range f.servers {
 		runs[s.now] = true
 	}
--- a/test/fleetjudge.go
+++ b/test/fleetjudge.go
@@ -12,7 +12,7 @@
 	"github.com/pkg/errors"
 
 	"jacinthworks/group"
-	"jacinthworks/platform/stand"
+	"jacinthworks/platform/fake"
 )
 
 const (
@@ -41,7 +41,7 @@
 
 // where is where and when a request ran.
 type where struct {
-	server *stand.Server
+	server *fake.Server
 	at     time.Time
 }
 
@@ -106,7 +106,7 @@
 				one := call1(fmt.Sprintf("recovery-%d-%s-%d", h.index, kind, n), kind)
 				l := h.now()
 				one.entry, one.incarnation = h.index, l.number
-				c := &stand.Caller{To: l.listen}
+				c := &fake.Caller{To: l.listen}
 				one = f.call(c, one, false, nil)
 				c.Close()
 				if one.got.Status == http.StatusOK {
@@ -116,7 +116,7 @@
 					found.add("not recovered: %s through %s: status %d, %v", kind, h.name, one.got.Status, one.got.Err)
 					break
 				}
-				group.Pause(f.w.ctx, 50*time.Millisecond)
+				group.Sleep(f.w.ctx, 50*time.Millisecond)
 			}
 		}
 	}
@@ -124,7 +124,7 @@
 
 // judgeFreed: no engine goes on with work whose caller is gone.
 func (f *fleet) judgeFreed(found *findings) {
-	for until := time.Now().Add(settleTime); ; group.Pause(f.w.ctx, 20*time.Millisecond) {
+	for until := time.Now().Add(settleTime); ; group.Sleep(f.w.ctx, 20*time.Millisecond) {
 		running := 0
 		f.mu.Lock()
 		for _, s := range f.past {
@@ -192,8 +192,8 @@
 		return strings.HasPrefix(c.got.Body, "answer of ") && strings.HasSuffix(c.got.Body, " to "+c.method+" "+c.target+" "+c.body)
 	}
 	var b strings.Builder
-	for n := 1; n <= stand.Events; n++ {
-		b.WriteString(stand.Event(c.target, n))
+	for n := 1; n <= fake.Events; n++ {
+		b.WriteString(fake.Event(c.target, n))
 	}
 	return c.got.Body == b.String()
 }
--- a/test/fleetlimit.go
+++ b/test/fleetlimit.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"time"
 
-	"jacinthworks/platform/stand"
+	"jacinthworks/platform/fake"
 )
 
 // What a server that states a rate limit may get in limitIn: limitOver times what it
@@ -19,7 +19,7 @@
 
 // limitSpan is the time in which a server states a rate limit.
 type limitSpan struct {
-	server   *stand.Server
+	server   *fake.Server
 	rate     float64
 	from, to time.Time // to is zero while it lasts
 }
@@ -31,7 +31,7 @@
 	}
 	name := pick(r, []string{"app-1", "app-2", "decode-1", "prefill-1"})
 	rate := pick(r, []float64{0.5, 1, 2, 5})
-	var limited *stand.Server // the one that ran at the beginning
+	var limited *fake.Server // the one that ran at the beginning
 	s.troubles = append(s.troubles, trouble{
 		name: fmt.Sprintf("limit %s to %v a second", name, rate), entry: everyEntry, planned: true,
 		at:   time.Duration(r.Int64N(int64(fleetCalm))),
--- a/test/fleetplan.go
+++ b/test/fleetplan.go
@@ -14,7 +14,7 @@
 	"github.com/pkg/errors"
 
 	"jacinthworks/group"
-	"jacinthworks/platform/stand"
+	"jacinthworks/platform/fake"
 )
 
 // The times of a fleet's plan. Faults begin and end within its traffic, with
@@ -202,7 +202,7 @@
 // losePart is the part of the answers that are lost.
 const losePart = 0.4
 
-func (l *losing) serve(s *stand.Server) func(http.ResponseWriter, *http.Request) bool {
+func (l *losing) serve(s *fake.Server) func(http.ResponseWriter, *http.Request) bool {
 	return func(w http.ResponseWriter, r *http.Request) bool {
 		l.mu.Lock()
 		drawn := l.random.Float64()
@@ -211,7 +211,7 @@
 			return false
 		}
 		if drawn > losePart/2 && s.Entry.Stage != "" {
-			s.Stream(w, r, stand.Events/2)
+			s.Stream(w, r, fake.Events/2)
 			_, _ = io.WriteString(w, "id: 4\ndata: pie")
 			_ = http.NewResponseController(w).Flush()
 		} else {
@@ -300,14 +300,14 @@
 
 // suffer brings a trouble about and ends it.
 func (f *fleet) suffer(ctx context.Context, t trouble) error {
-	group.Pause(ctx, t.at)
+	group.Sleep(ctx, t.at)
 	f.mu.Lock()
 	n := len(f.spans)
 	f.spans = append(f.spans, span{trouble: t, from: time.Now()})
 	f.mu.Unlock()
 	err := t.begin(f)
 	if err == nil && t.end != nil {
-		group.Pause(ctx, t.last)
+		group.Sleep(ctx, t.last)
 		err = t.end(f)
 	}
 	f.mu.Lock()
@@ -316,7 +316,7 @@
 	return err
 }
 
-func (f *fleet) server(name string) *stand.Server {
+func (f *fleet) server(name string) *fake.Server {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.servers[name].now
@@ -349,7 +349,7 @@
 	s := f.servers[name]
 	f.mu.Unlock()
 	f.add(name, s.service, s.stage)
-	group.Pause(f.w.ctx, fleetDrain+time.Second)
+	group.Sleep(f.w.ctx, fleetDrain+time.Second)
 	f.store.Delete("servers", old.Entry.ID)
 }
 
--- a/test/fleetstated.go
+++ b/test/fleetstated.go
@@ -6,7 +6,7 @@
 	"strconv"
 	"time"
 
-	"jacinthworks/platform/stand"
+	"jacinthworks/platform/fake"
 )
 
 const (
@@ -24,7 +24,7 @@
 	if r.IntN(2) == 0 {
 		name := pick(r, []string{"app-1", "app-2", "decode-1", "prefill-1"})
 		pause := pick(r, []string{"0.5", "1", "2.5", "4"})
-		var busy *stand.Server // the one that ran at the beginning
+		var busy *fake.Server // the one that ran at the beginning
 		s.troubles = append(s.troubles, trouble{
 			name: fmt.Sprintf("%s asks for pauses of %s s", name, pause), entry: everyEntry, planned: true, at: at(), last: last(),
 			begin: func(f *fleet) error { busy = f.server(name); busy.SetBusy(pause); return nil },
@@ -48,7 +48,7 @@
 }
 
 // arrivals gives what reached a server of known calls.
-func (f *fleet) arrivals(s *stand.Server) (all []arrival) {
+func (f *fleet) arrivals(s *fake.Server) (all []arrival) {
 	by := make(map[string]fleetCall, len(f.calls))
 	for _, c := range f.calls {
 		by[c.id] = c
@@ -73,7 +73,7 @@
 
 // judgeToldLeaving: no request of a caller, made after the answer had been passed on,
 // reaches the server through that incarnation.
-func (f *fleet) judgeToldLeaving(found *findings, s *stand.Server, arrived []arrival) {
+func (f *fleet) judgeToldLeaving(found *findings, s *fake.Server, arrived []arrival) {
 	told := make(map[[2]int]time.Time) // an incarnation, and when it passed on such an answer
 	for _, c := range f.calls {
 		at := [2]int{c.entry, c.incarnation}
@@ -91,7 +91,7 @@
 
 // judgePauses: after a server has asked an incarnation for a pause, hardly anything of it
 // reaches the server until the pause ends.
-func (f *fleet) judgePauses(found *findings, s *stand.Server, arrived []arrival) {
+func (f *fleet) judgePauses(found *findings, s *fake.Server, arrived []arrival) {
 	at := make(map[string]arrival, len(arrived))
 	for _, a := range arrived {
 		at[a.call.id] = a
--- a/test/judge.go
+++ b/test/judge.go
@@ -10,10 +10,10 @@
 	"github.com/pkg/errors"
 
 	"jacinthworks/check"
+	"jacinthworks/domain"
 	"jacinthworks/engine"
 	"jacinthworks/fakes/apps"
 	"jacinthworks/fakes/model"
-	"jacinthworks/work"
 )
 
 // upstreams is what the stand-ins say they ran.
@@ -147,7 +147,7 @@
 func (w *world) judgeRefusals(u upstreams, found *check.Findings) {
 	for _, name := range w.order {
 		v := w.calls[name].look()
-		if v.problem.Reason == "" || v.problem.Ran != work.NotRun {
+		if v.problem.Reason == "" || v.problem.Ran != domain.NotRun {
 			continue
 		}
 		for _, r := range u.engines {
@@ -165,7 +165,7 @@
 
 // judgeRuns: a key of unrepeatable work ran at most once.
 func (w *world) judgeRuns(u upstreams, found *check.Findings) {
-	accounts := map[work.RequestID]string{} // a key is its account's own
+	accounts := map[domain.RequestID]string{} // a key is its account's own
 	for _, name := range w.order {
 		accounts[w.calls[name].look().id] = w.calls[name].account
 	}
--- a/test/operator.go
+++ b/test/operator.go
@@ -12,12 +12,12 @@
 
 	"jacinthworks/admin"
 	"jacinthworks/conf"
+	"jacinthworks/domain"
 	"jacinthworks/editor"
 	"jacinthworks/engine"
 	"jacinthworks/fakes/model"
 	"jacinthworks/story"
 	"jacinthworks/table"
-	"jacinthworks/work"
 )
 
 // edit is one operator's edit and what became of it.
@@ -47,7 +47,7 @@
 	if len(parts) != 3 {
 		return table.Key{}, errors.Errorf("not SERVICE/ZONE/KIND: %q", text)
 	}
-	return table.Key{Service: work.Service(parts[0]), Zone: work.Zone(parts[1]), Kind: work.Kind(parts[2])}, nil
+	return table.Key{Service: domain.Service(parts[0]), Zone: domain.Zone(parts[1]), Kind: domain.Kind(parts[2])}, nil
 }
 
 // stepEdit sends an edit: edit NAME entry=1 [as=bola] row=S/Z/K COLUMN=VALUE
@@ -256,7 +256,7 @@
 	}
 	ctx, cancel := context.WithTimeout(w.ctx, Within)
 	defer cancel()
-	_, err = c.Order(ctx, admin.OrderRequest{Host: work.Host(args[0]), Kind: engine.OrderKind(args[1]), Value: args[2]})
+	_, err = c.SendOrder(ctx, admin.OrderRequest{Host: domain.Host(args[0]), Kind: engine.OrderKind(args[1]), Value: args[2]})
 	return err
 }
 
--- a/test/path/departures.go
+++ b/test/path/departures.go
@@ -11,16 +11,16 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/pkg/errors"
 
+	"jacinthworks/domain"
 	"jacinthworks/engine"
 	"jacinthworks/test/drive"
-	"jacinthworks/work"
 )
 
 // departures notes when each token of each request left its engine. The zero
 // value is ready to use.
 type departures struct {
 	mu  sync.Mutex
-	all map[work.RequestID][]time.Time
+	all map[domain.RequestID][]time.Time
 }
 
 // around gives a handler that notes the writes of decodes. The engine writes
@@ -43,18 +43,18 @@
 	})
 }
 
-func (d *departures) note(id work.RequestID) {
+func (d *departures) note(id domain.RequestID) {
 	now := time.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.all == nil {
-		d.all = make(map[work.RequestID][]time.Time)
+		d.all = make(map[domain.RequestID][]time.Time)
 	}
 	d.all[id] = append(d.all[id], now)
 }
 
 // since gives how long ago a token left; false if it never did.
-func (d *departures) since(id work.RequestID, offset int) (time.Duration, bool) {
+func (d *departures) since(id domain.RequestID, offset int) (time.Duration, bool) {
 	now := time.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/test/path/tokens.go
+++ b/test/path/tokens.go
@@ -10,12 +10,12 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/pkg/errors"
 
+	"jacinthworks/domain"
 	"jacinthworks/engine"
 	"jacinthworks/fakes/model"
 	"jacinthworks/fakes/serve"
 	"jacinthworks/test"
 	"jacinthworks/test/drive"
-	"jacinthworks/work"
 )
 
 // tokenGap is that of an engine under load, at the letter's 48 ms target with
@@ -36,9 +36,9 @@
 		Model: drive.Model, PrefillRate: 1_000_000, Slots: 256, MemoryTokens: 10_000_000,
 		TokenGap: tokenGap, BatchCost: 0.0001, LinkRate: 100_000_000, Life: 10 * time.Second,
 	}
-	settings.Role = work.RolePrefill
+	settings.Role = domain.RolePrefill
 	e.prefill.Handler = &model.Engine{Settings: settings}
-	settings.Role = work.RoleDecode
+	settings.Role = domain.RoleDecode
 	e.decode.Handler = e.left.around(&model.Engine{Settings: settings})
 	var err error
 	for i, s := range []*serve.Server{&e.prefill, &e.decode} {
@@ -101,7 +101,7 @@
 		numbers <- n
 	}
 	r := drive.Closed(ctx, a.Streams, a.Streams, func(ctx context.Context) error {
-		id := work.RequestID(fmt.Sprintf("direct.%d", <-numbers))
+		id := domain.RequestID(fmt.Sprintf("direct.%d", <-numbers))
 		kv, err := prefill.Prefill(ctx, engine.PrefillOrder{Request: id, Attempt: 1, Prompt: "pedigree", PromptTokens: 8})
 		if err != nil {
 			return err
@@ -119,7 +119,7 @@
 		next := 0
 		return c.Stream(ctx, "pedigree", a.Tokens, func(request string, count int) error {
 			for range count {
-				if err := took.add(e.left.since(work.RequestID(request), next)); err != nil {
+				if err := took.add(e.left.since(domain.RequestID(request), next)); err != nil {
 					return err
 				}
 				next++
--- a/test/relay.go
+++ b/test/relay.go
@@ -69,7 +69,7 @@
 	done := make(chan struct{})
 	go func() { // ends once the group is closed below
 		defer close(done)
-		for range g.Ends() {
+		for range g.Exits() {
 		}
 	}()
 	stop := context.AfterFunc(ctx, func() { _ = r.ln.Close(); r.breakAll(nil) })
@@ -158,7 +158,7 @@
 			return true
 		}
 		if !held {
-			group.Pause(ctx, delay)
+			group.Sleep(ctx, delay)
 			break
 		}
 		select {
@@ -218,7 +218,7 @@
 // runFlaps breaks connections while the relay flaps, until the context ends.
 func (r *relay) runFlaps(ctx context.Context) error {
 	for ctx.Err() == nil {
-		group.Pause(ctx, flapEvery)
+		group.Sleep(ctx, flapEvery)
 		r.mu.Lock()
 		flaps := r.flaps
 		r.mu.Unlock()
--- a/test/slopes/claims.go
+++ b/test/slopes/claims.go
@@ -11,9 +11,9 @@
 	"github.com/pkg/errors"
 
 	"jacinthworks/claim"
+	"jacinthworks/domain"
 	"jacinthworks/test"
 	"jacinthworks/test/drive"
-	"jacinthworks/work"
 )
 
 // keySizes are the numbers of keys that an owner remembers, and keyedSizes
@@ -104,7 +104,7 @@
 func measureOwner() error {
 	var heap []point
 	for _, n := range keySizes {
-		kept, err := held(func() (*claim.Book, error) { return bookOf(n) })
+		kept, err := held(func() (*claim.Ledger, error) { return bookOf(n) })
 		if err != nil {
 			return err
 		}
@@ -118,7 +118,7 @@
 }
 
 // bookOf gives the book of an owner that granted n keys to one runner.
-func bookOf(n int) (*claim.Book, error) {
+func bookOf(n int) (*claim.Ledger, error) {
 	now := time.Now()
 	owner := claim.Member{Host: "app-1", Zone: "salt-lake", Incarnation: 1}
 	runner := claim.Member{Host: "app-2", Zone: "new-town", Incarnation: 2}
@@ -131,10 +131,10 @@
 		if i > 10*n {
 			return nil, errors.Wrapf(last, "granted only %d keys of %d", granted, n)
 		}
-		request := work.RequestID(fmt.Sprintf("entry-1.4242424242424242.%d", i))
-		_, err := b.Claim(claim.ClaimAsk{
+		request := domain.RequestID(fmt.Sprintf("entry-1.4242424242424242.%d", i))
+		_, err := b.Claim(claim.Request{
 			Key: claim.Key{Account: "sales-house", Name: fmt.Sprintf("0192f0c1-2b1e-7c3d-8e4f-%012d", i)},
-			Try: claim.Try{Request: request, Attempt: 1}, Body: claim.Body(i), Runner: runner.Process(),
+			Try: claim.AttemptID{Request: request, Attempt: 1}, Body: claim.Body(i), Runner: runner.Process(),
 		}, now)
 		if err == nil {
 			granted++
@@ -146,17 +146,17 @@
 }
 
 // ownerBook gives an owner's book once its runner has answered its fences.
-func ownerBook(owner, runner claim.Member, now time.Time) (*claim.Book, error) {
+func ownerBook(owner, runner claim.Member, now time.Time) (*claim.Ledger, error) {
 	record := claim.Record{Generation: claim.Generation{Version: 1, First: true, Members: []claim.Member{owner, runner}}}
-	books := map[claim.Process]*claim.Book{}
+	books := map[claim.Process]*claim.Ledger{}
 	for _, m := range record.Members {
-		books[m.Process()] = &claim.Book{Self: m.Process(), Limits: claim.Limits{Retention: time.Hour}}
+		books[m.Process()] = &claim.Ledger{Self: m.Process(), Limits: claim.Limits{Retention: time.Hour}}
 	}
-	if _, err := books[runner.Process()].Learn(record, now); err != nil {
+	if _, err := books[runner.Process()].Apply(record, now); err != nil {
 		return nil, err
 	}
 	b := books[owner.Process()]
-	out, err := b.Learn(record, now)
+	out, err := b.Apply(record, now)
 	if err != nil {
 		return nil, err
 	}
--- a/test/slopes/links.go
+++ b/test/slopes/links.go
@@ -12,13 +12,13 @@
 
 	"github.com/pkg/errors"
 
+	"jacinthworks/domain"
 	"jacinthworks/group"
+	"jacinthworks/infra"
 	"jacinthworks/member"
-	"jacinthworks/plat"
 	"jacinthworks/test"
 	"jacinthworks/test/drive"
 	"jacinthworks/wire"
-	"jacinthworks/work"
 )
 
 // linkSizes are the numbers of connections; each has a process of its own,
@@ -153,8 +153,8 @@
 		return test.Running{}, err
 	}
 	for i := range entries {
-		l := &wire.Link{Target: s.Address, Local: &wire.Local{
-			Hello: wire.Hello{Host: work.Host(fmt.Sprintf("entry-%d", i)), Zone: "salt-lake", Role: "entry"},
+		l := &wire.Link{Target: s.Address, Local: &wire.Handlers{
+			Hello: wire.Hello{Host: domain.Host(fmt.Sprintf("entry-%d", i)), Zone: "salt-lake", Role: "entry"},
 		}}
 		f.far.Go(ctx, "link", l.Run)
 	}
@@ -221,21 +221,21 @@
 func fakeSides(ctx context.Context, w *test.Direct, far *group.Group, count int) error {
 	r := member.Record{Service: drive.App}
 	for i := range count {
-		host := work.Host(fmt.Sprintf("app-%03d", i))
+		host := domain.Host(fmt.Sprintf("app-%03d", i))
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return err
 		}
-		local := &wire.Local{
-			Hello: wire.Hello{Host: host, Zone: "salt-lake", Role: string(work.RoleApp), Service: drive.App},
-			Beat: func() wire.Beat {
-				return wire.Beat{Load: &wire.Load{Running: 3, Slots: 8, FreeSlots: 5, FreeTokens: 90000}}
+		local := &wire.Handlers{
+			Hello: wire.Hello{Host: host, Zone: "salt-lake", Role: string(domain.RoleApp), Service: drive.App},
+			Heartbeat: func() wire.Heartbeat {
+				return wire.Heartbeat{Load: &wire.Load{Running: 3, Slots: 8, FreeSlots: 5, FreeTokens: 90000}}
 			},
 		}
 		far.Go(ctx, "side", func(ctx context.Context) error { return wire.Serve(ctx, ln, local) })
 		r.Members = append(r.Members, member.Member{
-			Host: host, Zone: "salt-lake", Role: work.RoleApp, Service: drive.App,
-			Address: netip.MustParseAddrPort(ln.Addr().String()), Incarnation: work.NewIncarnation(),
+			Host: host, Zone: "salt-lake", Role: domain.RoleApp, Service: drive.App,
+			Address: netip.MustParseAddrPort(ln.Addr().String()), Incarnation: domain.NewIncarnation(),
 		})
 	}
 	return putRecord(ctx, w, r)
@@ -250,7 +250,7 @@
 	if err != nil {
 		return err
 	}
-	objects := plat.HTTPObjects{Base: p.Address}
+	objects := infra.HTTPObjects{Base: p.Address}
 	_, err = objects.Put(ctx, member.Name(r.Service), text, 0)
 	return errors.Wrap(err, "slopes: record")
 }
--- a/test/slopes/orders.go
+++ b/test/slopes/orders.go
@@ -8,11 +8,11 @@
 
 	"github.com/pkg/errors"
 
+	"jacinthworks/domain"
 	"jacinthworks/group"
 	"jacinthworks/test"
 	"jacinthworks/test/drive"
 	"jacinthworks/wire"
-	"jacinthworks/work"
 )
 
 // orderSizes are the numbers of calls made one after the other.
@@ -42,7 +42,7 @@
 	var far group.Group
 	defer far.Wait()
 	defer cancel()
-	local := &wire.Local{Hello: wire.Hello{Host: "entry-2", Zone: "salt-lake", Role: "entry"}}
+	local := &wire.Handlers{Hello: wire.Hello{Host: "entry-2", Zone: "salt-lake", Role: "entry"}}
 	toEntry := &wire.Link{Target: e.Peers, Local: local}
 	toSide := &wire.Link{Target: s.Address, Local: local}
 	far.Go(ctx, "to entry", toEntry.Run)
@@ -50,18 +50,18 @@
 
 	// The asker holds the newest version, as nearly always.
 	var now wire.Table
-	if err := untilConnected(ctx, toEntry, wire.MethodTable, wire.TableAsk{}, &now); err != nil {
+	if err := untilConnected(ctx, toEntry, wire.MethodTable, wire.TableRequest{}, &now); err != nil {
 		return err
 	}
-	have := wire.TableAsk{Have: now.Version}
+	have := wire.TableRequest{Have: now.Version}
 	err = reportOrders(ctx, "table_confirm", "entry", e.PID, func(int) error {
 		return toEntry.Call(ctx, wire.MethodTable, have, &now)
 	})
 	if err != nil {
 		return err
 	}
-	ref := func(n int) wire.Ref {
-		return wire.Ref{Request: work.RequestID(fmt.Sprintf("entry-2.4242424242424242.%d", n)), Attempt: 1, Stage: wire.StageDecode}
+	ref := func(n int) wire.AttemptRef {
+		return wire.AttemptRef{Request: domain.RequestID(fmt.Sprintf("entry-2.4242424242424242.%d", n)), Attempt: 1, Stage: wire.StageDecode}
 	}
 	var out wire.Outcome
 	if err := untilConnected(ctx, toSide, wire.MethodSettle, ref(0), &out); err != nil {
--- a/test/slopes/packages.go
+++ b/test/slopes/packages.go
@@ -10,12 +10,12 @@
 	"time"
 
 	"jacinthworks/claim"
+	"jacinthworks/domain"
 	"jacinthworks/engine"
+	"jacinthworks/infra"
 	"jacinthworks/member"
-	"jacinthworks/plat"
 	"jacinthworks/table"
 	"jacinthworks/wire"
-	"jacinthworks/work"
 )
 
 var (
@@ -73,13 +73,13 @@
 		return err
 	}
 	err = measureValue("member_record", "member", memberSizes, recordOf, func(text []byte) (member.Record, error) {
-		return member.Parse(plat.Object{Value: text})
+		return member.Parse(infra.Object{Value: text})
 	})
 	if err != nil {
 		return err
 	}
-	err = measureValue("host_list", "host", listSizes, hostsOf, func(text []byte) ([]plat.ListedHost, error) {
-		var l []plat.ListedHost
+	err = measureValue("host_list", "host", listSizes, hostsOf, func(text []byte) ([]infra.ListedHost, error) {
+		var l []infra.ListedHost
 		return l, json.Unmarshal(text, &l)
 	})
 	if err != nil {
@@ -123,8 +123,8 @@
 	var rows []table.Row
 	for i := range n {
 		rows = append(rows, table.Row{
-			Service: work.Service(fmt.Sprintf("appraiser-lm-%d", i%6)), Zone: work.Zone(fmt.Sprintf("region-%d-zone-%d", i/6%11, i/66%4)),
-			Kind: work.Kind(fmt.Sprintf("appraisal-%d", i/264)), Team: "appraisal", Weight: 100, InFlight: 64, QueueLimit: 200, CallerRate: 20,
+			Service: domain.Service(fmt.Sprintf("appraiser-lm-%d", i%6)), Zone: domain.Zone(fmt.Sprintf("region-%d-zone-%d", i/6%11, i/66%4)),
+			Kind: domain.Kind(fmt.Sprintf("appraisal-%d", i/264)), Team: "appraisal", Weight: 100, InFlight: 64, QueueLimit: 200, CallerRate: 20,
 			Deadline: table.Duration(15 * time.Second), FirstToken: table.Duration(time.Second), TokenGap: table.Duration(48 * time.Millisecond),
 			Idempotent: true, Priority: 6, MayWait: true, WastedPrefillWeight: 200,
 		})
@@ -143,8 +143,8 @@
 	r := member.Record{Service: "appraiser-lm-1"}
 	for i := range n {
 		m := member.Member{
-			Host: work.Host(fmt.Sprintf("appraiser-%05d", i)), Zone: work.Zone(fmt.Sprintf("region-%d-zone-%d", i%11, i%4)),
-			Role: work.RoleDecode, Service: r.Service, Incarnation: work.NewIncarnation(),
+			Host: domain.Host(fmt.Sprintf("appraiser-%05d", i)), Zone: domain.Zone(fmt.Sprintf("region-%d-zone-%d", i%11, i%4)),
+			Role: domain.RoleDecode, Service: r.Service, Incarnation: domain.NewIncarnation(),
 			Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 20, byte(i >> 8), byte(i)}), 17201),
 		}
 		if i < n-joins {
@@ -157,10 +157,10 @@
 }
 
 func hostsOf(n int) ([]byte, error) {
-	var l []plat.ListedHost
+	var l []infra.ListedHost
 	for i := range n {
-		l = append(l, plat.ListedHost{
-			Host: work.Host(fmt.Sprintf("appraiser-%05d", i)), Zone: work.Zone(fmt.Sprintf("region-%d-zone-%d", i%11, i%4)), State: plat.HostLive,
+		l = append(l, infra.ListedHost{
+			Host: domain.Host(fmt.Sprintf("appraiser-%05d", i)), Zone: domain.Zone(fmt.Sprintf("region-%d-zone-%d", i%11, i%4)), State: infra.HostLive,
 		})
 	}
 	return json.Marshal(l)
--- a/test/slopes/requests.go
+++ b/test/slopes/requests.go
@@ -7,7 +7,7 @@
 
 	"github.com/pkg/errors"
 
-	"jacinthworks/plat"
+	"jacinthworks/infra"
 	"jacinthworks/story"
 	"jacinthworks/test"
 	"jacinthworks/test/drive"
@@ -194,7 +194,7 @@
 	if err != nil {
 		return err
 	}
-	objects := plat.HTTPObjects{Base: platform.Address}
+	objects := infra.HTTPObjects{Base: platform.Address}
 	names, err := objects.List(ctx, story.Prefix)
 	if err != nil {
 		return err
--- a/test/steps_test.go
+++ b/test/steps_test.go
@@ -8,14 +8,14 @@
 
 	"github.com/stretchr/testify/require"
 
-	"jacinthworks/steps"
-	"jacinthworks/work"
+	"jacinthworks/domain"
+	"jacinthworks/inject"
 )
 
 // drillCase is one step at which one kind of process is lost or paused.
 type drillCase struct {
-	step    steps.Step
-	do      steps.Action
+	step    inject.Point
+	do      inject.Action
 	kind    string
 	victims []string
 }
@@ -25,16 +25,16 @@
 // drillCases lists every step from the list in the code, for a plain call and
 // for a model request, with the processes that pass it.
 func drillCases() []drillCase {
-	onlyModel := map[steps.Step]bool{steps.EntryReserved: true, steps.EntryPrefilled: true}
+	onlyModel := map[inject.Point]bool{inject.EntryReserved: true, inject.EntryPrefilled: true}
 	var all []drillCase
-	for _, do := range []steps.Action{steps.Exit, steps.Pause} {
-		for _, s := range steps.Entry() {
+	for _, do := range []inject.Action{inject.Exit, inject.Pause} {
+		for _, s := range inject.EntryPoints() {
 			if !onlyModel[s] {
 				all = append(all, drillCase{s, do, "enquiry", []string{"entry-1"}})
 			}
 			all = append(all, drillCase{s, do, "appraisal", []string{"entry-1"}})
 		}
-		for _, s := range steps.Side() {
+		for _, s := range inject.SidePoints() {
 			all = append(all,
 				drillCase{s, do, "enquiry", []string{"app-1", "app-2", "app-3"}},
 				drillCase{s, do, "appraisal", []string{"decode-1", "decode-2"}},
@@ -87,7 +87,7 @@
 	for _, v := range c.victims {
 		p, err := w.find(v)
 		require.NoError(t, err)
-		if c.do == steps.Pause {
+		if c.do == inject.Pause {
 			require.NoError(t, p.command.Process.Signal(syscall.SIGCONT))
 			continue
 		}
@@ -116,7 +116,7 @@
 		v := w.calls[name].look()
 		switch {
 		case v.whole && v.status == 200,
-			v.problem.Reason == work.ReasonAnswered, v.problem.Reason == work.ReasonKeyUnknown:
+			v.problem.Reason == domain.ReasonAnswered, v.problem.Reason == domain.ReasonKeyUnknown:
 			return nil
 		}
 		pause(w.ctx, 200*time.Millisecond)
--- a/wire/codec_test.go
+++ b/wire/codec_test.go
@@ -18,9 +18,9 @@
 	"github.com/sourcegraph/jsonrpc2"
 	"github.com/stretchr/testify/require"
 
+	"jacinthworks/domain"
 	"jacinthworks/engine"
 	"jacinthworks/group"
-	"jacinthworks/work"
 )
 
 // Processes of two releases talk to each other while one is rolled out.
@@ -81,8 +81,8 @@
 	t.Cleanup(func() { cancel(); g.Wait() })
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	g.Go(ctx, "serve", func(ctx context.Context) error { return Serve(ctx, ln, &Local{Handle: handle}) })
-	l := &Link{Target: netip.MustParseAddrPort(ln.Addr().String()), Local: &Local{}}
+	g.Go(ctx, "serve", func(ctx context.Context) error { return Serve(ctx, ln, &Handlers{Handle: handle}) })
+	l := &Link{Target: netip.MustParseAddrPort(ln.Addr().String()), Local: &Handlers{}}
 	g.Go(ctx, "link", l.Run)
 	for l.Peer() == nil {
 		runtime.Gosched()
@@ -94,17 +94,17 @@
 // caller's answer that holds part of somebody else's.
 func TestCallsAtOnceGetTheirOwnAnswers(t *testing.T) {
 	l := connect(t, func(_ context.Context, _ *Peer, _ string, params json.RawMessage) (any, error) {
-		return Decode(params, func(r Ref) (any, error) { return Outcome{Ref: r, Detail: string(r.Request)}, nil })
+		return Decode(params, func(r AttemptRef) (any, error) { return Outcome{AttemptRef: r, Detail: string(r.Request)}, nil })
 	})
 	const workers, each = 8, 200
 	wrong := make(chan string, workers)
 	for w := range workers {
 		go func() { // its end is read below
 			for n := range each {
-				r := Ref{Request: work.RequestID(strings.Repeat(strconv.Itoa(w), 1+n*7%900)), Attempt: work.Attempt(n)}
+				r := AttemptRef{Request: domain.RequestID(strings.Repeat(strconv.Itoa(w), 1+n*7%900)), Attempt: domain.Attempt(n)}
 				var out Outcome
-				if err := l.Call(t.Context(), MethodSettle, r, &out); err != nil || out.Ref != r || out.Detail != string(r.Request) {
-					wrong <- fmt.Sprintf("worker %d, call %d: %v %v", w, n, out.Ref, err)
+				if err := l.Call(t.Context(), MethodSettle, r, &out); err != nil || out.AttemptRef != r || out.Detail != string(r.Request) {
+					wrong <- fmt.Sprintf("worker %d, call %d: %v %v", w, n, out.AttemptRef, err)
 					return
 				}
 			}
@@ -119,12 +119,12 @@
 // BenchmarkCall gives one plain call's message there and its outcome back,
 // over loopback, both ends in this process.
 func BenchmarkCall(b *testing.B) {
-	answer := &engine.Answer{Status: 200, Body: []byte(strings.Repeat("x", 300))}
+	answer := &engine.Response{Status: 200, Body: []byte(strings.Repeat("x", 300))}
 	l := connect(b, func(_ context.Context, _ *Peer, _ string, params json.RawMessage) (any, error) {
-		return Decode(params, func(r Run) (any, error) { return Outcome{Ref: r.Ref, Answer: answer}, nil })
+		return Decode(params, func(r Run) (any, error) { return Outcome{AttemptRef: r.AttemptRef, Answer: answer}, nil })
 	})
 	run := Run{
-		Ref: Ref{Request: "entry-1.4242424242424242.17", Attempt: 1, Stage: StageCall}, Account: "sales-house", Kind: "card",
+		AttemptRef: AttemptRef{Request: "entry-1.4242424242424242.17", Attempt: 1, Stage: StageCall}, Account: "sales-house", Kind: "card",
 		Call: &engine.Call{Method: "GET", Path: "/card", Header: map[string][]string{"Accept-Encoding": {"gzip"}, "User-Agent": {"test"}}},
 	}
 	var out Outcome
--- a/wire/heard.go
+++ b/wire/heard.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// Heard is a heartbeat that arrived.
-type Heard struct {
-	Beat
-	// TrueAt is a time on this process's clock no later than the heartbeat was
+// ReceivedHeartbeat is a heartbeat that arrived.
+type ReceivedHeartbeat struct {
+	Heartbeat
+	// NotBefore is a time on this process's clock no later than the heartbeat was
 	// made; zero while that is not known.
 	//
 	// The failure: a process that was frozen finds heartbeats from before in
 	// its sockets. It shows as work sent by reports that are seconds old.
 	// Dating a heartbeat by its echo holds, since it was made after the other
 	// end had heard the echoed one.
-	TrueAt time.Time
+	NotBefore time.Time
 }
 
 // sentKept is how many of its own heartbeats an end can date. At the default
--- a/wire/link.go
+++ b/wire/link.go
@@ -25,7 +25,7 @@
 // loss. The zero value with Target and Local set is ready for Run.
 type Link struct {
 	Target netip.AddrPort
-	Local  *Local
+	Local  *Handlers
 	// TLS is nil for a plain connection.
 	TLS *tls.Config
 
@@ -81,12 +81,12 @@
 }
 
 // Serve accepts connections until the context ends and the last has closed.
-func Serve(ctx context.Context, ln net.Listener, l *Local) error {
+func Serve(ctx context.Context, ln net.Listener, l *Handlers) error {
 	var g group.Group
 	reaped := make(chan struct{})
 	go func() { // ends when the group is closed below
 		defer close(reaped)
-		for range g.Ends() {
+		for range g.Exits() {
 		}
 	}()
 	stop := context.AfterFunc(ctx, func() { _ = ln.Close() })
--- a/wire/order.go
+++ b/wire/order.go
@@ -5,10 +5,10 @@
 	"time"
 
 	"jacinthworks/claim"
+	"jacinthworks/domain"
 	"jacinthworks/engine"
 	"jacinthworks/limit"
 	"jacinthworks/retry"
-	"jacinthworks/work"
 )
 
 // The calls that an entry makes to a side.
@@ -47,16 +47,16 @@
 	StageCall    Stage = "call"
 )
 
-// Ref names one attempt at one stage of a request.
-type Ref struct {
-	Request work.RequestID `json:"request"`
-	Attempt work.Attempt   `json:"attempt"`
-	Stage   Stage          `json:"stage"`
+// AttemptRef names one attempt at one stage of a request.
+type AttemptRef struct {
+	Request domain.RequestID `json:"request"`
+	Attempt domain.Attempt   `json:"attempt"`
+	Stage   Stage            `json:"stage"`
 }
 
 // Reserve asks for room at a decode side before prefill starts.
 type Reserve struct {
-	Ref
+	AttemptRef
 	// Tokens is prompt and answer together, the KV memory at the end.
 	Tokens int `json:"tokens"`
 	// Hold is how long the room is kept; it ends by itself.
@@ -64,8 +64,8 @@
 	Identity retry.Identity `json:"identity"`
 }
 
-// Reserved is the room that was kept.
-type Reserved struct {
+// ReserveReply is the room that was kept.
+type ReserveReply struct {
 	FreeSlots  int `json:"free_slots"`
 	FreeTokens int `json:"free_tokens"`
 }
@@ -73,9 +73,9 @@
 // Run hands one stage of a request over to a side. Just one of Prefill,
 // Decode and Call is set, by Stage.
 type Run struct {
-	Ref
-	Account work.Account `json:"account"`
-	Kind    work.Kind    `json:"kind"`
+	AttemptRef
+	Account domain.Account `json:"account"`
+	Kind    domain.Kind    `json:"kind"`
 	// Identity is what the caller sends, whatever its request id.
 	Identity retry.Identity `json:"identity"`
 	// Within is the time left for this stage.
@@ -94,25 +94,25 @@
 
 // Attach takes up an attempt after its connection was lost.
 type Attach struct {
-	Ref
+	AttemptRef
 	// From is the offset of the next token wanted.
 	From int `json:"from"`
 }
 
 // Outcome says how a stage ended.
 type Outcome struct {
-	Ref
+	AttemptRef
 	// Ran says whether the upstream began it.
-	Ran work.Ran `json:"ran"`
+	Ran domain.Execution `json:"ran"`
 	// Reason is empty when the stage ended well.
-	Reason work.Reason `json:"reason,omitempty"`
-	Detail string      `json:"detail,omitempty"`
+	Reason domain.Reason `json:"reason,omitempty"`
+	Detail string        `json:"detail,omitempty"`
 	// Claim is set when the claim was refused at the side.
 	Claim *claim.Refusal `json:"claim,omitempty"`
 	// Tokens counts the tokens of a whole answer.
-	Tokens int            `json:"tokens,omitempty"`
-	KV     *engine.KV     `json:"kv,omitempty"`
-	Answer *engine.Answer `json:"answer,omitempty"`
+	Tokens int              `json:"tokens,omitempty"`
+	KV     *engine.KV       `json:"kv,omitempty"`
+	Answer *engine.Response `json:"answer,omitempty"`
 	// Death is set when the upstream died while it ran the work.
 	Death *retry.Death `json:"death,omitempty"`
 }
@@ -121,7 +121,7 @@
 // only from the current attempt at the next offset, so that a late frame of an
 // older attempt, a gap or an overlap never reaches a caller.
 type Frame struct {
-	Ref
+	AttemptRef
 	// Offset counts from 0 and belongs to the first of Tokens.
 	Offset int      `json:"offset"`
 	Tokens []string `json:"tokens"`
@@ -131,19 +131,19 @@
 
 // StoryAsk asks for what is known of a request.
 type StoryAsk struct {
-	Request work.RequestID `json:"request"`
+	Request domain.RequestID `json:"request"`
 }
 
 // The calls between entries.
 const (
-	// MethodTable asks for the operators' table: TableAsk to Table.
+	// MethodTable asks for the operators' table: TableRequest to Table.
 	MethodTable = "table"
 	// MethodOffer hands over a table just written: Table to Table.
 	MethodOffer = "offer"
 )
 
-// TableAsk asks for the table if it is newer than the version given.
-type TableAsk struct {
+// TableRequest asks for the table if it is newer than the version given.
+type TableRequest struct {
 	Have uint64 `json:"have"`
 }
 
@@ -155,20 +155,20 @@
 }
 
 // MethodRate asks the entry that counts for a caller whether it may send one more
-// request: RateAsk to Rated.
+// request: RateRequest to Rated.
 const MethodRate = "rate"
 
-// RateAsk is a request of a caller for a row of the table.
-type RateAsk struct {
-	Of limit.Of `json:"of"`
+// RateRequest is a request of a caller for a row of the table.
+type RateRequest struct {
+	Of limit.Key `json:"of"`
 	// Rate is the row's, in requests a second.
 	Rate float64 `json:"rate"`
 	// Standby says that the entry is not the first that counts for the caller.
 	Standby bool `json:"standby,omitempty"`
 }
 
-// Rated is the answer: if it may not, when it may.
-type Rated struct {
+// RateReply is the answer: if it may not, when it may.
+type RateReply struct {
 	Granted bool          `json:"granted"`
 	Wait    time.Duration `json:"wait,omitempty"`
 }
@@ -178,34 +178,34 @@
 
 // State is what an entry says of itself.
 type State struct {
-	Host     work.Host `json:"host"`
-	Zone     work.Zone `json:"zone"`
-	Version  uint64    `json:"table_version"`
-	Since    time.Time `json:"in_force_since"`
-	Draining bool      `json:"draining,omitempty"`
+	Host     domain.Host `json:"host"`
+	Zone     domain.Zone `json:"zone"`
+	Version  uint64      `json:"table_version"`
+	Since    time.Time   `json:"in_force_since"`
+	Draining bool        `json:"draining,omitempty"`
 	// Stale says that it hears of the table from nobody and takes no new work.
 	Stale    bool `json:"stale,omitempty"`
 	InFlight int  `json:"in_flight"`
 }
 
-// MethodMembers asks an entry for a service's member record: MembersAsk to a
+// MethodMembers asks an entry for a service's member record: MembersRequest to a
 // member.Record.
 const MethodMembers = "members"
 
-// MembersAsk asks for a record; Have is the version that the asker holds.
-type MembersAsk struct {
-	Service work.Service `json:"service"`
-	Have    uint64       `json:"have"`
+// MembersRequest asks for a record; Have is the version that the asker holds.
+type MembersRequest struct {
+	Service domain.Service `json:"service"`
+	Have    uint64         `json:"have"`
 }
 
 // The calls and the notification by which keyed requests are claimed. What
 // they carry are the messages of package claim.
 const (
-	// MethodClaim asks a shard's owner: claim.ClaimAsk to Claimed.
+	// MethodClaim asks a shard's owner: claim.Request to Claimed.
 	MethodClaim = "claim"
 	// MethodResolve tells the owner how a try ended: claim.Resolution.
 	MethodResolve = "resolve"
-	// MethodAsk asks the runner of a try: claim.AskOrder to claim.Resolution.
+	// MethodAsk asks the runner of a try: claim.StatusRequest to claim.Resolution.
 	MethodAsk = "ask"
 	// MethodFence, MethodRestore and MethodHandover go between sides.
 	MethodFence    = "fence"
@@ -215,21 +215,21 @@
 	MethodOwned = "owned"
 )
 
-// Claimed answers a claim; just one of its fields is set.
-type Claimed struct {
+// ClaimReply answers a claim; just one of its fields is set.
+type ClaimReply struct {
 	Grant   *claim.Grant   `json:"grant,omitempty"`
 	Refusal *claim.Refusal `json:"refusal,omitempty"`
 }
 
-// Fenced answers a fence; just one of its fields is set.
-type Fenced struct {
+// FenceReply answers a fence; just one of its fields is set.
+type FenceReply struct {
 	Reply   *claim.FenceReply `json:"reply,omitempty"`
 	Refusal *claim.Refusal    `json:"refusal,omitempty"`
 }
 
 // Owned lists the shards that a side owns, all of them each time.
 type Owned struct {
-	Service work.Service      `json:"service"`
+	Service domain.Service    `json:"service"`
 	Shards  []claim.Ownership `json:"shards"`
 }
 
@@ -255,7 +255,7 @@
 	Within time.Duration `json:"within"`
 }
 
-// Ordered says that the engine took the order, under which fencing number.
-type Ordered struct {
+// OrderReply says that the engine took the order, under which fencing number.
+type OrderReply struct {
 	Fence uint64 `json:"fence"`
 }
--- a/wire/peer.go
+++ b/wire/peer.go
@@ -13,8 +13,8 @@
 	"github.com/pkg/errors"
 	"github.com/sourcegraph/jsonrpc2"
 
+	"jacinthworks/domain"
 	"jacinthworks/group"
-	"jacinthworks/work"
 )
 
 // refusedCode is the JSON-RPC error code that carries a Refused as its data.
@@ -25,31 +25,31 @@
 	methodBeat  = "beat"
 )
 
-// Local is what a process brings to each of its connections.
-type Local struct {
+// Handlers is what a process brings to each of its connections.
+type Handlers struct {
 	// Hello introduces the process.
 	Hello Hello
-	// Beat gives the content of the next heartbeat; nil sends an empty one.
-	Beat func() Beat
+	// Heartbeat gives the content of the next heartbeat; nil sends an empty one.
+	Heartbeat func() Heartbeat
 	// Handle answers calls, each on a goroutine of its own.
 	Handle func(ctx context.Context, p *Peer, method string, params json.RawMessage) (any, error)
-	// Notice takes notifications and heartbeats in the order of arrival. It
+	// HandleNotification takes notifications and heartbeats in the order of arrival. It
 	// must not block.
-	Notice func(p *Peer, method string, params json.RawMessage)
-	// Opened and Closed are told of each connection whose hello was heard.
-	Opened func(p *Peer)
-	Closed func(p *Peer)
-	// Every and Silence time the heartbeats; zero takes the defaults.
-	Every   time.Duration
-	Silence time.Duration
+	HandleNotification func(p *Peer, method string, params json.RawMessage)
+	// OnOpen and Closed are told of each connection whose hello was heard.
+	OnOpen  func(p *Peer)
+	OnClose func(p *Peer)
+	// HeartbeatInterval and Silence time the heartbeats; zero takes the defaults.
+	HeartbeatInterval time.Duration
+	HeartbeatTimeout  time.Duration
 }
 
 // Peer is one connection to another process of ours.
 type Peer struct {
-	local   *Local
+	local   *Handlers
 	conn    *jsonrpc2.Conn
 	remote  Hello
-	beat    atomic.Pointer[Heard]
+	beat    atomic.Pointer[ReceivedHeartbeat]
 	sent    sentBeats
 	heard   atomic.Int64
 	started time.Time
@@ -62,7 +62,7 @@
 
 // newPeer runs the protocol on a fresh connection and returns once the other
 // side's hello was heard.
-func newPeer(ctx context.Context, c net.Conn, l *Local) (*Peer, error) {
+func newPeer(ctx context.Context, c net.Conn, l *Handlers) (*Peer, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	p := &Peer{local: l, started: time.Now(), ctx: ctx, cancel: cancel, greeted: make(chan struct{})}
 	// The failure: the other end's host takes the connection and never speaks.
@@ -93,16 +93,16 @@
 	ends := make(chan struct{})
 	go func() { // ends with the calls of this connection, read below
 		defer close(ends)
-		for range p.calls.Ends() {
+		for range p.calls.Exits() {
 		}
 	}()
-	if p.local.Opened != nil {
-		p.local.Opened(p)
+	if p.local.OnOpen != nil {
+		p.local.OnOpen(p)
 	}
 	err := p.keepBeating()
 	p.Close()
-	if p.local.Closed != nil {
-		p.local.Closed(p)
+	if p.local.OnClose != nil {
+		p.local.OnClose(p)
 	}
 	p.calls.Close()
 	<-ends
@@ -115,12 +115,12 @@
 // errs nor delivers. Counting what was heard on this very connection holds,
 // since no other connection's health speaks for this one.
 func (p *Peer) keepBeating() error {
-	every, silence := p.local.Every, p.local.Silence
+	every, silence := p.local.HeartbeatInterval, p.local.HeartbeatTimeout
 	if every == 0 {
-		every = DefaultBeat
+		every = DefaultHeartbeatInterval
 	}
 	if silence == 0 {
-		silence = DefaultSilence
+		silence = DefaultHeartbeatTimeout
 	}
 	t := time.NewTicker(every)
 	defer t.Stop()
@@ -133,7 +133,7 @@
 		}
 		select {
 		case <-p.conn.DisconnectNotify():
-			return errors.Wrap(ErrNoAnswer, "connection closed")
+			return errors.Wrap(ErrNoReply, "connection closed")
 		case <-p.ctx.Done():
 			return p.ctx.Err()
 		case <-t.C:
@@ -146,16 +146,16 @@
 			}
 		default: // still in the socket: the other end takes nothing
 		}
-		if p.SinceHeard() > silence {
-			return errors.Wrap(ErrNoAnswer, "connection silent")
+		if p.IdleTime() > silence {
+			return errors.Wrap(ErrNoReply, "connection silent")
 		}
 	}
 }
 
-func (p *Peer) nextBeat() Beat {
-	var b Beat
-	if p.local.Beat != nil {
-		b = p.local.Beat()
+func (p *Peer) nextBeat() Heartbeat {
+	var b Heartbeat
+	if p.local.Heartbeat != nil {
+		b = p.local.Heartbeat()
 	}
 	b.Number = p.sent.next(time.Now())
 	if last := p.beat.Load(); last != nil {
@@ -184,11 +184,11 @@
 			}
 		})
 	case methodBeat:
-		var b Beat
+		var b Heartbeat
 		if json.Unmarshal(params, &b) != nil {
 			return
 		}
-		p.beat.Store(&Heard{Beat: b, TrueAt: p.sent.at(b.Echo)})
+		p.beat.Store(&ReceivedHeartbeat{Heartbeat: b, NotBefore: p.sent.at(b.Echo)})
 		p.notice(r.Method, params)
 	default:
 		p.notice(r.Method, params)
@@ -196,8 +196,8 @@
 }
 
 func (p *Peer) notice(method string, params json.RawMessage) {
-	if p.local.Notice != nil {
-		p.local.Notice(p, method, params)
+	if p.local.HandleNotification != nil {
+		p.local.HandleNotification(p, method, params)
 	}
 }
 
@@ -207,7 +207,7 @@
 		if err == nil {
 			return p.conn.Reply(ctx, id, result)
 		}
-		var r *Refused
+		var r *RefusalError
 		if !errors.As(err, &r) {
 			// The failure: the call was cancelled because this connection ends.
 			// It shows as a refusal of work that goes on. With no answer the
@@ -215,7 +215,7 @@
 			if ctx.Err() != nil {
 				return errors.WithStack(err)
 			}
-			r = &Refused{Reason: work.ReasonUpstream, Ran: work.Unknown, Detail: err.Error()}
+			r = &RefusalError{Reason: domain.ReasonUpstream, Ran: domain.Unknown, Detail: err.Error()}
 		}
 		e := &jsonrpc2.Error{Code: refusedCode, Message: string(r.Reason)}
 		e.SetError(r)
@@ -231,17 +231,17 @@
 	err := p.conn.Call(ctx, method, params, result)
 	var e *jsonrpc2.Error
 	if errors.As(err, &e) {
-		var r Refused
+		var r RefusalError
 		if e.Code == refusedCode && e.Data != nil && json.Unmarshal(*e.Data, &r) == nil {
 			return &r
 		}
-		return errors.Wrap(ErrNoAnswer, e.Message)
+		return errors.Wrap(ErrNoReply, e.Message)
 	}
 	if err != nil && ctx.Err() != nil {
 		return errors.WithStack(ctx.Err())
 	}
 	if err != nil {
-		return errors.Wrap(ErrNoAnswer, err.Error())
+		return errors.Wrap(ErrNoReply, err.Error())
 	}
 	return nil
 }
@@ -251,27 +251,27 @@
 	return errors.WithStack(p.conn.Notify(p.ctx, method, params))
 }
 
-// Remote is what the other process said of itself.
-func (p *Peer) Remote() Hello { return p.remote }
+// RemoteHello is what the other process said of itself.
+func (p *Peer) RemoteHello() Hello { return p.remote }
 
-// LastBeat is the last heartbeat heard; false before the first.
-func (p *Peer) LastBeat() (Heard, bool) {
+// LastHeartbeat is the last heartbeat heard; false before the first.
+func (p *Peer) LastHeartbeat() (ReceivedHeartbeat, bool) {
 	h := p.beat.Load()
 	if h == nil {
-		return Heard{}, false
+		return ReceivedHeartbeat{}, false
 	}
 	return *h, true
 }
 
-// SinceHeard is the time since anything was heard on this connection.
-func (p *Peer) SinceHeard() time.Duration {
+// IdleTime is the time since anything was heard on this connection.
+func (p *Peer) IdleTime() time.Duration {
 	return time.Since(p.started) - time.Duration(p.heard.Load())
 }
 
 // Done is closed when the connection is.
 func (p *Peer) Done() <-chan struct{} { return p.conn.DisconnectNotify() }
 
-// Close ends the connection. Calls in progress on it get ErrNoAnswer.
+// Close ends the connection. Calls in progress on it get ErrNoReply.
 func (p *Peer) Close() {
 	p.cancel()
 	_ = p.conn.Close()
@@ -281,7 +281,7 @@
 func Decode[T any](params json.RawMessage, next func(T) (any, error)) (any, error) {
 	var v T
 	if err := json.Unmarshal(params, &v); err != nil {
-		return nil, &Refused{Reason: work.ReasonBadInput, Ran: work.NotRun, Detail: err.Error()}
+		return nil, &RefusalError{Reason: domain.ReasonBadInput, Ran: domain.NotRun, Detail: err.Error()}
 	}
 	return next(v)
 }
--- a/wire/peer_test.go
+++ b/wire/peer_test.go
@@ -12,7 +12,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"jacinthworks/work"
+	"jacinthworks/domain"
 )
 
 // pipe is an in-memory connection with room in its sockets, which can pause
@@ -58,7 +58,7 @@
 }
 
 // meet has both ends say hello.
-func meet(t *testing.T, p *pipe, a, b *Local) (left, right *Peer) {
+func meet(t *testing.T, p *pipe, a, b *Handlers) (left, right *Peer) {
 	connA, connB := p.open()
 	t.Cleanup(p.carriers.Wait)
 	greeted := make(chan *Peer)
@@ -115,7 +115,7 @@
 func TestSilenceOfOneDirectionEndsTheConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var p pipe
-		left, right := meet(t, &p, &Local{}, &Local{Handle: blocked})
+		left, right := meet(t, &p, &Handlers{}, &Handlers{Handle: blocked})
 		runs := run(left, right)
 		called := make(chan error, 1)
 		go func() { called <- left.Call(t.Context(), "call", nil, nil) }()
@@ -124,10 +124,10 @@
 
 		p.swallowed.Store(true)
 		lost := time.Now()
-		require.ErrorIs(t, await(t, runs), ErrNoAnswer)
-		require.LessOrEqual(t, time.Since(lost), DefaultSilence+2*DefaultBeat)
-		require.ErrorIs(t, await(t, called), ErrNoAnswer)
-		require.ErrorIs(t, await(t, runs), ErrNoAnswer)
+		require.ErrorIs(t, await(t, runs), ErrNoReply)
+		require.LessOrEqual(t, time.Since(lost), DefaultHeartbeatTimeout+2*DefaultHeartbeatInterval)
+		require.ErrorIs(t, await(t, called), ErrNoReply)
+		require.ErrorIs(t, await(t, runs), ErrNoReply)
 	})
 }
 
@@ -139,17 +139,17 @@
 	synctest.Test(t, func(t *testing.T) {
 		var made [256]time.Time
 		count, dated := 0, 0
-		sender := &Local{Silence: time.Minute, Beat: func() Beat {
+		sender := &Handlers{HeartbeatTimeout: time.Minute, Heartbeat: func() Heartbeat {
 			count++
 			made[count] = time.Now()
-			return Beat{}
+			return Heartbeat{}
 		}}
-		reader := &Local{Silence: time.Minute, Notice: func(p *Peer, _ string, _ json.RawMessage) {
-			b, _ := p.LastBeat()
-			require.False(t, b.TrueAt.After(made[b.Number]), "heartbeat %d", b.Number)
-			if !b.TrueAt.IsZero() {
+		reader := &Handlers{HeartbeatTimeout: time.Minute, HandleNotification: func(p *Peer, _ string, _ json.RawMessage) {
+			b, _ := p.LastHeartbeat()
+			require.False(t, b.NotBefore.After(made[b.Number]), "heartbeat %d", b.Number)
+			if !b.NotBefore.IsZero() {
 				dated++
-				require.Less(t, made[b.Number].Sub(b.TrueAt), DefaultSilence, "dated too far back to be of use")
+				require.Less(t, made[b.Number].Sub(b.NotBefore), DefaultHeartbeatTimeout, "dated too far back to be of use")
 			}
 		}}
 		var p pipe
@@ -172,7 +172,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		var got []int
 		var p pipe
-		left, right := meet(t, &p, &Local{}, &Local{Notice: func(_ *Peer, method string, params json.RawMessage) {
+		left, right := meet(t, &p, &Handlers{}, &Handlers{HandleNotification: func(_ *Peer, method string, params json.RawMessage) {
 			var n int
 			if method == MethodFrame && json.Unmarshal(params, &n) == nil {
 				got = append(got, n)
@@ -192,9 +192,9 @@
 // Each way in which a call ends without a result says what is known of it.
 func TestWhatACallThatFailedSays(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		said := &Refused{Reason: work.ReasonDraining, Ran: work.NotRun, Detail: "stopping"}
+		said := &RefusalError{Reason: domain.ReasonDraining, Ran: domain.NotRun, Detail: "stopping"}
 		var p pipe
-		left, right := meet(t, &p, &Local{}, &Local{
+		left, right := meet(t, &p, &Handlers{}, &Handlers{
 			Handle: func(ctx context.Context, p *Peer, method string, params json.RawMessage) (any, error) {
 				if method == "blocked" {
 					return blocked(ctx, p, method, params)
@@ -203,7 +203,7 @@
 			},
 		})
 		runs := run(left, right)
-		var refused *Refused
+		var refused *RefusalError
 		require.ErrorAs(t, left.Call(t.Context(), "refused", nil, nil), &refused)
 		require.Equal(t, said, refused)
 
@@ -211,7 +211,7 @@
 		go func() { called <- left.Call(t.Context(), "blocked", nil, nil) }()
 		synctest.Wait()
 		right.Close()
-		require.ErrorIs(t, await(t, called), ErrNoAnswer)
+		require.ErrorIs(t, await(t, called), ErrNoReply)
 		require.ErrorIs(t, new(Link).Call(t.Context(), "unsent", nil, nil), ErrNotSent)
 		stop(runs, left)
 	})
@@ -224,7 +224,7 @@
 func TestEndOfTheConnectionIsNoAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var p pipe
-		left, right := meet(t, &p, &Local{}, &Local{Handle: blocked})
+		left, right := meet(t, &p, &Handlers{}, &Handlers{Handle: blocked})
 		calls, end := context.WithCancel(t.Context())
 		right.ctx = calls // so that the handler is always faster than the close
 		called := make(chan error, 1)
@@ -234,8 +234,8 @@
 		synctest.Wait()
 		require.Empty(t, called)
 		right.Close()
-		require.ErrorIs(t, await(t, called), ErrNoAnswer)
-		<-right.calls.Ends()
+		require.ErrorIs(t, await(t, called), ErrNoReply)
+		<-right.calls.Exits()
 		left.Close()
 	})
 }
@@ -255,7 +255,7 @@
 			began := time.Now()
 			ended := make(chan error, 1)
 			go func() {
-				_, err := newPeer(t.Context(), c, &Local{})
+				_, err := newPeer(t.Context(), c, &Handlers{})
 				ended <- err
 			}()
 			require.Error(t, await(t, ended))
@@ -271,10 +271,10 @@
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	served := make(chan error, 2)
-	silent := &Local{Every: time.Hour, Silence: time.Hour, Handle: blocked}
-	healthy := &Local{Every: 10 * time.Millisecond, Silence: time.Hour}
+	silent := &Handlers{HeartbeatInterval: time.Hour, HeartbeatTimeout: time.Hour, Handle: blocked}
+	healthy := &Handlers{HeartbeatInterval: 10 * time.Millisecond, HeartbeatTimeout: time.Hour}
 	go func() { // the first connection is silent after its first heartbeat
-		for _, l := range []*Local{silent, healthy} {
+		for _, l := range []*Handlers{silent, healthy} {
 			c, err := ln.Accept()
 			if err != nil {
 				served <- err
@@ -290,8 +290,8 @@
 		}
 	}()
 	opened := make(chan *Peer, 2)
-	l := Link{Target: ln.Addr().(*net.TCPAddr).AddrPort(), Local: &Local{
-		Every: 10 * time.Millisecond, Silence: 500 * time.Millisecond, Opened: func(p *Peer) { opened <- p },
+	l := Link{Target: ln.Addr().(*net.TCPAddr).AddrPort(), Local: &Handlers{
+		HeartbeatInterval: 10 * time.Millisecond, HeartbeatTimeout: 500 * time.Millisecond, OnOpen: func(p *Peer) { opened <- p },
 	}}
 	ctx, cancel := context.WithCancel(t.Context())
 	ran := make(chan error, 1)
@@ -299,7 +299,7 @@
 	first := await(t, opened)
 	called := make(chan error, 1)
 	go func() { called <- first.Call(t.Context(), "call", nil, nil) }()
-	require.ErrorIs(t, await(t, called), ErrNoAnswer)
+	require.ErrorIs(t, await(t, called), ErrNoReply)
 	second := await(t, opened)
 	require.Zero(t, l.FailedDials())
 	require.Same(t, second, l.Peer())
@@ -318,14 +318,14 @@
 	target := ln.Addr().(*net.TCPAddr).AddrPort()
 	require.NoError(t, ln.Close())
 	opened := make(chan *Peer, 1)
-	l := Link{Target: target, Local: &Local{Opened: func(p *Peer) { opened <- p }}}
+	l := Link{Target: target, Local: &Handlers{OnOpen: func(p *Peer) { opened <- p }}}
 	ctx, cancel := context.WithCancel(t.Context())
 	ran := make(chan error, 2)
 	go func() { ran <- l.Run(ctx) }()
 	require.Eventually(t, func() bool { return l.FailedDials() > 0 }, time.Minute, time.Millisecond)
 	ln, err = net.Listen("tcp", target.String())
 	require.NoError(t, err)
-	go func() { ran <- Serve(ctx, ln, &Local{}) }()
+	go func() { ran <- Serve(ctx, ln, &Handlers{}) }()
 	<-opened
 	require.Zero(t, l.FailedDials())
 	cancel()
--- a/wire/tls_test.go
+++ b/wire/tls_test.go
@@ -72,8 +72,8 @@
 	require.NoError(t, err)
 	answer := func(context.Context, *Peer, string, json.RawMessage) (any, error) { return "here", nil }
 	done := make(chan error, 1)
-	go func() { done <- Serve(ctx, tls.NewListener(ln, server), &Local{Handle: answer}) }()
-	l := &Link{Target: ln.Addr().(*net.TCPAddr).AddrPort(), Local: &Local{}, TLS: client}
+	go func() { done <- Serve(ctx, tls.NewListener(ln, server), &Handlers{Handle: answer}) }()
+	l := &Link{Target: ln.Addr().(*net.TCPAddr).AddrPort(), Local: &Handlers{}, TLS: client}
 	p, err := l.dial(ctx)
 	if err == nil {
 		var got string
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -12,7 +12,7 @@
 //
 // A call ends in one of four ways: with a result; with a *Refused, which the
 // other process said itself; with ErrNotSent, when there was no connection to
-// send it on; or with ErrNoAnswer, when it may or may not have arrived. Only
+// send it on; or with ErrNoReply, when it may or may not have arrived. Only
 // the first three are knowledge.
 package wire
 
@@ -21,7 +21,7 @@
 
 	"github.com/pkg/errors"
 
-	"jacinthworks/work"
+	"jacinthworks/domain"
 )
 
 // Defaults for zero settings. A silent connection is given up after three
@@ -29,43 +29,43 @@
 // sides in under a second; the rest of the two seconds that engine memory may
 // stay held is left to the attachment and to the cancel order.
 const (
-	DefaultBeat    = 200 * time.Millisecond
-	DefaultSilence = 800 * time.Millisecond
-	dialWithin     = 500 * time.Millisecond
+	DefaultHeartbeatInterval = 200 * time.Millisecond
+	DefaultHeartbeatTimeout  = 800 * time.Millisecond
+	dialWithin               = 500 * time.Millisecond
 )
 
 // The errors of a call that the other process did not answer.
 var (
 	// ErrNotSent says that the call was never sent.
 	ErrNotSent = errors.New("wire: not sent")
-	// ErrNoAnswer says that the call may have arrived and no answer came.
-	ErrNoAnswer = errors.New("wire: no answer")
+	// ErrNoReply says that the call may have arrived and no answer came.
+	ErrNoReply = errors.New("wire: no answer")
 )
 
-// Refused is the other process's own refusal of a call.
-type Refused struct {
-	Reason work.Reason `json:"reason"`
+// RefusalError is the other process's own refusal of a call.
+type RefusalError struct {
+	Reason domain.Reason `json:"reason"`
 	// Ran is what the refusing process knows of the work.
-	Ran    work.Ran `json:"ran"`
-	Detail string   `json:"detail,omitempty"`
+	Ran    domain.Execution `json:"ran"`
+	Detail string           `json:"detail,omitempty"`
 }
 
 // Error gives reason, account and detail.
-func (r *Refused) Error() string {
+func (r *RefusalError) Error() string {
 	return "wire: refused: " + string(r.Reason) + " (" + string(r.Ran) + ") " + r.Detail
 }
 
 // Hello is the first message each way on a connection.
 type Hello struct {
-	Host        work.Host        `json:"host"`
-	Zone        work.Zone        `json:"zone"`
-	Incarnation work.Incarnation `json:"incarnation"`
-	Role        string           `json:"role"`
-	Service     work.Service     `json:"service,omitempty"`
+	Host        domain.Host        `json:"host"`
+	Zone        domain.Zone        `json:"zone"`
+	Incarnation domain.Incarnation `json:"incarnation"`
+	Role        string             `json:"role"`
+	Service     domain.Service     `json:"service,omitempty"`
 }
 
-// Beat is the heartbeat. It is sent both ways on every connection.
-type Beat struct {
+// Heartbeat is the heartbeat. It is sent both ways on every connection.
+type Heartbeat struct {
 	// Number counts the heartbeats of one end; Echo is the number of the last
 	// one heard from the other, so that each end can tell since when, on its
 	// own clock, the content is known to be true.
@@ -98,5 +98,5 @@
 	// Down says that the upstream does not answer its side.
 	Down bool `json:"down,omitempty"`
 	// Upstream is the upstream's incarnation.
-	Upstream work.Incarnation `json:"upstream,omitempty"`
+	Upstream domain.Incarnation `json:"upstream,omitempty"`
 }
