--- a/decision_test.go
+++ b/decision_test.go
@@ -29,8 +29,8 @@
 			}
 		}
 	}
-	for _, path := range []string{"admit", "queue", "route", "limit", "eject", "retry", "fence", "place", "claim", "table", "assign", "quota", "again", "events", "pacer", "turns"} {
+	for _, path := range []string{"admit", "queue", "route", "limit", "eject", "retry", "fence", "roles", "claim", "table", "assign", "quota", "delay", "events", "pacer", "search"} {
 		visit(path)
 	}
-	require.Contains(t, seen, "work")
+	require.Contains(t, seen, "domain")
 }
