--- a/roles/even.go
+++ b/roles/even.go
@@ -7,97 +7,98 @@
 	"jacinthworks/domain"
 )
 
-// evenOut gives two pools of a model of which one should give an engine to the
-// other although neither is in need.
-func (p *Planner) evenOut(now time.Time, states []state) (to, from state, found bool) {
-	t := p.Timing.orDefaults()
-	if t.BalanceMargin == 0 {
+// balance returns two pools of one model between which engines should move to bring their
+// pressures closer together; see Timing.BalanceMargin.
+func (p *Planner) balance(now time.Time, states []poolState) (to, from poolState, found bool) {
+	timing := p.Timing.withDefaults()
+	if timing.BalanceMargin == 0 {
 		return to, from, false
 	}
-	for _, need := range states {
-		give, ok := p.evener(now, t, states, need)
+	for _, receiver := range states {
+		donor, ok := p.balanceDonor(now, timing, states, receiver)
 		if !ok {
-			delete(p.uneven, need.pool)
+			delete(p.imbalancedSince, receiver.pool)
 			continue
 		}
-		if _, known := p.uneven[need.pool]; !known {
-			p.uneven[need.pool] = now
+		if _, known := p.imbalancedSince[receiver.pool]; !known {
+			p.imbalancedSince[receiver.pool] = now
 		}
-		if now.Sub(p.uneven[need.pool]) >= t.Hold && !found {
-			to, from, found = need, give, true
+		if now.Sub(p.imbalancedSince[receiver.pool]) >= timing.Hold && !found {
+			to, from, found = receiver, donor, true
 		}
 	}
 	return to, from, found
 }
 
-// NextBalance gives how long pools that were seen uneven must still be so before an engine
-// moves; false where none were. The next look is due then: a look each second makes a
-// Hold of a tenth of one last a second, in which a burst goes on.
+// NextBalance returns the time until the longest-lasting imbalance has lasted for Hold, and
+// reports whether any pools are imbalanced. The caller should call Plan again after that
+// time, which is zero if it has passed: with a Hold of a tenth of a second and a plan each second
+// engines would move a second late, in the middle of a burst.
 func (p *Planner) NextBalance(now time.Time) (time.Duration, bool) {
-	left, found := time.Duration(0), false
-	for _, since := range p.uneven {
-		if one := p.Timing.orDefaults().Hold - now.Sub(since); !found || one < left {
-			left, found = max(0, one), true
+	shortest, found := time.Duration(0), false
+	for _, since := range p.imbalancedSince {
+		if remaining := p.Timing.withDefaults().Hold - now.Sub(since); !found || remaining < shortest {
+			shortest, found = max(0, remaining), true
 		}
 	}
-	return left, found
+	return shortest, found
 }
 
-// evener gives the pool of the same model that can give one an engine so that
-// the fuller of the two gets less full.
-func (p *Planner) evener(now time.Time, t Timing, states []state, need state) (state, bool) {
-	if need.pool.Role == domain.RoleApp || need.changing > 0 || !p.settled(now, need.pool) {
-		return state{}, false
+// balanceDonor returns a pool of the same model from which moving an engine to the receiver
+// lowers the higher of the two pressures by the margin.
+func (p *Planner) balanceDonor(now time.Time, timing Timing, states []poolState, receiver poolState) (poolState, bool) {
+	if receiver.pool.Role == domain.RoleApp || receiver.changing > 0 || !p.cooledDown(now, receiver.pool) {
+		return poolState{}, false
 	}
 	for _, s := range states {
-		canGive := s.pool != need.pool && s.pool.Model == need.pool.Model && s.pool.Role != domain.RoleApp &&
-			s.changing == 0 && len(s.engines) > MinReplicas && p.settled(now, s.pool)
-		if canGive && len(evenPick(t.BalanceMargin, need, s)) > 0 {
+		canDonate := s.pool != receiver.pool && s.pool.Model == receiver.pool.Model && s.pool.Role != domain.RoleApp &&
+			s.changing == 0 && len(s.engines) > MinReplicas && p.cooledDown(now, s.pool)
+		if canDonate && len(pickBalancing(timing.BalanceMargin, receiver, s)) > 0 {
 			return s, true
 		}
 	}
-	return state{}, false
+	return poolState{}, false
 }
 
 const (
-	// BalanceStep is the part of a pool that may leave it at once to even pools out:
-	// the rest has to carry its load while they change. One at a time, 14 of 38
-	// engines stayed with prefill that had work for six.
+	// BalanceStep is the fraction of a pool that may leave it in one balancing move; the
+	// rest has to carry the pool's load during the change. With one engine at a time,
+	// prefill kept 14 of 38 engines for a demand of six.
 	BalanceStep = 0.5
-	// evenLeast is how full a pool must be for it to be evened out: what is
-	// known of one that has hardly any load is noise.
-	evenLeast = 0.02
-	// evenBack is how many times the margin a decode pool must gain by giving an
-	// engine: it first ends its answers, and is away for about twice as long.
-	evenBack = 4
+	// minBalancePressure is the least pressure of a pool that receives engines by
+	// balancing: at hardly any load the measured demand is noise.
+	minBalancePressure = 0.02
+	// decodeMarginFactor multiplies the margin where a decode pool gives an engine: the
+	// engine first finishes its answers, and so is out of service for about twice as long.
+	decodeMarginFactor = 4
 )
 
-// evenPick gives the engines to move: as many as make the fuller of the two pools
-// least full, if it gets less full by the margin, a part of what it is.
-func evenPick(margin float64, to, from state) []Engine {
-	if to.pressure(0) < evenLeast {
+// pickBalancing returns the engines to move: the number that minimizes the higher pressure
+// of the two pools, if that lowers it by at least the margin, a fraction of its present value.
+func pickBalancing(margin float64, to, from poolState) []Engine {
+	if to.pressure(0) < minBalancePressure {
 		return nil
 	}
 	if from.pool.Role == domain.RoleDecode {
-		margin *= evenBack
+		margin *= decodeMarginFactor
 	}
-	fuller := func(moved int) float64 { return max(to.pressure(moved), from.pressure(-moved)) }
-	best := 0
-	most := min(max(1, int(BalanceStep*float64(len(from.engines)))), len(from.engines)-MinReplicas)
-	for n := 1; n <= most; n++ {
-		if fuller(n) < fuller(best) {
-			best = n
+	higherPressure := func(count int) float64 { return max(to.pressure(count), from.pressure(-count)) }
+	bestCount := 0
+	limit := min(max(1, int(BalanceStep*float64(len(from.engines)))), len(from.engines)-MinReplicas)
+	for n := 1; n <= limit; n++ {
+		if higherPressure(n) < higherPressure(bestCount) {
+			bestCount = n
 		}
 	}
-	if fuller(0)-fuller(best) < margin*fuller(0) {
+	if higherPressure(0)-higherPressure(bestCount) < margin*higherPressure(0) {
 		return nil
 	}
-	left := slices.Clone(from.engines)
+	remaining := slices.Clone(from.engines)
 	var picked []Engine
-	for len(picked) < best {
-		i := mostCrowded(left, append(slices.Clone(to.engines), picked...))
-		picked = append(picked, left[i])
-		left = slices.Delete(left, i, i+1)
+	for len(picked) < bestCount {
+		i := mostCrowded(remaining, append(slices.Clone(to.engines), picked...))
+		picked = append(picked, remaining[i])
+		remaining = slices.Delete(remaining, i, i+1)
 	}
 	return picked
 }
--- a/roles/even_test.go
+++ b/roles/even_test.go
@@ -12,7 +12,7 @@
 	"jacinthworks/roles"
 )
 
-// fleet plans once a second for a model's engines, which change at once.
+// fleet runs a planner once a second for the engines of one model, which change role at once.
 type fleet struct {
 	planner roles.Planner
 	roles   []domain.Role
@@ -42,7 +42,7 @@
 	return n
 }
 
-// run plans for so many seconds at the given demands, in engines kept busy.
+// run plans for the given seconds at constant demands, in engines kept busy.
 func (f *fleet) run(seconds int, prefill, decode float64) {
 	pool := func(r domain.Role) roles.Pool { return roles.Pool{Model: "m", Role: r} }
 	for range seconds {
@@ -61,30 +61,30 @@
 	}
 }
 
-// Story: the memory of the decode engines is nearly full while prefill engines
-// are half idle. No pool is beyond what calls for help at once, and the next
-// burst is refused.
-func TestRolesAreEvenedOut(t *testing.T) {
+// Guards against pools that stay unequal because neither is above HighWatermark: the memory
+// of the decode engines is nearly full while prefill engines are half idle, and the next burst
+// is refused.
+func TestPlanBalancesRolesBelowHighWatermark(t *testing.T) {
 	f := newFleet(4, 5)
 	f.run(10, 1.3, 3.6)
 	require.Equal(t, 6, f.count(domain.RoleDecode))
 	f.run(120, 1.3, 3.6)
-	require.Equal(t, 6, f.count(domain.RoleDecode), "another would make prefill the fuller one")
+	require.Equal(t, 6, f.count(domain.RoleDecode), "one more would give prefill the higher pressure")
 	require.Equal(t, 1, f.orders)
 }
 
-func TestALargePoolChangesAPartAtOnce(t *testing.T) {
+func TestPlanMovesAtMostHalfOfALargePool(t *testing.T) {
 	f := newFleet(16, 28)
 	f.run(10, 4, 24)
-	require.Equal(t, 36, f.count(domain.RoleDecode), "half of the prefill engines: the others are at half of what they can")
+	require.Equal(t, 36, f.count(domain.RoleDecode), "half of the prefill engines move, and the others stay at half of their capacity")
 	f.run(60, 4, 24)
-	require.Less(t, 24/float64(f.count(domain.RoleDecode)), 0.67, "no pool is fuller than it has to be")
-	require.GreaterOrEqual(t, f.count(domain.RolePrefill), 5, "they are not all taken")
+	require.Less(t, 24/float64(f.count(domain.RoleDecode)), 0.67, "the pressures are balanced in the end")
+	require.GreaterOrEqual(t, f.count(domain.RolePrefill), 5, "prefill keeps engines")
 }
 
-// Story: the load turns every few seconds. Engines that follow it are away for
-// most of the time.
-func TestALoadThatTurnsMovesLittle(t *testing.T) {
+// Guards against changes that follow a load which shifts every few seconds: the engines would
+// be out of service for most of the time.
+func TestPlanMovesFewEnginesWhenLoadAlternates(t *testing.T) {
 	f := newFleet(4, 5)
 	for range 30 {
 		f.run(4, 3, 2)
@@ -95,19 +95,19 @@
 	require.GreaterOrEqual(t, f.count(domain.RoleDecode), 1)
 }
 
-func TestWithoutLoadNothingMoves(t *testing.T) {
+func TestPlanWithoutLoadOrSpareEngineMovesNothing(t *testing.T) {
 	f := newFleet(4, 5)
 	f.run(60, 0, 0)
 	require.Zero(t, f.orders)
-	lone := newFleet(1, 5)
-	lone.run(60, 0.1, 4.9)
-	require.Equal(t, 1, lone.count(domain.RolePrefill), "the last of a role stays")
+	single := newFleet(1, 5)
+	single.run(60, 0.1, 4.9)
+	require.Equal(t, 1, single.count(domain.RolePrefill), "the last engine of a role stays")
 }
 
-// Story: a load begins, and a burst follows five seconds later. Pools that are seen
-// uneven need a second look after a tenth of a second, and the next one comes after a
-// whole one: the engines are back a second later than they could be, in the burst.
-func TestTheSecondLookIsDueWhenThePoolsHaveBeenUnevenLongEnough(t *testing.T) {
+// Guards against an imbalance that is checked again only after a whole second although Hold is
+// a tenth of one: with a burst five seconds after the load begins, engines would be back in
+// service a second late, during the burst.
+func TestNextBalanceIsDueAfterHold(t *testing.T) {
 	f := newFleet(44, 73)
 	_, pending := f.planner.NextBalance(f.now)
 	require.False(t, pending)
@@ -121,14 +121,14 @@
 	require.Greater(t, f.orders, 10)
 	f.run(1, 3, 26)
 	_, pending = f.planner.NextBalance(f.now)
-	require.False(t, pending, "the pools have to settle first")
+	require.False(t, pending, "pools in their cool-down are not considered")
 }
 
-// Story: a deployment starts, and for thirteen seconds nobody asks. A planner that has
-// seen this believes the load late; one that begins with the load gives its orders
-// with its second look.
-func TestAPlannerThatSawIdleEnginesOrdersLater(t *testing.T) {
-	looks := func(idle int) int {
+// Guards against a planner that runs while no requests come, here for 13 seconds after a
+// deployment starts. Its smoothed demand then rises late, while a planner that starts with the
+// load gives orders at its second plan.
+func TestPlanAfterIdleSamplesOrdersLater(t *testing.T) {
+	plansUntilOrder := func(idle int) int {
 		f := newFleet(44, 73)
 		f.run(idle, 0, 0)
 		n := 0
@@ -137,6 +137,6 @@
 		}
 		return n
 	}
-	require.Equal(t, 2, looks(0))
-	require.Greater(t, looks(13), 2)
+	require.Equal(t, 2, plansUntilOrder(0))
+	require.Greater(t, plansUntilOrder(13), 2)
 }
--- a/roles/mix.go
+++ b/roles/mix.go
@@ -5,163 +5,167 @@
 	"time"
 )
 
-// Profile measures what a request takes of the engines of each role, of the requests
-// that this process has lately sent. The zero value knows nothing.
+// Profile measures the work that a service's requests cause in each role, over the requests
+// that this process sent lately. The zero value has no measurements. It is not safe for
+// concurrent use; see Profiles.
 //
-// Load pattern: a load that begins, or doubles for some seconds. The memory that is
-// taken at decode engines follows the arrivals after the length of an answer, and
-// whether a prefill engine was busy when it was asked says little. Judged by
-// these, roles follow a burst when it is over. What a request takes of each role
-// is the same in and out of a burst, and is known from a few of them.
+// Engine state follows the load too late to set roles by. When a load begins, or doubles for
+// some seconds, the memory in use at decode engines rises only over the length of an answer,
+// and whether a prefill engine was busy when it was polled says little, so that roles set by
+// these change after the burst is over. The work per request of each role is the same inside
+// and outside a burst, and a few requests are enough to measure it.
 type Profile struct {
-	at time.Time
-	// What was seen; all fades alike. requests counts those sent, prompts is their
-	// prompt tokens, held the answers' tokens by the part of an engine's memory
-	// that each takes.
-	requests, prompts, held float64
-	answers                 pace
-	// prefill is the time for a token of a prompt, in seconds, that one in four
-	// prompts stayed under, of so many that were seen: more than that is waiting.
-	prefill float64
-	seen    int
+	updated time.Time
+	// Sums that decay with profileTimeConstant: the number of requests, their prompt tokens,
+	// and their answer tokens, each weighted by the fraction of an engine's memory that the
+	// request takes.
+	requests, promptTokens, memoryTokens float64
+	answers                              tokenTime
+	// promptTokenSeconds is the lower quartile of the time for a prompt token, and prefills
+	// the number of prompts that it was estimated from. Times above the quartile include
+	// waiting at the engine.
+	promptTokenSeconds float64
+	prefills           int
 }
 
-// pace is the time that tokens took.
-type pace struct{ tokens, seconds float64 }
+// tokenTime is a number of tokens and the time in which they came.
+type tokenTime struct{ tokens, seconds float64 }
 
 const (
-	// mixMemory is the time constant over which requests count: several bursts.
-	mixMemory = 30 * time.Second
-	// mixRequests and mixTokens are what must have been seen for a first ratio:
-	// one request, which has hardly faded, and eight events of an answer.
-	mixRequests = 0.9
-	mixTokens   = 100
-	// mixSure is the requests from which the ratio may take engines from decode.
-	mixSure = 25
-	// prefillLow is the quantile of the times for a token of a prompt that counts,
-	// and prefillStep the part of it by which one prompt may move it: an engine that
-	// turns slow shows in some fifty.
+	// profileTimeConstant is the time constant with which requests decay. It covers several
+	// bursts.
+	profileTimeConstant = 30 * time.Second
+	// minRequests and minAnswerTokens are the least measurements for a first ratio: one
+	// request, which has hardly decayed, and eight events of an answer.
+	minRequests     = 0.9
+	minAnswerTokens = 100
+	// sufficientRequests is the number of requests from which the ratio may take engines
+	// from decode.
+	sufficientRequests = 25
+	// prefillQuantile is the quantile of the times for a prompt token that is estimated, and
+	// prefillMaxStep the fraction of the estimate by which one prompt may move it, so that
+	// an engine that turns slow shows after some fifty prompts.
 	//
-	// Failure: a prompt is read again where its memory is kept, in a fifth of the
-	// time. With the least of all for the measure, prefill seemed to need a sixth of
-	// its engines for half a minute, and sixteen of 41 left it.
-	prefillLow  = 0.25
-	prefillStep = 0.08
-	// unseen is the part that is added to the ratio for one request; it falls
-	// with the root of their number.
-	unseen = 0.5
+	// A repeated prompt whose KV cache is still on the engine takes a fifth of the time.
+	// With the minimum as the estimate, prefill seemed to need a sixth of its engines for
+	// half a minute, and 16 of 41 engines left it.
+	prefillQuantile = 0.25
+	prefillMaxStep  = 0.08
+	// smallSampleMargin is the fraction that is added to the ratio of a single request; it
+	// falls with the square root of the number of requests.
+	smallSampleMargin = 0.5
 )
 
-func (m *Profile) fade(now time.Time) {
-	if passed := now.Sub(m.at); !m.at.IsZero() && passed > 0 {
-		keep := math.Exp(-float64(passed) / float64(mixMemory))
+func (m *Profile) decay(now time.Time) {
+	if elapsed := now.Sub(m.updated); !m.updated.IsZero() && elapsed > 0 {
+		factor := math.Exp(-float64(elapsed) / float64(profileTimeConstant))
 		for _, v := range []*float64{
-			&m.requests, &m.prompts, &m.held, &m.answers.tokens, &m.answers.seconds,
+			&m.requests, &m.promptTokens, &m.memoryTokens, &m.answers.tokens, &m.answers.seconds,
 		} {
-			*v *= keep
+			*v *= factor
 		}
 	}
-	m.at = now
+	m.updated = now
 }
 
-// RecordRequest notes a request: its prompt and the likely length of its answer, in tokens,
-// and the part of a decode engine's memory that it takes.
+// RecordRequest records a sent request: its prompt and the expected length of its answer, in
+// tokens, and the fraction of a decode engine's memory that it takes.
 func (m *Profile) RecordRequest(now time.Time, prompt, answer int, memory float64) {
-	m.fade(now)
+	m.decay(now)
 	m.requests++
-	m.prompts += float64(prompt)
-	m.held += memory * float64(answer)
+	m.promptTokens += float64(prompt)
+	m.memoryTokens += memory * float64(answer)
 }
 
-// RecordPrefill notes a prompt that found its engine idle and took so long.
+// RecordPrefill records the prefill time of a prompt, in tokens, that found its engine idle.
 func (m *Profile) RecordPrefill(now time.Time, prompt int, took time.Duration) {
-	m.fade(now)
-	each := took.Seconds() / float64(max(prompt, 1))
-	m.seen++
-	if m.seen == 1 {
-		m.prefill = each
+	m.decay(now)
+	perToken := took.Seconds() / float64(max(prompt, 1))
+	m.prefills++
+	if m.prefills == 1 {
+		m.promptTokenSeconds = perToken
 		return
 	}
-	step := max(prefillStep, 1/float64(m.seen))
-	if each < m.prefill {
-		m.prefill = max(each, m.prefill*(1-step*(1-prefillLow)))
+	step := max(prefillMaxStep, 1/float64(m.prefills))
+	if perToken < m.promptTokenSeconds {
+		m.promptTokenSeconds = max(perToken, m.promptTokenSeconds*(1-step*(1-prefillQuantile)))
 		return
 	}
-	m.prefill = min(each, m.prefill*(1+step*prefillLow))
+	m.promptTokenSeconds = min(perToken, m.promptTokenSeconds*(1+step*prefillQuantile))
 }
 
-// PromptTokenTime is the time for a token of a prompt that found its engine idle; zero
-// while none was seen.
+// PromptTokenTime returns the prefill time of one prompt token at an idle engine; zero if no
+// prompt has been recorded.
 func (m *Profile) PromptTokenTime() time.Duration {
-	return time.Duration(m.prefill * float64(time.Second))
+	return time.Duration(m.promptTokenSeconds * float64(time.Second))
 }
 
-// RecordAnswer notes tokens of an answer that took so long.
+// RecordAnswer records a number of answer tokens and the time in which they came.
 func (m *Profile) RecordAnswer(now time.Time, answer int, took time.Duration) {
-	m.fade(now)
+	m.decay(now)
 	m.answers.tokens += float64(answer)
 	m.answers.seconds += took.Seconds()
 }
 
-// Sample gives what was seen, to be added to what others saw.
+// Sample returns the measurements in a form that can be added to those of other processes.
 func (m *Profile) Sample(now time.Time) Sample {
-	m.fade(now)
+	m.decay(now)
 	return Sample{
-		Requests: m.requests, Prompts: m.prompts, MemoryTokens: m.held, AnswerTokens: m.answers.tokens, AnswerSeconds: m.answers.seconds,
-		Prefill: m.prefill, Prefills: float64(min(m.seen, prefillWeight)),
+		Requests: m.requests, Prompts: m.promptTokens, MemoryTokens: m.memoryTokens, AnswerTokens: m.answers.tokens, AnswerSeconds: m.answers.seconds,
+		Prefill: m.promptTokenSeconds, Prefills: float64(min(m.prefills, maxPrefillWeight)),
 	}
 }
 
-// Ratio gives that of the process's own requests.
-func (m *Profile) Ratio() (float64, bool) { return m.Sample(m.at).Ratio() }
+// Ratio is Sample.Ratio of the process's own requests.
+func (m *Profile) Ratio() (float64, bool) { return m.Sample(m.updated).Ratio() }
 
 // Sufficient is Sample.Sufficient of the process's own requests.
-func (m *Profile) Sufficient() bool { return m.Sample(m.at).Sufficient() }
+func (m *Profile) Sufficient() bool { return m.Sample(m.updated).Sufficient() }
 
-// prefillWeight is the most prompts for which a process's measure of the time for a
-// prompt counts, which follows the latest of them.
-const prefillWeight = 50
+// maxPrefillWeight bounds the weight of a process's prompt time in a sum of samples. Its
+// estimate follows the latest prompts, so that more of them do not make it more reliable.
+const maxPrefillWeight = 50
 
-// Sample is what processes saw of the requests that they sent.
+// Sample is what one or more processes measured of the requests that they sent.
 //
-// Load pattern: a fleet of 68 processes, of which one sets the roles and sends one
-// request in 68. By its own it knew the ratio after eleven seconds and was sure of
-// it after sixteen, when two bursts were over. The samples of all add up to
-// hundreds of requests in the first second.
+// The samples of all processes are added up because the process that sets the roles sends
+// only a few of the requests. In a fleet of 68 processes, by its own requests alone, it had a
+// ratio after 11 seconds and a sufficient sample after 16, when two bursts were over. The
+// samples of all processes have hundreds of requests in the first second.
 type Sample struct {
-	// Requests counts those sent, Prompts their prompt tokens, Held the answers'
-	// tokens by the part of an engine's memory that each takes.
+	// Requests is the number of requests sent, Prompts the sum of their prompt tokens, and
+	// MemoryTokens the sum of their answer tokens, each weighted by the fraction of an
+	// engine's memory that the request takes. All are sums that decay with age.
 	Requests     float64 `json:"requests"`
 	Prompts      float64 `json:"prompts"`
 	MemoryTokens float64 `json:"held"`
-	// AnswerTokens came in AnswerSeconds, summed over the answers.
+	// AnswerTokens came in AnswerSeconds, both summed over the answers.
 	AnswerTokens  float64 `json:"answer_tokens"`
 	AnswerSeconds float64 `json:"answer_seconds"`
-	// Prefill is the time for a token of a prompt in seconds, as Prefills prompts
-	// tell.
+	// Prefill is the prefill time of a prompt token in seconds, and Prefills the number of
+	// prompts by which it is weighted.
 	Prefill  float64 `json:"prefill"`
 	Prefills float64 `json:"prefills"`
 }
 
-// sound says whether the figures can be those of a process.
-//
-// Failure: another process sends nonsense, or its clock went wrong. It shows as
-// engines that all leave a role. Nonsense counts for nothing.
-func (s Sample) sound() bool {
+// valid reports whether the figures can be those of a process. A sample with impossible
+// figures, from a faulty process or a stepped clock, would move all engines of a pool to the
+// other role; it is ignored.
+func (s Sample) valid() bool {
 	for _, v := range []float64{s.Requests, s.Prompts, s.MemoryTokens, s.AnswerTokens, s.AnswerSeconds, s.Prefill, s.Prefills} {
-		if !(v >= 0) || v > sampleMost { // not a number is neither
+		if !(v >= 0) || v > maxSampleValue { // also true for NaN
 			return false
 		}
 	}
-	return s.Prefills <= prefillWeight
+	return s.Prefills <= maxPrefillWeight
 }
 
-// sampleMost is more than any sum of a process comes to in mixMemory.
-const sampleMost = 1e12
+// maxSampleValue is above any sum that a process reaches within profileTimeConstant.
+const maxSampleValue = 1e12
 
-// Add gives the sample of both.
+// Add returns the sum of both samples; it ignores o if its figures are impossible.
 func (s Sample) Add(o Sample) Sample {
-	if !o.sound() {
+	if !o.valid() {
 		return s
 	}
 	sum := Sample{
@@ -175,21 +179,20 @@
 	return sum
 }
 
-// Ratio gives how many prefill engines are kept busy for each decode engine that
-// is, at the most; false while too little is known. The fewer requests were seen,
-// the more is added for what they may not have shown: a prefill engine too many
-// idles, one too few leaves prompts to decode engines.
+// Ratio returns an upper estimate of how many prefill engines are kept busy for each busy
+// decode engine; false if there are too few measurements. The fewer the requests, the more is
+// added for what they may not have shown: with one prefill engine too many an engine idles,
+// with one too few prompts have to run on decode engines.
 func (s Sample) Ratio() (float64, bool) {
-	decode := s.MemoryTokens * s.AnswerSeconds / max(s.AnswerTokens, 1)
-	if s.Requests < mixRequests || s.AnswerTokens < mixTokens || s.Prefill == 0 || decode <= 0 {
+	decodeSeconds := s.MemoryTokens * s.AnswerSeconds / max(s.AnswerTokens, 1)
+	if s.Requests < minRequests || s.AnswerTokens < minAnswerTokens || s.Prefill == 0 || decodeSeconds <= 0 {
 		return 0, false
 	}
-	return s.Prompts * s.Prefill / decode * (1 + unseen/math.Sqrt(s.Requests)), true
+	return s.Prompts * s.Prefill / decodeSeconds * (1 + smallSampleMargin/math.Sqrt(s.Requests)), true
 }
 
-// Sufficient says whether enough was seen to take engines from decode by the ratio.
-//
-// Failure: the first request has the shortest of answers, and by it alone prefill
-// needs half of all engines. It shows as a third of the decode engines that leave in
-// the first seconds, and are away for ten.
-func (s Sample) Sufficient() bool { return s.Requests >= mixSure }
+// Sufficient reports whether there are enough requests to take engines from decode by the
+// ratio. If the first request has a very short answer, by it alone prefill seems to need half of
+// all engines: a third of the decode engines would leave in the first seconds and be out of
+// service for ten.
+func (s Sample) Sufficient() bool { return s.Requests >= sufficientRequests }
--- a/roles/mixes.go
+++ b/roles/mixes.go
@@ -7,44 +7,44 @@
 	"jacinthworks/domain"
 )
 
-// Profiles measure what the requests of each service take of its engines. The zero
-// value is ready to use; it must not be copied.
+// Profiles holds the Profile of each service. The zero value is ready to use; it must not be
+// copied. It is safe for concurrent use.
 type Profiles struct {
-	mu sync.Mutex // a leaf
-	of map[domain.Service]*Profile
+	mu        sync.Mutex // leaf lock: no other lock is acquired while it is held
+	byService map[domain.Service]*Profile
 }
 
-// Update changes the measurement of a service.
+// Update calls change with the service's profile, under the lock. A new service starts with
+// an empty profile.
 func (m *Profiles) Update(s domain.Service, change func(*Profile)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.of == nil {
-		m.of = make(map[domain.Service]*Profile)
+	if m.byService == nil {
+		m.byService = make(map[domain.Service]*Profile)
 	}
-	if m.of[s] == nil {
-		m.of[s] = &Profile{}
+	if m.byService[s] == nil {
+		m.byService[s] = &Profile{}
 	}
-	change(m.of[s])
+	change(m.byService[s])
 }
 
-// PromptTokenTime is the time that a prefill engine takes for a token of a prompt; zero
-// while none was seen.
+// PromptTokenTime is Profile.PromptTokenTime of a service; zero if the service has no profile.
 func (m *Profiles) PromptTokenTime(s domain.Service) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.of[s] == nil {
+	if m.byService[s] == nil {
 		return 0
 	}
-	return m.of[s].PromptTokenTime()
+	return m.byService[s].PromptTokenTime()
 }
 
-// Samples gives what was seen of each service.
+// Samples returns the Sample of each service.
 func (m *Profiles) Samples(now time.Time) map[domain.Service]Sample {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	all := make(map[domain.Service]Sample, len(m.of))
-	for s, x := range m.of {
-		all[s] = x.Sample(now)
+	samples := make(map[domain.Service]Sample, len(m.byService))
+	for s, profile := range m.byService {
+		samples[s] = profile.Sample(now)
 	}
-	return all
+	return samples
 }
--- a/roles/roles_test.go
+++ b/roles/roles_test.go
@@ -25,7 +25,7 @@
 	zones   = []domain.Zone{"salt-lake", "new-town", "howrah"}
 )
 
-// changeTime is how long an engine is out of service in the simulations.
+// changeTime is how long a changing engine is out of service in the simulations.
 const changeTime = 15 * time.Second
 
 func fleet(pools ...Pool) []Engine {
@@ -36,33 +36,33 @@
 	return engines
 }
 
-func numbers() func(time.Time) (fence.Token, error) {
+func tokens() func(time.Time) (fence.Token, error) {
 	var n fence.Token
 	return func(time.Time) (fence.Token, error) { n++; return n, nil }
 }
 
-// naivePlan follows the load at once: it moves an engine whenever that evens
-// out the pressure of the two pools.
+// naivePlan follows the load at once: it moves an engine whenever that lowers the higher
+// pressure of the two pools.
 func naivePlan(v View) []Order {
 	var counts [2]float64
-	var giver [2]*Engine
+	var donor [2]*Engine
 	pools := []Pool{prefill, decode}
 	for i, p := range pools {
 		for j, e := range v.Engines {
 			if e.Pool == p {
 				counts[i]++
 				if !e.Changing {
-					giver[i] = &v.Engines[j]
+					donor[i] = &v.Engines[j]
 				}
 			}
 		}
 	}
 	for to := range pools {
 		from := 1 - to
-		worst := math.Max(v.Demand[pools[0]]/counts[0], v.Demand[pools[1]]/counts[1])
+		highest := math.Max(v.Demand[pools[0]]/counts[0], v.Demand[pools[1]]/counts[1])
 		moved := math.Max(v.Demand[pools[to]]/(counts[to]+1), v.Demand[pools[from]]/(counts[from]-1))
-		if giver[from] != nil && counts[from] > 1 && moved < worst {
-			return []Order{{Host: giver[from].Host, To: pools[to]}}
+		if donor[from] != nil && counts[from] > 1 && moved < highest {
+			return []Order{{Host: donor[from].Host, To: pools[to]}}
 		}
 	}
 	return nil
@@ -70,7 +70,7 @@
 
 type result struct {
 	changes int
-	served  float64 // share of the demand
+	served  float64 // fraction of the demand
 	last    time.Duration
 }
 
@@ -81,19 +81,19 @@
 	served, offered := 0.0, 0.0
 	for at := time.Duration(0); at < length; at += time.Second {
 		now := start.Add(at)
-		up := make(map[Pool]float64)
+		serving := make(map[Pool]float64)
 		for i, e := range engines {
 			if e.Changing && now.Sub(e.Since) >= changeTime {
 				engines[i].Changing = false
 			}
 			if !engines[i].Changing {
-				up[e.Pool]++
+				serving[e.Pool]++
 			}
 		}
 		p, d := demand(at)
-		// A request needs both: the scarcer pool decides.
-		part := math.Min(1, math.Min(up[prefill]/p, up[decode]/d))
-		served, offered = served+part*(p+d), offered+p+d
+		// A request needs both roles, so the scarcer pool limits both.
+		fraction := math.Min(1, math.Min(serving[prefill]/p, serving[decode]/d))
+		served, offered = served+fraction*(p+d), offered+p+d
 		for _, o := range plan(now, View{Engines: engines, Demand: map[Pool]float64{prefill: p, decode: d}}) {
 			r.changes++
 			r.last = at
@@ -108,23 +108,22 @@
 	return r
 }
 
-func both(t *testing.T, name string, length time.Duration, demand func(time.Duration) (float64, float64)) (none, naive, planned result) {
+func comparePlans(t *testing.T, name string, length time.Duration, demand func(time.Duration) (float64, float64)) (none, naive, planned result) {
 	t.Helper()
 	var p Planner
-	next := numbers()
+	issue := tokens()
 	none = simulate(length, func(time.Time, View) []Order { return nil }, demand)
 	naive = simulate(length, func(_ time.Time, v View) []Order { return naivePlan(v) }, demand)
-	planned = simulate(length, func(now time.Time, v View) []Order { return p.Plan(now, v, next) }, demand)
+	planned = simulate(length, func(now time.Time, v View) []Order { return p.Plan(now, v, issue) }, demand)
 	t.Logf("%s: served %.3f without changes, %.3f naive (%d changes), %.3f planned (%d changes, last at %s)",
 		name, none.served, naive.served, naive.changes, planned.served, planned.changes, planned.last)
 	return none, naive, planned
 }
 
-// The mix of long files and short ones turns every 20 s. Following it keeps
-// engines draining all the time, and sellers wait for engines that are on
-// their way from one role to the other.
-func TestOscillatingLoadMovesNothing(t *testing.T) {
-	none, naive, planned := both(t, "oscillating, 20 s", 30*time.Minute, func(at time.Duration) (float64, float64) {
+// Guards against changes under a load that shifts between long prompts and long answers every
+// 20 s: engines would be draining all the time while requests wait.
+func TestPlanUnderFastOscillationMovesNothing(t *testing.T) {
+	none, naive, planned := comparePlans(t, "oscillating, 20 s", 30*time.Minute, func(at time.Duration) (float64, float64) {
 		if at/(20*time.Second)%2 == 0 {
 			return 4, 4
 		}
@@ -136,12 +135,12 @@
 	require.InDelta(t, none.served, planned.served, 1e-9)
 }
 
-// The same mix turns by periods from seconds to hours. Somewhere a planner
-// that follows is just late enough to be wrong all the time: up to 800 s it
-// must not follow at all, beyond that it must rest longer after each return.
-func TestNoPeriodMakesItSwing(t *testing.T) {
+// Guards against resonance: at some period of the load a planner that follows it is just late
+// enough to be wrong all the time. For periods up to 800 s it must not follow at all, and for
+// longer ones the cool-down must grow with each reversal.
+func TestPlanUnderAnyPeriodDoesNotOscillate(t *testing.T) {
 	for _, period := range []int{20, 60, 120, 180, 240, 300, 400, 600, 800, 1200, 2400} {
-		none, _, planned := both(t, fmt.Sprintf("period %d s", period), 2*time.Hour, func(at time.Duration) (float64, float64) {
+		none, _, planned := comparePlans(t, fmt.Sprintf("period %d s", period), 2*time.Hour, func(at time.Duration) (float64, float64) {
 			if int(at/time.Second)/(period/2)%2 == 0 {
 				return 4, 4
 			}
@@ -154,13 +153,13 @@
 	}
 }
 
-// A planner starts anew in a second in which two long files came at once. Its
-// first sample is all it knows, and must move nothing.
-func TestNewPlannerWaits(t *testing.T) {
+// Guards against a planner that starts in a second with two long prompts, and takes its only
+// sample for the load.
+func TestNewPlannerIgnoresFirstBurst(t *testing.T) {
 	var p Planner
-	next := numbers()
+	issue := tokens()
 	_ = simulate(10*time.Minute, func(now time.Time, v View) []Order {
-		orders := p.Plan(now, v, next)
+		orders := p.Plan(now, v, issue)
 		require.Empty(t, orders)
 		return orders
 	}, func(at time.Duration) (float64, float64) {
@@ -171,8 +170,8 @@
 	})
 }
 
-func TestSlowOscillationIsBoundedByCooldown(t *testing.T) {
-	_, naive, planned := both(t, "oscillating, 10 min", 2*time.Hour, func(at time.Duration) (float64, float64) {
+func TestCooldownBoundsChangesUnderSlowOscillation(t *testing.T) {
+	_, naive, planned := comparePlans(t, "oscillating, 10 min", 2*time.Hour, func(at time.Duration) (float64, float64) {
 		if at/(10*time.Minute)%2 == 0 {
 			return 2, 5
 		}
@@ -182,9 +181,10 @@
 	require.LessOrEqual(t, planned.changes, naive.changes)
 }
 
-// An auction day begins: long files, short answers, for the rest of the day.
-func TestLastingShiftIsFollowed(t *testing.T) {
-	none, _, planned := both(t, "lasting shift", time.Hour, func(at time.Duration) (float64, float64) {
+// Guards against a planner that does not follow a lasting shift, here to long prompts and short
+// answers for the rest of the day.
+func TestPlanFollowsLastingShift(t *testing.T) {
+	none, _, planned := comparePlans(t, "lasting shift", time.Hour, func(at time.Duration) (float64, float64) {
 		if at < time.Minute {
 			return 2, 5
 		}
@@ -195,19 +195,19 @@
 	require.Less(t, planned.last, 10*time.Minute)
 }
 
-func TestWithoutTheLeaseThereAreNoOrders(t *testing.T) {
+func TestPlanWithoutLeaseReturnsNoOrders(t *testing.T) {
 	var p Planner
 	v := View{Engines: fleet(prefill, decode, decode, decode), Demand: map[Pool]float64{prefill: 2, decode: 0.5}}
 	refuse := func(time.Time) (fence.Token, error) { return 0, errors.WithStack(fence.ErrNotHolder) }
 	for i := range 100 {
 		require.Empty(t, p.Plan(start.Add(time.Duration(i)*time.Second), v, refuse))
 	}
-	require.Len(t, p.Plan(start.Add(100*time.Second), v, numbers()), 1)
+	require.Len(t, p.Plan(start.Add(100*time.Second), v, tokens()), 1)
 }
 
-// A new model is asked for in a fleet of 40. Loading it everywhere at once
-// would take the weight store's whole rate, and the engines from their work.
-func TestWeightStoreIsSharedOut(t *testing.T) {
+// Guards against too many loads at once: a new model is in demand in a fleet of 40 engines, and
+// loading it on all of them would use the weight store's whole rate and stop their work.
+func TestPlanLimitsLoadsOfWeightStore(t *testing.T) {
 	var pools []Pool
 	for range 40 {
 		pools = append(pools, decode)
@@ -217,8 +217,8 @@
 		BytesPerSecond: 1 << 30, Sizes: map[domain.Service]int64{"notes-lm": 30 << 30},
 	}
 	var p Planner
-	orders := p.Plan(start, v, numbers())
-	require.Len(t, orders, MaxLoads, "an empty pool does not wait for Hold")
+	orders := p.Plan(start, v, tokens())
+	require.Len(t, orders, MaxLoads, "a pool without engines does not wait for Hold")
 	for _, o := range orders {
 		require.Equal(t, int64(1<<29), o.BytesPerSecond)
 		require.Equal(t, time.Minute, o.LoadTime)
@@ -231,17 +231,17 @@
 	third := Pool{"third-lm", domain.RoleDecode}
 	v.Demand[third] = 1
 	for i := range 500 {
-		require.Empty(t, p.Plan(start.Add(time.Duration(i)*time.Second), v, numbers()), "while two load")
+		require.Empty(t, p.Plan(start.Add(time.Duration(i)*time.Second), v, tokens()), "while two engines load")
 	}
 	v.Engines[0].Changing, v.Engines[0].Loading = false, false
-	orders = p.Plan(start.Add(500*time.Second), v, numbers())
+	orders = p.Plan(start.Add(500*time.Second), v, tokens())
 	require.Len(t, orders, 1)
 	require.Equal(t, third, orders[0].To)
 }
 
-// Prefill lacks twenty engines of forty. Moved at once they would all be out of
-// service together.
-func TestStepsAreApartByCooldown(t *testing.T) {
+// Guards against a large move at once: prefill lacks twenty engines of forty, and all twenty
+// would be out of service together.
+func TestPlanStepsAreSeparatedByCooldown(t *testing.T) {
 	pools := make([]Pool, 40)
 	for i := range pools {
 		pools[i] = []Pool{prefill, decode, decode, decode}[i%4]
@@ -251,14 +251,14 @@
 	var last time.Time
 	moved := 0
 	for now := start; now.Before(start.Add(time.Hour)); now = now.Add(time.Second) {
-		orders := p.Plan(now, v, numbers())
+		orders := p.Plan(now, v, tokens())
 		if len(orders) == 0 {
 			continue
 		}
 		require.True(t, last.IsZero() || now.Sub(last) >= Cooldown)
 		require.LessOrEqual(t, len(orders), 3)
 		last, moved = now, moved+len(orders)
-		for _, o := range orders { // done at once, so that only the cool-down holds
+		for _, o := range orders { // completed at once, so that only the cool-down limits the next
 			for i := range v.Engines {
 				if v.Engines[i].Host == o.Host {
 					v.Engines[i].Pool = o.To
@@ -270,7 +270,7 @@
 	require.Greater(t, moved, 15)
 }
 
-// naivePairs gives all moves that the rule allows, by trying each pair.
+// naivePairs returns all pairs of pools between which the rule allows a move, by trying each.
 func naivePairs(v View) map[[2]Pool]bool {
 	count := make(map[Pool]float64)
 	changing := make(map[Pool]bool)
@@ -285,10 +285,10 @@
 	allowed := make(map[[2]Pool]bool)
 	for _, to := range []Pool{prefill, decode, other} {
 		for _, from := range []Pool{prefill, decode, other} {
-			needs := v.Demand[to] > HighWatermark*count[to] && v.Demand[to] > 0
-			spares := count[from] > MinReplicas && v.Demand[from] < LowWatermark*(count[from]-1)
-			room := to.Model == from.Model || loads < MaxLoads
-			if to != from && !changing[to] && !changing[from] && needs && spares && room {
+			needsEngine := v.Demand[to] > HighWatermark*count[to] && v.Demand[to] > 0
+			canDonate := count[from] > MinReplicas && v.Demand[from] < LowWatermark*(count[from]-1)
+			loadsAvailable := to.Model == from.Model || loads < MaxLoads
+			if to != from && !changing[to] && !changing[from] && needsEngine && canDonate && loadsAvailable {
 				allowed[[2]Pool{from, to}] = true
 			}
 		}
@@ -309,12 +309,12 @@
 			}
 		}
 		var p Planner
-		p.Plan(start, v, numbers())
-		p = Planner{began: start.Add(-time.Hour), last: p.last, demand: p.demand, lately: p.lately, above: p.above, moved: make(map[Pool]move)}
-		for pool := range v.Demand { // over High since before Hold
-			p.above[pool] = start.Add(-Hold)
+		p.Plan(start, v, tokens())
+		p = Planner{started: start.Add(-time.Hour), lastPlan: p.lastPlan, demand: p.demand, recentPeak: p.recentPeak, aboveHighSince: p.aboveHighSince, lastChange: make(map[Pool]change)}
+		for pool := range v.Demand { // above HighWatermark for Hold
+			p.aboveHighSince[pool] = start.Add(-Hold)
 		}
-		orders := p.Plan(start, v, numbers())
+		orders := p.Plan(start, v, tokens())
 		allowed := naivePairs(v)
 		require.Equal(t, len(allowed) > 0, len(orders) > 0, "%v", allowed)
 		for _, o := range orders {
@@ -324,7 +324,7 @@
 	})
 }
 
-// BenchmarkPlan measures a plan for 290 engines, made every few seconds.
+// BenchmarkPlan measures a plan for 290 engines.
 func BenchmarkPlan(b *testing.B) {
 	var pools []Pool
 	for i := range 290 {
@@ -333,6 +333,6 @@
 	v := View{Engines: fleet(pools...), Demand: map[Pool]float64{prefill: 90, decode: 50, other: 40}}
 	for b.Loop() {
 		var p Planner
-		p.Plan(start, v, numbers())
+		p.Plan(start, v, tokens())
 	}
 }
--- a/roles/state.go
+++ b/roles/state.go
@@ -7,23 +7,25 @@
 	"time"
 )
 
-// state is a pool as of one Plan.
-type state struct {
-	pool     Pool
-	engines  []Engine // in service
-	changing int
-	demand   float64
-	lately   float64
+// poolState is a pool during one call of Plan.
+type poolState struct {
+	pool       Pool
+	engines    []Engine // in service
+	changing   int
+	demand     float64
+	recentPeak float64
 }
 
-// pressure is the share of its engines that the demand keeps busy, with so
-// many engines more.
-func (s state) pressure(more int) float64 { return s.share(s.demand, more) }
+// pressure returns the fraction of the pool's engines that its demand keeps busy, with the given
+// number of engines added; it is above 1 if they are too few. Engines that are changing to this
+// pool count.
+func (s poolState) pressure(more int) float64 { return s.demandPerEngine(s.demand, more) }
 
-// without is the pressure of lately with so many engines fewer.
-func (s state) without(fewer int) float64 { return s.share(s.lately, -fewer) }
+// pressureWithout returns the recent peak demand per engine, with the given number of engines
+// removed.
+func (s poolState) pressureWithout(fewer int) float64 { return s.demandPerEngine(s.recentPeak, -fewer) }
 
-func (s state) share(demand float64, more int) float64 {
+func (s poolState) demandPerEngine(demand float64, more int) float64 {
 	n := len(s.engines) + s.changing + more
 	switch {
 	case demand <= 0:
@@ -34,55 +36,54 @@
 	return demand / float64(n)
 }
 
-func (p *Planner) smooth(now time.Time, demand map[Pool]float64) {
+func (p *Planner) smoothDemand(now time.Time, demand map[Pool]float64) {
 	if p.demand == nil {
-		p.began, p.last = now, now
+		p.started, p.lastPlan = now, now
 		p.demand = make(map[Pool]float64)
-		p.lately = make(map[Pool]float64)
-		p.above = make(map[Pool]time.Time)
-		p.moved = make(map[Pool]move)
-		p.uneven = make(map[Pool]time.Time)
+		p.recentPeak = make(map[Pool]float64)
+		p.aboveHighSince = make(map[Pool]time.Time)
+		p.lastChange = make(map[Pool]change)
+		p.imbalancedSince = make(map[Pool]time.Time)
 	}
-	for pool, d := range demand {
+	for pool, value := range demand {
 		if _, known := p.demand[pool]; !known {
-			p.demand[pool] = d
+			p.demand[pool] = value
 		}
 	}
-	t := p.Timing.orDefaults()
-	passed := now.Sub(p.last)
-	rise, fall := part(passed, t.SmoothingTime), part(passed, t.DecayTime)
-	// Guard: until Smooth has passed, the plain mean of all samples. An
-	// exponential mean that starts from one sample would believe it for
-	// longer than Hold, and a burst at the start would move an engine.
-	rise = max(rise, float64(passed)/float64(max(1, passed+now.Sub(p.began))))
-	p.last = now
+	timing := p.Timing.withDefaults()
+	elapsed := now.Sub(p.lastPlan)
+	weight, decayWeight := smoothingWeight(elapsed, timing.SmoothingTime), smoothingWeight(elapsed, timing.DecayTime)
+	// Until SmoothingTime has passed the weight is that of the plain mean of all samples. An
+	// exponential mean that starts from one sample would stay near it for longer than Hold,
+	// and a burst at the start would move an engine.
+	weight = max(weight, float64(elapsed)/float64(max(1, elapsed+now.Sub(p.started))))
+	p.lastPlan = now
 	for pool := range p.demand {
-		p.demand[pool] += rise * (demand[pool] - p.demand[pool])
-		d, lately := p.demand[pool], p.lately[pool]
-		p.lately[pool] = max(d, lately+fall*(d-lately))
+		p.demand[pool] += weight * (demand[pool] - p.demand[pool])
+		value, recentPeak := p.demand[pool], p.recentPeak[pool]
+		p.recentPeak[pool] = max(value, recentPeak+decayWeight*(value-recentPeak))
 	}
 }
 
-// part is how far an exponential mean goes towards a new sample.
-func part(passed, constant time.Duration) float64 {
-	return 1 - math.Exp(-float64(passed)/float64(constant))
+// smoothingWeight returns the weight of a new sample in an exponential mean.
+func smoothingWeight(elapsed, constant time.Duration) float64 {
+	return 1 - math.Exp(-float64(elapsed)/float64(constant))
 }
 
-// states gives the pools in a stable order, so that the same view leads to the
-// same orders.
-func (p *Planner) states(now time.Time, v View) []state {
-	byPool := make(map[Pool]*state)
-	of := func(pool Pool) *state {
+// poolStates returns the pools in a stable order, so that equal views lead to equal orders.
+func (p *Planner) poolStates(now time.Time, v View) []poolState {
+	byPool := make(map[Pool]*poolState)
+	stateOf := func(pool Pool) *poolState {
 		if byPool[pool] == nil {
-			byPool[pool] = &state{pool: pool, demand: p.demand[pool], lately: p.lately[pool]}
+			byPool[pool] = &poolState{pool: pool, demand: p.demand[pool], recentPeak: p.recentPeak[pool]}
 		}
 		return byPool[pool]
 	}
 	for pool := range p.demand {
-		of(pool)
+		stateOf(pool)
 	}
 	for _, e := range v.Engines {
-		s := of(e.Pool)
+		s := stateOf(e.Pool)
 		switch {
 		case !e.Changing:
 			s.engines = append(s.engines, e)
@@ -90,41 +91,41 @@
 			s.changing++
 		}
 	}
-	var states []state
+	var states []poolState
 	for _, s := range byPool {
 		states = append(states, *s)
 	}
-	slices.SortFunc(states, func(a, b state) int {
+	slices.SortFunc(states, func(a, b poolState) int {
 		return cmp.Or(cmp.Compare(a.pool.Model, b.pool.Model), cmp.Compare(a.pool.Role, b.pool.Role))
 	})
 	return states
 }
 
-// watch notes since when each pool is over High.
-func (p *Planner) watch(now time.Time, states []state) {
+// trackHighPressure records since when each pool has been above HighWatermark.
+func (p *Planner) trackHighPressure(now time.Time, states []poolState) {
 	for _, s := range states {
 		if s.pressure(0) <= HighWatermark {
-			delete(p.above, s.pool)
+			delete(p.aboveHighSince, s.pool)
 			continue
 		}
-		if _, known := p.above[s.pool]; !known {
-			p.above[s.pool] = now
+		if _, known := p.aboveHighSince[s.pool]; !known {
+			p.aboveHighSince[s.pool] = now
 		}
 	}
 }
 
-// note remembers a change and how long the pool now rests.
+// recordChange records a change of a pool and the cool-down that follows it.
 //
-// Guard: a load that comes and goes about as slowly as the planner follows is
-// met by each change just when it has gone. That shows as a pool that gives
-// what it has just gained, and serves less than without any change. Going back
-// soon therefore doubles the rest, until changes are too rare to cost much.
-func (p *Planner) note(now time.Time, pool Pool, gained bool) {
-	last, moved := p.moved[pool]
-	cooldown := p.Timing.orDefaults().Cooldown
-	within := time.Duration(ReversalFactor * float64(last.cooldown))
-	if moved && last.gained != gained && now.Sub(last.at) <= within {
+// A load that comes and goes about as slowly as the planner reacts has gone each time that a
+// change takes effect: a pool gives away what it has just gained, and serves less than
+// without any change. A reversal soon after the last change therefore doubles the cool-down,
+// until changes are too rare to cost much.
+func (p *Planner) recordChange(now time.Time, pool Pool, gained bool) {
+	last, known := p.lastChange[pool]
+	cooldown := p.Timing.withDefaults().Cooldown
+	reversalWindow := time.Duration(ReversalFactor * float64(last.cooldown))
+	if known && last.gained != gained && now.Sub(last.at) <= reversalWindow {
 		cooldown = min(2*last.cooldown, CooldownMax)
 	}
-	p.moved[pool] = move{now, gained, cooldown}
+	p.lastChange[pool] = change{now, gained, cooldown}
 }
--- a/roles/tempo.go
+++ b/roles/tempo.go
@@ -2,27 +2,28 @@
 
 import "time"
 
-// Timing is how fast a planner acts. The zero value is that of the constants,
-// for changes that load weights and take minutes.
+// Timing holds the time constants of a planner. A zero time takes the constant of the same
+// name, which suits changes that load weights and take minutes.
 type Timing struct {
 	SmoothingTime, DecayTime, Hold, Cooldown time.Duration
-	// BalanceMargin, if not zero, moves engines between the roles of a model at any load:
-	// when the fuller one of the two pools gets less full by this part of what
-	// it is. A burst then meets pools that are equally far from full, and none
-	// has to change in its midst. A pool in need is not helped otherwise, unless
-	// it has no engine at all: what it gets would be back after the burst.
+	// BalanceMargin, if not zero, moves engines between the roles of one model at any load:
+	// whenever that lowers the higher pressure of the two pools by at least this fraction of
+	// its present value. The pools are then equally far from full when a burst begins, and no
+	// engine has to change role during it. HighWatermark then moves engines only to a pool
+	// without any: for another one they would be in service only after the burst that raised
+	// its pressure.
 	BalanceMargin float64
 }
 
-// TimingFor gives the tempo for changes that take the given time and load
-// nothing, by demands that are measured by Mix: these keep their ratio when the
-// load turns, so that a change need not wait for it to last (Hold), only for the
-// one before (Cooldown), and the margin is what one engine of nine makes.
-func TimingFor(change time.Duration) Timing {
-	return Timing{SmoothingTime: change * 2 / 3, DecayTime: 2 * change, Hold: change / 60, Cooldown: change, BalanceMargin: 0.08}
+// TimingFor returns the timing for role changes that take the given time and load no weights,
+// with demands measured by Profile. Such demands keep their ratio when the load changes, so
+// that a change has to wait mainly for the one before it (Cooldown), and hardly for the imbalance
+// to last (Hold). The margin is the difference that one engine of nine makes.
+func TimingFor(changeTime time.Duration) Timing {
+	return Timing{SmoothingTime: changeTime * 2 / 3, DecayTime: 2 * changeTime, Hold: changeTime / 60, Cooldown: changeTime, BalanceMargin: 0.08}
 }
 
-func (t Timing) orDefaults() Timing {
+func (t Timing) withDefaults() Timing {
 	if t.SmoothingTime == 0 {
 		t.SmoothingTime = SmoothingTime
 	}
