--- a/pacer/belief.go
+++ b/pacer/belief.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// Observation is what is known of a limit by one answer.
+// Observation is what one answer of an upstream showed of its rate limit.
 type Observation struct {
-	// Rate is the limit, None where the answer stated none.
+	// Rate is the limit, or Unlimited if the answer stated none.
 	Rate Rate
-	// Sent is when the request was sent, Heard when its answer came: the upstream
-	// said it between the two.
+	// Sent is when the request was sent, and Received when its answer was received. The
+	// upstream stated the limit between the two.
 	Sent, Received time.Time
-	// Since is when a limit began to be known, at whatever rate; zero is Heard.
+	// Since is when a limit of any rate was first observed; zero means Received.
 	Since time.Time
 }
 
-// ObservationAge is a Statement between processes, whose clocks differ: how long ago each of its
-// times was.
+// ObservationAge is an Observation as sent to another process: ages in place of times, since
+// the clocks of processes differ.
 type ObservationAge struct {
 	Rate     Rate          `json:"rate"`
 	Sent     time.Duration `json:"sent"`
@@ -22,22 +22,24 @@
 	Since    time.Duration `json:"since"`
 }
 
-// transit is how long a statement may have been on its way from one process to another.
-const transit = 100 * time.Millisecond
+// maxTransitTime is the longest time that an observation is assumed to take from one process
+// to another.
+const maxTransitTime = 100 * time.Millisecond
 
-// Age gives the statement for another process.
+// Age returns the observation as sent to another process at the given time.
 func (s Observation) Age(now time.Time) ObservationAge {
 	return ObservationAge{Rate: s.Rate, Sent: now.Sub(s.Sent), Received: now.Sub(s.Received), Since: now.Sub(s.since())}
 }
 
-// At gives the statement of another process by this one's clock: sent no later than
-// it was, and heard no later than now.
+// At returns an observation received from another process by this process's clock. The time in
+// transit is unknown, so maxTransitTime is subtracted from Sent, which is then no later than it
+// was. Negative ages count as zero, so that Received is not after now.
 func (a ObservationAge) At(now time.Time) Observation {
 	ago := func(age time.Duration) time.Time { return now.Add(-max(age, 0)) }
-	return Observation{Rate: a.Rate, Sent: ago(a.Sent).Add(-transit), Received: ago(a.Received), Since: ago(a.Since)}
+	return Observation{Rate: a.Rate, Sent: ago(a.Sent).Add(-maxTransitTime), Received: ago(a.Received), Since: ago(a.Since)}
 }
 
-// Add gives the statement as it is so much later.
+// Add returns the observation with all ages increased by d.
 func (a ObservationAge) Add(d time.Duration) ObservationAge {
 	return ObservationAge{Rate: a.Rate, Sent: a.Sent + d, Received: a.Received + d, Since: a.Since + d}
 }
@@ -49,39 +51,40 @@
 	return s.Since
 }
 
-// LimitState is what is known of an upstream's limit. The zero value knows of none.
-type LimitState struct{ last Observation }
+// LimitState holds the observation of an upstream's rate limit that is in force; see Observe. The
+// zero value is that of an upstream without a limit.
+type LimitState struct{ current Observation }
 
-// Observe takes a statement, and says whether the rate has changed by it.
+// Observe takes in an observation, and reports whether it changed the rate.
 //
-// Failure: answers on different connections overtake each other. An answer made before
-// the limit began comes after one that states it, and seems to end it. A statement
-// replaces another for certain only if its request was sent after the other was heard;
-// of two that may have been made in either order the stricter one holds.
+// Answers on different connections overtake each other: one from before the limit began may
+// come after one that states it, and would seem to end the limit. An observation therefore
+// replaces the one in force whatever its rate only if its request was sent after that one was
+// received. Of two that the upstream may have stated in either order the stricter one is in force.
 func (b *LimitState) Observe(s Observation) (changed bool) {
-	before := b.last
-	overlaps := !before.Received.IsZero() && !s.Sent.After(before.Received)
+	previous := b.current
+	overlaps := !previous.Received.IsZero() && !s.Sent.After(previous.Received)
 	switch {
-	case overlaps && s.Received.Before(before.Sent):
-		return false // older for certain
-	case overlaps && before.Rate.Stricter(s.Rate):
+	case overlaps && s.Received.Before(previous.Sent):
+		return false // certainly older
+	case overlaps && previous.Rate.Stricter(s.Rate):
 		return false
-	case overlaps && s.Rate == before.Rate && s.Received.Before(before.Received):
+	case overlaps && s.Rate == previous.Rate && s.Received.Before(previous.Received):
 		return false
 	}
 	s.Since = s.since()
-	if s.Rate.Limited() && before.Rate.Limited() && before.Since.Before(s.Since) {
-		s.Since = before.Since
+	if s.Rate.Limited() && previous.Rate.Limited() && previous.Since.Before(s.Since) {
+		s.Since = previous.Since
 	}
-	b.last = s
-	return s.Rate != before.Rate
+	b.current = s
+	return s.Rate != previous.Rate
 }
 
-// Rate gives the limit that is believed to hold.
-func (b *LimitState) Rate() Rate { return b.last.Rate }
+// Rate returns the limit in force, as far as observed.
+func (b *LimitState) Rate() Rate { return b.current.Rate }
 
-// Age gives how old the belief is.
-func (b *LimitState) Age(now time.Time) time.Duration { return now.Sub(b.last.Received) }
+// Age returns the time since the observation in force was received.
+func (b *LimitState) Age(now time.Time) time.Duration { return now.Sub(b.current.Received) }
 
-// Observation gives what the belief rests on, for other processes.
-func (b *LimitState) Observation() Observation { return b.last }
+// Observation returns the observation in force, to be sent to other processes.
+func (b *LimitState) Observation() Observation { return b.current }
--- a/pacer/bucket.go
+++ b/pacer/bucket.go
@@ -2,52 +2,55 @@
 
 import "time"
 
-// BucketConfig are what may be given out: a rate, and how many requests may be saved up while
-// none come.
+// BucketConfig is the configuration of a Bucket: the rate at which it fills, and the most tokens
+// that accumulate while no requests come.
 type BucketConfig struct {
 	Rate  Rate
 	Burst float64
 }
 
-// Decision is the answer to a process that wants to send a request.
+// Decision is the answer to a process that asks to send a request.
 type Decision struct {
 	Granted bool
-	// Wait is when to send it, where it is granted, and else when the next one may be.
+	// Wait is the time until the request may be sent if it is granted, and otherwise until
+	// the next one may be granted.
 	Wait time.Duration
-	// Observation is what is known of the limit where the verdict was given.
+	// Observation is the observation in force at the process that decided.
 	Observation Observation
 }
 
-// Bucket gives out requests. The zero value starts at its first use with nothing.
+// Bucket is a token bucket in which a request takes one token. The zero value is empty at its
+// first use.
 type Bucket struct {
-	// level is what is saved up, below zero for what was granted ahead of time.
-	level float64
-	at    time.Time
+	// tokens is negative while tokens are granted ahead of time.
+	tokens   float64
+	refilled time.Time
 }
 
-// Take takes a request that can wait for so long.
-func (b *Bucket) Take(now time.Time, t BucketConfig, within time.Duration) (granted bool, wait time.Duration) {
-	b.refill(now, t)
-	if b.level < 1 {
-		wait = time.Duration((1 - b.level) / float64(t.Rate) * float64(time.Second))
+// Take takes one token for a request that can wait for up to maxWait. It returns the time until
+// the request may be sent or, if it is not granted, until a token would be available.
+func (b *Bucket) Take(now time.Time, config BucketConfig, maxWait time.Duration) (granted bool, wait time.Duration) {
+	b.refill(now, config)
+	if b.tokens < 1 {
+		wait = time.Duration((1 - b.tokens) / float64(config.Rate) * float64(time.Second))
 	}
-	if wait > within {
+	if wait > maxWait {
 		return false, wait
 	}
-	b.level--
+	b.tokens--
 	return true, wait
 }
 
-// Refund gives back a request that was not sent.
-func (b *Bucket) Refund(now time.Time, t BucketConfig) {
-	b.refill(now, t)
-	b.level = min(b.level+1, t.Burst)
+// Refund returns the token of a request that was not sent.
+func (b *Bucket) Refund(now time.Time, config BucketConfig) {
+	b.refill(now, config)
+	b.tokens = min(b.tokens+1, config.Burst)
 }
 
-func (b *Bucket) refill(now time.Time, t BucketConfig) {
-	if b.at.IsZero() {
-		b.at = now
+func (b *Bucket) refill(now time.Time, config BucketConfig) {
+	if b.refilled.IsZero() {
+		b.refilled = now
 	}
-	b.level = min(b.level+float64(t.Rate)*max(now.Sub(b.at), 0).Seconds(), t.Burst)
-	b.at = now
+	b.tokens = min(b.tokens+float64(config.Rate)*max(now.Sub(b.refilled), 0).Seconds(), config.Burst)
+	b.refilled = now
 }
--- a/pacer/bucket_test.go
+++ b/pacer/bucket_test.go
@@ -7,63 +7,63 @@
 	"github.com/stretchr/testify/require"
 )
 
-var began = time.Unix(1000, 0)
+var start = time.Unix(1000, 0)
 
-// Guards against a limit of which most is lost: requests come in clumps, and all but the
-// first of a clump are refused though the next seconds are free.
-func TestAClumpIsServedOneAfterTheOther(t *testing.T) {
-	terms := BucketConfig{Rate: 5, Burst: savedAll}
-	served := func(within time.Duration) (n int) {
+// Guards against a limit that is mostly unused because requests come in bursts, and all but the
+// first of a burst are refused although the following seconds are free.
+func TestTakeSchedulesRequestsOfABurst(t *testing.T) {
+	config := BucketConfig{Rate: 5, Burst: fullBurst}
+	served := func(maxWait time.Duration) (n int) {
 		var b Bucket
 		last := time.Time{}
-		for clump := range 20 {
-			now := began.Add(time.Duration(clump) * 1200 * time.Millisecond)
+		for burst := range 20 {
+			now := start.Add(time.Duration(burst) * 1200 * time.Millisecond)
 			for range 6 {
-				granted, wait := b.Take(now, terms, within)
+				granted, wait := b.Take(now, config, maxWait)
 				if !granted {
 					continue
 				}
-				require.LessOrEqual(t, wait, within)
-				require.False(t, now.Add(wait).Before(last), "in their order")
+				require.LessOrEqual(t, wait, maxWait)
+				require.False(t, now.Add(wait).Before(last), "scheduled in the order of the requests")
 				last = now.Add(wait)
 				n++
 			}
 		}
 		return n
 	}
-	require.LessOrEqual(t, served(0), 20*savedAll, "without a time to be sent")
+	require.LessOrEqual(t, served(0), 20*fullBurst, "without scheduling")
 	require.GreaterOrEqual(t, served(time.Second), 20*6-6)
 }
 
-// Guards against a permit that is lost with a request that was not sent, and against one
-// that is saved up beyond what may be.
-func TestWhatIsGivenBackCanBeTaken(t *testing.T) {
-	terms := BucketConfig{Rate: 1, Burst: savedAll}
+// Guards against a token that is lost with a request that was not sent, and against refunds that
+// accumulate more tokens than the burst.
+func TestRefundRestoresTokenUpToBurst(t *testing.T) {
+	config := BucketConfig{Rate: 1, Burst: fullBurst}
 	var b Bucket
-	b.Take(began, terms, 0)
-	now := began.Add(time.Minute)
-	for range savedAll {
-		granted, _ := b.Take(now, terms, 0)
+	b.Take(start, config, 0)
+	now := start.Add(time.Minute)
+	for range fullBurst {
+		granted, _ := b.Take(now, config, 0)
 		require.True(t, granted)
 	}
-	granted, wait := b.Take(now, terms, 0)
+	granted, wait := b.Take(now, config, 0)
 	require.False(t, granted)
 	require.InDelta(t, time.Second, wait, float64(time.Millisecond))
-	b.Refund(now, terms)
-	granted, _ = b.Take(now, terms, 0)
+	b.Refund(now, config)
+	granted, _ = b.Take(now, config, 0)
 	require.True(t, granted)
 	for range 10 {
-		b.Refund(now, terms)
+		b.Refund(now, config)
 	}
-	granted, _ = b.Take(now, BucketConfig{Rate: 1, Burst: savedPart}, 0)
+	granted, _ = b.Take(now, BucketConfig{Rate: 1, Burst: partialBurst}, 0)
 	require.True(t, granted)
-	granted, _ = b.Take(now, BucketConfig{Rate: 1, Burst: savedPart}, 0)
-	require.False(t, granted, "a part saves up less")
+	granted, _ = b.Take(now, BucketConfig{Rate: 1, Burst: partialBurst}, 0)
+	require.False(t, granted, "a fraction of the limit has a smaller burst")
 }
 
-// Guards against parts that add up to more than one and a half times the limit, however a
-// fleet is cut.
-func TestThePartsOfAFleetThatIsCutStayWithinTheRule(t *testing.T) {
+// Guards against fractions that add up to more than one and a half times the limit in a fleet that
+// is partitioned into up to three sides.
+func TestFractionsOfPartitionedFleetAreBounded(t *testing.T) {
 	const members = 24
 	for first := range members + 1 {
 		for second := range members + 1 - first {
@@ -74,9 +74,9 @@
 					sum += Reachability{Members: members, Reached: n}.Fraction()
 				}
 			}
-			require.InDelta(t, 1.25, sum, 0.25+1e-9, "%v: from the whole limit to half as much more", sides)
+			require.InDelta(t, 1.25, sum, 0.25+1e-9, "%v: between the whole limit and one and a half times it", sides)
 		}
 	}
-	require.Equal(t, 1.0, Reachability{}.Fraction(), "alone")
-	require.Equal(t, laterPart, Reachability{Members: 3, Reached: 3, Outranked: true}.Fraction())
+	require.Equal(t, 1.0, Reachability{}.Fraction(), "a process without peers")
+	require.Equal(t, outrankedFraction, Reachability{Members: 3, Reached: 3, Outranked: true}.Fraction())
 }
--- a/pacer/keeper.go
+++ b/pacer/keeper.go
@@ -6,131 +6,135 @@
 )
 
 const (
-	// settleWithin is how long after it took over a count a process leaves most of the
-	// limit to the one before it, which may not know yet.
-	settleWithin = 3 * time.Second
-	// forgetAfter is when a count that nobody asks for is dropped, and sweepEvery how
-	// often they are looked for.
-	forgetAfter = time.Minute
-	sweepEvery  = 10 * time.Second
-	// newsEvery is the least time between two tidings of one upstream to all processes.
-	newsEvery = time.Second
-	// newsFall is the part of the rate that was told below which it is told anew.
-	newsFall = 0.5
+	// takeoverPeriod is the time after a process became the owner of a key in which it leaves
+	// most of the limit to the previous owner, which may not have noticed yet.
+	takeoverPeriod = 3 * time.Second
+	// idleTimeout is the time after which an unused key is removed, and sweepInterval the
+	// time between two searches for such keys.
+	idleTimeout   = time.Minute
+	sweepInterval = 10 * time.Second
+	// broadcastInterval is the least time between two broadcasts for one key.
+	broadcastInterval = time.Second
+	// broadcastFallFraction is the fraction of the rate broadcast last below which a lower
+	// rate is broadcast again.
+	broadcastFallFraction = 0.5
 )
 
-// Limiter counts what all processes send to upstreams, each by a key of one start of
-// it. The zero value is ready to use; it must not be copied. It is safe for concurrent
-// use; its lock is a leaf.
+// Limiter limits the requests that all processes together send to upstreams. It is used by the
+// process that owns an upstream's key; a key stands for one start of an upstream. The zero value
+// is ready to use; it must not be copied. It is safe for concurrent use. Its lock is a leaf lock:
+// no other lock is acquired while it is held.
 type Limiter[K comparable] struct {
-	mu    sync.Mutex
-	of    map[K]*count
-	swept time.Time
+	mu        sync.Mutex
+	byKey     map[K]*keyState
+	lastSweep time.Time
 }
 
-// count is what is kept of one start of an upstream.
-type count struct {
-	belief LimitState
+// keyState is the state of one key.
+type keyState struct {
+	limit  LimitState
 	bucket Bucket
-	// began is when this process began to count.
-	began, used time.Time
-	// spread is the rate that all processes were last told, and when.
-	spread   Rate
-	spreadAt time.Time
+	// createdAt is when this process became the owner of the key.
+	createdAt, usedAt time.Time
+	// broadcastRate is the rate that all processes were sent last, at broadcastAt.
+	broadcastRate Rate
+	broadcastAt   time.Time
 }
 
-// Take takes a request to an upstream, for a process that knows the statement of its
-// limit and can wait for so long.
-func (k *Limiter[K]) Take(now time.Time, key K, said Observation, s Reachability, within time.Duration) Decision {
+// Take takes a token for a request that can wait for up to maxWait. The observation is the one
+// of the process that asks, and reach describes how well this process reaches the others.
+func (k *Limiter[K]) Take(now time.Time, key K, observed Observation, reach Reachability, maxWait time.Duration) Decision {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	c := k.learn(now, key, said)
-	if !c.belief.Rate().Limited() {
-		return Decision{Granted: true, Observation: c.belief.Observation()}
+	c := k.observe(now, key, observed)
+	if !c.limit.Rate().Limited() {
+		return Decision{Granted: true, Observation: c.limit.Observation()}
 	}
-	granted, wait := c.bucket.Take(now, c.terms(now, s), within)
-	return Decision{Granted: granted, Wait: wait, Observation: c.belief.Observation()}
+	granted, wait := c.bucket.Take(now, c.bucketConfig(now, reach), maxWait)
+	return Decision{Granted: granted, Wait: wait, Observation: c.limit.Observation()}
 }
 
-// Refund gives back a request that was not sent.
-func (k *Limiter[K]) Refund(now time.Time, key K, said Observation, s Reachability) Observation {
+// Refund returns the token of a request that was not sent. It returns the observation in force.
+func (k *Limiter[K]) Refund(now time.Time, key K, observed Observation, reach Reachability) Observation {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	c := k.learn(now, key, said)
-	if c.belief.Rate().Limited() {
-		c.bucket.Refund(now, c.terms(now, s))
+	c := k.observe(now, key, observed)
+	if c.limit.Rate().Limited() {
+		c.bucket.Refund(now, c.bucketConfig(now, reach))
 	}
-	return c.belief.Observation()
+	return c.limit.Observation()
 }
 
-// Observe takes a statement, and gives what is known after it.
-func (k *Limiter[K]) Observe(now time.Time, key K, said Observation) Observation {
+// Observe takes in an observation, and returns the one in force.
+func (k *Limiter[K]) Observe(now time.Time, key K, observed Observation) Observation {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.learn(now, key, said).belief.Observation()
+	return k.observe(now, key, observed).limit.Observation()
 }
 
-// NextBroadcast says whether all processes are to be told what is known of a limit, since it has
-// begun, fallen far or ended; the caller does so.
+// NextBroadcast returns the observation in force and reports whether the caller has to send it to
+// all processes, because the limit has begun, ended, or fallen below broadcastFallFraction of the
+// rate broadcast last. It asks for one broadcast in each broadcastInterval at most.
 //
-// Failure: an upstream states a limit again that had ended, and many processes have few
-// requests each. Until each of them has had an answer it sends as before. It shows as
-// one request of every process in the first seconds.
+// Without the broadcast a process learns of a limit only by the answer to its own next request.
+// When an upstream states a limit again after it had ended, and many processes have few requests
+// each, every one of them would send one request without a limit in the first seconds.
 func (k *Limiter[K]) NextBroadcast(now time.Time, key K) (Observation, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	c := k.of[key]
-	if c == nil || now.Sub(c.spreadAt) < newsEvery {
+	c := k.byKey[key]
+	if c == nil || now.Sub(c.broadcastAt) < broadcastInterval {
 		return Observation{}, false
 	}
-	rate := c.belief.Rate()
-	if rate.Limited() == c.spread.Limited() && !rate.Stricter(newsFall*c.spread) {
+	rate := c.limit.Rate()
+	if rate.Limited() == c.broadcastRate.Limited() && !rate.Stricter(broadcastFallFraction*c.broadcastRate) {
 		return Observation{}, false
 	}
-	c.spread, c.spreadAt = rate, now
-	return c.belief.Observation(), true
+	c.broadcastRate, c.broadcastAt = rate, now
+	return c.limit.Observation(), true
 }
 
-func (k *Limiter[K]) learn(now time.Time, key K, said Observation) *count {
+func (k *Limiter[K]) observe(now time.Time, key K, observed Observation) *keyState {
 	k.sweep(now)
-	if k.of == nil {
-		k.of = make(map[K]*count)
+	if k.byKey == nil {
+		k.byKey = make(map[K]*keyState)
 	}
-	if k.of[key] == nil {
-		k.of[key] = &count{began: now}
+	if k.byKey[key] == nil {
+		k.byKey[key] = &keyState{createdAt: now}
 	}
-	c := k.of[key]
-	c.used = now
-	c.belief.Observe(said)
+	c := k.byKey[key]
+	c.usedAt = now
+	c.limit.Observe(observed)
 	return c
 }
 
 func (k *Limiter[K]) sweep(now time.Time) {
-	if now.Sub(k.swept) < sweepEvery {
+	if now.Sub(k.lastSweep) < sweepInterval {
 		return
 	}
-	k.swept = now
-	for key, c := range k.of {
-		if now.Sub(c.used) > forgetAfter {
-			delete(k.of, key)
+	k.lastSweep = now
+	for key, c := range k.byKey {
+		if now.Sub(c.usedAt) > idleTimeout {
+			delete(k.byKey, key)
 		}
 	}
 }
 
-// terms gives what may be given out.
+// bucketConfig returns the rate and burst that this process may grant.
 //
-// Failure: a process takes over a count, or starts again and takes it back, before all
-// know of it. It shows as two bursts, or two whole limits, within seconds. A limit that
-// is older than the count was counted elsewhere before.
-func (c *count) terms(now time.Time, s Reachability) BucketConfig {
-	part := s.Fraction()
-	tookOver := c.began.Sub(c.belief.Observation().since()) > transit
-	if tookOver && !s.HandedOver && now.Sub(c.began) < settleWithin {
-		part = min(part, settlePart)
+// A process that becomes the owner of a key, or restarts and owns it again, grants only
+// takeoverFraction until all others have noticed. Otherwise two owners would grant two bursts, or
+// twice the limit, within seconds. A limit first observed before the key was created here had
+// another owner before.
+func (c *keyState) bucketConfig(now time.Time, reach Reachability) BucketConfig {
+	fraction := reach.Fraction()
+	tookOver := c.createdAt.Sub(c.limit.Observation().since()) > maxTransitTime
+	if tookOver && !reach.HandedOver && now.Sub(c.createdAt) < takeoverPeriod {
+		fraction = min(fraction, takeoverFraction)
 	}
-	t := BucketConfig{Rate: c.belief.Rate() * Rate(part), Burst: savedAll}
-	if part < 1 {
-		t.Burst = savedPart
+	config := BucketConfig{Rate: c.limit.Rate() * Rate(fraction), Burst: fullBurst}
+	if fraction < 1 {
+		config.Burst = partialBurst
 	}
-	return t
+	return config
 }
--- a/pacer/model_test.go
+++ b/pacer/model_test.go
@@ -12,79 +12,80 @@
 	"jacinthworks/pacer"
 )
 
-// The figures of the rule: what an upstream may get within span, and from when on.
+// The limit that the model enforces: after gracePeriod, the requests that an upstream may receive
+// within any span are allowedFactor times the rate, and allowedExtra more.
 const (
-	span       = 4 * time.Second
-	overPart   = 1.5
-	fixedMore  = 5
-	graceFirst = 3 * time.Second
-	toldAfter  = 500 * time.Millisecond
+	span          = 4 * time.Second
+	allowedFactor = 1.5
+	allowedExtra  = 5
+	gracePeriod   = 3 * time.Second
+	reactionTime  = 500 * time.Millisecond
 )
 
-// The figures of the processes in the model.
+// The times and bounds of the simulated processes.
 const (
-	tick      = 5 * time.Millisecond
-	oneWay    = time.Millisecond
-	works     = 20 * time.Millisecond
-	silence   = 80 * time.Millisecond
-	tryAgain  = time.Second
-	lookEvery = time.Second
-	lookStale = 3 * lookEvery
-	lookIdle  = 10 * time.Second
-	lookMost  = 16
-	tries     = 2
-	longest   = 2 * time.Second
-	key       = "i-1"
+	tick             = 5 * time.Millisecond
+	transitTime      = time.Millisecond
+	serviceTime      = 20 * time.Millisecond
+	callTimeout      = 80 * time.Millisecond
+	retryInterval    = time.Second
+	probeInterval    = time.Second
+	maxProbeAge      = 3 * probeInterval
+	probeIdleTimeout = 10 * time.Second
+	maxProbes        = 16
+	maxAttempts      = 2
+	maxPause         = 2 * time.Second
+	key              = "i-1"
 )
 
-// state is whether a process runs.
-type state int
+// processState is whether a process runs.
+type processState int
 
 const (
-	runs   state = iota
-	killed       // its host refuses connections
-	dark         // its host is silent
-	leaves       // answers that it does nothing for others
+	running      processState = iota
+	killed                    // its host refuses connections
+	unresponsive              // its host does not answer
+	leaving                   // shutting down: it refuses to own keys
 )
 
-// process is one that sends to the upstream, and may count for all.
+// process sends requests to the upstream, and may own its key.
 type process struct {
-	name   int
-	state  state
-	belief pacer.LimitState
-	told   time.Time // when it first had an answer that stated a limit
-	// lowered counts the falls of the rate that it has had an answer after, and when it
-	// had the last of these.
-	lowered   int
-	loweredAt time.Time
-	paused    time.Time
-	lost      map[int]time.Time
-	keeper    pacer.Limiter[string]
-	alone     pacer.Limiter[string]
-	sight     pacer.ProbeResult[int]
-	looked    time.Time
-	asked     time.Time // when it last counted for another, or itself
+	name        int
+	state       processState
+	limit       pacer.LimitState
+	limitSeenAt time.Time // when it first received an answer with a limit
+	// reductionsSeen is the number of reductions of the rate that had happened by the time of
+	// an answer it received, and reductionSeenAt when that number last grew.
+	reductionsSeen  int
+	reductionSeenAt time.Time
+	pausedUntil     time.Time
+	retryAt         map[int]time.Time
+	limiter         pacer.Limiter[string]
+	localLimiter    pacer.Limiter[string]
+	probeResult     pacer.ProbeResult[int]
+	probedAt        time.Time
+	ownedAt         time.Time // when it last acted as owner, also for its own requests
 }
 
 // world is a fleet and one upstream, in virtual time.
 type world struct {
-	t      *testing.T
-	random *rand.Rand
-	now    time.Time
-	all    []*process // in the order in which they count
-	// apart are pairs that do not reach each other, side the sides of a fleet that was
-	// cut: those of different ones do not either.
-	apart map[[2]int]bool
-	side  map[int]int
-	later []event
+	t         *testing.T
+	random    *rand.Rand
+	now       time.Time
+	processes []*process // in the order of their rank for the key
+	// disconnected holds pairs of processes that do not reach each other. Processes on
+	// different sides of a network partition do not either.
+	disconnected map[[2]int]bool
+	partition    map[int]int
+	events       []event
 
-	rate     pacer.Rate // that the upstream states
-	lowered  int        // how often it stated less than before
-	since    time.Time  // when it first stated it
-	changes  []change
-	arrivals []time.Time // of processes that were told
-	sent     int
-	refused  int
+	rate            pacer.Rate // that the upstream states
+	reductions      int        // how often the upstream reduced the rate
+	limitedSince    time.Time  // when it first stated a limit
+	changes         []change
+	limitedArrivals []time.Time // of requests that have to respect the limit
+	sent            int
+	refused         int
 }
 
 type event struct {
@@ -92,179 +93,182 @@
 	do func()
 }
 
-// change is a rate that held from a time on.
+// change is a rate and the time from which the upstream stated it.
 type change struct {
 	at   time.Time
 	rate pacer.Rate
 }
 
 func newWorld(t *testing.T, seed uint64, n int) *world {
-	w := &world{t: t, random: rand.New(rand.NewPCG(seed, 32)), now: start, apart: make(map[[2]int]bool), side: make(map[int]int)}
+	w := &world{t: t, random: rand.New(rand.NewPCG(seed, 32)), now: start, disconnected: make(map[[2]int]bool), partition: make(map[int]int)}
 	for i := range n {
-		w.all = append(w.all, &process{name: i, lost: make(map[int]time.Time)})
+		w.processes = append(w.processes, &process{name: i, retryAt: make(map[int]time.Time)})
 	}
 	return w
 }
 
-func (w *world) after(d time.Duration, do func()) { w.later = append(w.later, event{w.now.Add(d), do}) }
+func (w *world) after(d time.Duration, do func()) {
+	w.events = append(w.events, event{w.now.Add(d), do})
+}
 
-// state has the upstream state a rate from now on.
-func (w *world) state(rate pacer.Rate) {
+// setRate makes the upstream state a rate from now on.
+func (w *world) setRate(rate pacer.Rate) {
 	if rate.Limited() && !w.rate.Limited() {
-		w.since = w.now
+		w.limitedSince = w.now
 	}
 	if rate.Stricter(w.rate) && w.rate.Limited() {
-		w.lowered++
+		w.reductions++
 	}
 	w.rate = rate
 	w.changes = append(w.changes, change{w.now, rate})
 }
 
-// reaches says whether p can call o.
-func (w *world) reaches(p, o *process) bool {
-	return w.side[p.name] == w.side[o.name] && o.state != dark && !w.apart[[2]int{min(p.name, o.name), max(p.name, o.name)}]
+// canReach reports whether p can connect to o.
+func (w *world) canReach(p, o *process) bool {
+	return w.partition[p.name] == w.partition[o.name] && o.state != unresponsive && !w.disconnected[[2]int{min(p.name, o.name), max(p.name, o.name)}]
 }
 
-// call gives what p finds of o.
-func (w *world) call(p, o *process) pacer.PeerState {
+// probe returns the state of o as seen by p.
+func (w *world) probe(p, o *process) pacer.PeerState {
 	switch {
-	case !w.reaches(p, o):
+	case !w.canReach(p, o):
 		return pacer.Unreachable
-	case o.state != runs:
+	case o.state != running:
 		return pacer.Stopped
 	}
 	return pacer.Alive
 }
 
-// standing is that of p as one that counts.
-func (w *world) standing(p *process) pacer.Reachability {
-	var before []int
-	for _, o := range w.all[:slices.Index(w.all, p)] {
-		before = append(before, o.name)
+// reachability returns that of p as owner of the key.
+func (w *world) reachability(p *process) pacer.Reachability {
+	var predecessors []int
+	for _, o := range w.processes[:slices.Index(w.processes, p)] {
+		predecessors = append(predecessors, o.name)
 	}
-	if w.now.Sub(p.looked) > lookStale {
-		return pacer.Unprobed(len(before))
+	if w.now.Sub(p.probedAt) > maxProbeAge {
+		return pacer.Unprobed(len(predecessors))
 	}
-	return p.sight.Reachability(before)
+	return p.probeResult.Reachability(predecessors)
 }
 
-// look has p look around.
-func (w *world) look(p *process) {
-	g := pacer.ProbeResult[int]{Predecessors: make(map[int]pacer.PeerState)}
-	for _, o := range w.all[:slices.Index(w.all, p)] {
-		g.Predecessors[o.name] = w.call(p, o)
+// probePeers makes p probe the processes of a higher rank and a sample of the others.
+func (w *world) probePeers(p *process) {
+	result := pacer.ProbeResult[int]{Predecessors: make(map[int]pacer.PeerState)}
+	for _, o := range w.processes[:slices.Index(w.processes, p)] {
+		result.Predecessors[o.name] = w.probe(p, o)
 	}
-	others := slices.DeleteFunc(slices.Clone(w.all), func(o *process) bool { return o == p })
+	others := slices.DeleteFunc(slices.Clone(w.processes), func(o *process) bool { return o == p })
 	w.random.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
-	for _, o := range others[:min(len(others), lookMost)] {
-		switch w.call(p, o) {
+	for _, o := range others[:min(len(others), maxProbes)] {
+		switch w.probe(p, o) {
 		case pacer.Unreachable:
-			g.Unreachable++
+			result.Unreachable++
 		case pacer.Alive:
-			g.Answered++
-			for name, found := range g.Predecessors {
-				if found == pacer.Unreachable && w.call(o, w.named(name)) == pacer.Alive {
-					g.Predecessors[name] = pacer.Alive
+			result.Answered++
+			for name, state := range result.Predecessors {
+				if state == pacer.Unreachable && w.probe(o, w.processNamed(name)) == pacer.Alive {
+					result.Predecessors[name] = pacer.Alive
 				}
 			}
 		}
 	}
-	p.sight, p.looked = g, w.now
+	p.probeResult, p.probedAt = result, w.now
 }
 
-func (w *world) named(name int) *process {
-	return w.all[slices.IndexFunc(w.all, func(p *process) bool { return p.name == name })]
+func (w *world) processNamed(name int) *process {
+	return w.processes[slices.IndexFunc(w.processes, func(p *process) bool { return p.name == name })]
 }
 
-// ask makes a call at the one that counts for p, and gives the time that it took.
-func (w *world) ask(p *process, call func(*pacer.Limiter[string], pacer.Reachability)) (took time.Duration) {
-	asked := 0
-	for _, o := range w.all {
+// callOwner makes a call to the owner of the key as p sees it, and returns the time that the call
+// took. Without a reachable owner p uses its local limiter.
+func (w *world) callOwner(p *process, call func(*pacer.Limiter[string], pacer.Reachability)) (took time.Duration) {
+	attempts := 0
+	for _, o := range w.processes {
 		if o == p {
-			if p.state == leaves {
+			if p.state == leaving {
 				continue
 			}
-			p.asked = w.now
-			call(&p.keeper, w.standing(p))
-			w.spread(p)
+			p.ownedAt = w.now
+			call(&p.limiter, w.reachability(p))
+			w.broadcast(p)
 			return took
 		}
-		if next, lost := p.lost[o.name]; lost {
-			if !w.now.Before(next) {
-				p.lost[o.name] = w.now.Add(tryAgain)
-				if w.call(p, o) == pacer.Alive {
-					delete(p.lost, o.name)
+		if retryAt, unreachable := p.retryAt[o.name]; unreachable {
+			if !w.now.Before(retryAt) {
+				p.retryAt[o.name] = w.now.Add(retryInterval)
+				if w.probe(p, o) == pacer.Alive {
+					delete(p.retryAt, o.name)
 				}
 			}
 			continue
 		}
-		if asked++; asked > tries {
+		if attempts++; attempts > maxAttempts {
 			break
 		}
-		switch w.call(p, o) {
+		switch w.probe(p, o) {
 		case pacer.Alive:
-			o.asked = w.now
-			call(&o.keeper, w.standing(o))
-			w.spread(o)
-			return took + 2*oneWay
+			o.ownedAt = w.now
+			call(&o.limiter, w.reachability(o))
+			w.broadcast(o)
+			return took + 2*transitTime
 		case pacer.Unreachable:
-			took += silence
+			took += callTimeout
 		}
-		p.lost[o.name] = w.now.Add(tryAgain)
+		p.retryAt[o.name] = w.now.Add(retryInterval)
 	}
-	call(&p.alone, pacer.Reachability{Members: len(w.all), Reached: 1})
+	call(&p.localLimiter, pacer.Reachability{Members: len(w.processes), Reached: 1})
 	return took
 }
 
-// spread has one that counts tell all others that a limit has begun or ended.
-func (w *world) spread(p *process) {
-	said, news := p.keeper.NextBroadcast(w.now, key)
-	if !news {
+// broadcast makes an owner send its observation in force to all others when one is due.
+func (w *world) broadcast(p *process) {
+	observation, due := p.limiter.NextBroadcast(w.now, key)
+	if !due {
 		return
 	}
-	aged := said.Age(w.now)
-	w.after(oneWay, func() {
-		for _, o := range w.all {
-			if w.call(p, o) == pacer.Alive && o.belief.Observe(aged.At(w.now)) {
-				o.paused = time.Time{}
+	age := observation.Age(w.now)
+	w.after(transitTime, func() {
+		for _, o := range w.processes {
+			if w.probe(p, o) == pacer.Alive && o.limit.Observe(age.At(w.now)) {
+				o.pausedUntil = time.Time{}
 			}
 		}
 	})
 }
 
-// learn takes a statement at p, and tells the one that counts of a change.
-func (w *world) learn(p *process, s pacer.Observation) {
-	if p.belief.Observe(s) {
-		p.paused = time.Time{}
-		w.ask(p, func(k *pacer.Limiter[string], _ pacer.Reachability) {
-			k.Observe(w.now, key, s.Age(w.now).At(w.now))
+// observe passes an observation to p, which sends it to the owner if it changed the rate.
+func (w *world) observe(p *process, observation pacer.Observation) {
+	if p.limit.Observe(observation) {
+		p.pausedUntil = time.Time{}
+		w.callOwner(p, func(k *pacer.Limiter[string], _ pacer.Reachability) {
+			k.Observe(w.now, key, observation.Age(w.now).At(w.now))
 		})
 	}
 }
 
-// request is one of a caller at p, which can wait for so long.
-func (w *world) request(p *process, within time.Duration) {
-	rate := p.belief.Rate()
+// request handles a caller's request at p, which can wait for up to maxWait.
+func (w *world) request(p *process, maxWait time.Duration) {
+	rate := p.limit.Rate()
 	if !rate.Limited() {
 		w.send(p)
 		return
 	}
-	if p.paused.Sub(w.now) > within {
+	if p.pausedUntil.Sub(w.now) > maxWait {
 		w.refused++
 		return
 	}
-	var v pacer.Decision
-	took := w.ask(p, func(k *pacer.Limiter[string], s pacer.Reachability) {
-		v = k.Take(w.now, key, p.belief.Observation().Age(w.now).At(w.now), s, within)
+	var decision pacer.Decision
+	took := w.callOwner(p, func(k *pacer.Limiter[string], reach pacer.Reachability) {
+		decision = k.Take(w.now, key, p.limit.Observation().Age(w.now).At(w.now), reach, maxWait)
 	})
-	p.belief.Observe(v.Observation.Age(w.now).At(w.now))
-	if !v.Granted {
-		p.paused = w.now.Add(min(v.Wait, longest))
+	p.limit.Observe(decision.Observation.Age(w.now).At(w.now))
+	if !decision.Granted {
+		p.pausedUntil = w.now.Add(min(decision.Wait, maxPause))
 		w.refused++
 		return
 	}
-	w.after(took+v.Wait, func() {
-		if v.Wait > 0 && p.belief.Rate().Stricter(rate) {
+	w.after(took+decision.Wait, func() {
+		if decision.Wait > 0 && p.limit.Rate().Stricter(rate) {
 			w.refused++
 			return
 		}
@@ -274,85 +278,86 @@
 
 // send sends a request of p to the upstream.
 func (w *world) send(p *process) {
-	if p.state == killed || p.state == dark {
+	if p.state == killed || p.state == unresponsive {
 		return
 	}
 	w.sent++
 	sent := w.now
-	w.after(oneWay, func() {
-		if w.counts(p) {
-			w.arrivals = append(w.arrivals, w.now)
+	w.after(transitTime, func() {
+		if w.mustRespectLimit(p) {
+			w.limitedArrivals = append(w.limitedArrivals, w.now)
 		}
-		w.after(works, func() {
-			said, lowered := w.rate, w.lowered
-			w.after(oneWay, func() {
-				if lowered > p.lowered {
-					p.lowered, p.loweredAt = lowered, w.now
+		w.after(serviceTime, func() {
+			rate, reductions := w.rate, w.reductions
+			w.after(transitTime, func() {
+				if reductions > p.reductionsSeen {
+					p.reductionsSeen, p.reductionSeenAt = reductions, w.now
 				}
-				if p.told.IsZero() && said.Limited() {
-					p.told = w.now
+				if p.limitSeenAt.IsZero() && rate.Limited() {
+					p.limitSeenAt = w.now
 				}
-				w.learn(p, pacer.Observation{Rate: said, Sent: sent, Received: w.now})
+				w.observe(p, pacer.Observation{Rate: rate, Sent: sent, Received: w.now})
 			})
 		})
 	})
 }
 
-// counts says whether a request of p counts: p was told of the limit, and of its last
-// fall.
-func (w *world) counts(p *process) bool {
-	told := !p.told.IsZero() && w.now.Sub(p.told) > toldAfter
-	fallen := p.lowered == w.lowered && w.now.Sub(p.loweredAt) > toldAfter
-	return told && fallen && w.rate.Limited() && w.now.Sub(w.since) > graceFirst
+// mustRespectLimit reports whether a request of p counts against the limit: p has known of the
+// limit, and of its latest reduction, for longer than reactionTime.
+func (w *world) mustRespectLimit(p *process) bool {
+	knowsLimit := !p.limitSeenAt.IsZero() && w.now.Sub(p.limitSeenAt) > reactionTime
+	knowsReduction := p.reductionsSeen == w.reductions && w.now.Sub(p.reductionSeenAt) > reactionTime
+	return knowsLimit && knowsReduction && w.rate.Limited() && w.now.Sub(w.limitedSince) > gracePeriod
 }
 
-// run lets the callers of the whole fleet send so many requests a second for a time.
-func (w *world) run(lasting time.Duration, perSecond float64, within time.Duration) {
-	for end := w.now.Add(lasting); w.now.Before(end); w.now = w.now.Add(tick) {
-		w.due()
-		for _, p := range w.all {
-			if p.state == runs || p.state == leaves {
-				if w.now.Sub(p.asked) <= lookIdle && w.now.Sub(p.looked) >= lookEvery {
-					w.look(p)
+// run makes the callers of the whole fleet send requests at the given rate for some time.
+func (w *world) run(duration time.Duration, perSecond float64, maxWait time.Duration) {
+	for end := w.now.Add(duration); w.now.Before(end); w.now = w.now.Add(tick) {
+		w.runEvents()
+		for _, p := range w.processes {
+			if p.state == running || p.state == leaving {
+				if w.now.Sub(p.ownedAt) <= probeIdleTimeout && w.now.Sub(p.probedAt) >= probeInterval {
+					w.probePeers(p)
 				}
 			}
 		}
-		for want := perSecond * tick.Seconds(); want > 0; want-- {
-			if w.random.Float64() < want {
-				if p := w.all[w.random.IntN(len(w.all))]; p.state == runs || p.state == leaves {
-					w.request(p, within)
+		for expected := perSecond * tick.Seconds(); expected > 0; expected-- {
+			if w.random.Float64() < expected {
+				if p := w.processes[w.random.IntN(len(w.processes))]; p.state == running || p.state == leaving {
+					w.request(p, maxWait)
 				}
 			}
 		}
 	}
 }
 
-// due does what has become due.
-func (w *world) due() {
+// runEvents runs the events that are due.
+func (w *world) runEvents() {
 	for {
-		slices.SortStableFunc(w.later, func(a, b event) int { return cmp.Compare(a.at.UnixNano(), b.at.UnixNano()) })
-		if len(w.later) == 0 || w.later[0].at.After(w.now) {
+		slices.SortStableFunc(w.events, func(a, b event) int { return cmp.Compare(a.at.UnixNano(), b.at.UnixNano()) })
+		if len(w.events) == 0 || w.events[0].at.After(w.now) {
 			return
 		}
-		next := w.later[0]
-		w.later = w.later[1:]
+		next := w.events[0]
+		w.events = w.events[1:]
 		next.do()
 	}
 }
 
-// startAgain starts a process with nothing known.
-func (w *world) startAgain(name int) {
-	w.all[slices.IndexFunc(w.all, func(p *process) bool { return p.name == name })] = &process{name: name, lost: make(map[int]time.Time)}
+// restart replaces a process by one without any state.
+func (w *world) restart(name int) {
+	w.processes[slices.IndexFunc(w.processes, func(p *process) bool { return p.name == name })] = &process{name: name, retryAt: make(map[int]time.Time)}
 }
 
-// broken gives the first span in which the upstream got more than it allows; "" for none.
-func (w *world) broken() string {
+// violation returns the first span in which the upstream received more than allowed; "" if there
+// is none.
+func (w *world) violation() string {
 	first := 0
-	for n, at := range w.arrivals {
-		for at.Sub(w.arrivals[first]) > span {
+	for n, at := range w.limitedArrivals {
+		for at.Sub(w.limitedArrivals[first]) > span {
 			first++
 		}
-		allowed := overPart*span.Seconds()*float64(w.highest(w.arrivals[first], at)) + fixedMore
+		allowed := allowedFactor*span.Seconds()*float64(w.highestRate(w.limitedArrivals[first], at)) + allowedExtra
 		if got := n - first + 1; float64(got) > math.Floor(allowed) {
 			return fmt.Sprintf("%d requests in %v up to %v, allowed %.1f", got, span, at.Sub(start), allowed)
 		}
@@ -360,10 +365,11 @@
 	return ""
 }
 
-// highest gives the highest rate that was stated within a time, or shortly before.
-func (w *world) highest(from, to time.Time) (most pacer.Rate) {
+// highestRate returns the highest rate that was stated within the time, or up to reactionTime
+// before it.
+func (w *world) highestRate(from, to time.Time) (most pacer.Rate) {
 	for n, c := range w.changes {
-		ended := n+1 < len(w.changes) && w.changes[n+1].at.Before(from.Add(-toldAfter))
+		ended := n+1 < len(w.changes) && w.changes[n+1].at.Before(from.Add(-reactionTime))
 		if !ended && !c.at.After(to) {
 			most = max(most, c.rate)
 		}
@@ -371,7 +377,7 @@
 	return most
 }
 
-// rateOf draws a limit, of which some are under one request a second.
-func (w *world) rateOf() pacer.Rate {
+// randomRate draws a limit; some are under one request a second.
+func (w *world) randomRate() pacer.Rate {
 	return pacer.NewRate([]float64{0.2, 0.5, 0.9, 1, 2.4, 5, 20}[w.random.IntN(7)])
 }
--- a/pacer/pacer.go
+++ b/pacer/pacer.go
@@ -1,50 +1,51 @@
-// Package pacer keeps what many processes together send to an upstream within the
+// Package pacer keeps the requests that many processes together send to an upstream within the
 // rate limit that the upstream states in its answers.
 //
-// The load patterns it answers, and what happens without it:
+// It is built for these conditions:
 //
-//   - An upstream in need states a limit far below its usual load. Without a count
-//     over all processes each of them sends what placement gives it, and the upstream
-//     gets many times its limit.
-//   - Many processes, and a limit of a few requests a second or less than one. Shared
-//     out among them, a process has one request in minutes, and what the limit allows
-//     is refused by those that have callers. One process counts for all here.
-//   - Requests come in clumps. Those of a clump are given times to be sent, one after
-//     the other, as far as their callers can wait.
-//   - The process that counts is killed, cut off, leaves or starts again, and others
-//     count in its place. Each that can't be sure to be the only one gives out a part;
-//     all parts together stay within one and a half times the limit.
+//   - An overloaded upstream states a limit far below its usual load. If each process limited
+//     only its own requests, the upstream would get many times its limit.
+//   - There are many processes, and the limit is a few requests a second or less than one. If
+//     the limit were divided among them, each would have one request in minutes, and processes
+//     with many callers would refuse requests that the limit allows. Therefore one process, the
+//     owner of the upstream's key, grants the requests of all.
+//   - Requests come in bursts. Those of a burst are scheduled one after the other, as far as
+//     their callers can wait.
+//   - The owner crashes, is partitioned, shuts down or restarts, and other processes become
+//     owner in its place. A process that may not be the only owner grants only a fraction of
+//     the limit; all fractions together stay within one and a half times the limit.
 //
 // # Usage
 //
-//	var b pacer.LimitState                      // of each start of an upstream
-//	changed := b.Learn(pacer.Observation{Rate: pacer.NewRate(2.4), Sent: sent, Heard: heard})
+//	var b pacer.LimitState                  // for each start of an upstream
+//	changed := b.Observe(pacer.Observation{Rate: pacer.NewRate(2.4), Sent: sent, Received: received})
 //
-//	var k pacer.Limiter[string]              // at the process that counts
-//	v := k.Take(now, "i-1", b.Statement(), standing, within)
-//	if !v.Granted { refuse(v.Wait) }
-//	wait(v.Wait)                            // then send
+//	var k pacer.Limiter[string]             // at the owner of the key
+//	d := k.Take(now, "i-1", b.Observation(), reach, maxWait)
+//	if !d.Granted { refuse(d.Wait) }
+//	wait(d.Wait)                            // then send
 //
-// The package reads no clock. Times are on one that does not step.
+// The package reads no clock. All times have to come from a monotonic clock.
 package pacer
 
-// Rate is how many requests a second an upstream takes of all processes together. The
-// zero value is no limit.
+// Rate is the number of requests a second that an upstream accepts from all processes together.
+// The zero value is no limit.
 type Rate float64
 
 const (
-	// Unlimited is no limit.
+	// Unlimited is the absence of a limit.
 	Unlimited Rate = 0
-	// MinRate is the lowest rate that is kept. An upstream that takes nothing is sent a
-	// request now and then: only an answer tells that the limit has ended.
+	// MinRate is the lowest rate that is enforced. An upstream that accepts nothing is still
+	// sent a request now and then, as only an answer shows that the limit has ended.
 	MinRate Rate = 0.1
 )
 
-// NewRate gives the limit of a stated number of requests a second, zero included.
+// NewRate returns a limit of the stated number of requests a second, which may be zero; it is at
+// least MinRate.
 func NewRate(perSecond float64) Rate { return max(Rate(perSecond), MinRate) }
 
-// Limited says whether there is a limit.
+// Limited reports whether there is a limit.
 func (r Rate) Limited() bool { return r > 0 }
 
-// Stricter says whether r allows less than o.
+// Stricter reports whether r allows less than o.
 func (r Rate) Stricter(o Rate) bool { return r.Limited() && (!o.Limited() || r < o) }
--- a/pacer/standing.go
+++ b/pacer/standing.go
@@ -2,86 +2,88 @@
 
 import "maps"
 
-// Reachability is how sure a process can be that no other gives out the same requests. The
-// zero value is one that knows nobody.
+// Reachability describes how far a process can rely on being the only owner of a key, by the
+// other processes that it reaches. The zero value is that of a process that has not probed any.
 type Reachability struct {
-	// Members counts the processes that were looked for, Reached those that answered
-	// lately; both include this one.
+	// Members is the number of processes that were probed, and Reached the number of those
+	// that answered lately; both include this one.
 	Members, Reached int
-	// Outranked says that a process that goes before this one is alive, as far as known:
-	// those that can reach it go there.
+	// Outranked means that a process of a higher rank for the key is alive, as far as
+	// observed. Processes that can reach it use it as the owner.
 	Outranked bool
-	// HandedOver says that those before this one have said that they leave: they give out
-	// nothing any more.
+	// HandedOver means that all processes of a higher rank have stopped or are shutting down,
+	// and grant nothing any more.
 	HandedOver bool
 }
 
 const (
-	// laterPart is the part of the limit that a process gives out while one that goes
-	// before it may do so as well, and settlePart the same for one that has just taken
-	// over.
-	laterPart  = 0.25
-	settlePart = 0.25
-	// savedAll is how many requests are saved up by a process that gives out the whole
-	// limit, and savedPart by one that gives out a part.
-	savedAll  = 2
-	savedPart = 1
+	// outrankedFraction is the fraction of the limit that a process grants while one of a
+	// higher rank may grant as well, and takeoverFraction the same for a process that has
+	// just become the owner.
+	outrankedFraction = 0.25
+	takeoverFraction  = 0.25
+	// fullBurst is the number of tokens that accumulate at a process that grants the whole
+	// limit, and partialBurst at one that grants a fraction.
+	fullBurst    = 2
+	partialBurst = 1
 )
 
-// Fraction gives the part of what is counted that may be given out.
+// Fraction returns the fraction of the limit that the process may grant.
 //
-// Failure: a fleet is cut in two, and each side finds a process that counts. It shows as
-// twice the limit. Only one side can have more than half of the processes. The others
-// give out their part of the fleet, which together is no more than a half.
+// When the network is partitioned in two, each side has an owner, and both would grant the whole
+// limit. Only one side can have more than half of the processes. The others grant in proportion
+// to their size, which adds up to no more than a half.
 func (s Reachability) Fraction() float64 {
-	part := 1.0
+	fraction := 1.0
 	if s.Members > 1 && 2*s.Reached <= s.Members {
-		part = float64(max(s.Reached, 1)) / float64(s.Members)
+		fraction = float64(max(s.Reached, 1)) / float64(s.Members)
 	}
 	if s.Outranked {
-		part = min(part, laterPart)
+		fraction = min(fraction, outrankedFraction)
 	}
-	return part
+	return fraction
 }
 
-// PeerState is what a process found of another one.
+// PeerState is the state of another process as found by a probe.
 type PeerState string
 
-// What may be found.
+// The states of a peer.
 const (
-	// Alive: it was reached, directly or by others.
+	// Alive is a peer that was reached, directly or through others.
 	Alive PeerState = "alive"
-	// Stopped: it gives out nothing, since it leaves or does not run.
+	// Stopped is a peer that grants nothing, because it is shutting down or does not run.
 	Stopped PeerState = "out"
-	// Unreachable: it may be lost, or cut off.
+	// Unreachable is a peer that may have crashed or be partitioned.
 	Unreachable PeerState = "silent"
 )
 
-// ProbeResult is what a process found that looked for others. The zero value found nobody.
+// ProbeResult is the result of probing other processes. The zero value reached none.
 type ProbeResult[N comparable] struct {
-	// Answered and Silent count the processes drawn from all that may give out requests.
+	// Answered and Unreachable are the numbers of processes with either result, of a random
+	// sample of all that may own a key.
 	Answered, Unreachable int
-	// Predecessors are those that go before this one for some key.
+	// Predecessors holds the processes that have a higher rank than this one for some key.
 	Predecessors map[N]PeerState
 }
 
-// Equal says whether two looks found the same.
+// Equal reports whether both results have the same number of unreachable processes and the same
+// states of predecessors.
 func (g ProbeResult[N]) Equal(o ProbeResult[N]) bool {
 	return g.Unreachable == o.Unreachable && maps.Equal(g.Predecessors, o.Predecessors)
 }
 
-// Reachability gives that of a process that some others go before. One that was not looked
-// for is taken for alive.
-func (g ProbeResult[N]) Reachability(before []N) Reachability {
-	s := Reachability{Members: g.Answered + g.Unreachable + 1, Reached: g.Answered + 1, HandedOver: len(before) > 0}
-	for _, name := range before {
-		found, looked := g.Predecessors[name]
-		s.Outranked = s.Outranked || !looked || found == Alive
-		s.HandedOver = s.HandedOver && found == Stopped
+// Reachability returns the reachability of a process with the given predecessors. A predecessor
+// that was not probed is assumed to be alive.
+func (g ProbeResult[N]) Reachability(predecessors []N) Reachability {
+	s := Reachability{Members: g.Answered + g.Unreachable + 1, Reached: g.Answered + 1, HandedOver: len(predecessors) > 0}
+	for _, name := range predecessors {
+		state, probed := g.Predecessors[name]
+		s.Outranked = s.Outranked || !probed || state == Alive
+		s.HandedOver = s.HandedOver && state == Stopped
 	}
 	return s
 }
 
-// Unprobed gives the standing of a process that has not looked yet, or not lately, and
-// that so many others go before.
-func Unprobed(before int) Reachability { return Reachability{Outranked: before > 0} }
+// Unprobed returns the reachability of a process with so many predecessors that has no recent
+// probe result.
+func Unprobed(predecessors int) Reachability { return Reachability{Outranked: predecessors > 0} }
--- a/pacer/trouble_test.go
+++ b/pacer/trouble_test.go
@@ -10,99 +10,100 @@
 	"jacinthworks/pacer"
 )
 
-// trouble does something to the fleet.
-func (w *world) trouble() string {
-	p := w.all[w.random.IntN(len(w.all))]
+// injectFault applies a random fault, most of which end after some time, and returns its
+// description.
+func (w *world) injectFault() string {
+	p := w.processes[w.random.IntN(len(w.processes))]
 	if w.random.IntN(2) == 0 {
-		p = w.all[w.random.IntN(min(3, len(w.all)))] // one that counts
+		p = w.processes[w.random.IntN(min(3, len(w.processes)))] // likely an owner
 	}
-	back := time.Duration(500+w.random.IntN(5000)) * time.Millisecond
+	recovery := time.Duration(500+w.random.IntN(5000)) * time.Millisecond
 	switch w.random.IntN(8) {
 	case 0:
 		p.state = killed
-		w.after(back, func() { w.startAgain(p.name) })
+		w.after(recovery, func() { w.restart(p.name) })
 		return fmt.Sprint("killed ", p.name)
 	case 1:
-		p.state = dark
-		w.after(back, func() { w.startAgain(p.name) })
-		return fmt.Sprint("dark ", p.name)
+		p.state = unresponsive
+		w.after(recovery, func() { w.restart(p.name) })
+		return fmt.Sprint("unresponsive ", p.name)
 	case 2:
-		w.side[p.name] = 1 + p.name
-		w.after(back, func() { delete(w.side, p.name) })
-		return fmt.Sprint("cut off ", p.name)
+		w.partition[p.name] = 1 + p.name
+		w.after(recovery, func() { delete(w.partition, p.name) })
+		return fmt.Sprint("partitioned ", p.name)
 	case 3:
-		p.state = leaves
-		w.after(back, func() {
+		p.state = leaving
+		w.after(recovery, func() {
 			p.state = killed
-			w.after(time.Second, func() { w.startAgain(p.name) })
+			w.after(time.Second, func() { w.restart(p.name) })
 		})
-		return fmt.Sprint("leaves ", p.name)
+		return fmt.Sprint("leaving ", p.name)
 	case 4:
-		o := w.all[w.random.IntN(len(w.all))]
+		o := w.processes[w.random.IntN(len(w.processes))]
 		pair := [2]int{min(p.name, o.name), max(p.name, o.name)}
-		w.apart[pair] = true
-		w.after(back, func() { delete(w.apart, pair) })
-		return fmt.Sprint("apart ", pair)
+		w.disconnected[pair] = true
+		w.after(recovery, func() { delete(w.disconnected, pair) })
+		return fmt.Sprint("disconnected ", pair)
 	case 5:
-		part := w.random.IntN(len(w.all))
-		for _, o := range w.all[part:] {
-			w.side[o.name] = -1
+		first := w.random.IntN(len(w.processes))
+		for _, o := range w.processes[first:] {
+			w.partition[o.name] = -1
 		}
-		w.after(back, func() { w.side = make(map[int]int) })
-		return fmt.Sprint("two sides, from ", part)
+		w.after(recovery, func() { w.partition = make(map[int]int) })
+		return fmt.Sprint("two partitions, from ", first)
 	case 6:
-		rate := w.rateOf()
-		w.state(rate)
+		rate := w.randomRate()
+		w.setRate(rate)
 		return fmt.Sprint("rate ", rate)
 	default:
-		w.state(pacer.Unlimited)
-		w.after(back, func() { w.state(w.rateOf()) })
+		w.setRate(pacer.Unlimited)
+		w.after(recovery, func() { w.setRate(w.randomRate()) })
 		return "limit ends"
 	}
 }
 
-// Guards against more than a limit allows while processes that count are killed, cut off,
-// leave and start again, and the limit changes and ends.
-func TestNoSpanHasMoreThanTheLimitThroughTrouble(t *testing.T) {
+// Guards against more requests than a limit allows while owners crash, are partitioned, shut down
+// and restart, and the limit changes and ends.
+func TestLimitHoldsUnderFaults(t *testing.T) {
 	seeds := map[int]uint64{1: 60, 2: 60, 4: 60, 24: 60, 68: 12, 300: 12}
-	for n, last := range seeds {
-		for seed := range last {
-			troubled(t, n, seed+1)
+	for n, count := range seeds {
+		for seed := range count {
+			checkUnderFaults(t, n, seed+1)
 		}
 	}
-	// Seeds that failed once: two that count at once, one that has just taken over, a limit
-	// that is stated again, and one that falls in a fleet that is cut.
-	troubled(t, 4, 914)
-	troubled(t, 24, 2838)
-	troubled(t, 68, 8)
-	troubled(t, 24, 2413)
+	// Seeds that failed once: two owners at the same time, a new owner, a limit that is stated
+	// again after it ended, and one that is reduced in a partitioned fleet.
+	checkUnderFaults(t, 4, 914)
+	checkUnderFaults(t, 24, 2838)
+	checkUnderFaults(t, 68, 8)
+	checkUnderFaults(t, 24, 2413)
 }
 
-// troubled plays a fleet of so many processes through a series of troubles.
-func troubled(t *testing.T, n int, seed uint64) {
+// checkUnderFaults runs a fleet of n processes through a series of faults.
+func checkUnderFaults(t *testing.T, n int, seed uint64) {
 	w := newWorld(t, seed, n)
-	w.state(w.rateOf())
-	load, within := 10+40*w.random.Float64(), time.Duration(w.random.IntN(300))*time.Millisecond
-	w.run(5*time.Second, load, within)
-	var done []string
+	w.setRate(w.randomRate())
+	load, maxWait := 10+40*w.random.Float64(), time.Duration(w.random.IntN(300))*time.Millisecond
+	w.run(5*time.Second, load, maxWait)
+	var faults []string
 	for range 6 {
-		done = append(done, fmt.Sprint(w.now.Sub(start), " ", w.trouble()))
-		w.run(time.Duration(w.random.IntN(4000))*time.Millisecond, load, within)
+		faults = append(faults, fmt.Sprint(w.now.Sub(start), " ", w.injectFault()))
+		w.run(time.Duration(w.random.IntN(4000))*time.Millisecond, load, maxWait)
 	}
-	require.Empty(t, w.broken(), "%d processes, seed %d: %v, rates %v", n, seed, done, w.changes)
+	require.Empty(t, w.violation(), "%d processes, seed %d: %v, rates %v", n, seed, faults, w.changes)
 }
 
-// Guards against a limit that is kept by refusing what it allows.
-func TestWhatALimitAllowsIsUsed(t *testing.T) {
+// Guards against a limit that is kept by refusing requests that it allows.
+func TestLimitIsFullyUsed(t *testing.T) {
 	for _, n := range []int{1, 4, 68, 300} {
 		for _, rate := range []float64{0.3, 0.9, 2.4, 20} {
 			w := newWorld(t, 1, n)
-			w.state(pacer.NewRate(rate))
+			w.setRate(pacer.NewRate(rate))
 			w.run(10*time.Second, 60, 50*time.Millisecond)
 			before := w.sent
 			w.run(40*time.Second, 60, 50*time.Millisecond)
 			require.GreaterOrEqual(t, float64(w.sent-before), 0.9*40*rate-1, "%d processes, %v a second", n, rate)
-			require.Empty(t, w.broken())
+			require.Empty(t, w.violation())
 		}
 	}
 }
--- a/pacer/watch.go
+++ b/pacer/watch.go
@@ -6,52 +6,53 @@
 )
 
 const (
-	// ProbeInterval is how often a process that counts for others looks for them, and
-	// lookIdle when it stops since nobody asks any more.
-	ProbeInterval = time.Second
-	lookIdle      = 10 * time.Second
-	// lookStale is when what was found tells nothing any more.
-	lookStale = 3 * ProbeInterval
+	// ProbeInterval is the time between two probes of a process that owns a key, and
+	// probeIdleTimeout the time after the last use of its keys at which probing stops.
+	ProbeInterval    = time.Second
+	probeIdleTimeout = 10 * time.Second
+	// maxProbeAge is the age up to which a probe result is used.
+	maxProbeAge = 3 * ProbeInterval
 )
 
-// Prober is which other processes this one reaches, while it counts for all: looks are made
-// each ProbeInterval while some key is wanted. The zero value is ready to use; it must not be
-// copied.
+// Prober schedules probes of other processes and holds their latest result. Probes are due each
+// ProbeInterval while a key is in use. The zero value is ready to use; it must not be copied. It
+// is safe for concurrent use.
 //
-// Failure: a process that counts is cut off, and another one takes its place; or only the
-// way between the two is cut, and both count. Each asks others, at random, whether they
-// reach the one that it misses, so that silence on one way is not taken for a loss.
+// When an owner is partitioned, another process becomes owner in its place; when only the
+// connection between the two fails, both are owners. A process that does not reach a peer
+// therefore asks others, drawn at random, whether they reach it, so that one failed connection
+// does not make the peer unreachable.
 type Prober[ID comparable] struct {
-	mu sync.Mutex // a leaf
-	// at is the time of the last look.
-	at    time.Time
-	seen  ProbeResult[ID]
-	woken chan struct{}
-	// wanted are the keys for which it matters, and when it last did.
-	wanted map[string]time.Time
+	mu sync.Mutex // leaf lock: no other lock is acquired while it is held
+	// probedAt is the time of the latest probe.
+	probedAt  time.Time
+	result    ProbeResult[ID]
+	triggered chan struct{}
+	// usedAt holds the keys in use, and when each was last used.
+	usedAt map[string]time.Time
 }
 
-// Use has looks made for some time, since this process counts by the key.
+// Use marks a key as used: this process is its owner, and probes are due for some time.
 func (w *Prober[ID]) Use(now time.Time, key string) {
 	w.mu.Lock()
-	if w.wanted == nil {
-		w.wanted = make(map[string]time.Time)
+	if w.usedAt == nil {
+		w.usedAt = make(map[string]time.Time)
 	}
-	idle := len(w.wanted) == 0
-	w.wanted[key] = now
+	idle := len(w.usedAt) == 0
+	w.usedAt[key] = now
 	w.mu.Unlock()
 	if idle {
 		w.Trigger()
 	}
 }
 
-// Keys gives those that were wanted lately.
+// Keys returns the keys that are in use, and removes those that no longer are.
 func (w *Prober[ID]) Keys(now time.Time) (keys []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for key, at := range w.wanted {
-		if now.Sub(at) > lookIdle {
-			delete(w.wanted, key)
+	for key, at := range w.usedAt {
+		if now.Sub(at) > probeIdleTimeout {
+			delete(w.usedAt, key)
 			continue
 		}
 		keys = append(keys, key)
@@ -59,7 +60,7 @@
 	return keys
 }
 
-// Trigger has a look made now, and others after it.
+// Trigger requests a probe now, and further ones after it.
 func (w *Prober[ID]) Trigger() {
 	select {
 	case w.Triggered() <- struct{}{}:
@@ -67,31 +68,32 @@
 	}
 }
 
+// Triggered returns the channel that receives a value when a probe is requested.
 func (w *Prober[ID]) Triggered() chan struct{} {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.woken == nil {
-		w.woken = make(chan struct{}, 1)
+	if w.triggered == nil {
+		w.triggered = make(chan struct{}, 1)
 	}
-	return w.woken
+	return w.triggered
 }
 
-// SetResult takes what a look found, and says whether it differs from the last.
+// SetResult stores the result of a probe, and reports whether it differs from the previous one.
 func (w *Prober[ID]) SetResult(now time.Time, g ProbeResult[ID]) (changed bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	changed = !g.Equal(w.seen)
-	w.at, w.seen = now, g
+	changed = !g.Equal(w.result)
+	w.probedAt, w.result = now, g
 	return changed
 }
 
-// Reachability gives how sure this process can be to be the only one that counts, where others
-// go before it.
-func (w *Prober[ID]) Reachability(now time.Time, before []ID) Reachability {
+// Reachability returns the reachability of this process as owner of a key with the given
+// predecessors; see ProbeResult.Reachability. Without a recent result it is that of Unprobed.
+func (w *Prober[ID]) Reachability(now time.Time, predecessors []ID) Reachability {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if now.Sub(w.at) > lookStale {
-		return Unprobed(len(before))
+	if now.Sub(w.probedAt) > maxProbeAge {
+		return Unprobed(len(predecessors))
 	}
-	return w.seen.Reachability(before)
+	return w.result.Reachability(predecessors)
 }
