--- a/retry/attempts.go
+++ b/retry/attempts.go
@@ -2,21 +2,20 @@
 
 import "jacinthworks/domain"
 
-// MaxSends bounds the sends of one request of any outcome, refused and unsent
-// ones included: it is more than the upstreams of most pools.
+// MaxSends bounds the sends of one request, whatever their outcome; it includes sends that were
+// refused or failed before the request was transmitted. Most pools have fewer upstreams.
 const MaxSends = 6
 
-// Attempts are the sends of one request: what is known of them all, and what
-// may follow. Set Repeatable and Limit; the rest works from zero. It belongs to
-// one goroutine.
+// Attempts holds what is known of the sends of one request, and decides whether another may follow.
+// Set Repeatable and Limit; the zero value of the rest is ready to use. It must be used by one
+// goroutine only.
 //
-// Failure: an attempt of which nothing is heard may have run, and a second one
-// runs the request twice; or it is taken to have run, and its caller, told so,
-// does not come again though nothing ran. Both are decided here, in one place,
-// for each order in which attempts can end.
+// An attempt without an answer may have run, so that a second attempt may run the request twice.
+// If it is reported as run although it did not run, the caller does not send the request again. The
+// rules against both are here, for each order in which attempts can end.
 type Attempts struct {
-	// Repeatable says that the request may run more than once, Limit on how
-	// many upstreams.
+	// Repeatable means that the request may run more than once, and Limit on how many
+	// upstreams.
 	Repeatable bool
 	Limit      int
 
@@ -24,21 +23,21 @@
 	ran         domain.Execution
 }
 
-// Sent counts a send. It gives its number.
+// Sent counts a send, and returns its number, starting at 1.
 func (a *Attempts) Sent() int {
 	a.sends++
 	return a.sends
 }
 
-// Ended takes what is known of a send's run.
+// Ended records what is known of the execution of a send that has ended.
 func (a *Attempts) Ended(ran domain.Execution) {
 	if a.ran = a.Ran().Merge(ran); ran != domain.NotRun {
 		a.runs++
 	}
 }
 
-// Ran is the worst that is known of all sends: NotRun promises that the request
-// ran nowhere and will not.
+// Ran returns the worst case of all sends. NotRun guarantees that the request did not run on any
+// upstream and will not.
 func (a *Attempts) Ran() domain.Execution {
 	if a.ran == "" {
 		return domain.NotRun
@@ -46,18 +45,18 @@
 	return a.ran
 }
 
-// Sends counts all sends, Runs those that ran or may have.
+// Sends returns the number of all sends.
 func (a *Attempts) Sends() int { return a.sends }
 
-// Runs counts the sends that ran or may have.
+// Runs returns the number of sends that ran or may have run.
 func (a *Attempts) Runs() int { return a.runs }
 
-// CanRepeat says whether yet another send may follow one that now runs: then
-// the one need not be waited for to the request's end.
+// CanRepeat reports whether yet another send may follow one that is running now. If so, the running
+// one does not have to be waited for until the request ends.
 func (a *Attempts) CanRepeat() bool { return a.Repeatable && a.runs+1 < a.Limit }
 
-// Allow says whether another send may follow one of which this is known. The
-// budget is the caller's to ask.
+// Allow decides whether another send may follow one with the given execution. It does not check
+// the retry budget; the caller does.
 func (a *Attempts) Allow(last domain.Execution) Decision {
 	switch {
 	case last != domain.NotRun && !a.Repeatable:
--- a/retry/attempts_test.go
+++ b/retry/attempts_test.go
@@ -9,20 +9,20 @@
 	"jacinthworks/domain"
 )
 
-// end is how a send can end: what this side knows, and what is true.
-type end struct {
+// outcome is how a send can end: the execution that is known to the sender, and whether it ran.
+type outcome struct {
 	known domain.Execution
 	runs  bool
 }
 
-var ends = []end{
-	{domain.NotRun, false}, // unsent, or refused unrun
+var outcomes = []outcome{
+	{domain.NotRun, false}, // not transmitted, or refused before it ran
 	{domain.Unknown, false},
 	{domain.Unknown, true},
 	{domain.DidRun, true},
 }
 
-// attempter is the rule under test, or one with a guard taken out.
+// attempter is the implementation under test, or one with a guard removed.
 type attempter interface {
 	Sent() int
 	Ended(domain.Execution)
@@ -30,49 +30,49 @@
 	Allow(domain.Execution) Decision
 }
 
-// walk tries each way in which the sends of a request can end, and gives the
-// first that breaks a promise.
-func walk(repeatable bool, limit int, path []end, fresh func() attempter) error {
-	a := fresh()
-	runs, verdict := 0, Allowed
-	for n, e := range path {
-		if verdict != Allowed {
-			return nil // walked already, with a shorter path
+// walk tries each sequence of outcomes of a request's sends that begins with path, and returns the
+// first violation of a guarantee.
+func walk(repeatable bool, limit int, path []outcome, newAttempts func() attempter) error {
+	a := newAttempts()
+	runs, decision := 0, Allowed
+	for n, o := range path {
+		if decision != Allowed {
+			return nil // covered by a shorter path
 		}
 		a.Sent()
-		if e.runs {
+		if o.runs {
 			runs++
 		}
-		a.Ended(e.known)
-		verdict = a.Allow(e.known)
+		a.Ended(o.known)
+		decision = a.Allow(o.known)
 		switch {
 		case !repeatable && runs > 1:
 			return fmt.Errorf("ran %d times: %v", runs, path[:n+1])
 		case repeatable && runs > limit:
 			return fmt.Errorf("ran on %d upstreams, limit %d: %v", runs, limit, path[:n+1])
 		case a.Ran() == domain.NotRun && runs > 0:
-			return fmt.Errorf("told not to have run, ran: %v", path[:n+1])
+			return fmt.Errorf("reported as not run, but ran: %v", path[:n+1])
 		case n >= MaxSends:
 			return fmt.Errorf("%d sends: %v", n+1, path)
 		}
 	}
-	if verdict != Allowed {
+	if decision != Allowed {
 		return nil
 	}
-	for _, e := range ends {
-		if err := walk(repeatable, limit, append(path[:len(path):len(path)], e), fresh); err != nil {
+	for _, o := range outcomes {
+		if err := walk(repeatable, limit, append(path[:len(path):len(path)], o), newAttempts); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// walkAll walks requests of both kinds, with each limit of today.
-func walkAll(fresh func(Attempts) attempter) error {
+// walkAll walks requests of both kinds, with limits from one to three.
+func walkAll(newAttempts func(Attempts) attempter) error {
 	for _, repeatable := range []bool{false, true} {
 		for limit := 1; limit <= 3; limit++ {
 			a := Attempts{Repeatable: repeatable, Limit: limit}
-			if err := walk(repeatable, limit, nil, func() attempter { return fresh(a) }); err != nil {
+			if err := walk(repeatable, limit, nil, func() attempter { return newAttempts(a) }); err != nil {
 				return err
 			}
 		}
@@ -80,20 +80,20 @@
 	return nil
 }
 
-// Story: a send is refused, one is unsent, one breaks, in any order, and what is
-// unknown of a send is one or the other. Whatever the order, work that may not be
-// repeated runs once at most, other work on no more upstreams than its route
-// allows, and nobody is told that it did not run when it did.
-func TestEveryOrderOfEndsKeepsThePromises(t *testing.T) {
+// Guards against wrong decisions in some order of outcomes: sends are refused, not transmitted or
+// broken off, and a send of unknown outcome may have run or not. A request that is not repeatable
+// runs at most once, any other on no more upstreams than its limit, and none that ran is reported
+// as not run.
+func TestAttemptsKeepGuaranteesInEveryOrderOfOutcomes(t *testing.T) {
 	require.NoError(t, walkAll(func(a Attempts) attempter { return &a }))
 }
 
-// Each guard taken out, by itself.
+// Each type removes one guard.
 type (
-	repeatsUnknown struct{ *Attempts }
-	knowsNoLimit   struct{ *Attempts }
-	forgetsRuns    struct{ *Attempts }
-	sendsForEver   struct{ *Attempts }
+	repeatsUnknown     struct{ *Attempts }
+	ignoresLimit       struct{ *Attempts }
+	keepsLastExecution struct{ *Attempts }
+	ignoresMaxSends    struct{ *Attempts }
 )
 
 func (a repeatsUnknown) Allow(last domain.Execution) Decision {
@@ -103,41 +103,41 @@
 	return a.Attempts.Allow(last)
 }
 
-func (a knowsNoLimit) Allow(last domain.Execution) Decision {
+func (a ignoresLimit) Allow(last domain.Execution) Decision {
 	if a.Repeatable && a.sends < MaxSends {
 		return Allowed
 	}
 	return a.Attempts.Allow(last)
 }
 
-func (a forgetsRuns) Ended(ran domain.Execution) {
+func (a keepsLastExecution) Ended(ran domain.Execution) {
 	a.Attempts.Ended(ran)
-	a.ran = ran // the last word in place of the worst
+	a.ran = ran // the last execution instead of the worst
 }
 
-func (a sendsForEver) Allow(last domain.Execution) Decision {
+func (a ignoresMaxSends) Allow(last domain.Execution) Decision {
 	if last == domain.NotRun {
 		return Allowed
 	}
 	return a.Attempts.Allow(last)
 }
 
-func TestTheWalkCatchesEachGuardTakenOut(t *testing.T) {
+func TestWalkFindsEachRemovedGuard(t *testing.T) {
 	for name, broken := range map[string]func(Attempts) attempter{
-		"a repeat of what may have run": func(a Attempts) attempter { return repeatsUnknown{&a} },
-		"no limit of upstreams":         func(a Attempts) attempter { return knowsNoLimit{&a} },
-		"the last word counts":          func(a Attempts) attempter { return forgetsRuns{&a} },
-		"no limit of sends":             func(a Attempts) attempter { return sendsForEver{&a} },
+		"repeats a request that may have run": func(a Attempts) attempter { return repeatsUnknown{&a} },
+		"ignores the limit of upstreams":      func(a Attempts) attempter { return ignoresLimit{&a} },
+		"reports the last execution":          func(a Attempts) attempter { return keepsLastExecution{&a} },
+		"ignores the limit of sends":          func(a Attempts) attempter { return ignoresMaxSends{&a} },
 	} {
 		require.Error(t, walkAll(broken), name)
 	}
 }
 
-func TestRoomForAnother(t *testing.T) {
+func TestCanRepeatBelowLimitOfRepeatable(t *testing.T) {
 	a := Attempts{Repeatable: true, Limit: 2}
 	require.True(t, a.CanRepeat())
 	a.Sent()
 	a.Ended(domain.Unknown)
-	require.False(t, a.CanRepeat(), "the second is the last")
-	require.False(t, (&Attempts{Limit: 2}).CanRepeat(), "nothing follows a run")
+	require.False(t, a.CanRepeat(), "the next send is the last")
+	require.False(t, (&Attempts{Limit: 2}).CanRepeat(), "no send may follow one that ran")
 }
--- a/retry/blame.go
+++ b/retry/blame.go
@@ -7,53 +7,53 @@
 	"time"
 )
 
-// Suspicion says what evidence there is against a request.
+// Suspicion is the state of the evidence against a request.
 type Suspicion string
 
-// The standings.
+// The states of the evidence.
 const (
-	// Clear has no death against it, or only such as another explains.
+	// Clear is a request without any death against it, or only deaths that another request
+	// explains.
 	Clear Suspicion = "clear"
-	// Suspect ran in one unexplained death. It may run, but beside no other
-	// suspect: then the next death tells the two apart.
+	// Suspect is a request that ran during one unexplained death. It may run, but not beside
+	// another suspect, so that a further death distinguishes the two.
 	Suspect Suspicion = "suspect"
-	// Ambiguous ran in two deaths together with another that ran in both as
-	// well. It may run only alone; surviving clears it and condemns the other.
+	// Ambiguous is a request that ran during two deaths together with another one that ran during
+	// both as well. It may run only alone. If it survives, it is cleared and the other is blocked.
 	Ambiguous Suspicion = "ambiguous"
-	// Blocked ran in two deaths that no other request explains. It is refused
-	// with domain.ReasonCrashes, a fresh send of it as well.
+	// Blocked is a request that ran during two deaths that no other request explains. It is
+	// refused with domain.ReasonCrashes, also when its caller sends it again.
 	Blocked Suspicion = "stopped"
 )
 
-// CrashLimit is how many upstreams may die running a request.
+// CrashLimit is the number of upstreams that may die while running a request.
 const CrashLimit = 2
 
-// set holds indexes of a record's deaths, of which there are at most 64.
-type set uint64
+// deathSet is a set of indexes of a record's deaths, of which there are at most 64.
+type deathSet uint64
 
-func (s set) size() int          { return bits.OnesCount64(uint64(s)) }
-func (s set) within(o set) bool  { return s&o == s }
-func (s set) without(o set) set  { return s &^ o }
-func (s set) with(index int) set { return s | 1<<index }
+func (s deathSet) size() int                   { return bits.OnesCount64(uint64(s)) }
+func (s deathSet) within(o deathSet) bool      { return s&o == s }
+func (s deathSet) without(o deathSet) deathSet { return s &^ o }
+func (s deathSet) with(index int) deathSet     { return s | 1<<index }
 
-// Attribute weighs the evidence as of now and gives the standing of each request
-// that it speaks against; all others are Clear.
+// Attribute attributes the deaths in the record to requests, as of now. It returns the suspicion of
+// each request that there is evidence against; all others are Clear.
 //
-// A request's score is the number of upstreams that died running it after it
-// last ran to its end; two lives of one upstream are two, so that a pool of one
-// is not crashed for good. Those that reach CrashLimit are stopped, the highest
-// score first, and the deaths in which they ran are explained by them: such a
-// death counts against none of the neighbours any longer. One that ran only in
-// deaths in which another ran, too, cannot be told apart from that one and is
-// not stopped for them.
+// The score of a request is the number of upstreams that died while running it, after it last ran
+// to its end. Two incarnations of one upstream count as two, so that a pool of one upstream is not
+// crashed forever. Requests that reach CrashLimit are blocked, the highest score first, and explain
+// the deaths during which they ran: those no longer count against the other requests that ran beside
+// them. A request that ran only during deaths during which another one ran as well cannot be
+// distinguished from that one, and is not blocked for them.
 func Attribute(r Record, now time.Time) map[Identity]Suspicion {
 	r = r.Since(wireTime(now.Add(-EvidenceTTL)))
-	against := scores(r)
-	standing := make(map[Identity]Suspicion)
-	for stopped := condemn(against); len(stopped) > 0; stopped = condemn(against) {
-		var explained set
-		for _, id := range stopped {
-			standing[id] = Blocked
+	against := deathsByRequest(r)
+	suspicions := make(map[Identity]Suspicion)
+	for culprits := findCulprits(against); len(culprits) > 0; culprits = findCulprits(against) {
+		var explained deathSet
+		for _, id := range culprits {
+			suspicions[id] = Blocked
 			explained |= against[id]
 		}
 		for id, deaths := range against {
@@ -63,24 +63,24 @@
 	for id, deaths := range against {
 		switch {
 		case deaths.size() >= CrashLimit:
-			standing[id] = Ambiguous
+			suspicions[id] = Ambiguous
 		case deaths.size() > 0:
-			standing[id] = Suspect
+			suspicions[id] = Suspect
 		}
 	}
-	return standing
+	return suspicions
 }
 
-// scores gives, for each request, the deaths that count against it.
-func scores(r Record) map[Identity]set {
-	survived := make(map[Identity]time.Time)
+// deathsByRequest returns, for each request, the deaths that count against it.
+func deathsByRequest(r Record) map[Identity]deathSet {
+	lastSurvival := make(map[Identity]time.Time)
 	for _, s := range r.Survivals {
-		survived[s.Identity] = s.Time
+		lastSurvival[s.Identity] = s.Time
 	}
-	against := make(map[Identity]set)
+	against := make(map[Identity]deathSet)
 	for i, d := range r.Deaths[:min(len(r.Deaths), MaxDeaths)] {
 		for _, id := range d.Running {
-			if d.Time.After(survived[id]) {
+			if d.Time.After(lastSurvival[id]) {
 				against[id] = against[id].with(i)
 			}
 		}
@@ -88,33 +88,33 @@
 	return against
 }
 
-// condemn gives the requests of the highest score, at least CrashLimit, whose
-// deaths no other request explains as well.
-func condemn(against map[Identity]set) []Identity {
-	same := make(map[set]int)
+// findCulprits returns the requests with the highest score, of at least CrashLimit, whose deaths no
+// other request explains as well.
+func findCulprits(against map[Identity]deathSet) []Identity {
+	requestCounts := make(map[deathSet]int)
 	for _, deaths := range against {
 		if deaths.size() >= CrashLimit {
-			same[deaths]++
+			requestCounts[deaths]++
 		}
 	}
-	var stopped []Identity
-	best := CrashLimit
+	var culprits []Identity
+	highest := CrashLimit
 	for id, deaths := range against {
-		if deaths.size() < best || !alone(deaths, same) {
+		if deaths.size() < highest || !explainsAlone(deaths, requestCounts) {
 			continue
 		}
-		if deaths.size() > best {
-			best, stopped = deaths.size(), nil
+		if deaths.size() > highest {
+			highest, culprits = deaths.size(), nil
 		}
-		stopped = append(stopped, id)
+		culprits = append(culprits, id)
 	}
-	return stopped
+	return culprits
 }
 
-// alone reports whether no second request ran in all of these deaths.
-func alone(deaths set, same map[set]int) bool {
+// explainsAlone reports whether no other request ran during all of these deaths.
+func explainsAlone(deaths deathSet, requestCounts map[deathSet]int) bool {
 	n := 0
-	for other, count := range same {
+	for other, count := range requestCounts {
 		if deaths.within(other) {
 			n += count
 		}
@@ -122,24 +122,24 @@
 	return n == 1
 }
 
-// Ledger keeps a process's evidence and the standings that follow from it. The
-// zero value is empty and ready to use; it must not be copied. It is safe for
-// concurrent use; its lock is a leaf.
+// Ledger holds the evidence known to a process and the suspicions that follow from it. The zero
+// value is empty and ready to use; it must not be copied. It is safe for concurrent use. Its lock is
+// a leaf lock: no other lock is acquired while it is held.
 type Ledger struct {
-	mu       sync.Mutex
-	record   Record
-	standing map[Identity]Suspicion
-	expires  time.Time // when the oldest death in record leaves Memory
+	mu         sync.Mutex
+	record     Record
+	suspicions map[Identity]Suspicion
+	expires    time.Time // when the oldest death in record reaches EvidenceTTL
 }
 
 // RecordDeath adds the evidence of a death.
 func (l *Ledger) RecordDeath(d Death) { l.Merge(d.Time, Record{Deaths: []Death{d}}) }
 
-// RecordSurvival says that a request ran to its end. Without a death against it that
-// needs no memory.
+// RecordSurvival records that a request ran to its end. For a request without a death against it
+// nothing is stored.
 func (l *Ledger) RecordSurvival(now time.Time, id Identity) {
 	l.mu.Lock()
-	_, known := l.standing[id]
+	_, known := l.suspicions[id]
 	l.mu.Unlock()
 	if known {
 		l.Merge(now, Record{Survivals: []Survival{{id, now}}})
@@ -151,10 +151,10 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.record = l.record.Merge(r)
-	l.judge(now)
+	l.evaluate(now)
 }
 
-// Record gives the evidence to pass on.
+// Record returns a copy of the evidence, to be sent to other processes.
 func (l *Ledger) Record(now time.Time) Record {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -162,35 +162,34 @@
 	return Record{slices.Clone(l.record.Deaths), slices.Clone(l.record.Survivals)}
 }
 
-// Suspicion gives what stands against a request.
+// Suspicion returns the suspicion of a request.
 func (l *Ledger) Suspicion(now time.Time, id Identity) Suspicion {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.refresh(now)
-	if s, ok := l.standing[id]; ok {
+	if s, ok := l.suspicions[id]; ok {
 		return s
 	}
 	return Clear
 }
 
-// MayRunWith reports whether an upstream that runs the given requests may take
-// this one, too. The side asks before it takes a request, and answers not_run
-// when it may not: it alone knows exactly what runs. Without this rule an
-// innocent neighbour could be retried next to the culprit, die with it again,
-// and look the same.
+// MayRunWith reports whether an upstream that runs the given requests may run this one as well.
+// Only the side knows exactly what its upstream runs, so it asks before it accepts a request, and
+// answers not_run if the request may not run now. Without this rule an innocent request that ran
+// beside the culprit could be retried beside it, die with it again, and be indistinguishable from it.
 func (l *Ledger) MayRunWith(now time.Time, id Identity, running []Identity) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.refresh(now)
-	switch l.standing[id] {
+	switch l.suspicions[id] {
 	case Blocked:
 		return false
 	case Ambiguous:
 		return len(running) == 0
 	}
 	for _, other := range running {
-		s := l.standing[other]
-		if s == Ambiguous || l.standing[id] == Suspect && s != "" {
+		s := l.suspicions[other]
+		if s == Ambiguous || l.suspicions[id] == Suspect && s != "" {
 			return false
 		}
 	}
@@ -199,13 +198,13 @@
 
 func (l *Ledger) refresh(now time.Time) {
 	if len(l.record.Deaths) > 0 && !now.Before(l.expires) {
-		l.judge(now)
+		l.evaluate(now)
 	}
 }
 
-func (l *Ledger) judge(now time.Time) {
+func (l *Ledger) evaluate(now time.Time) {
 	l.record = l.record.Since(wireTime(now.Add(-EvidenceTTL)))
-	l.standing = Attribute(l.record, now)
+	l.suspicions = Attribute(l.record, now)
 	if n := len(l.record.Deaths); n > 0 {
 		l.expires = l.record.Deaths[n-1].Time.Add(EvidenceTTL + time.Microsecond)
 	}
--- a/retry/crashes.go
+++ b/retry/crashes.go
@@ -2,52 +2,54 @@
 
 import "sync"
 
-// Crashes attributes the deaths of upstreams to requests: U names a start of an upstream,
-// R a request. The zero value is ready to use; it must not be copied.
+// Crashes attributes the deaths of upstreams to requests. U identifies a start of an upstream, and R
+// a request. The zero value is ready to use; it must not be copied. It is safe for concurrent use.
 type Crashes[U, R comparable] struct {
-	// Ledger has the evidence of all processes.
+	// Ledger holds the evidence of all processes.
 	Ledger Ledger
 
-	mu      sync.Mutex // a leaf
+	mu      sync.Mutex // leaf lock: no other lock is acquired while it is held
 	running map[U]map[R]Identity
-	// own is what this process saw itself; telling says that it is being told to
-	// the others.
-	own     Record
-	telling bool
+	// local is the evidence that this process observed itself; noticePending means that it has
+	// to be sent to the other processes.
+	local         Record
+	noticePending bool
 }
 
-// deathsTold bounds the deaths in a notice, the newest kept: the callers of
-// a request that crashes what runs it send it again within seconds.
-const deathsTold = 8
+// maxDeathsInNotice bounds the deaths in a notice to the newest. A few are enough, since the callers
+// of a request that crashes upstreams send it again within seconds.
+const maxDeathsInNotice = 8
 
-// RecordDeath takes in a death that this process saw, and says whether it is to be told.
+// RecordDeath records a death that this process observed. It reports whether the caller has to send
+// a notice; it does not while one is pending.
 func (c *Crashes[U, R]) RecordDeath(d Death) bool {
 	c.Ledger.RecordDeath(d)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.own = c.own.Merge(Record{Deaths: []Death{d}})
-	c.own.Deaths = c.own.Deaths[:min(len(c.own.Deaths), deathsTold)]
-	first := !c.telling
-	c.telling = true
+	c.local = c.local.Merge(Record{Deaths: []Death{d}})
+	c.local.Deaths = c.local.Deaths[:min(len(c.local.Deaths), maxDeathsInNotice)]
+	first := !c.noticePending
+	c.noticePending = true
 	return first
 }
 
-// TakeNotice gives what is to be told now.
+// TakeNotice returns the evidence to send to the other processes now, and clears the pending
+// notice.
 func (c *Crashes[U, R]) TakeNotice() Record {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.telling = false
-	return c.own
+	c.noticePending = false
+	return c.local
 }
 
-// HasDeaths says whether this process saw upstreams die.
+// HasDeaths reports whether this process observed any deaths.
 func (c *Crashes[U, R]) HasDeaths() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.own.Deaths) > 0
+	return len(c.local.Deaths) > 0
 }
 
-// Begin notes that an upstream has a request, End that it has it no more.
+// Begin records that an upstream has a request of this process.
 func (c *Crashes[U, R]) Begin(id U, r R, identity Identity) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -60,7 +62,7 @@
 	c.running[id][r] = identity
 }
 
-// End notes that an upstream has a request no more.
+// End records that an upstream no longer has a request.
 func (c *Crashes[U, R]) End(id U, r R) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -70,15 +72,16 @@
 	}
 }
 
-// RunningOn gives what an upstream has of this process's, the given request included.
+// RunningOn returns the identities of this process's requests at an upstream, the given request
+// first.
 func (c *Crashes[U, R]) RunningOn(id U, r R, identity Identity) []Identity {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	all := []Identity{identity}
-	for other, its := range c.running[id] {
+	identities := []Identity{identity}
+	for other, otherIdentity := range c.running[id] {
 		if other != r {
-			all = append(all, its)
+			identities = append(identities, otherIdentity)
 		}
 	}
-	return all
+	return identities
 }
--- a/retry/record.go
+++ b/retry/record.go
@@ -12,63 +12,60 @@
 )
 
 const (
-	// EvidenceTTL is how long evidence counts. A caller that sends again does so
-	// within minutes; a body that crashed an engine ten minutes ago may meet a
-	// repaired one.
+	// EvidenceTTL is the age up to which evidence counts. Callers send a request again within
+	// minutes, and after ten minutes a body that crashed an engine may meet a repaired one.
 	EvidenceTTL = 10 * time.Minute
-	// MaxDeaths bounds the deaths in a record, the newest kept. A fleet that
-	// loses more in ten minutes has another trouble than one request. Judge
-	// relies on its being at most 64.
+	// MaxDeaths bounds the deaths in a record to the newest. A fleet that loses more upstreams
+	// in ten minutes has a worse fault than one request. Attribute relies on at most 64.
 	MaxDeaths = 64
-	// MaxRunning bounds the requests kept of one death, above the places of
-	// any engine that we know.
+	// MaxRunning bounds the requests kept for one death. It is above the number of requests
+	// that any known engine runs at once.
 	MaxRunning = 256
-	// MaxSurvivals bounds the survivals, the newest kept.
+	// MaxSurvivals bounds the survivals in a record to the newest.
 	MaxSurvivals = 1024
 )
 
-// Identity names what a caller sends, whatever its request id: a fresh send of
-// the same body by the same caller has the same identity.
+// Identity identifies a request by its content and caller, whatever its request ID: the same body
+// sent again by the same caller has the same identity.
 type Identity string
 
-// Identify gives the identity of a request from caller, service and the parts
-// that make the work, such as path and body. 128 bits of SHA-256 keep one
-// caller from finding a body that condemns another's.
+// Identify returns the identity of a request from its caller, its service and the parts that define
+// the work, such as path and body. It is 128 bits of SHA-256, so that a caller cannot find a body
+// with the identity of another caller's request and have that request blocked.
 func Identify(caller domain.Account, service domain.Service, parts ...[]byte) Identity {
-	h := sha256.New()
+	hash := sha256.New()
 	write := func(b []byte) {
-		// The length first, so that no two lists of parts read alike.
-		h.Write(binary.BigEndian.AppendUint64(nil, uint64(len(b))))
-		h.Write(b)
+		// The length prefix makes different lists of parts hash differently.
+		hash.Write(binary.BigEndian.AppendUint64(nil, uint64(len(b))))
+		hash.Write(b)
 	}
 	write([]byte(caller))
 	write([]byte(service))
 	for _, p := range parts {
 		write(p)
 	}
-	return Identity(hex.EncodeToString(h.Sum(nil)[:16]))
+	return Identity(hex.EncodeToString(hash.Sum(nil)[:16]))
 }
 
-// Death is the evidence of an upstream that died: what it ran just then. A
-// planned stop, or a cancelled request, is no evidence.
+// Death is the evidence of an upstream that died: the requests that it was running. A planned stop
+// or a cancelled request is no evidence.
 type Death struct {
 	Upstream domain.Host `json:"upstream"`
-	// Incarnation is the life of the upstream that ended. Reports of one death
-	// from several processes must give the same.
+	// Incarnation is that of the upstream that died. Reports of one death from several
+	// processes must have the same.
 	Incarnation domain.Incarnation `json:"incarnation"`
 	Time        time.Time          `json:"time"`
 	Running     []Identity         `json:"running"`
 }
 
-// Survival is the evidence that a request ran to its end. It outweighs the
-// deaths before it.
+// Survival is the evidence that a request ran to its end. It outweighs all earlier deaths.
 type Survival struct {
 	Identity Identity  `json:"identity"`
 	Time     time.Time `json:"time"`
 }
 
-// Record is evidence in the form in which processes pass it on. Merge is
-// idempotent and commutative, so that records may come twice and in any order.
+// Record is evidence as sent between processes. Merge is idempotent and commutative, so that records
+// may be received repeatedly and in any order.
 type Record struct {
 	// Deaths are sorted, the newest first.
 	Deaths []Death `json:"deaths,omitempty"`
@@ -76,12 +73,12 @@
 	Survivals []Survival `json:"survivals,omitempty"`
 }
 
-type life struct {
+type instance struct {
 	upstream    domain.Host
 	incarnation domain.Incarnation
 }
 
-// Merge gives the evidence of both records, within the bounds.
+// Merge returns the evidence of both records, within the bounds.
 func (r Record) Merge(o Record) Record {
 	return Record{
 		Deaths:    mergeDeaths(slices.Concat(r.Deaths, o.Deaths)),
@@ -89,7 +86,7 @@
 	}
 }
 
-// Since gives the evidence not older than the given time.
+// Since returns the evidence that is not older than the given time.
 func (r Record) Since(t time.Time) Record {
 	var kept Record
 	for _, d := range r.Deaths {
@@ -105,21 +102,21 @@
 	return kept
 }
 
-// mergeDeaths unites the reports of each death: all that ran, the latest time.
+// mergeDeaths combines the reports of each death: the requests of all and the latest time.
 func mergeDeaths(all []Death) []Death {
-	byLife := make(map[life]Death)
+	byInstance := make(map[instance]Death)
 	for _, d := range all {
-		k := life{d.Upstream, d.Incarnation}
-		known := byLife[k]
+		key := instance{d.Upstream, d.Incarnation}
+		known := byInstance[key]
 		d.Time = wireTime(d.Time)
 		if known.Time.After(d.Time) {
 			d.Time = known.Time
 		}
 		d.Running = slices.Concat(known.Running, d.Running)
-		byLife[k] = d
+		byInstance[key] = d
 	}
 	var merged []Death
-	for _, d := range byLife {
+	for _, d := range byInstance {
 		slices.Sort(d.Running)
 		d.Running = slices.Compact(d.Running)
 		d.Running = d.Running[:min(len(d.Running), MaxRunning)]
@@ -148,6 +145,6 @@
 	return merged[:min(len(merged), MaxSurvivals)]
 }
 
-// wireTime gives the time as JSON carries it, so that a record equals itself
-// after a trip through the wire.
+// wireTime returns the time with the precision of its JSON form, so that a record that was sent and
+// received is equal to the original.
 func wireTime(t time.Time) time.Time { return t.UTC().Round(time.Microsecond) }
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -1,39 +1,37 @@
-// Package retry decides whether a request that failed may be sent again: by
-// what is known of its run, within a budget, and never again once it has
-// crashed two upstreams. It imports no network; times are passed in.
+// Package retry decides whether a failed request may be sent again: by what is known of its
+// execution, within a budget, and not after it has crashed two upstreams. It imports no network;
+// times are passed in.
 //
-// Load pattern, budget: upstreams fail or refuse under overload, and every
-// failure becomes another send. Without a budget three attempts a request
-// triple the load at the moment when there is least room, and the pool stays
-// down after its cause is gone. With it, retries add a tenth at most; the
-// simulation in the tests logs sends at an outage with and without.
+// The budget prevents retry storms. When upstreams fail or refuse requests under overload, each
+// failure causes another send: three attempts a request triple the load when there is least
+// capacity, and the pool stays down after the cause is gone. With the budget, retries add at most a
+// tenth. The simulation in the tests logs the sends during an outage with and without it.
 //
-// Load pattern, crashes: now and then one request crashes each upstream that
-// runs it, and its caller sends it again. Without attribution each send costs
-// as many upstreams as there are attempts; condemning all that ran beside it
-// would refuse innocent neighbours in its place.
+// Crash attribution finds requests that crash each upstream that runs them and are sent again by
+// their callers. Without it each send costs as many upstreams as there are attempts. Blocking every
+// request that ran beside them would refuse innocent requests.
 //
 // # Usage
 //
 //	var p retry.Policy
 //	p.Budget.Accepted()                               // for each accepted request
-//	v := p.Decide(now, retry.Failure{Attempt: 1, Ran: domain.NotRun, Deadline: deadline})
-//	if v == retry.Allowed { ... }
+//	d := p.Decide(now, retry.Failure{Attempt: 1, Ran: domain.NotRun, Deadline: deadline})
+//	if d == retry.Allowed { ... }
 //
 //	a := retry.Attempts{Repeatable: true, Limit: 2}   // the sends of one request
 //	a.Sent()
 //	a.Ended(domain.Unknown)
-//	if a.May(domain.Unknown) == retry.Allowed { ... }     // a.Ran() is what its caller is told
+//	if a.Allow(domain.Unknown) == retry.Allowed { ... } // a.Ran() is what is reported to the caller
 //
 //	var l retry.Ledger                                // one in each entry and side
 //	id := retry.Identify(caller, service, body)
-//	l.Died(retry.Death{Upstream: host, Incarnation: n, Time: now, Running: ids})
-//	l.Survived(now, id)                               // after each whole answer
-//	switch l.Standing(now, id) {                      // before each attempt
+//	l.RecordDeath(retry.Death{Upstream: host, Incarnation: n, Time: now, Running: ids})
+//	l.RecordSurvival(now, id)                         // after each complete answer
+//	switch l.Suspicion(now, id) {                     // before each attempt
 //	case retry.Blocked: // refuse with domain.ReasonCrashes
 //	}
-//	ok := l.Beside(now, id, running)                  // at the side, before it takes one
-//	l.Merge(now, record)                                // from another process: l.Record(now)
+//	ok := l.MayRunWith(now, id, running)              // at the side, before it accepts a request
+//	l.Merge(now, record)                              // from another process: l.Record(now)
 package retry
 
 import (
@@ -44,21 +42,21 @@
 )
 
 const (
-	// RetryRatio is how many retries each accepted request pays for. At a tenth,
-	// retries cannot push a pool that runs at 90% over its capacity.
+	// RetryRatio is the number of retries that each accepted request adds to the budget. At a
+	// tenth, retries cannot overload a pool that is 90% utilized.
 	RetryRatio = 0.1
-	// Burst is how many retries may be made at once, such as for what ran on
-	// one upstream that was lost: some tens of places at its engine.
+	// Burst is the number of retries that may be made at once, for instance of the requests that
+	// were running on one lost upstream; an engine runs some tens.
 	Burst = 32.0
-	// MaxAttempts bounds the tries of one request. The second finds another
-	// upstream, the third covers that one being lost, too.
+	// MaxAttempts bounds the attempts of one request. The second one uses another upstream, and
+	// the third covers the loss of that one as well.
 	MaxAttempts = 3
 )
 
-// Decision is the answer to whether a request may be sent again.
+// Decision is whether a request may be sent again, and if not, why.
 type Decision string
 
-// The verdicts. All but Again end the request.
+// The decisions. All but Allowed end the request.
 const (
 	Allowed    Decision = "again"
 	MayHaveRun Decision = "may_have_run"
@@ -69,21 +67,21 @@
 
 // Failure describes the attempt that failed.
 type Failure struct {
-	// Attempt is the number of the attempt that failed.
+	// Attempt is the number of the failed attempt.
 	Attempt domain.Attempt
-	// Ran is what is known of it.
+	// Ran is what is known of its execution.
 	Ran domain.Execution
-	// Idempotent is what the operators' table says of the kind.
+	// Idempotent is what the operators' table states for this kind of request.
 	Idempotent bool
-	// Deadline is when the caller must have the end of the answer.
+	// Deadline is when the caller must have the complete answer.
 	Deadline time.Time
-	// MinDuration is the least time that another attempt takes; zero when unknown.
+	// MinDuration is the least time that another attempt takes; zero if unknown.
 	MinDuration time.Duration
 }
 
-// Allow is the rule by itself, without the budget. A request whose attempt ran,
-// or may have, goes again only if it is idempotent: an ascent that is logged
-// twice is worse than one that is refused as unknown.
+// Allow applies the rules without the budget. A request whose attempt ran or may have run is
+// retried only if it is idempotent: for any other, running twice is worse than a refusal that
+// leaves open whether it ran.
 func Allow(now time.Time, f Failure) Decision {
 	switch {
 	case f.Ran != domain.NotRun && !f.Idempotent:
@@ -96,14 +94,12 @@
 	return Allowed
 }
 
-// Policy is the rule with its budget. The zero value is ready to use; it must
-// not be copied.
+// Policy is the rules together with a budget. The zero value is ready to use; it must not be copied.
 type Policy struct {
 	Budget Budget
 }
 
-// Decide applies the rule and, if it allows another attempt, takes it from the
-// budget.
+// Decide applies the rules and, if they allow another attempt, takes it from the budget.
 func (p *Policy) Decide(now time.Time, f Failure) Decision {
 	if v := Allow(now, f); v != Allowed {
 		return v
@@ -114,13 +110,13 @@
 	return Allowed
 }
 
-// Budget is a bucket that accepted requests fill by Share and retries empty by
-// one. It has no clock: where nothing is accepted nothing is retried. The zero
-// value is a full bucket; it must not be copied. It is safe for concurrent use;
-// its lock is a leaf.
+// Budget is a token bucket that each accepted request fills by RetryRatio and each retry empties by
+// one. It does not depend on time: where no requests are accepted none are retried. The zero value is
+// full; it must not be copied. It is safe for concurrent use. Its lock is a leaf lock: no other lock
+// is acquired while it is held.
 type Budget struct {
 	mu    sync.Mutex
-	spent float64 // Burst less what is left, so that zero is full
+	spent float64 // Burst minus the tokens left, so that the zero value is full
 }
 
 // Accepted counts an accepted request.
@@ -130,11 +126,11 @@
 	b.spent = max(0, b.spent-RetryRatio)
 }
 
-// Take takes one retry, and reports false when there is none left.
+// Take takes one retry, and reports whether there was one left.
 func (b *Budget) Take() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	// The sum of tenths is not exact; a millionth of a retry is not missed.
+	// The tolerance of a millionth covers rounding errors in the sum of tenths.
 	if b.spent+1 > Burst+1e-6 {
 		return false
 	}
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -19,7 +19,7 @@
 
 var start = time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC)
 
-func TestOnlyNotRunOrIdempotentGoesAgain(t *testing.T) {
+func TestAllowRetriesOnlyNotRunOrIdempotent(t *testing.T) {
 	later := start.Add(time.Second)
 	for _, c := range []struct {
 		failure Failure
@@ -38,8 +38,8 @@
 	}
 }
 
-// All upstreams refuse for a while. Three attempts a request are three times
-// the load on what has no room.
+// Guards against retries that multiply the load: while all upstreams refuse for some time, three
+// attempts a request are three times the load on upstreams without capacity.
 func TestBudgetBoundsSendsInAnOutage(t *testing.T) {
 	sends := func(budget bool) int {
 		var p Policy
@@ -65,7 +65,7 @@
 func TestBudgetAgreesWithNaive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var b Budget
-		tenths := int(Burst * 10) // naive: counts in tenths
+		tenths := int(Burst * 10) // the naive model counts in tenths
 		for _, take := range rapid.SliceOfN(rapid.Bool(), 1, 300).Draw(t, "take") {
 			if !take {
 				b.Accepted()
@@ -81,7 +81,7 @@
 	})
 }
 
-func TestIdentityIsCallerAndBody(t *testing.T) {
+func TestIdentifyDependsOnCallerServiceAndParts(t *testing.T) {
 	id := Identify("stud", "appraiser-lm", []byte("pedigree"))
 	require.Equal(t, id, Identify("stud", "appraiser-lm", []byte("pedigree")))
 	for _, other := range []Identity{
@@ -97,15 +97,15 @@
 	return Death{domain.Host(upstream), 1, start.Add(time.Duration(at) * time.Second), running}
 }
 
-// A pedigree file crashes the engine that runs it; two other sellers' files
-// run beside it. The file is retried and crashes a second engine beside a
-// fourth. It is stopped then, and none of the four others is.
-func TestCulpritIsStoppedAndNeighboursAreNot(t *testing.T) {
+// Guards against blocking a request that only ran beside the culprit. A request crashes the engine
+// that runs it and two others; it is retried, and crashes a second engine beside a fourth request.
+// Only the culprit is blocked.
+func TestLedgerBlocksCulpritAndNoOther(t *testing.T) {
 	var l Ledger
 	l.RecordDeath(death("side-1", 0, "bad", "near-1", "near-2"))
 	now := start.Add(time.Second)
 	require.Equal(t, Suspect, l.Suspicion(now, "bad"))
-	require.False(t, l.MayRunWith(now, "near-1", []Identity{"bad"}), "two suspects apart")
+	require.False(t, l.MayRunWith(now, "near-1", []Identity{"bad"}), "two suspects may not run together")
 	require.True(t, l.MayRunWith(now, "near-1", []Identity{"clear"}))
 	require.True(t, l.MayRunWith(now, "clear", []Identity{"bad"}))
 	l.RecordSurvival(now, "near-1")
@@ -116,13 +116,13 @@
 		require.Equal(t, Clear, l.Suspicion(now, id))
 	}
 	require.False(t, l.MayRunWith(now, "bad", nil))
-	require.Equal(t, Clear, l.Suspicion(start.Add(2*time.Second+EvidenceTTL+time.Millisecond), "bad"), "remembered for a bounded time")
+	require.Equal(t, Clear, l.Suspicion(start.Add(2*time.Second+EvidenceTTL+time.Millisecond), "bad"), "evidence expires after EvidenceTTL")
 }
 
-// Evidence comes late to one side, and a neighbour dies beside the culprit a
-// second time. Nothing tells them apart: refusing both would refuse an
-// innocent. Each runs alone; the one that survives clears itself.
-func TestAmbiguousRunsAlone(t *testing.T) {
+// Guards against blocking an innocent request that cannot be distinguished from the culprit. Evidence
+// arrives late at one side, and the same two requests run during a second death. Each may run only
+// alone; the one that survives is cleared, and the other is blocked.
+func TestAmbiguousRequestRunsOnlyAlone(t *testing.T) {
 	var l Ledger
 	l.RecordDeath(death("side-1", 0, "bad", "near"))
 	l.RecordDeath(death("side-2", 1, "bad", "near"))
@@ -188,9 +188,10 @@
 	Attribute(merged, start)
 }
 
-// naiveCondemned is the rule by lists: whoever is in at least two deaths which
-// no one else shares all of, the most deaths first, and again without those.
-func naiveCondemned(deaths [][]Identity) []Identity {
+// naiveCulprits applies the rule to lists: a culprit ran during at least two deaths, all of which no
+// other request shares. Those with the most deaths come first, then the rule is applied again without
+// their deaths.
+func naiveCulprits(deaths [][]Identity) []Identity {
 	in := func(id Identity) (list []int) {
 		for i, d := range deaths {
 			if slices.Contains(d, id) {
@@ -217,13 +218,13 @@
 			rest := slices.DeleteFunc(slices.Clone(deaths), func(d []Identity) bool {
 				return slices.ContainsFunc(d, func(id Identity) bool { return slices.Contains(found, id) })
 			})
-			return append(found, naiveCondemned(rest)...)
+			return append(found, naiveCulprits(rest)...)
 		}
 	}
 	return nil
 }
 
-func TestJudgeAgreesWithNaive(t *testing.T) {
+func TestAttributeAgreesWithNaive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := drawRecord(t, "r").Merge(drawRecord(t, "s"))
 		r.Survivals = nil
@@ -238,14 +239,14 @@
 				got = append(got, id)
 			}
 		}
-		require.ElementsMatch(t, naiveCondemned(lists), got)
+		require.ElementsMatch(t, naiveCulprits(lists), got)
 	})
 }
 
-// A file that crashes engines is sent anew every 2 s for two minutes, among
-// others of which eight run on each of nine engines at a time.
-func TestCrashingRequestInAPool(t *testing.T) {
-	type outcome struct{ deaths, stoppedInnocent int }
+// Guards against a request that crashes engines and is sent again every 2 s for two minutes, in a
+// pool of nine engines that each run seven other requests at a time.
+func TestLedgerBoundsDeathsByCrashingRequest(t *testing.T) {
+	type outcome struct{ deaths, blockedInnocent int }
 	run := func(attribute bool) outcome {
 		var l Ledger
 		x := rand.New(rand.NewPCG(1, 2))
@@ -269,21 +270,21 @@
 				l.RecordDeath(Death{domain.Host(fmt.Sprint(x.IntN(9))), domain.Incarnation(o.deaths), now, running})
 			}
 		}
-		for id, s := range l.standing {
+		for id, s := range l.suspicions {
 			if id != "bad" && s == Blocked {
-				o.stoppedInnocent++
+				o.blockedInnocent++
 			}
 		}
 		return o
 	}
 	without, with := run(false), run(true)
-	t.Logf("upstreams that died in 120 s: without %d, with %d; innocents stopped with: %d", without.deaths, with.deaths, with.stoppedInnocent)
+	t.Logf("upstreams that died in 120 s: without attribution %d, with it %d; innocent requests blocked: %d", without.deaths, with.deaths, with.blockedInnocent)
 	require.Equal(t, outcome{CrashLimit, 0}, with)
 	require.Equal(t, 180, without.deaths)
 }
 
-// BenchmarkStanding measures the look-up before each attempt.
-func BenchmarkStanding(b *testing.B) {
+// BenchmarkSuspicion measures the check before each attempt.
+func BenchmarkSuspicion(b *testing.B) {
 	var l Ledger
 	l.RecordDeath(death("s", 0, "bad"))
 	for b.Loop() {
@@ -291,7 +292,7 @@
 	}
 }
 
-// BenchmarkIdentify measures a body of 64 KB.
+// BenchmarkIdentify measures a body of 64 KiB.
 func BenchmarkIdentify(b *testing.B) {
 	body := make([]byte, 64<<10)
 	for b.Loop() {
--- a/retry/window.go
+++ b/retry/window.go
@@ -5,62 +5,61 @@
 	"time"
 )
 
-// Window bounds the sends beyond the first of each request to one service, over
-// every span of a sliding window: a part of the requests in it, and a fixed
-// number besides. The operators give both for the whole fleet; each process
-// takes its own requests for the part, and its share of the fixed number, so
-// that the sum of all keeps the bound without a word between them.
+// Window bounds the retries of the requests to one service in every span of a sliding window: to a
+// fraction of the requests in the span, and a fixed number in addition. The operators set both for
+// the whole fleet. Each process applies the fraction to its own requests, and has its share of the
+// fixed number, so that the sum of all processes keeps the bound without communication.
 //
-// Load pattern: a pool rejects or fails most of what it gets; each process
-// sends each request to one upstream after the other, and the load that keeps
-// the pool down grows with its fall. It differs from Budget by counting in
-// time: what was not used long ago cannot be spent at once.
+// When a pool rejects or fails most requests, each process sends each of them to one upstream after
+// the other, and the load that keeps the pool down grows as it fails. Unlike Budget, Window counts
+// in time: an allowance that was not used long ago cannot be used at once.
 //
-// The zero value allows nothing. A Window must not be copied. It is safe for
-// concurrent use; its lock is a leaf.
+// The zero value is empty and ready to use; with a zero WindowConfig it allows nothing. A Window
+// must not be copied. It is safe for concurrent use. Its lock is a leaf lock: no other lock is
+// acquired while it is held.
 type Window struct {
 	mu       sync.Mutex
-	requests slots
-	repeats  slots
+	requests slotCounts
+	retries  slotCounts
 }
 
-// WindowConfig are the operators' figures for a Window.
+// WindowConfig is the configuration of a Window.
 type WindowConfig struct {
-	// Ratio is the part of the requests, Share this process's part of the
-	// fixed number.
+	// Ratio is the fraction of the requests, Fixed this process's share of the fixed number, and
+	// Span the length of the window.
 	Ratio float64
 	Fixed float64
 	Span  time.Duration
 }
 
-// windowSlots is how many slots a span is counted in. One more is kept, so
-// that the slots cover a whole span at any moment.
-const windowSlots = 10
+// slotsPerSpan is the number of slots that a span is divided into. One more slot is kept, so that
+// the slots cover a whole span at any time.
+const slotsPerSpan = 10
 
-// slots counts in a ring of parts of a span.
-type slots struct {
-	counts [windowSlots + 1]int
+// slotCounts is a ring of counts, one for each slot.
+type slotCounts struct {
+	counts [slotsPerSpan + 1]int
 	newest int64 // number of the newest slot
 }
 
-func (s *slots) advance(slot int64) {
-	if slot-s.newest > windowSlots {
-		s.counts = [windowSlots + 1]int{}
+func (s *slotCounts) advance(slot int64) {
+	if slot-s.newest > slotsPerSpan {
+		s.counts = [slotsPerSpan + 1]int{}
 		s.newest = slot
 		return
 	}
 	for s.newest < slot {
 		s.newest++
-		s.counts[s.newest%(windowSlots+1)] = 0
+		s.counts[s.newest%(slotsPerSpan+1)] = 0
 	}
 }
 
-func (s *slots) add(slot int64) {
+func (s *slotCounts) add(slot int64) {
 	s.advance(slot)
-	s.counts[s.newest%(windowSlots+1)]++
+	s.counts[s.newest%(slotsPerSpan+1)]++
 }
 
-func (s *slots) sum(slot int64) int {
+func (s *slotCounts) sum(slot int64) int {
 	s.advance(slot)
 	total := 0
 	for _, n := range s.counts {
@@ -69,49 +68,48 @@
 	return total
 }
 
-// Available says whether Take would give one now.
-func (w *Window) Available(now time.Time, t WindowConfig) bool {
+// Available reports whether Take would succeed now.
+func (w *Window) Available(now time.Time, config WindowConfig) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.left(t.slot(now), t)
+	return w.available(config.slot(now), config)
 }
 
-func (w *Window) left(slot int64, t WindowConfig) bool {
-	return float64(w.repeats.sum(slot)+1) <= t.Ratio*float64(w.requests.sum(slot))+t.Fixed
+func (w *Window) available(slot int64, config WindowConfig) bool {
+	return float64(w.retries.sum(slot)+1) <= config.Ratio*float64(w.requests.sum(slot))+config.Fixed
 }
 
-// Record counts a send beyond the first that has happened already, whatever is
-// left: what follows finds that much less.
-func (w *Window) Record(now time.Time, t WindowConfig) {
+// Record counts a retry that has already been sent, even if none was available; fewer are available
+// after it.
+func (w *Window) Record(now time.Time, config WindowConfig) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.repeats.add(t.slot(now))
+	w.retries.add(config.slot(now))
 }
 
-func (t WindowConfig) slot(now time.Time) int64 {
-	return int64(now.Sub(epoch) / max(t.Span/windowSlots, time.Millisecond))
+func (c WindowConfig) slot(now time.Time) int64 {
+	return int64(now.Sub(slotOrigin) / max(c.Span/slotsPerSpan, time.Millisecond))
 }
 
-// epoch is where slots are counted from; its monotonic reading keeps a step of
-// the time of day out of the count.
-var epoch = time.Now().Add(-time.Hour)
+// slotOrigin is the time from which slots are numbered. Its monotonic clock reading keeps the
+// numbers independent of steps of the wall clock.
+var slotOrigin = time.Now().Add(-time.Hour)
 
 // Accepted counts a request.
-func (w *Window) Accepted(now time.Time, t WindowConfig) {
+func (w *Window) Accepted(now time.Time, config WindowConfig) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.requests.add(t.slot(now))
+	w.requests.add(config.slot(now))
 }
 
-// Take takes one send beyond the first, and reports false when there is none
-// left.
-func (w *Window) Take(now time.Time, t WindowConfig) bool {
+// Take takes one retry, and reports whether there was one left.
+func (w *Window) Take(now time.Time, config WindowConfig) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	slot := t.slot(now)
-	if !w.left(slot, t) {
+	slot := config.slot(now)
+	if !w.available(slot, config) {
 		return false
 	}
-	w.repeats.add(slot)
+	w.retries.add(slot)
 	return true
 }
--- a/retry/window_test.go
+++ b/retry/window_test.go
@@ -10,25 +10,25 @@
 	"jacinthworks/retry"
 )
 
-var terms = retry.WindowConfig{Ratio: 0.2, Fixed: 3, Span: 10 * time.Second}
+var config = retry.WindowConfig{Ratio: 0.2, Fixed: 3, Span: 10 * time.Second}
 
-// Story: a pool fails all that it gets. In no span of ten seconds, wherever it
-// begins, may repeats pass the part of the requests and the fixed number.
-func TestNoSpanPassesItsTerms(t *testing.T) {
+// Guards against retries above the bound in any span while a pool fails every request: at most the
+// fraction of the requests and the fixed number.
+func TestWindowBoundsRetriesInEverySpan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var w retry.Window
 		start := time.Now()
-		var requests, repeats []time.Duration
+		var requests, retries []time.Duration
 		at := time.Duration(0)
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			at += time.Duration(rapid.IntRange(0, 800).Draw(t, "ms")) * time.Millisecond
 			if rapid.Bool().Draw(t, "request") {
-				w.Accepted(start.Add(at), terms)
+				w.Accepted(start.Add(at), config)
 				requests = append(requests, at)
 				continue
 			}
-			if w.Take(start.Add(at), terms) {
-				repeats = append(repeats, at)
+			if w.Take(start.Add(at), config) {
+				retries = append(retries, at)
 			}
 		}
 		within := func(all []time.Duration, end time.Duration, span time.Duration) int {
@@ -40,25 +40,25 @@
 			}
 			return n
 		}
-		for _, end := range repeats {
-			// Slots are counted whole, so that the part is taken of up to one
-			// slot more than the span.
-			allowed := terms.Ratio*float64(within(requests, end, terms.Span*11/10)) + terms.Fixed
-			if n := within(repeats, end, terms.Span); float64(n) > allowed+1e-9 {
-				t.Fatalf("%d repeats, %v allowed", n, allowed)
+		for _, end := range retries {
+			// Requests are counted in whole slots, so that the fraction applies to up to one slot more
+			// than the span.
+			allowed := config.Ratio*float64(within(requests, end, config.Span*11/10)) + config.Fixed
+			if n := within(retries, end, config.Span); float64(n) > allowed+1e-9 {
+				t.Fatalf("%d retries, %v allowed", n, allowed)
 			}
 		}
 	})
 }
 
-func TestSpentRepeatsCount(t *testing.T) {
+func TestRecordedRetriesReduceWindow(t *testing.T) {
 	var w retry.Window
 	now := time.Now()
 	for range 3 {
-		w.Record(now, terms)
+		w.Record(now, config)
 	}
-	require.False(t, w.Take(now, terms))
-	require.True(t, w.Take(now.Add(terms.Span*12/10), terms), "they are over with the span")
+	require.False(t, w.Take(now, config))
+	require.True(t, w.Take(now.Add(config.Span*12/10), config), "recorded retries expire with the span")
 	var zero retry.Window
 	require.False(t, zero.Take(now, retry.WindowConfig{}))
 }
