--- a/delay/ages.go
+++ b/delay/ages.go
@@ -1,18 +1,18 @@
-// Package delay knows of callers that come again: how long ago they first asked, and when
-// one that is refused should return.
+// Package delay estimates how long ago a retrying caller sent its request for the first
+// time, and computes the delay after which a refused caller should retry.
 //
-// The load patterns it answers: a burst is refused in part, and what was refused returns.
-// Taken for fresh, the returns take the places of requests that can still be served in
-// time, and so on after the burst; told to return in the next second, all of them meet the
-// same burst once more.
+// During a burst some of the requests are refused and retried. If retries are treated as
+// new requests, they take capacity from requests that can still be served in time, and
+// this continues after the burst. If refused callers are told to retry within the next
+// second, all retries arrive while the same burst lasts.
 //
 // # Usage
 //
 //	var ages delay.AgeEstimator
-//	first := now.Add(-ages.Of(route, within)) // when the caller first asked
+//	first := now.Add(-ages.Estimate(route, timeout)) // when the caller sent the request first
 //
-//	var returns delay.RetryEstimator
-//	retryAfter := returns.After(now)
+//	var retries delay.RetryEstimator
+//	retryAfter := retries.Delay(now)
 //
 // The package reads no clock.
 package delay
@@ -22,94 +22,98 @@
 	"time"
 )
 
-// AgeEstimator knows how long the callers of each route wait when they ask for the
-// first time. One that asks again has less time left, and tells by it how long
-// ago it first asked. The zero value is ready to use; it must not be copied.
+// AgeEstimator estimates the age of requests from the callers' remaining timeouts. It
+// observes, for each route, the timeouts of first sends; a retry has less time left, and
+// the difference is the time since its first send. The zero value is ready to use; it
+// must not be copied.
 type AgeEstimator struct {
-	mu     sync.Mutex // a leaf
-	routes map[string]*patience
+	mu     sync.Mutex // leaf lock: no other lock is acquired while it is held
+	routes map[string]*timeoutHistogram
 }
 
-// Estimate gives how long ago a caller that waits for so long first asked, at the
-// least.
-func (a *AgeEstimator) Estimate(route string, within time.Duration) time.Duration {
-	if within <= 0 {
+// Estimate records the remaining timeout of a request and returns a lower bound of the
+// time since the caller sent the request for the first time. It returns 0 for a timeout
+// that is not positive.
+func (a *AgeEstimator) Estimate(route string, timeout time.Duration) time.Duration {
+	if timeout <= 0 {
 		return 0
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.routes == nil {
-		a.routes = make(map[string]*patience)
+		a.routes = make(map[string]*timeoutHistogram)
 	}
-	p := a.routes[route]
-	if p == nil {
-		p = &patience{}
-		a.routes[route] = p
+	h := a.routes[route]
+	if h == nil {
+		h = &timeoutHistogram{}
+		a.routes[route] = h
 	}
-	p.add(within)
-	return max(0, time.Duration(p.fresh()*float64(p.longest))-within)
+	h.add(timeout)
+	return max(0, time.Duration(h.minFirstSend()*float64(h.longest))-timeout)
 }
 
 const (
-	// agesFade is how what is known falls with each request: by half in about
-	// 350, so that a caller with far more time than all others is forgotten.
-	agesFade = 0.998
-	// waitBuckets divide the longest time.
-	waitBuckets = 50
-	// freshLeast is the part of the fullest bucket's weight that makes a bucket
-	// one of first sends. Returns come later by seconds, and fewer.
-	freshLeast = 0.1
-	// freshGap is how many empty buckets in a row end the first sends.
-	freshGap = 2
-	// freshKnown is the weight from which the buckets tell anything, and
-	// freshGuess the part of the longest time that stands in until then.
-	freshKnown = 10
-	freshGuess = 0.82
+	// histogramDecay multiplies the longest timeout and all weights on each request. They
+	// halve in about 350 requests, so that a single caller with a far longer timeout than
+	// all others is forgotten.
+	histogramDecay = 0.998
+	// histogramBuckets is the number of intervals between zero and the longest timeout.
+	histogramBuckets = 50
+	// firstSendWeight is the fraction of the heaviest bucket's weight from which a bucket
+	// counts as first sends. Retries arrive seconds later and are fewer.
+	firstSendWeight = 0.1
+	// firstSendGap is the number of consecutive buckets below firstSendWeight that ends the
+	// range of first sends.
+	firstSendGap = 2
+	// minTotalWeight is the total weight below which the histogram is not used, and
+	// defaultFirstSend is the result of minFirstSend until then.
+	minTotalWeight   = 10
+	defaultFirstSend = 0.82
 )
 
-// patience is how long the callers of a route wait.
+// timeoutHistogram is a decaying histogram of the remaining timeouts of a route's requests.
 //
-// Failure: callers that all wait about as long are told apart from returns by a
-// fixed part of that time. Where they wait 12 to 14 s, a part of 0.98 takes two
-// in three first sends for late; where all wait 14 s, 0.82 takes returns after
-// two seconds for first sends. The weights show where first sends end.
-type patience struct {
+// A fixed fraction of the longest timeout does not separate first sends from retries.
+// With timeouts of 12 to 14 s, a fraction of 0.98 classifies two in three first sends as
+// retries; with timeouts of 14 s, a fraction of 0.82 classifies retries after two seconds
+// as first sends. The weights show where the range of first sends ends.
+type timeoutHistogram struct {
 	longest time.Duration
-	weights [waitBuckets + 1]float64
+	weights [histogramBuckets + 1]float64
 	total   float64
 }
 
-func (p *patience) add(within time.Duration) {
-	p.longest = time.Duration(agesFade * float64(p.longest))
-	if within > p.longest {
-		p.longest = within
+func (h *timeoutHistogram) add(timeout time.Duration) {
+	h.longest = time.Duration(histogramDecay * float64(h.longest))
+	if timeout > h.longest {
+		h.longest = timeout
 	}
-	p.total = 0
-	for n := range p.weights {
-		p.weights[n] *= agesFade
-		p.total += p.weights[n]
+	h.total = 0
+	for n := range h.weights {
+		h.weights[n] *= histogramDecay
+		h.total += h.weights[n]
 	}
-	p.weights[int(waitBuckets*float64(within)/float64(p.longest))]++
-	p.total++
+	h.weights[int(histogramBuckets*float64(timeout)/float64(h.longest))]++
+	h.total++
 }
 
-// fresh is the part of the longest time down to which requests count as asked
-// for the first time.
-func (p *patience) fresh() float64 {
-	if p.total < freshKnown {
-		return freshGuess
+// minFirstSend returns the shortest timeout that counts as a first send, as a fraction of
+// the longest timeout.
+func (h *timeoutHistogram) minFirstSend() float64 {
+	if h.total < minTotalWeight {
+		return defaultFirstSend
 	}
 	peak := 0.0
-	for _, w := range p.weights {
+	for _, w := range h.weights {
 		peak = max(peak, w)
 	}
-	lowest, empty := waitBuckets, 0
-	for n := waitBuckets; n >= 0 && empty < freshGap; n-- {
-		if p.weights[n] >= freshLeast*peak {
-			lowest, empty = n, 0
+	lowest, gap := histogramBuckets, 0
+	for n := histogramBuckets; n >= 0 && gap < firstSendGap; n-- {
+		if h.weights[n] >= firstSendWeight*peak {
+			lowest, gap = n, 0
 			continue
 		}
-		empty++
+		gap++
 	}
-	return float64(lowest-1) / waitBuckets
+	return float64(lowest-1) / histogramBuckets
 }
--- a/delay/ages_test.go
+++ b/delay/ages_test.go
@@ -8,16 +8,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Story: callers of a route wait 12 to 14 s. By a fixed part of the longest
-// time two in three were taken for returns, and refused at once while they
-// could still be served in time.
-func TestCallersThatDifferAreNotLate(t *testing.T) {
+// Guards against first sends that are classified as retries where the callers of a route
+// have timeouts of 12 to 14 s: with a fixed fraction of the longest timeout, two in three
+// were refused at once although they could still be served in time.
+func TestAgeEstimatorDifferentTimeoutsAreFirstSends(t *testing.T) {
 	var a AgeEstimator
 	random := rand.New(rand.NewPCG(1, 2))
 	late := 0
 	for n := range 1000 {
-		within := 12*time.Second + time.Duration(random.Int64N(int64(2*time.Second)))
-		if a.Estimate("r", within) > 500*time.Millisecond && n > 50 {
+		timeout := 12*time.Second + time.Duration(random.Int64N(int64(2*time.Second)))
+		if a.Estimate("r", timeout) > 500*time.Millisecond && n > 50 {
 			late++
 		}
 	}
@@ -25,9 +25,9 @@
 	require.Greater(t, a.Estimate("r", 9*time.Second), 2*time.Second)
 }
 
-// Story: all callers wait 14 s, and what was refused returns after two seconds.
-// Returns are not first sends, or they take the places of those.
-func TestReturnsAreLate(t *testing.T) {
+// Guards against retries that are classified as first sends, whose capacity they would
+// take. All callers have a timeout of 14 s, and refused ones retry after two seconds.
+func TestAgeEstimatorShorterTimeoutIsRetry(t *testing.T) {
 	var a AgeEstimator
 	for n := range 400 {
 		if n%5 == 4 {
--- a/delay/returns.go
+++ b/delay/returns.go
@@ -7,35 +7,39 @@
 )
 
 const (
-	// MinDelay is the least time to a return: engines take about as long
-	// to end what they run.
+	// MinDelay is the shortest delay before a retry: engines need about this long to
+	// finish the requests that they run.
 	MinDelay = 3000 * time.Millisecond
-	// fullGap ends a time of refusals.
-	fullGap = 2 * time.Second
-	// Jitter is the part of the time by which returns are spread.
+	// maxRefusalGap is the longest time between two refusals of one overload. A refusal
+	// after a longer time starts a new overload.
+	maxRefusalGap = 2 * time.Second
+	// Jitter is the largest random extension of a delay, as a fraction of the delay.
 	Jitter = 0.5
 )
 
-// RetryEstimator gives when a refused request should return. How long an overload or an
-// outage will last is not known; the best guess is as long as it has lasted. The
-// zero value is ready to use; it must not be copied.
+// RetryEstimator computes the delay after which refused requests should be retried. How
+// long an overload or an outage will last is not known; the estimate is that it lasts as
+// long again as it has lasted so far. The zero value is ready to use; it must not be
+// copied.
 //
-// Load pattern: a burst of some seconds, whose callers return once. Told to
-// return in the next second they are refused again, for good.
+// A burst lasts several seconds, and its callers retry once. If they are told to retry
+// within the next second, the retry is refused as well and the request is lost.
 type RetryEstimator struct {
-	mu sync.Mutex // a leaf
-	// since is when requests began to be refused, and refused when one last was.
-	since, refused time.Time
+	mu sync.Mutex // leaf lock: no other lock is acquired while it is held
+	// overloadStart is the time of the first refusal of the present overload, and
+	// lastRefusal that of the latest.
+	overloadStart, lastRefusal time.Time
 }
 
-// Delay gives the time to the return of a request that is refused now.
+// Delay records a refusal at now and returns the delay after which the refused request
+// should be retried.
 func (t *RetryEstimator) Delay(now time.Time) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if now.Sub(t.refused) > fullGap {
-		t.since = now
+	if now.Sub(t.lastRefusal) > maxRefusalGap {
+		t.overloadStart = now
 	}
-	t.refused = now
-	after := max(MinDelay, now.Sub(t.since))
-	return after + time.Duration(Jitter*rand.Float64()*float64(after))
+	t.lastRefusal = now
+	delay := max(MinDelay, now.Sub(t.overloadStart))
+	return delay + time.Duration(Jitter*rand.Float64()*float64(delay))
 }
--- a/delay/returns_test.go
+++ b/delay/returns_test.go
@@ -7,18 +7,18 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Story: the platform's store is away for six seconds, and all entries start anew in
-// the middle of it. Told to return in a second, callers came back three times to a
-// process that knew no configuration. Each is told at least three seconds, and the
-// longer it lasts the later, at different times.
-func TestReturnsFollowTheLengthOfAnOutage(t *testing.T) {
+// Guards against retries that arrive before the end of an outage. The platform's store
+// was down for six seconds and all entries restarted in the middle of it; callers told to
+// retry after one second came back three times to a process without a configuration. The
+// delay is at least three seconds, grows with the outage and has jitter.
+func TestRetryEstimatorDelayGrowsWithOutage(t *testing.T) {
 	var r RetryEstimator
-	began := time.Now()
-	for _, after := range []time.Duration{0, time.Second, 2 * time.Second, 3500 * time.Millisecond, 5 * time.Second} {
-		got := r.Delay(began.Add(after))
-		require.GreaterOrEqual(t, got, max(MinDelay, after))
-		require.LessOrEqual(t, got, time.Duration((1+Jitter)*float64(max(MinDelay, after))))
+	start := time.Now()
+	for _, elapsed := range []time.Duration{0, time.Second, 2 * time.Second, 3500 * time.Millisecond, 5 * time.Second} {
+		got := r.Delay(start.Add(elapsed))
+		require.GreaterOrEqual(t, got, max(MinDelay, elapsed))
+		require.LessOrEqual(t, got, time.Duration((1+Jitter)*float64(max(MinDelay, elapsed))))
 	}
-	fresh := r.Delay(began.Add(time.Minute))
-	require.LessOrEqual(t, fresh, time.Duration((1+Jitter)*float64(MinDelay)), "it was over meanwhile")
+	next := r.Delay(start.Add(time.Minute))
+	require.LessOrEqual(t, next, time.Duration((1+Jitter)*float64(MinDelay)), "a minute without refusals ends the outage")
 }
--- a/delay/stagger.go
+++ b/delay/stagger.go
@@ -5,31 +5,31 @@
 	"time"
 )
 
-// RetryShare is the part of the work done that those who return may take; the rest is for
-// those who come for the first time.
+// RetryShare is the fraction of the upstreams' throughput that retries may use. The rest
+// is for first sends.
 const RetryShare = 1.0 / 3
 
-// Stagger says when each of those should return who are refused while upstreams take
-// nothing for a time. The zero value is ready to use; it must not be copied.
+// Stagger computes the delays after which refused callers should retry while all upstreams
+// have requested a backoff. The zero value is ready to use; it must not be copied.
 //
-// Load pattern: an upstream asks for a pause, and the requests of the whole pause are
-// refused. Told the end of the pause, all of them return in one clump, and bring about the
-// next pause. Each is told a time of its own, one after the other at a part of the rate at
-// which the upstreams work.
+// When an upstream requests a backoff, all requests that arrive until its end are refused.
+// If their callers were told the end of the backoff, they would all retry at that moment
+// and cause the next backoff. Each caller is told a time of its own instead; these times
+// follow one another at RetryShare of the upstreams' throughput.
 type Stagger struct {
-	mu   sync.Mutex // a leaf
-	last time.Time
+	mu   sync.Mutex // leaf lock: no other lock is acquired while it is held
+	last time.Time  // the latest retry time that was returned
 }
 
-// Delay gives when the next one should return, where nothing is taken for the wait, and
-// after it one request each so often.
-func (s *Stagger) Delay(now time.Time, wait, each time.Duration) time.Duration {
+// Delay returns the delay after which the next refused caller should retry. The upstreams
+// accept no request for the duration of backoff, and one per interval after it.
+func (s *Stagger) Delay(now time.Time, backoff, interval time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if next := s.last.Add(time.Duration(float64(each) / RetryShare)); next.After(now.Add(wait)) {
+	if next := s.last.Add(time.Duration(float64(interval) / RetryShare)); next.After(now.Add(backoff)) {
 		s.last = next
 	} else {
-		s.last = now.Add(wait)
+		s.last = now.Add(backoff)
 	}
 	return s.last.Sub(now)
 }
--- a/delay/stagger_test.go
+++ b/delay/stagger_test.go
@@ -9,74 +9,76 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The load that is replayed: an upstream that works on so many at once and asks for a pause
-// where more than its queue wait, with callers that come steadily and return as told.
+// The simulated load: an upstream that runs simSlots requests at a time and requests a
+// backoff when its queue is full. Callers arrive at a constant rate and retry after the
+// delay that they are told.
 const (
-	replaySlots  = 6
-	replayQueue  = 24
-	replayWork   = 30 * time.Millisecond
-	replayPause  = 2 * time.Second
-	replayCaller = 8 * time.Millisecond
-	replayTime   = 12 * time.Second
+	simSlots           = 6
+	simQueue           = 24
+	simServiceTime     = 30 * time.Millisecond
+	simBackoff         = 2 * time.Second
+	simArrivalInterval = 8 * time.Millisecond
+	simDuration        = 12 * time.Second
 )
 
-// caller is one that comes at a time, by the replay's clock.
-type caller struct{ at time.Time }
+// arrival is a request that arrives at a time of the simulated clock.
+type arrival struct{ at time.Time }
 
-// replay plays the load, and counts the answers and the pauses that were asked for.
-func replay(after func(now time.Time, wait time.Duration) time.Duration) (answered, pauses int) {
+// simulate runs the load with delays computed by retryDelay, and returns the numbers of
+// requests that were answered and of backoffs that were requested.
+func simulate(retryDelay func(now time.Time, backoff time.Duration) time.Duration) (answered, backoffs int) {
 	start := time.Now()
-	var due []caller
-	for at := time.Duration(0); at < replayTime; at += replayCaller {
-		due = append(due, caller{start.Add(at)})
+	var due []arrival
+	for at := time.Duration(0); at < simDuration; at += simArrivalInterval {
+		due = append(due, arrival{start.Add(at)})
 	}
-	paused := start.Add(replayPause) // it begins in a pause
-	var ends []time.Time             // of work in progress, and of what waits
+	backoffEnd := start.Add(simBackoff) // the run starts during a backoff
+	var ends []time.Time                // end times of running and queued requests
 	for len(due) > 0 {
-		slices.SortStableFunc(due, func(a, b caller) int { return cmp.Compare(a.at.UnixNano(), b.at.UnixNano()) })
-		c := due[0]
+		slices.SortStableFunc(due, func(a, b arrival) int { return cmp.Compare(a.at.UnixNano(), b.at.UnixNano()) })
+		a := due[0]
 		due = due[1:]
-		if c.at.After(start.Add(replayTime)) {
+		if a.at.After(start.Add(simDuration)) {
 			break
 		}
-		if wait := paused.Sub(c.at); wait > 0 {
-			due = append(due, caller{c.at.Add(after(c.at, wait))})
+		if wait := backoffEnd.Sub(a.at); wait > 0 {
+			due = append(due, arrival{a.at.Add(retryDelay(a.at, wait))})
 			continue
 		}
-		ends = slices.DeleteFunc(ends, func(e time.Time) bool { return !e.After(c.at) })
-		if len(ends) >= replaySlots+replayQueue {
-			pauses++
-			paused = c.at.Add(replayPause)
-			due = append(due, caller{c.at.Add(after(c.at, replayPause))})
+		ends = slices.DeleteFunc(ends, func(e time.Time) bool { return !e.After(a.at) })
+		if len(ends) >= simSlots+simQueue {
+			backoffs++
+			backoffEnd = a.at.Add(simBackoff)
+			due = append(due, arrival{a.at.Add(retryDelay(a.at, simBackoff))})
 			continue
 		}
-		begin := c.at
-		if len(ends) >= replaySlots {
-			begin = ends[len(ends)-replaySlots]
+		begin := a.at
+		if len(ends) >= simSlots {
+			begin = ends[len(ends)-simSlots]
 		}
-		ends = append(ends, begin.Add(replayWork))
+		ends = append(ends, begin.Add(simServiceTime))
 		slices.SortFunc(ends, func(a, b time.Time) int { return a.Compare(b) })
 		answered++
 	}
-	return answered, pauses
+	return answered, backoffs
 }
 
-// Guards against callers who all return at the end of a pause and bring about the next one.
-func TestReturnsAfterAPauseAreSpread(t *testing.T) {
-	naiveAnswered, naivePauses := replay(func(_ time.Time, wait time.Duration) time.Duration { return wait })
+// Guards against callers that all retry at the end of a backoff and cause the next one.
+func TestStaggerRetriesCauseNoFurtherBackoff(t *testing.T) {
+	naiveAnswered, naiveBackoffs := simulate(func(_ time.Time, backoff time.Duration) time.Duration { return backoff })
 	var s Stagger
-	answered, pauses := replay(func(now time.Time, wait time.Duration) time.Duration {
-		return s.Delay(now, wait, replayWork/replaySlots)
+	answered, backoffs := simulate(func(now time.Time, backoff time.Duration) time.Duration {
+		return s.Delay(now, backoff, simServiceTime/simSlots)
 	})
-	t.Log("naive:", naiveAnswered, "answered,", naivePauses, "pauses; staggered:", answered, pauses)
-	require.Positive(t, naivePauses)
-	require.Zero(t, pauses)
+	t.Log("retries at the end of the backoff:", naiveAnswered, "answered,", naiveBackoffs, "backoffs; staggered:", answered, backoffs)
+	require.Positive(t, naiveBackoffs)
+	require.Zero(t, backoffs)
 	require.Greater(t, answered, 4*naiveAnswered)
 }
 
-// Guards against a return within the pause, and against a wait for others who were told long
-// ago.
-func TestAStaggeredReturnIsNotWithinThePause(t *testing.T) {
+// Guards against a retry before the end of the backoff, and against a delay behind retries
+// that are long past.
+func TestStaggerDelayStartsAtEndOfBackoff(t *testing.T) {
 	var s Stagger
 	now := time.Now()
 	for n := range 5 {
