--- a/search/line.go
+++ b/search/line.go
@@ -1,18 +1,19 @@
-// Package search lets requests look for room one at a time, in the order of their queue.
+// Package search serializes the capacity searches of a service's requests: one request at a
+// time asks engines for memory, in the order of the service's queue.
 //
-// The load pattern it answers: engines are full. Where all look at once, a small request
-// takes each place that comes free, and one that needs more memory never finds enough of it.
+// When all engines are nearly full and all requests search at once, small requests take
+// each bit of memory that is freed, and a request that needs more never finds enough.
 //
 // # Usage
 //
-//	var lines search.Queues
-//	l := lines.Line(service)
-//	if refusal := l.Enter(ctx, item, until); refusal != nil {
+//	var queues search.Queues
+//	q := queues.For(service)
+//	if refusal := q.Acquire(ctx, item, until); refusal != nil {
 //		return refusal
 //	}
-//	defer l.Leave()
+//	defer q.Release()
 //	select {
-//	case <-l.Freed(): // a place may have come free
+//	case <-q.Freed(): // capacity may have been freed: search again
 //	case <-ctx.Done():
 //	}
 package search
@@ -28,226 +29,235 @@
 	"jacinthworks/queue"
 )
 
-// Queue is that of one service. Get it from Lines; it must not be copied.
+// Queue is the queue of one service's requests that wait for capacity. At most one of them
+// holds the turn, the exclusive right to search. Obtain it from Queues; it must not be
+// copied.
 type Queue struct {
-	// RetryAfter say when what is refused should return, Stagger the same where upstreams
-	// have asked for a pause.
+	// RetryAfter computes the delay after which refused requests should be retried, and
+	// Stagger that delay while all upstreams have requested a backoff.
 	RetryAfter delay.RetryEstimator
 	Stagger    delay.Stagger
 
-	mu     sync.Mutex // a leaf
-	queue  queue.Queue
-	turns  map[domain.RequestID]chan *queue.Refusal
-	busy   bool
+	mu    sync.Mutex // leaf lock: no other lock is acquired while it is held
+	queue queue.Queue
+	// grants has a channel for each queued request, on which it receives the turn (nil)
+	// or a refusal.
+	grants map[domain.RequestID]chan *queue.Refusal
+	// held says that a request holds the turn.
+	held   bool
 	random *rand.Rand
-	// freed is told when a place may have come free.
+	// freed receives a signal when capacity may have been freed.
 	freed chan struct{}
-	// toFirst is the time from finding room to the first event, as measured.
-	toFirst time.Duration
-	// short is when an engine last had no room.
-	short time.Time
-	// large is the memory that a large request needs, as seen lately.
-	large float64
+	// timeToFirst is the smoothed time from the reservation of capacity to the first event.
+	timeToFirst time.Duration
+	// lastFull is when an engine last had no capacity for a request.
+	lastFull time.Time
+	// largeDemand is the decaying maximum of the requests' memory demands, in tokens.
+	largeDemand float64
 }
 
-// Queues holds the line of each service. The zero value is ready to use; it must not be
+// Queues holds the queue of each service. The zero value is ready to use; it must not be
 // copied.
 type Queues struct {
-	mu sync.Mutex // a leaf
-	of map[domain.Service]*Queue
+	mu        sync.Mutex // leaf lock: no other lock is acquired while it is held
+	byService map[domain.Service]*Queue
 }
 
-// For gives the line of a service.
-func (l *Queues) For(s domain.Service) *Queue {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.of == nil {
-		l.of = make(map[domain.Service]*Queue)
+// For returns the queue of a service.
+func (q *Queues) For(s domain.Service) *Queue {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if q.byService == nil {
+		q.byService = make(map[domain.Service]*Queue)
 	}
-	if l.of[s] == nil {
-		l.of[s] = &Queue{
-			turns: make(map[domain.RequestID]chan *queue.Refusal), random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
-			freed: make(chan struct{}, 1), toFirst: firstGuess,
+	if q.byService[s] == nil {
+		q.byService[s] = &Queue{
+			grants: make(map[domain.RequestID]chan *queue.Refusal), random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+			freed: make(chan struct{}, 1), timeToFirst: defaultTimeToFirst,
 		}
 	}
-	return l.of[s]
+	return q.byService[s]
 }
 
 const (
-	// firstGuess stands in until a stream has begun: a prompt of 3,000 tokens
-	// at 20 tokens a ms, and a step of its decode.
-	firstGuess = 170 * time.Millisecond
-	// firstKeep is the weight of what was known in each new measurement.
-	firstKeep = 0.8
+	// defaultTimeToFirst is used until a stream has begun: a prompt of 3,000 tokens at 20
+	// tokens a ms, and one decode step.
+	defaultTimeToFirst = 170 * time.Millisecond
+	// smoothing is the weight of the previous average in each update.
+	smoothing = 0.8
 )
 
 const (
-	// contended is how long after an engine had no room smaller requests leave
-	// room for larger ones.
-	contended = 2 * time.Second
-	// marginPart is the part of what a large request needs more that a smaller
-	// one has to find free as well. A whole part levels the sizes, and serves fewer in
-	// time.
-	marginPart = 0.25
-	// largeFade is how the need of the largest request seen falls with each
-	// request: by half in some 70.
-	largeFade = 0.99
+	// headroomTime is how long, after an engine had no capacity, smaller requests have to
+	// leave memory for larger ones.
+	headroomTime = 2 * time.Second
+	// headroomFraction is the fraction of the difference between the largest recent demand
+	// and its own that a smaller request has to find free in addition. With a fraction of
+	// 1 all sizes are served alike, but fewer requests in time.
+	headroomFraction = 0.25
+	// demandDecay multiplies the largest demand on each request, so that it halves in
+	// about 70 requests.
+	demandDecay = 0.99
 )
 
-// RecordFull notes that an engine had no room.
-func (l *Queue) RecordFull(now time.Time) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.short = now
+// RecordFull records that an engine had no capacity for a request.
+func (q *Queue) RecordFull(now time.Time) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.lastFull = now
 }
 
-// Headroom gives how much more memory than it needs a request must find.
+// Headroom returns how much memory, in tokens, a request must find free beyond its own
+// demand.
 //
-// Load pattern: engines are nearly full, and what comes free is taken at once
-// by whoever fits into it. Requests of 6,000 tokens were refused four times as
-// often as those of 2,000. While requests are refused, smaller ones have to
-// Leave part of a large one's room.
-func (l *Queue) Headroom(now time.Time, need int) int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.large = max(largeFade*l.large, float64(need))
-	if l.short.IsZero() || now.Sub(l.short) > contended {
+// When engines are nearly full, each bit of memory that is freed goes to the first request
+// that fits into it: requests of 6,000 tokens were refused four times as often as those of
+// 2,000. While engines are full, smaller requests therefore leave part of the memory that
+// a large one needs.
+func (q *Queue) Headroom(now time.Time, demand int) int {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.largeDemand = max(demandDecay*q.largeDemand, float64(demand))
+	if q.lastFull.IsZero() || now.Sub(q.lastFull) > headroomTime {
 		return 0
 	}
-	return int(marginPart * max(0, l.large-float64(need)))
+	return int(headroomFraction * max(0, q.largeDemand-float64(demand)))
 }
 
-// RecordFirstEvent notes the time from finding room to the first event.
-func (l *Queue) RecordFirstEvent(took time.Duration) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.toFirst = time.Duration(firstKeep*float64(l.toFirst) + (1-firstKeep)*float64(took))
+// RecordFirstEvent updates the average time from the reservation of capacity to the first
+// event.
+func (q *Queue) RecordFirstEvent(latency time.Duration) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.timeToFirst = time.Duration(smoothing*float64(q.timeToFirst) + (1-smoothing)*float64(latency))
 }
 
-// Acquire waits for the request's turn. A refusal says that there is none; else
-// Leave must be called.
-func (l *Queue) Acquire(ctx context.Context, i queue.Item, until time.Time) *queue.Refusal {
-	turn, refusal := l.arrive(i)
-	if turn == nil {
+// Acquire waits until the request holds the turn. If it returns nil, Release must be called;
+// otherwise it returns the refusal. Until is when the request's wait expires.
+func (q *Queue) Acquire(ctx context.Context, i queue.Item, until time.Time) *queue.Refusal {
+	grant, refusal := q.enqueue(i)
+	if grant == nil {
 		return refusal
 	}
-	lapse := time.NewTimer(time.Until(until))
-	defer lapse.Stop()
+	expiry := time.NewTimer(time.Until(until))
+	defer expiry.Stop()
 	for {
 		select {
-		case refusal := <-turn:
+		case refusal := <-grant:
 			return refusal
-		case <-lapse.C:
-			l.mu.Lock()
-			l.sweep(time.Now())
-			l.mu.Unlock()
-			lapse.Reset(lapseAgain)
+		case <-expiry.C:
+			q.mu.Lock()
+			q.refuseExpired(time.Now())
+			q.mu.Unlock()
+			expiry.Reset(expiryRecheck)
 		case <-ctx.Done():
-			return l.abandon(i, turn)
+			return q.cancel(i, grant)
 		}
 	}
 }
 
-// lapseAgain is the time to the next look at a wait that should have lapsed; a
-// timer may be early by less than that.
-const lapseAgain = 5 * time.Millisecond
+// expiryRecheck is the delay before expired requests are looked for again where the timer
+// has fired and the request is still queued: a timer may fire early by less than this.
+const expiryRecheck = 5 * time.Millisecond
 
-func (l *Queue) arrive(i queue.Item) (chan *queue.Refusal, *queue.Refusal) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (q *Queue) enqueue(i queue.Item) (chan *queue.Refusal, *queue.Refusal) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
 	now := time.Now()
-	l.sweep(now)
-	v := l.queue.Enqueue(now, i, l.random)
-	if v.Refusal != nil {
-		return nil, v.Refusal
+	q.refuseExpired(now)
+	d := q.queue.Enqueue(now, i, q.random)
+	if d.Refusal != nil {
+		return nil, d.Refusal
 	}
-	turn := make(chan *queue.Refusal, 1)
-	l.turns[i.ID] = turn
-	l.refuse(v.Shed)
-	if !l.busy {
-		l.next(now)
+	grant := make(chan *queue.Refusal, 1)
+	q.grants[i.ID] = grant
+	q.refuse(d.Shed)
+	if !q.held {
+		q.grantNext(now)
 	}
-	return turn, nil
+	return grant, nil
 }
 
-// abandon takes out a request whose caller is gone, and passes on a turn that
-// it was given meanwhile.
-func (l *Queue) abandon(i queue.Item, turn chan *queue.Refusal) *queue.Refusal {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+// cancel removes a request whose caller has disconnected. If the request has been granted
+// the turn in the meantime, the turn is passed on.
+func (q *Queue) cancel(i queue.Item, grant chan *queue.Refusal) *queue.Refusal {
+	q.mu.Lock()
+	defer q.mu.Unlock()
 	now := time.Now()
-	if !l.queue.Remove(now, i.ID) {
-		if refusal := <-turn; refusal == nil {
-			l.next(now)
+	if !q.queue.Remove(now, i.ID) {
+		if refusal := <-grant; refusal == nil {
+			q.grantNext(now)
 		}
 	}
-	delete(l.turns, i.ID)
+	delete(q.grants, i.ID)
 	return &queue.Refusal{Reason: domain.ReasonCallerGone}
 }
 
-// Release passes the turn on.
-func (l *Queue) Release() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+// Release grants the turn to the next request in the queue.
+func (q *Queue) Release() {
+	q.mu.Lock()
+	defer q.mu.Unlock()
 	now := time.Now()
-	l.sweep(now)
-	l.next(now)
+	q.refuseExpired(now)
+	q.grantNext(now)
 }
 
-// Expire gives the refusal of the request whose turn it is and for which no
-// room was found in time.
-func (l *Queue) Expire(i queue.Item) *queue.Refusal {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+// Expire returns the refusal of the request that holds the turn and found no capacity in
+// time. Other requests that have expired meanwhile are refused as well. Release must still
+// be called.
+func (q *Queue) Expire(i queue.Item) *queue.Refusal {
+	q.mu.Lock()
+	defer q.mu.Unlock()
 	now := time.Now()
-	l.queue.Requeue(now, i)
+	q.queue.Requeue(now, i)
 	own := &queue.Refusal{Reason: domain.ReasonTooLate, Detail: queue.DetailExpired}
-	for _, r := range l.queue.RemoveExpired(now, l.random) {
+	for _, r := range q.queue.RemoveExpired(now, q.random) {
 		if r.Item.ID == i.ID {
 			own = &r.Refusal
 			continue
 		}
-		l.refuse([]queue.Refused{r})
+		q.refuse([]queue.Refused{r})
 	}
-	l.queue.Remove(now, i.ID)
+	q.queue.Remove(now, i.ID)
 	return own
 }
 
-func (l *Queue) sweep(now time.Time) { l.refuse(l.queue.RemoveExpired(now, l.random)) }
+func (q *Queue) refuseExpired(now time.Time) { q.refuse(q.queue.RemoveExpired(now, q.random)) }
 
-func (l *Queue) refuse(all []queue.Refused) {
-	for _, r := range all {
-		if turn := l.turns[r.Item.ID]; turn != nil {
-			delete(l.turns, r.Item.ID)
-			turn <- &r.Refusal
+func (q *Queue) refuse(items []queue.Refused) {
+	for _, r := range items {
+		if grant := q.grants[r.Item.ID]; grant != nil {
+			delete(q.grants, r.Item.ID)
+			grant <- &r.Refusal
 		}
 	}
 }
 
-func (l *Queue) next(now time.Time) {
-	i, ok := l.queue.Dequeue(now, queue.AnyPrompt)
-	l.busy = ok
+func (q *Queue) grantNext(now time.Time) {
+	i, ok := q.queue.Dequeue(now, queue.AnyPrompt)
+	q.held = ok
 	if ok {
-		turn := l.turns[i.ID]
-		delete(l.turns, i.ID)
-		turn <- nil
+		grant := q.grants[i.ID]
+		delete(q.grants, i.ID)
+		grant <- nil
 	}
 }
 
-// SignalFree tells the one whose turn it is that a place may have come free.
-func (l *Queue) SignalFree() {
+// SignalFree signals the request that holds the turn that capacity may have been freed.
+func (q *Queue) SignalFree() {
 	select {
-	case l.freed <- struct{}{}:
+	case q.freed <- struct{}{}:
 	default:
 	}
 }
 
-// Freed is told when a place may have come free.
-func (l *Queue) Freed() <-chan struct{} { return l.freed }
+// Freed returns the channel that receives a signal when capacity may have been freed.
+func (q *Queue) Freed() <-chan struct{} { return q.freed }
 
-// TimeToFirstEvent is the time from finding room to the first event, as measured.
-func (l *Queue) TimeToFirstEvent() time.Duration {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.toFirst
+// TimeToFirstEvent returns the average time from the reservation of capacity to the first
+// event.
+func (q *Queue) TimeToFirstEvent() time.Duration {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return q.timeToFirst
 }
