--- a/assign/assign.go
+++ b/assign/assign.go
@@ -1,25 +1,26 @@
-// Package assign shares the work of many processes out over the engines of a pool.
-// One process tracks for all of them what each engine was given and has not ended.
+// Package assign distributes the work of many processes over the engines of a pool. One
+// process, the owner of the shard's key, tracks for all processes what has been assigned
+// to each engine and has not finished.
 //
-// Load pattern: many processes send prompts to a few engines, and none of them knows
-// what the others sent. Each chooses well by what it has there itself, and together
-// they draw at random: at half of the engines' speed one prompt in four waits for
-// another, while engines beside it idle. It shows as prompts that take twice as long
-// as they need, some of them past the time that they are given, which are then read
-// again elsewhere and make the others wait. The report of an engine is a second old,
-// many times the work that it tells of.
+// Without it, many processes send prompts to a few engines and none knows what the others
+// have sent. Each balances its own prompts, but together their choices are random: at half
+// of the engines' throughput, one prompt in four waits for another prompt while other
+// engines are idle. Prompts take twice as long as they need, and those that exceed their
+// time limit are prefilled again elsewhere, which delays others. The engines' own reports
+// do not help: they are a second old, many times the duration of the work they report.
 //
-// Work is counted in tokens that are not ended, and not by the time at which it
-// should be done: an engine that has turned slow keeps what it has and gets less. A
-// process that is lost ends nothing: what it was given lapses.
+// Load is counted in unfinished tokens and not by the time at which work should finish, so
+// an engine that has become slow keeps its backlog and receives less. A process that
+// crashes never reports the end of its work; its assignments expire.
 //
 // # Usage
 //
-//	var k assign.Tracker
-//	a := k.Assign(now, engines, assign.Work{Tokens: 5000, Each: 20 * time.Microsecond, Within: time.Second}, random)
+//	var tr assign.Tracker
+//	w := assign.Work{Tokens: 5000, PerToken: 20 * time.Microsecond, TTL: time.Second}
+//	a := tr.Assign(now, engines, w, random)
 //	if !a.Found() { ... }
 //	...
-//	k.End(a.Ticket) // whatever came of it
+//	tr.Finish(a.Ticket) // when the work has succeeded or failed
 //
 // The package reads no clock and draws no random numbers of its own.
 package assign
@@ -30,129 +31,131 @@
 	"time"
 )
 
-// Engine is one that may be given work.
+// Engine is a candidate for an assignment.
 type Engine struct {
 	ID string
-	// ExtraLatency is the time that it costs beside the work before: to reach it, or to try
-	// again where it fails.
+	// ExtraLatency is the expected time in addition to the engine's backlog: the network
+	// latency to it, and the expected cost of a failed attempt.
 	ExtraLatency time.Duration
 }
 
-// Work is what is to be given.
+// Work describes what is to be assigned.
 type Work struct {
 	Tokens int
-	// PerToken is the time that an engine takes for a token.
+	// PerToken is the time that an engine takes for one token.
 	PerToken time.Duration
-	// TTL is when the work is over, whether its end is told or not.
+	// TTL is the time after which the assignment expires if its end is not reported.
 	TTL time.Duration
 }
 
-// Ticket names work that was given; zero is none.
+// Ticket identifies an assignment; zero is none.
 type Ticket uint64
 
-// Assignment is the answer to a request for an engine.
+// Assignment is the result of Assign.
 type Assignment struct {
 	Engine string `json:"engine"`
 	Ticket Ticket `json:"ticket"`
-	// QueueDelay is the time until the engine begins with it.
+	// QueueDelay is the estimated time until the engine starts the work.
 	QueueDelay time.Duration `json:"ahead"`
 }
 
-// Found says whether there was an engine.
-func (g Assignment) Found() bool { return g.Ticket != 0 }
+// Found reports whether there was an engine.
+func (a Assignment) Found() bool { return a.Ticket != 0 }
 
-// Tracker knows what the engines of a pool were given. The zero value is empty and ready
-// to use; it must not be copied. It is safe for concurrent use; its lock is a leaf.
+// Tracker records what has been assigned to the engines of a pool. The zero value is empty
+// and ready to use; it must not be copied. It is safe for concurrent use; its lock is a
+// leaf lock, under which no other is acquired.
 type Tracker struct {
-	mu    sync.Mutex
-	given map[Ticket]given
-	// tokens are those of each engine that are not ended.
-	tokens map[string]int
-	last   Ticket
-	swept  time.Time
+	mu          sync.Mutex
+	assignments map[Ticket]assignment
+	// backlog is the number of unfinished tokens of each engine.
+	backlog    map[string]int
+	lastTicket Ticket
+	lastSweep  time.Time
 }
 
-type given struct {
-	engine string
-	tokens int
-	until  time.Time
+type assignment struct {
+	engine  string
+	tokens  int
+	expires time.Time
 }
 
 const (
-	// sweepEvery is how often work that lapsed is looked for: all is looked through.
-	sweepEvery = 50 * time.Millisecond
-	// alike is the time by which engines may differ and be drawn from at random: a
-	// message takes longer.
-	alike = time.Millisecond
-	// ticketSpare leaves a tracker room to count up from its first ticket. The first is
-	// drawn, so that word for one that was lost ends nothing on the one after it.
-	ticketSpare = 16
+	// sweepInterval is the minimum time between two sweeps; each examines all assignments.
+	sweepInterval = 50 * time.Millisecond
+	// scoreJitter bounds the random time added to each engine's score, which selects
+	// randomly among nearly equal engines. It is less than the latency of a message.
+	scoreJitter = time.Millisecond
+	// ticketSpareBits are the high bits that are zero in a tracker's first ticket, so that
+	// it can count up from there. The first ticket is random, so that a Finish meant for
+	// the tracker of a crashed process finishes nothing on its successor.
+	ticketSpareBits = 16
 )
 
-// Assign gives work to the engine that will be done with it first; none where there
-// are no engines.
-func (k *Tracker) Assign(now time.Time, engines []Engine, w Work, random *rand.Rand) Assignment {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.sweep(now)
-	best, least := -1, time.Duration(0)
+// Assign assigns work to the engine that is expected to finish it first. Without engines it
+// returns the zero Assignment.
+func (tr *Tracker) Assign(now time.Time, engines []Engine, w Work, random *rand.Rand) Assignment {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	tr.sweep(now)
+	best, lowest := -1, time.Duration(0)
 	for i, e := range engines {
-		score := e.ExtraLatency + time.Duration(k.tokens[e.ID])*w.PerToken + time.Duration(random.Int64N(int64(alike)))
-		if best < 0 || score < least {
-			best, least = i, score
+		score := e.ExtraLatency + time.Duration(tr.backlog[e.ID])*w.PerToken + time.Duration(random.Int64N(int64(scoreJitter)))
+		if best < 0 || score < lowest {
+			best, lowest = i, score
 		}
 	}
 	if best < 0 {
 		return Assignment{}
 	}
 	id := engines[best].ID
-	ahead := time.Duration(k.tokens[id]) * w.PerToken
-	if k.last == 0 {
-		k.last = Ticket(random.Uint64() >> ticketSpare)
+	queueDelay := time.Duration(tr.backlog[id]) * w.PerToken
+	if tr.lastTicket == 0 {
+		tr.lastTicket = Ticket(random.Uint64() >> ticketSpareBits)
 	}
-	k.add(now, id, w)
-	return Assignment{Engine: id, Ticket: k.last, QueueDelay: ahead}
+	tr.add(now, id, w)
+	return Assignment{Engine: id, Ticket: tr.lastTicket, QueueDelay: queueDelay}
 }
 
-func (k *Tracker) add(now time.Time, id string, w Work) {
-	if k.given == nil {
-		k.given, k.tokens = make(map[Ticket]given), make(map[string]int)
+func (tr *Tracker) add(now time.Time, id string, w Work) {
+	if tr.assignments == nil {
+		tr.assignments, tr.backlog = make(map[Ticket]assignment), make(map[string]int)
 	}
-	k.last++
-	k.given[k.last] = given{engine: id, tokens: w.Tokens, until: now.Add(w.TTL)}
-	k.tokens[id] += w.Tokens
+	tr.lastTicket++
+	tr.assignments[tr.lastTicket] = assignment{engine: id, tokens: w.Tokens, expires: now.Add(w.TTL)}
+	tr.backlog[id] += w.Tokens
 }
 
-// Finish notes the end of work, once.
-func (k *Tracker) Finish(t Ticket) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.end(t)
+// Finish removes an assignment from its engine's backlog. Repeated calls and unknown tickets
+// have no effect.
+func (tr *Tracker) Finish(t Ticket) {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	tr.remove(t)
 }
 
-func (k *Tracker) end(t Ticket) {
-	g, known := k.given[t]
+func (tr *Tracker) remove(t Ticket) {
+	a, known := tr.assignments[t]
 	if !known {
 		return
 	}
-	delete(k.given, t)
-	if k.tokens[g.engine] -= g.tokens; k.tokens[g.engine] <= 0 {
-		delete(k.tokens, g.engine)
+	delete(tr.assignments, t)
+	if tr.backlog[a.engine] -= a.tokens; tr.backlog[a.engine] <= 0 {
+		delete(tr.backlog, a.engine)
 	}
 }
 
-// sweep ends what has lapsed.
-//
-// Failure: the process that was given work is killed, or its word of the end is lost.
-// It shows as an engine that seems busy for good and gets nothing.
-func (k *Tracker) sweep(now time.Time) {
-	if now.Sub(k.swept) < sweepEvery {
+// sweep removes expired assignments. Without it, an engine whose work was assigned to a
+// process that crashed, or whose Finish message was lost, would count as busy forever and
+// receive nothing.
+func (tr *Tracker) sweep(now time.Time) {
+	if now.Sub(tr.lastSweep) < sweepInterval {
 		return
 	}
-	k.swept = now
-	for t, g := range k.given {
-		if !now.Before(g.until) {
-			k.end(t)
+	tr.lastSweep = now
+	for t, a := range tr.assignments {
+		if !now.Before(a.expires) {
+			tr.remove(t)
 		}
 	}
 }
--- a/assign/assign_test.go
+++ b/assign/assign_test.go
@@ -10,46 +10,47 @@
 	"github.com/stretchr/testify/require"
 )
 
-var began = time.Unix(1000, 0)
+var start = time.Unix(1000, 0)
 
-const each = 20 * time.Microsecond
+const perToken = 20 * time.Microsecond
 
-// pool is engines that read one prompt after the other, in virtual time.
+// pool simulates engines that prefill one prompt at a time, in virtual time.
 type pool struct {
 	engines []Engine
-	free    []time.Time
+	idleAt  []time.Time
 }
 
 func newPool(n int) *pool {
-	p := &pool{free: make([]time.Time, n)}
+	p := &pool{idleAt: make([]time.Time, n)}
 	for i := range n {
 		p.engines = append(p.engines, Engine{ID: fmt.Sprintf("e%d", i)})
 	}
 	return p
 }
 
-// read gives how long a prompt that comes now waits and is read at an engine.
-func (p *pool) read(now time.Time, engine, tokens int) time.Duration {
-	if p.free[engine].Before(now) {
-		p.free[engine] = now
+// prefill returns the time that a prompt sent now takes at an engine, with its wait.
+func (p *pool) prefill(now time.Time, engine, tokens int) time.Duration {
+	if p.idleAt[engine].Before(now) {
+		p.idleAt[engine] = now
 	}
-	p.free[engine] = p.free[engine].Add(time.Duration(tokens) * each)
-	return p.free[engine].Sub(now)
+	p.idleAt[engine] = p.idleAt[engine].Add(time.Duration(tokens) * perToken)
+	return p.idleAt[engine].Sub(now)
 }
 
-// replay sends prompts of a burst, in which eleven engines are busy for seven tenths
-// of the time, and gives the time that each took. choose gives an engine.
-func replay(p *pool, random *rand.Rand, choose func(now time.Time, tokens int) (engine int, done func(time.Time))) []time.Duration {
-	var took []time.Duration
-	type end struct {
+// simulate sends prompts at a rate that keeps eleven engines busy for seven tenths of the
+// time, and returns the sorted latencies. choose selects an engine and returns a function
+// that is called when the prompt has finished.
+func simulate(p *pool, random *rand.Rand, choose func(now time.Time, tokens int) (engine int, done func(time.Time))) []time.Duration {
+	var latencies []time.Duration
+	type completion struct {
 		at time.Time
 		fn func(time.Time)
 	}
-	var open []end
-	now := began
+	var running []completion
+	now := start
 	for range 3000 {
 		now = now.Add(time.Duration(random.ExpFloat64() * float64(13*time.Millisecond)))
-		open = slices.DeleteFunc(open, func(e end) bool {
+		running = slices.DeleteFunc(running, func(e completion) bool {
 			if e.at.After(now) {
 				return false
 			}
@@ -58,74 +59,74 @@
 		})
 		tokens := 2000 + random.IntN(6500)
 		engine, done := choose(now, tokens)
-		d := p.read(now, engine, tokens)
-		open = append(open, end{now.Add(d), done})
-		took = append(took, d)
+		d := p.prefill(now, engine, tokens)
+		running = append(running, completion{now.Add(d), done})
+		latencies = append(latencies, d)
 	}
-	slices.Sort(took)
-	return took
+	slices.Sort(latencies)
+	return latencies
 }
 
-// Story: a burst of prompts from 26 processes at eleven engines. Each process knows
-// only what it sent itself, so that prompts wait for others while engines idle; one in
-// ten took over 400 ms. By one tracker for all they wait a fifth of that.
-func TestABurstOfPromptsFindsTheFreeEngines(t *testing.T) {
-	own, random := newPool(11), rand.New(rand.NewPCG(1, 1))
+// Guards against prompts that wait for others while engines are idle. 26 processes send
+// prompts to eleven engines; where each tracks only its own, one prompt in ten took over
+// 400 ms, and with one shared tracker they wait a fifth as long.
+func TestTrackerSharedByProcessesHalvesLatency(t *testing.T) {
+	separatePool, random := newPool(11), rand.New(rand.NewPCG(1, 1))
 	trackers := make([]Tracker, 26)
-	alone := replay(own, random, func(now time.Time, tokens int) (int, func(time.Time)) {
-		k := &trackers[random.IntN(len(trackers))]
-		g := k.Assign(now, own.engines, Work{Tokens: tokens, PerToken: each, TTL: time.Minute}, random)
-		return index(own, g), func(time.Time) { k.Finish(g.Ticket) }
+	separate := simulate(separatePool, random, func(now time.Time, tokens int) (int, func(time.Time)) {
+		tr := &trackers[random.IntN(len(trackers))]
+		a := tr.Assign(now, separatePool.engines, Work{Tokens: tokens, PerToken: perToken, TTL: time.Minute}, random)
+		return index(separatePool, a), func(time.Time) { tr.Finish(a.Ticket) }
 	})
-	all, random := newPool(11), rand.New(rand.NewPCG(1, 1))
-	var k Tracker
-	together := replay(all, random, func(now time.Time, tokens int) (int, func(time.Time)) {
-		g := k.Assign(now, all.engines, Work{Tokens: tokens, PerToken: each, TTL: time.Minute}, random)
-		return index(all, g), func(time.Time) { k.Finish(g.Ticket) }
+	sharedPool, random := newPool(11), rand.New(rand.NewPCG(1, 1))
+	var tr Tracker
+	shared := simulate(sharedPool, random, func(now time.Time, tokens int) (int, func(time.Time)) {
+		a := tr.Assign(now, sharedPool.engines, Work{Tokens: tokens, PerToken: perToken, TTL: time.Minute}, random)
+		return index(sharedPool, a), func(time.Time) { tr.Finish(a.Ticket) }
 	})
-	at := func(d []time.Duration, part float64) time.Duration { return d[int(part*float64(len(d)))] }
-	t.Logf("each by itself: half %v, nine tenths %v; by one tracker: %v, %v", at(alone, 0.5), at(alone, 0.9), at(together, 0.5), at(together, 0.9))
-	require.Less(t, at(together, 0.9), 250*time.Millisecond)
-	require.Less(t, at(together, 0.9), at(alone, 0.9)/2)
+	quantile := func(d []time.Duration, q float64) time.Duration { return d[int(q*float64(len(d)))] }
+	t.Logf("a tracker per process: median %v, 90th percentile %v; one shared tracker: %v, %v", quantile(separate, 0.5), quantile(separate, 0.9), quantile(shared, 0.5), quantile(shared, 0.9))
+	require.Less(t, quantile(shared, 0.9), 250*time.Millisecond)
+	require.Less(t, quantile(shared, 0.9), quantile(separate, 0.9)/2)
 }
 
-func index(p *pool, g Assignment) int {
-	return slices.IndexFunc(p.engines, func(e Engine) bool { return e.ID == g.Engine })
+func index(p *pool, a Assignment) int {
+	return slices.IndexFunc(p.engines, func(e Engine) bool { return e.ID == a.Engine })
 }
 
-// Story: a process is killed with prompts under way and tells no end. Its engines must
-// be given work again.
-func TestWhatIsNotEndedLapses(t *testing.T) {
-	var k Tracker
+// Guards against engines that receive no work after a process was killed with prompts in
+// flight and never reported their end.
+func TestTrackerUnfinishedAssignmentExpires(t *testing.T) {
+	var tr Tracker
 	random := rand.New(rand.NewPCG(1, 1))
-	two := []Engine{{ID: "a"}, {ID: "b"}}
-	first := k.Assign(began, two, Work{Tokens: 50_000, PerToken: each, TTL: time.Second}, random)
+	engines := []Engine{{ID: "a"}, {ID: "b"}}
+	first := tr.Assign(start, engines, Work{Tokens: 50_000, PerToken: perToken, TTL: time.Second}, random)
 	for range 3 {
-		g := k.Assign(began, two, Work{Tokens: 5_000, PerToken: each, TTL: time.Second}, random)
-		require.NotEqual(t, first.Engine, g.Engine)
-		k.Finish(g.Ticket)
-		k.Finish(g.Ticket) // told twice
+		a := tr.Assign(start, engines, Work{Tokens: 5_000, PerToken: perToken, TTL: time.Second}, random)
+		require.NotEqual(t, first.Engine, a.Engine)
+		tr.Finish(a.Ticket)
+		tr.Finish(a.Ticket) // a repeated Finish has no effect
 	}
-	later := began.Add(2 * time.Second)
+	later := start.Add(2 * time.Second)
 	seen := make(map[string]bool)
 	for range 50 {
-		g := k.Assign(later, two, Work{Tokens: 5_000, PerToken: each, TTL: time.Second}, random)
-		require.Zero(t, g.QueueDelay)
-		seen[g.Engine] = true
-		k.Finish(g.Ticket)
+		a := tr.Assign(later, engines, Work{Tokens: 5_000, PerToken: perToken, TTL: time.Second}, random)
+		require.Zero(t, a.QueueDelay)
+		seen[a.Engine] = true
+		tr.Finish(a.Ticket)
 	}
 	require.Len(t, seen, 2)
-	require.False(t, k.Assign(later, nil, Work{}, random).Found())
+	require.False(t, tr.Assign(later, nil, Work{}, random).Found())
 }
 
-// Story: a near engine has work for a moment, a far one none. It is worth the wait as
-// long as that is shorter than the way.
-func TestNearEnginesAreWorthAShortWait(t *testing.T) {
-	var k Tracker
+// A near engine with a short backlog is preferred to an idle far one, as long as the wait is
+// shorter than the far engine's extra latency.
+func TestAssignChoosesFarEngineOnceNearWaitIsLonger(t *testing.T) {
+	var tr Tracker
 	random := rand.New(rand.NewPCG(1, 1))
 	engines := []Engine{{ID: "near"}, {ID: "far", ExtraLatency: 15 * time.Millisecond}}
-	w := Work{Tokens: 500, PerToken: each, TTL: time.Second}
-	require.Equal(t, "near", k.Assign(began, engines, w, random).Engine)
-	require.Equal(t, "near", k.Assign(began, engines, w, random).Engine)
-	require.Equal(t, "far", k.Assign(began, engines, w, random).Engine)
+	w := Work{Tokens: 500, PerToken: perToken, TTL: time.Second}
+	require.Equal(t, "near", tr.Assign(start, engines, w, random).Engine)
+	require.Equal(t, "near", tr.Assign(start, engines, w, random).Engine)
+	require.Equal(t, "far", tr.Assign(start, engines, w, random).Engine)
 }
--- a/assign/shard.go
+++ b/assign/shard.go
@@ -10,67 +10,69 @@
 	"jacinthworks/domain"
 )
 
-// Shard is a part of the prefill engines of a service, which has a tracker of its own.
+// Shard is a part of a service's prefill engines that has a tracker of its own.
 //
-// Load pattern: a thousand engines, and hundreds of prompts a second. One process that
-// tracks all of them is asked and told by every other one for each prompt.
-// Prompts are drawn over the shards at random, which is even enough among dozens of engines.
+// Without shards, the process that tracks a thousand engines would receive a request from
+// every other process for each of hundreds of prompts a second, and another at its end.
+// Each prompt picks a shard at random; with dozens of engines in each this is even enough.
 type Shard struct {
 	Service domain.Service `json:"service"`
-	// Count is the number of shards, a power of two; Number is this one's, from zero.
+	// Count is the number of shards, a power of two; Index is this shard's, from zero.
 	Count int `json:"of"`
 	Index int `json:"number"`
 }
 
 const (
-	// shardMost is the most engines that are kept in one shard.
-	shardMost = 64
-	// shardsMost bounds what another process may ask for: more engines than a service has.
-	shardsMost = 1 << 12
+	// maxShardEngines is the number of engines above which a service is split further.
+	maxShardEngines = 64
+	// maxShards bounds the Count that is accepted from another process: more than a service
+	// has engines.
+	maxShards = 1 << 12
 )
 
-// PickShard draws one of the shards into which so many engines are divided. A power of
-// two leaves most engines where they are as their number grows.
+// PickShard picks at random one of the shards into which a service with so many engines is
+// divided. Since the number of shards is a power of two, most engines stay in their shard
+// as more are added.
 func PickShard(service domain.Service, engines int, random *rand.Rand) Shard {
-	p := Shard{Service: service, Count: 1}
-	for p.Count*shardMost < engines {
-		p.Count *= 2
+	s := Shard{Service: service, Count: 1}
+	for s.Count*maxShardEngines < engines {
+		s.Count *= 2
 	}
-	p.Index = random.IntN(p.Count)
-	return p
+	s.Index = random.IntN(s.Count)
+	return s
 }
 
-// Contains says whether an engine is in the shard.
-func (p Shard) Contains(id string) bool {
-	return xxhash.Sum64String(id)%uint64(p.Count) == uint64(p.Index)
+// Contains reports whether the engine with the given ID belongs to the shard.
+func (s Shard) Contains(id string) bool {
+	return xxhash.Sum64String(id)%uint64(s.Count) == uint64(s.Index)
 }
 
-// Valid says whether another process can have drawn the shard.
-func (p Shard) Valid() bool {
-	return p.Count > 0 && p.Count <= shardsMost && p.Index >= 0 && p.Index < p.Count
+// Valid reports whether the shard, as received from another process, is well-formed.
+func (s Shard) Valid() bool {
+	return s.Count > 0 && s.Count <= maxShards && s.Index >= 0 && s.Index < s.Count
 }
 
-// Key is by which the process is found that tracks it.
-func (p Shard) Key() string {
-	return "load/" + string(p.Service) + "/" + strconv.Itoa(p.Index) + "/" + strconv.Itoa(p.Count)
+// Key returns the key whose owner tracks the shard.
+func (s Shard) Key() string {
+	return "load/" + string(s.Service) + "/" + strconv.Itoa(s.Index) + "/" + strconv.Itoa(s.Count)
 }
 
-// Trackers are what one process keeps of the engines' work for all. The zero value is
-// ready to use; it must not be copied.
+// Trackers holds the trackers of the shards that one process owns. The zero value is ready
+// to use; it must not be copied.
 type Trackers struct {
-	mu sync.Mutex // a leaf
-	of map[Shard]*Tracker
+	mu      sync.Mutex // leaf lock: no other lock is acquired while it is held
+	byShard map[Shard]*Tracker
 }
 
-// For gives that of a shard.
-func (t *Trackers) For(p Shard) *Tracker {
+// For returns the tracker of a shard.
+func (t *Trackers) For(s Shard) *Tracker {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.of == nil {
-		t.of = make(map[Shard]*Tracker)
+	if t.byShard == nil {
+		t.byShard = make(map[Shard]*Tracker)
 	}
-	if t.of[p] == nil {
-		t.of[p] = &Tracker{}
+	if t.byShard[s] == nil {
+		t.byShard[s] = &Tracker{}
 	}
-	return t.of[p]
+	return t.byShard[s]
 }
