--- a/quota/quota.go
+++ b/quota/quota.go
@@ -1,32 +1,32 @@
-// Package quota keeps what client accounts have run within the operators' quotas:
-// so much each second, and so much at once after a pause, over all processes
-// together.
+// Package quota accounts for what client accounts have run and enforces the operators'
+// quotas: a rate, and a burst after a pause, over all processes together.
 //
-// The load patterns it answers, and what happens without it:
+// What it guards against:
 //
-//   - An account sends several times its usual and its callers return at once:
-//     without a quota it takes the engines of all others.
-//   - The same over many processes: shared out among them, a quota that allows six
-//     requests a second allows each of twenty-six one in four seconds, and
-//     refuses callers whose account is far below its quota, since their
-//     requests are large and come unevenly. One process counts for all here.
-//   - The process that counts is lost, or out of reach of some: those go to another,
-//     or spend a small part of their own share. Each of them starts with nothing
-//     saved up, so that starting again gives no account a second burst.
-//   - Requests are a fifth of a burst each and come in clumps, and engines have room:
-//     the sixth of a clump is refused though its account stays below its rate. What
-//     the operators allow over the quota is granted as well, to be served from what
-//     others leave: an account that asks for many times its quota has its rate, and
-//     takes nothing from others beyond that.
+//   - An account sends several times its usual load and its callers retry at once. Without
+//     a quota it takes the engines from all other accounts.
+//   - The same load over many processes. If a quota of six requests a second were divided
+//     among 26 processes, each would allow one request in four seconds and refuse callers
+//     whose account is far below its quota, since their requests are large and arrive
+//     unevenly. Therefore one process, the owner of the account's key, enforces the quota
+//     for the fleet.
+//   - The owner crashes, or is unreachable for some processes. Those use another owner, or
+//     a small part of the quota by themselves. Each of them starts with an empty bucket, so
+//     that a restart does not grant an account a second burst.
+//   - Requests cost a fifth of a burst each and arrive in clumps while engines have
+//     capacity. The sixth request of a clump would be refused although the account stays
+//     below its rate. Therefore the excess over the quota that operators allow is granted as
+//     well, and served with capacity that no other request needs: an account that sends
+//     many times its quota receives its rate, and takes nothing more from others.
 //
 // # Usage
 //
-//	counter := quota.Counter{Since: started}           // at the process that counts
-//	v := counter.Take(now, account, terms, cost)
-//	if !v.Granted { refuse(v.Wait) }
-//	counter.Give(now, account, terms, cost, v.Over)    // it did not run after all
+//	counter := quota.Counter{Since: started}           // at the owner
+//	d := counter.Take(now, account, allowance, cost)
+//	if !d.Granted { refuse(d.Wait) }
+//	counter.Refund(now, account, allowance, cost, d.OverQuota) // if it was not executed
 //
-// The package reads no clock. Times are on one that does not step.
+// The package reads no clock. Times must come from a monotonic clock.
 package quota
 
 import (
@@ -36,73 +36,73 @@
 	"jacinthworks/domain"
 )
 
-// Limit is a rate and what may be saved up, in whatever requests cost.
+// Limit is a token-bucket limit. Its unit is that of the requests' cost.
 type Limit struct {
-	// Rate is what comes back each second, Burst the most that is saved up.
+	// Rate is refilled each second; Burst is the capacity of the bucket.
 	Rate, Burst float64
 }
 
-// Scale gives a part of the limit.
-func (l Limit) Scale(part float64) Limit { return Limit{Rate: l.Rate * part, Burst: l.Burst * part} }
+// Scale returns the limit multiplied by a fraction.
+func (l Limit) Scale(fraction float64) Limit {
+	return Limit{Rate: l.Rate * fraction, Burst: l.Burst * fraction}
+}
 
-// Allowance are what an account may have: its quota, and what the operators allow over
-// it.
+// Allowance is what an account may use: its quota, and the excess over it that operators
+// allow.
 type Allowance struct {
 	Quota, Excess Limit
 }
 
-// all is the limit of everything that an account has.
-func (t Allowance) all() Limit {
-	return Limit{Rate: t.Quota.Rate + t.Excess.Rate, Burst: t.Quota.Burst + t.Excess.Burst}
+// total returns the sum of the quota and the excess.
+func (a Allowance) total() Limit {
+	return Limit{Rate: a.Quota.Rate + a.Excess.Rate, Burst: a.Quota.Burst + a.Excess.Burst}
 }
 
-// Tolerance is how far an account may go over its quota: in any window, by a part of
-// the quota for that time and by a fixed amount.
+// Tolerance is how far an account may exceed its quota in any time window: by a fraction of
+// the quota for that window, and by a fixed cost.
 type Tolerance struct {
 	Window      time.Duration
 	Fraction    float64
 	FixedExcess float64
 }
 
-// ExcessLimit gives a part of the tolerance, for one account, as a limit under which no
-// window has more than that. Half of the slack is for clumps, half comes back within
-// a window.
-func (t Tolerance) ExcessLimit(quota Limit, part float64) Limit {
+// ExcessLimit returns a share of the tolerance, such as that of one account, as a limit under
+// which no window exceeds it. Half of the fixed excess is burst capacity, the other half is
+// refilled within a window.
+func (t Tolerance) ExcessLimit(quota Limit, share float64) Limit {
 	if t.Window <= 0 {
 		return Limit{}
 	}
-	half := part * t.FixedExcess / 2
-	return Limit{Rate: part*t.Fraction*quota.Rate + half/t.Window.Seconds(), Burst: part*t.Fraction*quota.Burst + half}
+	half := share * t.FixedExcess / 2
+	return Limit{Rate: share*t.Fraction*quota.Rate + half/t.Window.Seconds(), Burst: share*t.Fraction*quota.Burst + half}
 }
 
-// Decision is the answer to a request for a part of a quota.
+// Decision is the result of a Take.
 type Decision struct {
 	Granted bool `json:"granted"`
-	// ExcessLimit says that it goes over the quota: it is for a request that takes nothing from
-	// others.
+	// OverQuota says that the cost exceeds the quota and is granted from the excess. The
+	// request may only use capacity that no other request needs.
 	OverQuota bool `json:"over,omitempty"`
-	// Wait is when the account will have enough, where it was not granted.
+	// Wait is the time until the account can be granted a request, if it was not granted.
 	Wait time.Duration `json:"wait"`
-	// Level is what is left of what was saved up.
+	// Level is the remaining level of the bucket; a debt is negative.
 	Level float64 `json:"level"`
 }
 
-// Bucket is what is saved up under one limit. The zero value is one that starts now
-// with nothing.
+// Bucket is a token bucket. The zero value is empty, and starts to refill on first use.
 type Bucket struct {
-	level float64
-	at    time.Time
-	// limit was in force until the last use.
+	level   float64
+	updated time.Time
+	// limit was in force at the last use; time since then is refilled at its rate.
 	limit Limit
 }
 
-// Take takes the cost of a request. It is granted while anything is saved up, and may
-// leave a debt of its own cost.
+// Take consumes the cost of a request. It is granted whenever the level is positive, and may
+// leave a debt of up to its own cost.
 //
-// Load pattern: an account near its quota sends requests of all sizes. Granted only
-// where the whole cost is saved up, a small one takes each bit that comes back, and one
-// of five times the size never finds enough. With a debt the next one waits for it,
-// whatever its size.
+// If the whole cost had to be available, small requests of an account near its quota would
+// consume each refill, and a request of five times the size would never be granted. With a
+// debt, the next request waits until the debt is refilled, whatever its size.
 func (b *Bucket) Take(now time.Time, l Limit, cost float64) Decision {
 	b.refill(now, l)
 	if b.level <= 0 {
@@ -113,66 +113,67 @@
 	return Decision{Granted: true, Level: b.level}
 }
 
-// Refund gives back what a request cost that has not run.
+// Refund returns the cost of a request that was not executed.
 func (b *Bucket) Refund(now time.Time, l Limit, cost float64) {
 	b.refill(now, l)
 	b.level = min(b.level+cost, l.Burst)
 }
 
 func (b *Bucket) refill(now time.Time, l Limit) {
-	if b.at.IsZero() {
-		b.at = now
+	if b.updated.IsZero() {
+		b.updated = now
 	}
 	if b.limit == (Limit{}) {
 		b.limit = l
 	}
-	b.level = min(b.level+b.limit.Rate*max(now.Sub(b.at), 0).Seconds(), b.limit.Burst, l.Burst)
-	b.at, b.limit = now, l
+	b.level = min(b.level+b.limit.Rate*max(now.Sub(b.updated), 0).Seconds(), b.limit.Burst, l.Burst)
+	b.updated, b.limit = now, l
 }
 
-// Counter counts for accounts. Set Since first; it must not be copied. It is safe
-// for concurrent use; its lock is a leaf.
+// Counter enforces the allowances of accounts. Set Since first; it must not be copied. It is
+// safe for concurrent use; its lock is a leaf lock, under which no other is acquired.
 type Counter struct {
-	// Since is the start of the process: what accounts had before is not known, so
-	// they have saved up nothing then.
+	// Since is the start of the process. What accounts used before is not known, so all
+	// buckets are empty at that time.
 	Since time.Time
 
-	mu sync.Mutex
-	of map[domain.Account]*buckets
+	mu       sync.Mutex
+	accounts map[domain.Account]*buckets
 }
 
-// buckets are all that an account had, and the part of it within its quota.
-type buckets struct{ all, quota Bucket }
+// buckets are the bucket of an account's total allowance and that of its quota.
+type buckets struct{ total, quota Bucket }
 
-// Take takes the cost of a request.
-func (c *Counter) Take(now time.Time, a domain.Account, t Allowance, cost float64) Decision {
+// Take consumes the cost of a request from the account's allowance.
+func (c *Counter) Take(now time.Time, account domain.Account, a Allowance, cost float64) Decision {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	b := c.buckets(a)
-	v := b.all.Take(now, t.all(), cost)
-	if v.Granted {
-		v.OverQuota = !b.quota.Take(now, t.Quota, cost).Granted
+	b := c.buckets(account)
+	d := b.total.Take(now, a.total(), cost)
+	if d.Granted {
+		d.OverQuota = !b.quota.Take(now, a.Quota, cost).Granted
 	}
-	return v
+	return d
 }
 
-// Refund gives back what a request cost that has not run; over is what was said of it.
-func (c *Counter) Refund(now time.Time, a domain.Account, t Allowance, cost float64, over bool) {
+// Refund returns the cost of a request that was not executed. overQuota is the OverQuota of
+// the decision that granted it.
+func (c *Counter) Refund(now time.Time, account domain.Account, a Allowance, cost float64, overQuota bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	b := c.buckets(a)
-	b.all.Refund(now, t.all(), cost)
-	if !over {
-		b.quota.Refund(now, t.Quota, cost)
+	b := c.buckets(account)
+	b.total.Refund(now, a.total(), cost)
+	if !overQuota {
+		b.quota.Refund(now, a.Quota, cost)
 	}
 }
 
-func (c *Counter) buckets(a domain.Account) *buckets {
-	if c.of == nil {
-		c.of = make(map[domain.Account]*buckets)
+func (c *Counter) buckets(account domain.Account) *buckets {
+	if c.accounts == nil {
+		c.accounts = make(map[domain.Account]*buckets)
 	}
-	if c.of[a] == nil {
-		c.of[a] = &buckets{all: Bucket{at: c.Since}, quota: Bucket{at: c.Since}}
+	if c.accounts[account] == nil {
+		c.accounts[account] = &buckets{total: Bucket{updated: c.Since}, quota: Bucket{updated: c.Since}}
 	}
-	return c.of[a]
+	return c.accounts[account]
 }
