--- a/limit/limit.go
+++ b/limit/limit.go
@@ -1,19 +1,20 @@
-// Package limit bounds how many requests a second each caller may send for a
-// row of the table, over all entries: one of them counts for each caller and row.
+// Package limit bounds how many requests a second each caller may send for a row of the
+// table, over all entries: the entry that owns the key of a caller and row enforces the
+// limit for the fleet.
 //
-// The load pattern it answers: a caller's program in a loop. Fair queueing
-// already keeps it from harming others, but each of its requests would still
-// cost a place in the queue and a refusal by expected wait, whose Retry-After
-// speaks of the service and not of the caller. Without the limit a tight loop
-// takes an entry's processor instead of engines' time.
+// It guards against a caller's program that sends in a loop. Fair queueing already keeps
+// such a caller from harming others, but each of its requests would still take a place in
+// the queue and be refused by expected wait, with a Retry-After that describes the service
+// and not the caller. Without the limit, a tight loop consumes the processor of an entry
+// instead of engines' time.
 //
 // # Usage
 //
-//	l := limit.Limiter{Since: started}          // at the entry that counts
+//	l := limit.Limiter{Since: started}          // at the entry that owns the key
 //	wait, ok := l.Take(now, limit.Key{Account: a, Service: s, Kind: k}, row.CallerRate, limit.Burst)
 //	if !ok { refuse(retryAfter(wait)) }
 //
-// The package reads no clock. Rates is not safe for concurrent use.
+// The package reads no clock. Limiter and DenialCache are not safe for concurrent use.
 package limit
 
 import (
@@ -23,106 +24,110 @@
 	"jacinthworks/domain"
 )
 
-// Burst is how much may come at once, as time at the row's rate. Five seconds
-// let a page of look-ups load at once for a caller that keeps to its rate.
+// Burst is the capacity of a bucket, as time at the row's rate. Five seconds allow a caller
+// that keeps to its rate to load a page of look-ups at once.
 const Burst = 5 * time.Second
 
-// StandbyBurst is the same at an entry that counts while the one before it can't be
-// reached: a second burst would be granted beside the first.
+// StandbyBurst is the capacity at an entry that enforces the limit while the owner of the key
+// is unreachable: the owner may already have granted a whole burst.
 const StandbyBurst = 250 * time.Millisecond
 
-// most bounds the buckets kept. Those that have filled up again say nothing
-// and are dropped first; 2,100 callers with a few kinds each fit.
-const most = 16384
+// maxEntries is the number of keys from which entries without effect are removed: buckets
+// that have not been used for Burst, and denials that are over. 2,100 callers with a few
+// kinds each fit.
+const maxEntries = 16384
 
-// Key names what a rate is counted by.
+// Key identifies what a rate applies to: a caller and a row of the table.
 type Key struct {
 	Account domain.Account `json:"account"`
 	Service domain.Service `json:"service"`
 	Kind    domain.Kind    `json:"kind"`
 }
 
-// OwnerKey is by which the entry is found that counts.
-func (o Key) OwnerKey() string {
-	return "rate/" + string(o.Account) + "/" + string(o.Service) + "/" + string(o.Kind)
+// OwnerKey returns the key whose owner is the entry that enforces the limit.
+func (k Key) OwnerKey() string {
+	return "rate/" + string(k.Account) + "/" + string(k.Service) + "/" + string(k.Kind)
 }
 
 // bucket is a token bucket; level is in requests.
 type bucket struct {
-	level float64
-	at    time.Time
+	level   float64
+	updated time.Time
 }
 
-// Limiter holds a bucket for each caller and row. The zero value is ready to use.
+// Limiter holds a token bucket for each key. The zero value is ready to use.
 type Limiter struct {
-	// Since is the start of the process: what callers had before is not known, so that
-	// they have saved up nothing then. Zero is long ago.
+	// Since is the start of the process. What callers used before is not known, so new
+	// buckets are empty at that time. With the zero time, new buckets are full.
 	Since time.Time
 
 	buckets map[Key]bucket
 }
 
-// Take counts one request at the given rate, in requests a second, of which so much time
-// may be saved up; a rate of zero is no limit. If there is no room it says when there
-// will be.
-func (r *Limiter) Take(now time.Time, of Key, rate float64, burst time.Duration) (time.Duration, bool) {
+// Take consumes one request at the given rate, in requests a second, from a bucket with a
+// capacity of burst times the rate. A rate of zero is no limit. If the request is not
+// granted, Take returns the time until it would be.
+func (l *Limiter) Take(now time.Time, key Key, rate float64, burst time.Duration) (time.Duration, bool) {
 	if rate <= 0 {
 		return 0, true
 	}
-	full := max(1, rate*burst.Seconds())
-	b, known := r.buckets[of]
+	capacity := max(1, rate*burst.Seconds())
+	b, known := l.buckets[key]
 	if !known {
-		b = bucket{level: min(full, rate*now.Sub(r.Since).Seconds()), at: now}
+		b = bucket{level: min(capacity, rate*now.Sub(l.Since).Seconds()), updated: now}
 	}
-	b.level = min(full, b.level+now.Sub(b.at).Seconds()*rate)
-	b.at = now
+	b.level = min(capacity, b.level+now.Sub(b.updated).Seconds()*rate)
+	b.updated = now
 	if b.level < 1 {
 		return time.Duration((1 - b.level) / rate * float64(time.Second)), false
 	}
 	b.level--
-	r.keep(now, of, b)
+	l.keep(now, key, b)
 	return 0, true
 }
 
-func (r *Limiter) keep(now time.Time, of Key, b bucket) {
-	if r.buckets == nil {
-		r.buckets = make(map[Key]bucket)
+func (l *Limiter) keep(now time.Time, key Key, b bucket) {
+	if l.buckets == nil {
+		l.buckets = make(map[Key]bucket)
 	}
-	if len(r.buckets) >= most {
-		r.drop(now)
+	if len(l.buckets) >= maxEntries {
+		l.drop(now)
 	}
-	r.buckets[of] = b
+	l.buckets[key] = b
 }
 
-// drop forgets the buckets that were not touched for as long as any takes to
-// fill.
-func (r *Limiter) drop(now time.Time) {
-	for of, b := range r.buckets {
-		if now.Sub(b.at) >= Burst {
-			delete(r.buckets, of)
+// drop removes the buckets that have not been used for Burst. At any rate of at least one
+// request per Burst they are full again, as a new bucket would be.
+func (l *Limiter) drop(now time.Time) {
+	for key, b := range l.buckets {
+		if now.Sub(b.updated) >= Burst {
+			delete(l.buckets, key)
 		}
 	}
 }
 
-// DenialCache are the callers that were told to wait. The zero value is ready to use.
+// DenialCache holds, for each key, the latest refusal until its wait is over. The zero value is ready to use.
 //
-// Load pattern: a caller's program in a loop, which does not wait as it was told. Each
-// refusal would cost a call to the entry that counts; told once, the others refuse by
-// themselves until then.
+// It guards against a caller's program that sends in a loop and ignores Retry-After: each of
+// its requests would cost a call to the owner of the key. With the cache, an entry refuses
+// locally until the wait is over.
 type DenialCache struct{ until map[Key]time.Time }
 
-// Wait gives how long the caller is known to have nothing.
-func (t *DenialCache) Wait(now time.Time, of Key) time.Duration { return max(0, t.until[of].Sub(now)) }
+// Wait returns the remaining wait of a cached refusal, or zero.
+func (c *DenialCache) Wait(now time.Time, key Key) time.Duration {
+	return max(0, c.until[key].Sub(now))
+}
 
-// Add remembers a caller that has to wait.
-func (t *DenialCache) Add(now time.Time, of Key, wait time.Duration) {
-	if t.until == nil {
-		t.until = make(map[Key]time.Time)
+// Add caches a refusal for the given wait, unless the cache is full of refusals that have not
+// expired.
+func (c *DenialCache) Add(now time.Time, key Key, wait time.Duration) {
+	if c.until == nil {
+		c.until = make(map[Key]time.Time)
 	}
-	if len(t.until) >= most {
-		maps.DeleteFunc(t.until, func(_ Key, until time.Time) bool { return !until.After(now) })
+	if len(c.until) >= maxEntries {
+		maps.DeleteFunc(c.until, func(_ Key, until time.Time) bool { return !until.After(now) })
 	}
-	if len(t.until) < most {
-		t.until[of] = now.Add(wait)
+	if len(c.until) < maxEntries {
+		c.until[key] = now.Add(wait)
 	}
 }
--- a/limit/limit_test.go
+++ b/limit/limit_test.go
@@ -8,41 +8,41 @@
 	"pgregory.net/rapid"
 )
 
-// A caller's program loops: it sends far over its rate for a minute. It is
+// Guards against a caller's program that sends far over its rate, here for a minute: it is
 // served at its rate after the first burst, and another caller loses nothing.
-func TestALoopIsServedAtItsRate(t *testing.T) {
-	var r Limiter
+func TestLimiterServesLoopAtItsRate(t *testing.T) {
+	var l Limiter
 	now := time.Unix(0, 0)
 	const rate = 2.0
 	served := 0
 	for range 60 * 100 {
 		now = now.Add(10 * time.Millisecond)
-		if _, ok := r.Take(now, Key{Account: "loop"}, rate, Burst); ok {
+		if _, ok := l.Take(now, Key{Account: "loop"}, rate, Burst); ok {
 			served++
 		}
 	}
 	require.InDelta(t, 60*rate+rate*Burst.Seconds(), served, 1)
-	_, ok := r.Take(now, Key{Account: "other"}, rate, Burst)
+	_, ok := l.Take(now, Key{Account: "other"}, rate, Burst)
 	require.True(t, ok)
 }
 
-// The wait that a refused caller is told is neither too short nor longer than
-// it needs to be, against a naive search for the first time that is taken.
-func TestTheWaitIsTrue(t *testing.T) {
+// A refused request is refused again a millisecond before its wait ends, and granted a
+// microsecond after it.
+func TestLimiterWaitEndsWhenRequestIsGranted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var r Limiter
+		var l Limiter
 		now := time.Unix(0, 0)
 		rate := rapid.Float64Range(0.1, 100).Draw(t, "rate")
-		of := Key{Account: "a"}
+		key := Key{Account: "a"}
 		for range rapid.IntRange(1, 2000).Draw(t, "sent") {
-			wait, ok := r.Take(now, of, rate, Burst)
+			wait, ok := l.Take(now, key, rate, Burst)
 			if ok {
 				continue
 			}
-			_, early := r.Take(now.Add(wait-time.Millisecond), of, rate, Burst)
+			_, early := l.Take(now.Add(wait-time.Millisecond), key, rate, Burst)
 			require.False(t, early && wait > time.Millisecond)
-			_, due := r.Take(now.Add(wait+time.Microsecond), of, rate, Burst)
-			require.True(t, due)
+			_, granted := l.Take(now.Add(wait+time.Microsecond), key, rate, Burst)
+			require.True(t, granted)
 			return
 		}
 	})
