--- a/paths/account.go
+++ b/paths/account.go
@@ -2,33 +2,33 @@
 
 import "jacinthworks/domain"
 
-// Account is a client account: who may ask, as whom, and how much.
+// Account is a client account, with its credentials and limits.
 type Account struct {
 	Name domain.Account
-	// Keys are the secrets that its callers show; any one of them will do.
+	// Keys are the API keys; callers authenticate with any one of them.
 	Keys []string
-	// Priority goes before that of the route, where HasPriority says that there is one.
+	// Priority replaces the priority of the route if HasPriority is true.
 	Priority    int
 	HasPriority bool
 	Quota       Quota
 }
 
-// Quota bounds what an account may have run, over all entries together. The zero
-// value is no bound.
+// Quota bounds what an account may use, over all entries together. The zero value is no
+// bound.
 type Quota struct {
-	// Rate is what it may have each second, Burst what it may have at once
-	// after a pause. Both are in tokens where ByTokens says so, else in requests.
+	// Rate is refilled each second; Burst is the most that is accumulated during a pause.
+	// Both are in tokens if ByTokens is true, and in requests otherwise.
 	Rate, Burst float64
 	ByTokens    bool
-	// PlainTokens is what a request counts that says nothing of its tokens.
+	// PlainTokens is the cost of a request that does not specify its tokens.
 	PlainTokens float64
 }
 
-// Limited says whether there is a bound.
+// Limited reports whether there is a bound.
 func (q Quota) Limited() bool { return q.Rate > 0 }
 
-// Cost is what a request with so many tokens counts; zero tokens are for one that
-// does not say.
+// Cost returns the cost of a request with the given number of tokens; zero means that the
+// request does not specify its tokens.
 func (q Quota) Cost(tokens int) float64 {
 	switch {
 	case !q.ByTokens:
@@ -39,10 +39,10 @@
 	return q.PlainTokens
 }
 
-// RequiresKey says whether callers have to show a key at all.
+// RequiresKey reports whether callers must authenticate with an API key.
 func (c *Config) RequiresKey() bool { return len(c.Accounts) > 0 }
 
-// AccountByKey gives the account that holds a key; nil for none.
+// AccountByKey returns the account that has an API key, or nil.
 func (c *Config) AccountByKey(key string) *Account {
 	if key == "" {
 		return nil
@@ -50,5 +50,5 @@
 	return c.byKey[key]
 }
 
-// AccountByName gives the account of a name; nil for none.
+// AccountByName returns the account with a name, or nil.
 func (c *Config) AccountByName(name domain.Account) *Account { return c.byAccount[name] }
--- a/paths/holder.go
+++ b/paths/holder.go
@@ -8,25 +8,25 @@
 	"jacinthworks/check"
 )
 
-// Holder holds the configuration in force. The zero value holds none; it must
-// not be copied. It is safe for concurrent use; its lock is a leaf.
+// Holder holds the configuration in force. The zero value holds none; it must not be copied.
+// It is safe for concurrent use; its lock is a leaf lock, under which no other is acquired.
 type Holder struct {
 	mu      sync.Mutex
 	current atomic.Pointer[Config]
 	since   atomic.Pointer[time.Time]
 }
 
-// Update puts the configuration in force if it is newer than the present one,
-// and says whether it did. Findings do not keep it out: the operators' store
-// has accepted it, so what can be served of it is.
+// Update puts a configuration in force if its version is higher than the present one, and
+// reports whether it did. Findings do not prevent that: the operators' store has accepted the
+// configuration, so the valid part of it is served.
 //
-// Failure: a list answered late, or by a store that is behind, brings an older
-// configuration after a newer one. It shows as requests that go where they no
-// longer should. The comparison holds for as long as the process lives.
-func (h *Holder) Update(now time.Time, c *Config) (changed bool, found check.Findings) {
+// A list that is answered late, or by a replica that lags, returns an older configuration
+// after a newer one; requests would then be sent where they should no longer go. The
+// comparison of versions prevents this for as long as the process lives.
+func (h *Holder) Update(now time.Time, c *Config) (changed bool, findings check.Findings) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if old := h.current.Load(); old != nil && c.Version <= old.Version {
+	if current := h.current.Load(); current != nil && c.Version <= current.Version {
 		return false, nil
 	}
 	c.index()
@@ -35,10 +35,10 @@
 	return true, c.Check()
 }
 
-// Current is the configuration in force, nil until one is known.
+// Current returns the configuration in force, or nil until one is known.
 func (h *Holder) Current() *Config { return h.current.Load() }
 
-// Since is when the present configuration came into force here.
+// Since returns when this process put the present configuration in force, or the zero time.
 func (h *Holder) Since() time.Time {
 	if at := h.since.Load(); at != nil {
 		return *at
--- a/paths/paths.go
+++ b/paths/paths.go
@@ -1,16 +1,16 @@
-// Package paths holds the routes that operators define: which service a
-// request goes to, by host and path, and how it may be treated there. A
-// configuration has a version; a process never goes back to a lower one.
+// Package paths holds the configuration that operators define: routes, which assign requests
+// to services by host and path, the services, and the client accounts. Each configuration
+// has a version; a process never replaces its configuration by one of a lower version.
 //
 // # Usage
 //
 //	var h paths.Holder
-//	changed, err := h.Offer(now, config)       // older versions change nothing
+//	changed, findings := h.Update(now, config) // older versions change nothing
 //	c := h.Current()                           // nil until one is known
 //	r, ok := c.Match("listings.example", "/enquiries/17")
 //	service := r.Pick(random)
 //
-// A Config must not be changed after it was offered.
+// A Config must not be changed after it was passed to Update.
 package paths
 
 import (
@@ -23,61 +23,61 @@
 	"jacinthworks/domain"
 )
 
-// Version numbers configurations; it grows in uneven steps.
+// Version is the version of a configuration. Versions increase, not necessarily by one.
 type Version uint64
 
-// Kind says what of a route's requests may be repeated, and how its answers
-// come.
+// Kind says how often a route's requests may be executed, and how they are answered.
 type Kind string
 
 // The kinds.
 const (
-	// Idempotent requests may run more than once.
+	// Idempotent requests may be executed more than once.
 	Idempotent Kind = "idempotent"
-	// AtMostOnce is for requests that may run at most once.
+	// AtMostOnce requests may be executed at most once.
 	AtMostOnce Kind = "once"
-	// Stream is answered by a series of events; it may run at most once,
-	// unless it may be resumed.
+	// Stream requests are answered with a series of events. They may be executed at most
+	// once, unless they are resumable.
 	Stream Kind = "stream"
 )
 
-// WeightedService is a service's part of a route.
+// WeightedService is a service that receives a weighted share of a route's requests.
 type WeightedService struct {
 	Service domain.Service
 	Weight  int
 }
 
-// Route is one rule of the table of routes.
+// Route assigns the requests of a host and path prefix to services.
 type Route struct {
 	Name string
-	// Host and Prefix select it; the longest prefix of a host goes first.
+	// Host and Prefix select the requests; of a host's routes, the longest prefix matches.
 	Host   string
 	Prefix string
 	Kind   Kind
-	// Shares are the services that the requests go to, by weight.
+	// Shares are the services that the requests are sent to, by weight.
 	Shares []WeightedService
-	// Timeout is how long a request is kept waiting; zero is any time.
+	// Timeout bounds the time from a request's arrival to its answer; zero is no bound.
 	Timeout time.Duration
-	// Target is the time to the answer, or to the first event, that is aimed
-	// at; TargetGap the longest pause between events.
+	// Target is the target latency of the answer, or of the first event of a stream.
+	// TargetGap is the target for the longest time between two events.
 	Target    time.Duration
 	TargetGap time.Duration
-	// Attempts is how many upstreams one request may run on; at least 1.
+	// Attempts is the maximum number of upstreams on which one request may be executed; at
+	// least 1. Attempts that were not executed do not count.
 	Attempts int
-	// Priority is the route's rank; 0 is served first.
+	// Priority is the priority of the route's requests; 0 is the highest.
 	Priority int
-	// Resumable streams may go on at another upstream.
+	// Resumable streams may be continued at another upstream.
 	Resumable bool
-	// Open routes are for callers without a key as well.
+	// Open routes also accept callers without an API key.
 	Open bool
 }
 
-// Retryable says whether a request that may have run may run again.
+// Retryable reports whether a request that may have been executed may be sent again.
 func (r *Route) Retryable() bool {
 	return r.Kind == Idempotent || r.Kind == Stream && r.Resumable
 }
 
-// Pick draws a service by weight.
+// Pick selects a service at random, by weight.
 func (r *Route) Pick(random *rand.Rand) domain.Service {
 	total := 0
 	for _, s := range r.Shares {
@@ -95,35 +95,35 @@
 	return r.Shares[len(r.Shares)-1].Service
 }
 
-// Engine describes a service whose upstreams are model engines.
+// Engine describes the engines of a service whose upstreams are model engines.
 type Engine struct {
-	// TokensPerEvent is how many tokens of an answer come as one event; zero for
-	// one.
+	// TokensPerEvent is the number of tokens per event of an answer; zero means one.
 	TokensPerEvent int
-	// KVTokens is an engine's memory in tokens.
+	// KVTokens is the capacity of an engine's KV cache in tokens.
 	KVTokens int
-	// SwitchTime is how long a change of role takes an engine away.
+	// SwitchTime is how long an engine is unavailable during a role change.
 	SwitchTime time.Duration
-	// HoldLife is how long room can be held for a request that is on its way;
-	// zero where engines hold none.
+	// HoldLife is how long an engine keeps a memory reservation for a request that has not
+	// arrived yet; zero means that the engines take no reservations.
 	HoldLife time.Duration
 }
 
-// Service is a pool of upstreams that routes name.
+// Service is a pool of upstreams to which routes refer.
 type Service struct {
 	Name domain.Service
-	// MaxConnections is how many connections an upstream takes from all
-	// callers together; zero is any number.
+	// MaxConnections is the number of connections that an upstream accepts from all clients
+	// together; zero is no limit.
 	MaxConnections int
-	// Engine is nil for a plain service.
+	// Engine is nil for services whose upstreams are application servers.
 	Engine *Engine
 }
 
-// Limits bound what a caller may send, and how long it may take.
+// Limits bound the size of callers' requests and the times of their connections.
 type Limits struct {
+	// MaxBody is the maximum size of a request body in bytes.
 	MaxBody int64
-	// HeaderTimeout is the time for a request's header, IdleTimeout the time
-	// that a connection is kept without a request.
+	// HeaderTimeout bounds the time in which a request's header must arrive. IdleTimeout is
+	// how long a connection without a request is kept open.
 	HeaderTimeout time.Duration
 	IdleTimeout   time.Duration
 }
@@ -133,7 +133,7 @@
 	Version  Version
 	Routes   []Route
 	Services []Service
-	// Accounts are the callers; with none, nobody has to show a key.
+	// Accounts are the client accounts. Without any, callers need no API key.
 	Accounts []Account
 	Limits   Limits
 
@@ -143,7 +143,7 @@
 	services  map[domain.Service]*Service
 }
 
-// Check gives what makes a configuration unfit for use.
+// Check returns the errors in the configuration.
 func (c *Config) Check() check.Findings {
 	var f check.Findings
 	known := make(map[domain.Service]bool)
@@ -172,10 +172,11 @@
 	return append(f, c.checkAccounts()...)
 }
 
-// checkAccounts names no key in what it finds: findings are logged.
+// checkAccounts identifies keys by account and index and never quotes one, since findings are
+// logged.
 func (c *Config) checkAccounts() check.Findings {
 	var f check.Findings
-	held := make(map[string]domain.Account)
+	accountOfKey := make(map[string]domain.Account)
 	for _, a := range c.Accounts {
 		place := "account " + string(a.Name)
 		if a.Name == "" {
@@ -185,17 +186,17 @@
 			f.Add(place, "has a negative quota")
 		}
 		for n, key := range a.Keys {
-			if other, taken := held[key]; taken && other != a.Name {
-				f.Add(place, "holds key %d of account %s as well", n+1, other)
+			if other, taken := accountOfKey[key]; taken && other != a.Name {
+				f.Add(place, "key %d is also a key of account %s", n+1, other)
 			}
-			held[key] = a.Name
+			accountOfKey[key] = a.Name
 		}
 	}
 	return f
 }
 
-// index prepares the configuration for Match. Routes that name nothing to go
-// to are left out: the others are served.
+// index builds the maps for lookups. Routes without services are omitted, so that the other
+// routes can be served.
 func (c *Config) index() {
 	c.byHost = make(map[string][]*Route)
 	c.services = make(map[domain.Service]*Service)
@@ -223,7 +224,7 @@
 	}
 }
 
-// Match gives the route of a request: of those of its host, the one with the
+// Match returns the route of a request: among the routes of its host, the one with the
 // longest prefix of its path.
 func (c *Config) Match(host, path string) (*Route, bool) {
 	for _, r := range c.byHost[hostname(host)] {
@@ -234,10 +235,10 @@
 	return nil, false
 }
 
-// Service gives a service by name; nil when there is none.
+// Service returns a service by name, or nil.
 func (c *Config) Service(name domain.Service) *Service { return c.services[name] }
 
-// hostname gives the name in a Host header, without a port.
+// hostname returns the lower-case host name of a Host header, without the port.
 func hostname(host string) string {
 	if n := strings.LastIndexByte(host, ':'); n >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:n]
--- a/paths/paths_test.go
+++ b/paths/paths_test.go
@@ -22,10 +22,10 @@
 	return c
 }
 
-func TestTheLongestPrefixOfTheHostWins(t *testing.T) {
+func TestMatchLongestPrefixOfHostWins(t *testing.T) {
 	var h paths.Holder
-	_, found := h.Update(time.Now(), config(1, "/", "/a/", "/a/b/"))
-	require.Empty(t, found)
+	_, findings := h.Update(time.Now(), config(1, "/", "/a/", "/a/b/"))
+	require.Empty(t, findings)
 	for path, want := range map[string]string{"/x": "/", "/a": "/", "/a/": "/a/", "/a/bc": "/a/", "/a/b/c": "/a/b/"} {
 		r, ok := h.Current().Match("site.example:80", path)
 		require.True(t, ok)
@@ -35,40 +35,40 @@
 	require.False(t, ok)
 }
 
-// Story: configurations come in any order and more than once, from lists and
-// watches. What is in force is the newest of those that came so far.
-func TestNeverBack(t *testing.T) {
+// Configurations arrive in any order and more than once, from lists and watches. The one in
+// force is always the newest that has arrived.
+func TestHolderUpdateNeverLowersVersion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var h paths.Holder
 		newest := paths.Version(0)
 		for _, v := range rapid.SliceOfN(rapid.Uint64Range(1, 20), 1, 30).Draw(t, "versions") {
 			changed, _ := h.Update(time.Now(), config(paths.Version(v), "/"))
 			if changed != (paths.Version(v) > newest) {
-				t.Fatalf("version %d after %d: changed %v", v, newest, changed)
+				t.Fatalf("version %d after %d: changed is %v", v, newest, changed)
 			}
 			newest = max(newest, paths.Version(v))
 			if h.Current().Version != newest {
-				t.Fatalf("in force %d, not %d", h.Current().Version, newest)
+				t.Fatalf("version in force is %d, want %d", h.Current().Version, newest)
 			}
 		}
 	})
 }
 
-func TestFindingsNameTheRoute(t *testing.T) {
+func TestCheckReportsRouteFindings(t *testing.T) {
 	c := config(1, "/")
 	c.Routes = append(c.Routes,
 		paths.Route{Name: "none", Prefix: "/n/", Kind: paths.AtMostOnce},
 		paths.Route{Name: "odd", Prefix: "n", Kind: "odd", Shares: []paths.WeightedService{{Service: "missing"}}},
 	)
 	var h paths.Holder
-	changed, found := h.Update(time.Now(), c)
-	require.True(t, changed, "what can be served of it is")
-	require.Len(t, found, 4)
+	changed, findings := h.Update(time.Now(), c)
+	require.True(t, changed, "the valid routes are served")
+	require.Len(t, findings, 4)
 	_, ok := h.Current().Match("", "/n/")
 	require.False(t, ok)
 }
 
-func TestSharesByWeight(t *testing.T) {
+func TestPickSelectsServicesByWeight(t *testing.T) {
 	r := paths.Route{Shares: []paths.WeightedService{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}, {Service: "c"}}}
 	random := rand.New(rand.NewPCG(1, 2))
 	counts := make(map[domain.Service]int)
