--- a/eject/eject.go
+++ b/eject/eject.go
@@ -1,32 +1,31 @@
-// Package eject takes slow and failing upstreams out of a pool by comparison
-// with their peers. It imports no network; times are passed in.
+// Package eject implements outlier ejection: it removes slow and failing upstreams from a pool
+// by comparison with their peers. It imports no network; times are passed in.
 //
-// Load pattern: one upstream of a pool gets slow (a throttled processor, a
-// failing link) or stops taking connections, while requests keep coming. A
-// router that only counts what it has in flight sends a slow upstream its share
-// until its places are full, and one that fails fast draws work, because its
-// places are always free. Without ejection one of nine upstreams spoils a ninth
-// of the requests, or more, for as long as the fault lasts; the simulation in
-// the tests shows 1,377 late of 12,000, against 112 with it.
+// It guards against an upstream that becomes slow (a throttled processor, a failing link) or
+// refuses connections while requests keep arriving. A router that only counts requests in
+// flight sends a slow upstream its share until its slots are full, and sends even more to one
+// that fails fast, since its slots are always free. Without ejection, one outlier upstream of
+// nine delays or fails a ninth of the requests or more for as long as the fault lasts; in the
+// simulation of the tests 1,377 of 12,000 requests are late without ejection and 112 with it.
 //
-// Why it cannot make things worse: an upstream is compared with the median of
-// its peers and not with a limit, so that load which slows all of them ejects
-// none. At most a third of a pool is out at a time, one more a second, and each
-// comes back by a ramp, so that neither losing nor regaining it is a step in
-// the load of the others. A connection that has gone silent ejects nobody: old
-// connections can be dead while new ones work, so that only a dial made afresh
-// says something of the upstream.
+// Ejection must not make an overload worse. An upstream is compared with the median of its
+// peers and not with a fixed limit, so a load that slows all of them ejects none. At most a
+// third of a pool is ejected at a time and at most one upstream per second, and each returns
+// with a slow start, so that neither its ejection nor its return is a step in the load of the
+// others. A connection on which nothing is received any more ejects nobody: established
+// connections can be dead while new ones work, so only a new dial shows the state of the
+// upstream.
 //
 // # Usage
 //
 //	var p eject.Pool
-//	p.Members(now, hosts)                     // on each change of the pool
-//	p.Answered(now, host, elapsed, tokens)    // after each answer
-//	p.Failed(now, host, eject.FreshDial)      // after a dial made afresh failed
-//	for _, c := range p.Evaluate(now) {       // once a second
-//		log.Info("ejection", "host", c.Host, "ejected", c.Ejected, "grounds", c.Grounds)
+//	p.SetMembers(now, hosts)                       // on each change of the pool
+//	p.RecordAnswer(now, host, elapsed, tokens)     // after each answer
+//	p.RecordFailure(now, host, eject.FreshDial)    // after a new dial has failed
+//	for _, c := range p.Evaluate(now) {            // once a second
+//		log.Info("ejection", "host", c.Host, "ejected", c.Ejected, "grounds", c.Reason)
 //	}
-//	weight := p.Weight(now, host)             // for the choice of an upstream
+//	weight := p.Weight(now, host)                  // for the selection of an upstream
 package eject
 
 import (
@@ -40,51 +39,51 @@
 )
 
 const (
-	// Ratio is how many times the peers' median an upstream's latency per
-	// token must be. Batches of different size alone make some twofold
-	// difference between healthy upstreams; three is beyond it.
+	// Ratio is the multiple of the peers' median latency per token above which an upstream is
+	// slow. Different batch sizes alone make healthy upstreams differ about twofold.
 	Ratio = 3.0
-	// MinGap is the least difference from the median that counts. Below it a
-	// ratio is noise of scheduling, which no caller notices.
+	// MinGap is the minimum difference from the median above which an upstream is slow. Smaller
+	// differences are scheduling noise, which no caller notices.
 	MinGap = 2 * time.Millisecond
-	// MinAnswers is how many answers make one measurement; the mean of eight
-	// is past a single stall.
+	// MinAnswers is the number of answers per measurement; a mean of eight evens out a single
+	// stall.
 	MinAnswers = 8
-	// ConsecutiveSlow is how many measurements in a row must be slow.
+	// ConsecutiveSlow is the number of consecutive slow measurements that eject an upstream.
 	ConsecutiveSlow = 3
-	// ConsecutiveFailures is how many fresh dials or calls in a row must fail. One may
-	// meet a restart of a listener, two a lost packet and its repeat.
+	// ConsecutiveFailures is the number of consecutive failures of new dials or calls that eject
+	// an upstream. One may be due to a restart of the listener, two to a lost packet and the
+	// loss of its retransmission.
 	ConsecutiveFailures = 3
-	// MinPeers is how many measured peers a comparison needs: with one, either
-	// of the two may be the odd one.
+	// MinPeers is the minimum number of measured peers for a comparison: with one peer it is
+	// unknown which of the two is the outlier.
 	MinPeers = 2
-	// MinInterval is the least time between two ejections, and between two returns,
-	// in one pool, so that the rest takes over a share at a time.
+	// MinInterval is the minimum time between two ejections, and between two returns, in a
+	// pool, so that the other upstreams take over the load of one at a time.
 	MinInterval = time.Second
-	// MinEjectionTime is how long the first ejection lasts, MaxEjectionTime the longest. Each
-	// ejection soon after the last doubles it, so that an upstream that is
-	// slow by turns is not let in by turns.
+	// MinEjectionTime is the duration of the first ejection, MaxEjectionTime the maximum. Each
+	// ejection soon after the previous one lasts twice as long, so that an upstream that
+	// alternates between slow and healthy does not alternate between ejection and return.
 	MinEjectionTime = 10 * time.Second
 	MaxEjectionTime = 5 * time.Minute
-	// RampTime is how long the weight takes from InitialWeight to 1 after a return. At
-	// InitialWeight an upstream of nine gets under one request in a hundred: enough
-	// to measure it, little to lose.
+	// RampTime is the duration of the slow start after a return, in which the weight rises from
+	// InitialWeight to 1. At InitialWeight, an upstream of nine receives less than one request
+	// in a hundred: enough to measure it, with few requests at risk.
 	RampTime      = 20 * time.Second
 	InitialWeight = 0.05
 )
 
-// Failure says what kind of failure was seen.
+// Failure is the kind of a failure.
 type Failure string
 
 // The failures.
 const (
-	// SilentConnection is a connection that no longer answers. It ejects
-	// nobody; dial afresh and report what comes of that.
+	// SilentConnection is an established connection on which no message is received within the
+	// timeout. It ejects nobody; dial again and record the result.
 	SilentConnection Failure = "silent_connection"
-	// FreshDial is a dial that failed, or a connection just dialled that
-	// failed or stayed silent.
+	// FreshDial is a new dial that failed, or a connection that failed or received nothing
+	// right after its dial.
 	FreshDial Failure = "fresh_dial"
-	// FreshCall is a call that the upstream itself failed.
+	// FreshCall is a call to which the upstream itself responded with a failure.
 	FreshCall Failure = "fresh_call"
 )
 
@@ -92,44 +91,44 @@
 type Change struct {
 	Host    domain.Host
 	Ejected bool
-	// Reason says in one line why.
+	// Reason is a one-line explanation.
 	Reason string
-	// Until is when an ejection ends at the earliest.
+	// Until is the earliest time at which an ejection ends.
 	Until time.Time
 }
 
-// Pool watches the upstreams of one pool. The zero value is an empty pool,
-// ready to use; it must not be copied. It is safe for concurrent use; its lock
-// is a leaf, under which no other is taken.
+// Pool tracks the upstreams of one pool. The zero value is an empty pool, ready to use; it must
+// not be copied. It is safe for concurrent use; its lock is a leaf lock, under which no other
+// is acquired.
 type Pool struct {
-	mu         sync.Mutex
-	members    map[domain.Host]*member
-	lastEject  time.Time
-	lastReturn time.Time
+	mu           sync.Mutex
+	members      map[domain.Host]*member
+	lastEjection time.Time
+	lastReturn   time.Time
 }
 
-// member is one upstream. Its states: in service (ejected and returned zero),
-// ejected (until hold has passed), returning (from returned, for Ramp).
+// member is the state of one upstream: in service (ejected is false and returnedAt is zero),
+// ejected (until ejectedUntil, at least), or in slow start (for RampTime from returnedAt).
 type member struct {
-	// Answers not yet made into a measurement.
+	// Sums over the answers since the last measurement.
 	elapsed time.Duration
 	tokens  int
 	answers int
 
-	perToken  time.Duration // the last measurement; zero when there is none
-	slow      int           // slow measurements in a row
-	fresh     bool          // perToken was made since the last Evaluate
-	failed    int           // failures in a row
-	ejected   bool
-	until     time.Time
-	hold      time.Duration
-	returned  time.Time
-	ejectedAt time.Time
+	perToken     time.Duration // the last measurement; zero if there is none
+	slowCount    int           // consecutive slow measurements
+	measured     bool          // perToken is new since the last Evaluate
+	failureCount int           // consecutive failures
+	ejected      bool
+	ejectedUntil time.Time
+	ejectionTime time.Duration // duration of the last ejection
+	returnedAt   time.Time
+	ejectedAt    time.Time
 }
 
-// SetMembers sets who is in the pool. An upstream that is new starts in service;
-// one that is gone is forgotten. When fewer members remain, ejected ones are
-// let back so that no more than a third stays out.
+// SetMembers sets the members of the pool. A new upstream starts in service; the state of a
+// removed one is discarded. If the pool shrinks, ejected upstreams are returned to service
+// until no more than a third is ejected; these changes are returned.
 func (p *Pool) SetMembers(now time.Time, hosts []domain.Host) []Change {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -143,17 +142,17 @@
 		p.members[h] = &member{}
 	}
 	var changes []Change
-	for p.out() > p.limit() {
-		h := p.nextBack()
-		p.members[h].comeBack(now)
-		changes = append(changes, Change{Host: h, Reason: "pool has shrunk"})
+	for p.ejectedCount() > p.maxEjected() {
+		h := p.nextReturn()
+		p.members[h].startRamp(now)
+		changes = append(changes, Change{Host: h, Reason: "the pool has fewer members"})
 	}
 	return changes
 }
 
-// RecordAnswer reports an answer of so many tokens, and the time from its start at
-// the upstream to its last token, without the wait before. A prefill counts the
-// tokens of its prompt; zero tokens, as of a plain call, count as one.
+// RecordAnswer records an answer: its number of tokens, and the time from its start at the
+// upstream to its last token, without the wait before it. For a prefill, tokens is the number
+// of prompt tokens. Zero tokens, as for a request to an application server, count as one.
 func (p *Pool) RecordAnswer(_ time.Time, h domain.Host, elapsed time.Duration, tokens int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -161,7 +160,7 @@
 	if m == nil {
 		return
 	}
-	m.failed = 0
+	m.failureCount = 0
 	m.elapsed += elapsed
 	m.tokens += max(1, tokens)
 	m.answers++
@@ -169,45 +168,44 @@
 		return
 	}
 	m.perToken = m.elapsed / time.Duration(m.tokens)
-	m.fresh = true
+	m.measured = true
 	m.elapsed, m.tokens, m.answers = 0, 0, 0
 }
 
-// RecordFailure reports a failure.
+// RecordFailure records a failure.
 func (p *Pool) RecordFailure(_ time.Time, h domain.Host, f Failure) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	// Guard: something between two hosts forgets open connections while new
-	// ones work. All connections to a healthy upstream then go silent at
-	// once, and counting them would eject it.
+	// When a network device between two hosts drops established connections while new ones
+	// work, all connections to a healthy upstream go silent at once. Counting them would eject it.
 	if m := p.members[h]; m != nil && f != SilentConnection {
-		m.failed++
+		m.failureCount++
 	}
 }
 
-// Weight gives the share of its usual work that an upstream should get, from 0
-// for ejected to 1. An unknown upstream has 1.
+// Weight returns the fraction of its usual load that an upstream should receive, from 0 if it
+// is ejected to 1. The weight of an unknown upstream is 1.
 func (p *Pool) Weight(now time.Time, h domain.Host) float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	m := p.members[h]
 	switch {
-	case m == nil || !m.ejected && m.returned.IsZero():
+	case m == nil || !m.ejected && m.returnedAt.IsZero():
 		return 1
 	case m.ejected:
 		return 0
 	}
-	done := float64(now.Sub(m.returned)) / float64(RampTime)
-	return min(1, max(InitialWeight, InitialWeight+(1-InitialWeight)*done))
+	progress := float64(now.Sub(m.returnedAt)) / float64(RampTime)
+	return min(1, max(InitialWeight, InitialWeight+(1-InitialWeight)*progress))
 }
 
-// Evaluate compares the members and makes at most one ejection and one return.
-// Call it about once a second.
+// Evaluate compares the members, and ejects at most one and returns at most one to service.
+// It should be called about once a second.
 func (p *Pool) Evaluate(now time.Time) []Change {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var changes []Change
-	if c, ok := p.letBack(now); ok {
+	if c, ok := p.returnNext(now); ok {
 		changes = append(changes, c)
 	}
 	p.compare()
@@ -217,7 +215,7 @@
 	return changes
 }
 
-// compare counts, for each member measured anew, whether it was slow.
+// compare updates the count of slow measurements of each member with a new measurement.
 func (p *Pool) compare() {
 	var sorted []time.Duration
 	for _, m := range p.members {
@@ -227,45 +225,46 @@
 	}
 	slices.Sort(sorted)
 	for _, m := range p.members {
-		if m.ejected || !m.fresh {
+		if m.ejected || !m.measured {
 			continue
 		}
-		m.fresh = false
+		m.measured = false
 		if isSlow(m.perToken, sorted) {
-			m.slow++
+			m.slowCount++
 			continue
 		}
-		m.slow = 0
+		m.slowCount = 0
 	}
 }
 
-// isSlow compares a measurement, which is one of sorted, with the median of
-// the others.
+// isSlow reports whether a latency per token is slow in comparison with the median of the
+// others. sorted holds all of them, including d, in ascending order.
 func isSlow(d time.Duration, sorted []time.Duration) bool {
 	peers := len(sorted) - 1
 	if peers < MinPeers {
 		return false
 	}
-	// Leaving out an element moves the later ones down by one.
-	own, _ := slices.BinarySearch(sorted, d)
+	// Omitting d from sorted shifts the elements after it down by one index.
+	index, _ := slices.BinarySearch(sorted, d)
 	middle := (peers - 1) / 2
-	if own <= middle {
+	if index <= middle {
 		middle++
 	}
 	median := sorted[middle]
 	return float64(d) > Ratio*float64(median) && d-median > MinGap
 }
 
-// eject takes out the member that is worst off, failing ones first.
+// eject ejects the worst of the members that are slow or failing: failing members before slow
+// ones, then the one with the highest latency per token.
 func (p *Pool) eject(now time.Time) (Change, bool) {
-	if p.out() >= p.limit() || now.Sub(p.lastEject) < MinInterval {
+	if p.ejectedCount() >= p.maxEjected() || now.Sub(p.lastEjection) < MinInterval {
 		return Change{}, false
 	}
 	var worst domain.Host
 	for _, h := range p.hosts() {
 		m := p.members[h]
-		bad := m.failed >= ConsecutiveFailures || m.slow >= ConsecutiveSlow
-		if m.ejected || !bad {
+		outlier := m.failureCount >= ConsecutiveFailures || m.slowCount >= ConsecutiveSlow
+		if m.ejected || !outlier {
 			continue
 		}
 		if worst == "" || m.worse(p.members[worst]) {
@@ -276,38 +275,38 @@
 		return Change{}, false
 	}
 	m := p.members[worst]
-	grounds := fmt.Sprintf("%s a token, over %.0f times the peers' median, %d in a row", m.perToken, Ratio, m.slow)
-	if m.failed >= ConsecutiveFailures {
-		grounds = fmt.Sprintf("%d fresh dials or calls failed in a row", m.failed)
+	reason := fmt.Sprintf("%s per token, over %.0f times the peers' median, in %d consecutive measurements", m.perToken, Ratio, m.slowCount)
+	if m.failureCount >= ConsecutiveFailures {
+		reason = fmt.Sprintf("%d consecutive failures of new dials or calls", m.failureCount)
 	}
-	m.takeOut(now)
-	p.lastEject = now
-	return Change{Host: worst, Ejected: true, Reason: grounds, Until: m.until}, true
+	m.eject(now)
+	p.lastEjection = now
+	return Change{Host: worst, Ejected: true, Reason: reason, Until: m.ejectedUntil}, true
 }
 
-func (p *Pool) letBack(now time.Time) (Change, bool) {
-	h := p.nextBack()
-	if h == "" || now.Before(p.members[h].until) || now.Sub(p.lastReturn) < MinInterval {
+func (p *Pool) returnNext(now time.Time) (Change, bool) {
+	h := p.nextReturn()
+	if h == "" || now.Before(p.members[h].ejectedUntil) || now.Sub(p.lastReturn) < MinInterval {
 		return Change{}, false
 	}
-	p.members[h].comeBack(now)
+	p.members[h].startRamp(now)
 	p.lastReturn = now
-	return Change{Host: h, Reason: "hold has passed"}, true
+	return Change{Host: h, Reason: "the ejection time has passed"}, true
 }
 
-// nextBack gives the ejected member whose hold ends first.
-func (p *Pool) nextBack() domain.Host {
+// nextReturn returns the ejected member whose ejection ends first, or "".
+func (p *Pool) nextReturn() domain.Host {
 	var next domain.Host
 	for _, h := range p.hosts() {
-		if m := p.members[h]; m.ejected && (next == "" || m.until.Before(p.members[next].until)) {
+		if m := p.members[h]; m.ejected && (next == "" || m.ejectedUntil.Before(p.members[next].ejectedUntil)) {
 			next = h
 		}
 	}
 	return next
 }
 
-// hosts gives the members in a stable order, so that the same reports lead to
-// the same decisions.
+// hosts returns the members in a stable order, so that the same records lead to the same
+// decisions.
 func (p *Pool) hosts() []domain.Host {
 	hosts := make([]domain.Host, 0, len(p.members))
 	for h := range p.members {
@@ -317,7 +316,7 @@
 	return hosts
 }
 
-func (p *Pool) out() int {
+func (p *Pool) ejectedCount() int {
 	n := 0
 	for _, m := range p.members {
 		if m.ejected {
@@ -327,28 +326,29 @@
 	return n
 }
 
-// limit is the most that may be out: a third, rounded down, so that a pool of
-// two is left alone.
-func (p *Pool) limit() int { return len(p.members) / 3 }
+// maxEjected returns the maximum number of ejected members: a third, rounded down, so that a
+// pool of two has no ejections.
+func (p *Pool) maxEjected() int { return len(p.members) / 3 }
 
 func (m *member) worse(o *member) bool {
-	if (m.failed >= ConsecutiveFailures) != (o.failed >= ConsecutiveFailures) {
-		return m.failed >= ConsecutiveFailures
+	if (m.failureCount >= ConsecutiveFailures) != (o.failureCount >= ConsecutiveFailures) {
+		return m.failureCount >= ConsecutiveFailures
 	}
 	return m.perToken > o.perToken
 }
 
-func (m *member) takeOut(now time.Time) {
-	lately := !m.ejectedAt.IsZero() && now.Sub(m.ejectedAt) < m.hold+2*MaxEjectionTime
-	if lately {
-		m.hold = min(2*m.hold, MaxEjectionTime)
+func (m *member) eject(now time.Time) {
+	recent := !m.ejectedAt.IsZero() && now.Sub(m.ejectedAt) < m.ejectionTime+2*MaxEjectionTime
+	if recent {
+		m.ejectionTime = min(2*m.ejectionTime, MaxEjectionTime)
 	} else {
-		m.hold = MinEjectionTime
+		m.ejectionTime = MinEjectionTime
 	}
-	*m = member{ejected: true, ejectedAt: now, hold: m.hold, until: now.Add(m.hold)}
+	*m = member{ejected: true, ejectedAt: now, ejectionTime: m.ejectionTime, ejectedUntil: now.Add(m.ejectionTime)}
 }
 
-// comeBack starts the ramp. Measurements from before the ejection are gone.
-func (m *member) comeBack(now time.Time) {
-	*m = member{returned: now, ejectedAt: m.ejectedAt, hold: m.hold}
+// startRamp returns the member to service with a slow start. Measurements from before the
+// ejection are discarded.
+func (m *member) startRamp(now time.Time) {
+	*m = member{returnedAt: now, ejectedAt: m.ejectedAt, ejectionTime: m.ejectionTime}
 }
--- a/eject/eject_test.go
+++ b/eject/eject_test.go
@@ -27,28 +27,30 @@
 	return hosts
 }
 
-// result is what callers got in a simulation.
-type result struct{ late, sent, ejections, most int }
+// result counts the requests and ejections of a simulation, and the most upstreams that were
+// ejected at a time.
+type result struct{ late, sent, ejections, maxEjected int }
 
-// simulate sends 200 requests a second for a minute to a pool whose members
-// take 10 ms a token, times slow. An answer over 30 ms a token is late.
-func simulate(n int, with bool, slow func(host int, at time.Duration) float64) result {
+// simulate sends 200 requests a second for a minute to a pool of n upstreams that take 10 ms
+// a token, multiplied by slowdown. An answer over 30 ms a token is late. Without withEjection,
+// requests are distributed evenly.
+func simulate(n int, withEjection bool, slowdown func(host int, at time.Duration) float64) result {
 	var p Pool
-	x := rand.New(rand.NewPCG(1, 2))
+	random := rand.New(rand.NewPCG(1, 2))
 	hosts := pool(n)
 	p.SetMembers(start, hosts)
 	var r result
-	out := make(map[domain.Host]bool)
+	ejected := make(map[domain.Host]bool)
 	for tick := range 60 * 200 {
 		at := time.Duration(tick) * 5 * time.Millisecond
 		now := start.Add(at)
-		i := pick(x, n, func(i int) float64 {
-			if !with {
+		i := pick(random, n, func(i int) float64 {
+			if !withEjection {
 				return 1
 			}
 			return p.Weight(now, hosts[i])
 		})
-		perToken := time.Duration(float64(10*time.Millisecond) * (0.8 + 0.4*x.Float64()) * slow(i, at))
+		perToken := time.Duration(float64(10*time.Millisecond) * (0.8 + 0.4*random.Float64()) * slowdown(i, at))
 		r.sent++
 		if perToken > 30*time.Millisecond {
 			r.late++
@@ -58,32 +60,32 @@
 			continue
 		}
 		for _, c := range p.Evaluate(now) {
-			out[c.Host] = c.Ejected
+			ejected[c.Host] = c.Ejected
 			if c.Ejected {
 				r.ejections++
 			}
 		}
-		r.most = max(r.most, count(out))
+		r.maxEjected = max(r.maxEjected, count(ejected))
 	}
 	return r
 }
 
-func count(out map[domain.Host]bool) int {
+func count(ejected map[domain.Host]bool) int {
 	n := 0
-	for _, ejected := range out {
-		if ejected {
+	for _, isEjected := range ejected {
+		if isEjected {
 			n++
 		}
 	}
 	return n
 }
 
-func pick(x *rand.Rand, n int, weight func(int) float64) int {
+func pick(random *rand.Rand, n int, weight func(int) float64) int {
 	total := 0.0
 	for i := range n {
 		total += weight(i)
 	}
-	at := x.Float64() * total
+	at := random.Float64() * total
 	for i := range n {
 		if at -= weight(i); at < 0 {
 			return i
@@ -92,26 +94,25 @@
 	return n - 1
 }
 
-// One appraiser of nine is throttled to a tenth of its speed. Each ninth
-// seller waits ten times as long until it is out of the pool.
-func TestOneSlowOfNineIsEjected(t *testing.T) {
-	one := func(i int, _ time.Duration) float64 {
+// One upstream of nine is throttled to a tenth of its speed. Until it is ejected, a ninth of the
+// requests take ten times as long.
+func TestPoolEjectsOneSlowUpstreamOfNine(t *testing.T) {
+	oneSlow := func(i int, _ time.Duration) float64 {
 		if i == 4 {
 			return 10
 		}
 		return 1
 	}
-	without, with := simulate(9, false, one), simulate(9, true, one)
-	t.Logf("late of sent: without %d/%d, with %d/%d (%d ejections)", without.late, without.sent, with.late, with.sent, with.ejections)
+	without, with := simulate(9, false, oneSlow), simulate(9, true, oneSlow)
+	t.Logf("late of sent: %d/%d without ejection, %d/%d with it (%d ejections)", without.late, without.sent, with.late, with.sent, with.ejections)
 	require.Greater(t, without.late, 1200)
 	require.Less(t, with.late, without.late/8)
-	require.Equal(t, 1, with.most)
+	require.Equal(t, 1, with.maxEjected)
 }
 
-// An auction starts and all nine slow down tenfold. A limit in milliseconds
-// would eject them all, or a third, and bury the rest; the comparison ejects
-// nobody.
-func TestAllSlowEjectsNobody(t *testing.T) {
+// Guards against ejections under a load that slows all upstreams tenfold. A limit in
+// milliseconds would eject all of them, or a third, and overload the rest.
+func TestPoolEjectsNoneIfAllAreSlow(t *testing.T) {
 	r := simulate(9, true, func(_ int, at time.Duration) float64 {
 		if at > 10*time.Second {
 			return 10
@@ -121,7 +122,7 @@
 	require.Zero(t, r.ejections)
 }
 
-func TestNoMoreThanAThirdIsOut(t *testing.T) {
+func TestPoolEjectsAtMostAThird(t *testing.T) {
 	for _, slow := range []int{3, 4, 5, 8} {
 		r := simulate(9, true, func(i int, _ time.Duration) float64 {
 			if i < slow {
@@ -129,28 +130,27 @@
 			}
 			return 1
 		})
-		t.Logf("%d slow of 9: at most %d out", slow, r.most)
-		require.LessOrEqual(t, r.most, 3)
+		t.Logf("%d slow of 9: at most %d ejected", slow, r.maxEjected)
+		require.LessOrEqual(t, r.maxEjected, 3)
 	}
 }
 
-// One upstream is slow for 5 s and well for 5 s. Let in and out by turns it
-// would swing the load of the others twelve times a minute.
-func TestTurnsDoNotSwing(t *testing.T) {
+// One upstream alternates between 5 s slow and 5 s healthy. If it were ejected and returned each
+// time, the load of the others would change twelve times a minute.
+func TestPoolRarelyEjectsAlternatingUpstream(t *testing.T) {
 	r := simulate(9, true, func(i int, at time.Duration) float64 {
 		if i == 2 && at/(5*time.Second)%2 == 0 {
 			return 10
 		}
 		return 1
 	})
-	t.Logf("slow by turns: %d ejections in 60 s of 6 turns", r.ejections)
+	t.Logf("alternately slow: %d ejections in 60 s with 6 slow periods", r.ejections)
 	require.LessOrEqual(t, r.ejections, 3)
 }
 
-// Something between entry and side forgets all open connections, while a new
-// one works at once. The upstream is healthy; ejecting it for its silent
-// connections would take all of them out, one after the other.
-func TestSilentConnectionsAloneEjectNobody(t *testing.T) {
+// Guards against the ejection of healthy upstreams, one after the other, when a network device
+// between entry and side drops all established connections while new ones work.
+func TestPoolSilentConnectionsAloneEjectNone(t *testing.T) {
 	var p Pool
 	hosts := pool(9)
 	p.SetMembers(start, hosts)
@@ -166,35 +166,35 @@
 	require.Len(t, changes, 1)
 	require.Zero(t, p.Weight(now, hosts[1]))
 
-	back := p.Evaluate(now.Add(MinEjectionTime))
-	require.Len(t, back, 1)
-	require.False(t, back[0].Ejected)
+	returned := p.Evaluate(now.Add(MinEjectionTime))
+	require.Len(t, returned, 1)
+	require.False(t, returned[0].Ejected)
 	require.InDelta(t, InitialWeight, p.Weight(now.Add(MinEjectionTime), hosts[1]), 1e-9)
 	require.InDelta(t, (1+InitialWeight)/2, p.Weight(now.Add(MinEjectionTime+RampTime/2), hosts[1]), 1e-9)
 	require.InDelta(t, 1.0, p.Weight(now.Add(MinEjectionTime+2*RampTime), hosts[1]), 1e-9)
 	require.InDelta(t, 1.0, new(Pool).Weight(now, "unknown"), 0)
 }
 
-// Short look-ups and long files take their turns at random, each with 50 ms
-// before its first token: a healthy upstream that met short ones looks slow by
-// the token. None must be ejected for that.
-func TestMixedLengthsEjectNobody(t *testing.T) {
+// Short and long answers are distributed at random, each with 50 ms before its first token. An
+// upstream that happens to produce short ones has a higher latency per token and must not be
+// ejected for it.
+func TestPoolMixedAnswerLengthsEjectNone(t *testing.T) {
 	var p Pool
-	x := rand.New(rand.NewPCG(1, 2))
+	random := rand.New(rand.NewPCG(1, 2))
 	hosts := pool(9)
 	p.SetMembers(start, hosts)
 	for second := range 600 {
 		now := start.Add(time.Duration(second) * time.Second)
 		for range 200 {
-			tokens := int(math.Exp(x.Float64() * math.Log(500)))
+			tokens := int(math.Exp(random.Float64() * math.Log(500)))
 			elapsed := 50*time.Millisecond + time.Duration(tokens)*10*time.Millisecond
-			p.RecordAnswer(now, hosts[x.IntN(len(hosts))], elapsed, tokens)
+			p.RecordAnswer(now, hosts[random.IntN(len(hosts))], elapsed, tokens)
 		}
 		require.Empty(t, p.Evaluate(now), "second %d", second)
 	}
 }
 
-func TestHoldDoublesForOneThatComesBackBad(t *testing.T) {
+func TestPoolRepeatedEjectionLastsTwiceAsLong(t *testing.T) {
 	var p Pool
 	hosts := pool(3)
 	p.SetMembers(start, hosts)
@@ -203,15 +203,15 @@
 		for range ConsecutiveFailures {
 			p.RecordFailure(now, hosts[0], FreshCall)
 		}
-		out := p.Evaluate(now)
-		require.Len(t, out, 1)
-		require.Equal(t, want*time.Second, out[0].Until.Sub(now))
-		now = out[0].Until
+		changes := p.Evaluate(now)
+		require.Len(t, changes, 1)
+		require.Equal(t, want*time.Second, changes[0].Until.Sub(now))
+		now = changes[0].Until
 		require.Len(t, p.Evaluate(now), 1)
 	}
 }
 
-// naiveSlow is isSlow as one would write it down first.
+// naiveSlow is the reference implementation of isSlow.
 func naiveSlow(values []time.Duration, own int) bool {
 	peers := slices.Concat(values[:own], values[own+1:])
 	if len(peers) < MinPeers {
@@ -222,7 +222,7 @@
 	return float64(values[own]) > Ratio*float64(median) && values[own]-median > MinGap
 }
 
-func TestIsSlowAgreesWithNaive(t *testing.T) {
+func TestIsSlowMatchesNaive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ms := rapid.SliceOfN(rapid.IntRange(1, 60), 1, 12).Draw(t, "ms")
 		values := make([]time.Duration, len(ms))
@@ -236,11 +236,11 @@
 	})
 }
 
-func TestBoundsHoldUnderAnySequence(t *testing.T) {
+func TestPoolBoundsHoldForRandomSequences(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var p Pool
 		all := pool(12)
-		now, lastOut := start, time.Time{}
+		now, lastEjection := start, time.Time{}
 		hosts := all[:9]
 		p.SetMembers(now, hosts)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -261,24 +261,24 @@
 			}
 			for _, c := range p.Evaluate(now) {
 				if c.Ejected {
-					require.True(t, lastOut.IsZero() || now.Sub(lastOut) >= MinInterval)
-					lastOut = now
+					require.True(t, lastEjection.IsZero() || now.Sub(lastEjection) >= MinInterval)
+					lastEjection = now
 				}
 			}
-			out := 0
+			ejected := 0
 			for _, h := range hosts {
 				w := p.Weight(now, h)
 				require.True(t, w >= 0 && w <= 1)
 				if w == 0 {
-					out++
+					ejected++
 				}
 			}
-			require.LessOrEqual(t, out*3, len(hosts))
+			require.LessOrEqual(t, ejected*3, len(hosts))
 		}
 	})
 }
 
-// BenchmarkWeight measures the read on the path of each choice.
+// BenchmarkWeight measures Weight, which is called for each selection of an upstream.
 func BenchmarkWeight(b *testing.B) {
 	var p Pool
 	hosts := pool(290)
@@ -288,7 +288,7 @@
 	}
 }
 
-// BenchmarkEvaluate measures the comparison, made once a second.
+// BenchmarkEvaluate measures Evaluate, which is called once a second.
 func BenchmarkEvaluate(b *testing.B) {
 	var p Pool
 	hosts := pool(290)
