--- a/direct/assign.go
+++ b/direct/assign.go
@@ -12,67 +12,69 @@
 )
 
 const (
-	// assignPath is where the entry that tracks the engines is asked for an engine, and
-	// assignEndPath where it is told that work has ended.
+	// assignPath is the peer endpoint that assigns a prefill engine, and assignEndPath the
+	// one that is notified when the assigned work has ended. Both are called at the entry
+	// that tracks the engines of the shard.
 	assignPath    = "/v1/assign"
 	assignEndPath = "/v1/assign_end"
-	// assignFailing is the part of failed answers from which an entry asks not to be
-	// given an engine.
-	assignFailing = 0.5
+	// assignMaxFailureRate is the share of failed answers above which an entry excludes an
+	// engine from its assignment requests.
+	assignMaxFailureRate = 0.5
 )
 
-// assignCall asks for an engine that is to read a prompt.
-type assignCall struct {
+// assignRequest asks for a prefill engine for one prompt.
+type assignRequest struct {
 	Shard  assign.Shard `json:"shard"`
 	Tokens int          `json:"tokens"`
-	// Near is the availability zone of the engine that will fetch the prompt.
-	Near domain.Zone `json:"near"`
-	// Timeout is how long the prompt may take.
-	Within time.Duration `json:"within"`
-	// Skip are engines that the asker keeps away from.
-	Skip []roster.ID `json:"skip,omitempty"`
+	// DecodeZone is the availability zone of the decode engine that will fetch the KV
+	// cache.
+	DecodeZone domain.Zone `json:"near"`
+	// Timeout is the time in which the prompt should be prefilled.
+	Timeout time.Duration `json:"within"`
+	// Exclude names engines that must not be assigned.
+	Exclude []roster.ID `json:"skip,omitempty"`
 }
 
-// assignEnd tells of work that has ended.
-type assignEnd struct {
+// assignmentEnd reports that assigned work has ended.
+type assignmentEnd struct {
 	Shard  assign.Shard  `json:"shard"`
 	Ticket assign.Ticket `json:"ticket"`
 }
 
-// assignment is an engine that was given to a prompt, by an entry that wants to hear
-// of the end.
+// assignment is a prefill engine that a tracking entry assigned, with what is needed to
+// report the end of the work to that entry.
 type assignment struct {
-	by     keeper
+	owner  owner
 	shard  assign.Shard
 	ticket assign.Ticket
 }
 
-// assignPrefill chooses the prefill engine by what all entries have sent to each, as
-// one of them knows. It gives no upstream where that one can't be reached, or knows
-// an engine that is not known here.
-func (s *Server) assignPrefill(ctx context.Context, r *request, near domain.Zone, l route.Request) (p placed, a assignment) {
+// assignPrefill asks the entry that tracks the prefill load of all entries for an engine.
+// It returns no upstream if no tracking entry can be reached, or if the assigned engine is
+// unknown or closed to new requests here.
+func (s *Server) assignPrefill(ctx context.Context, r *request, near domain.Zone, l route.Request) (p placement, a assignment) {
 	engines, skip := s.prefillEngines(r, l)
-	call := assignCall{
-		Shard: assign.PickShard(r.service.Name, engines, r.random), Tokens: l.Units, Near: near, Within: r.targetLatency(), Skip: skip,
+	call := assignRequest{
+		Shard: assign.PickShard(r.service.Name, engines, r.random), Tokens: l.Units, DecodeZone: near, Timeout: r.targetLatency(), Exclude: skip,
 	}
-	own := func(bool) assign.Assignment { return s.assignHere(call) }
-	given, by, ok := askKeeper(ctx, s, call.Shard.Key(), assignPath, keeperTries, call, own)
-	if !ok || !given.Found() {
-		return placed{}, assignment{}
+	local := func(bool) assign.Assignment { return s.assignLocally(call) }
+	assigned, tracker, ok := callOwner(ctx, s, call.Shard.Key(), assignPath, maxOwnerTries, call, local)
+	if !ok || !assigned.Found() {
+		return placement{}, assignment{}
 	}
-	a = assignment{by: by, shard: call.Shard, ticket: given.Ticket}
-	u := s.roster.Upstream(roster.ID(given.Engine))
+	a = assignment{owner: tracker, shard: call.Shard, ticket: assigned.Ticket}
+	u := s.roster.Upstream(roster.ID(assigned.Engine))
 	if u == nil || !u.Eligibility(time.Now()).Eligible() {
 		s.endAssignment(a)
-		return placed{}, assignment{}
+		return placement{}, assignment{}
 	}
-	p = placed{upstream: u, offer: u.Stats.Candidate(time.Now()), of: engines, by: by.name(), ahead: given.QueueDelay}
-	p.offer.Name = given.Engine
+	p = placement{upstream: u, candidate: u.Stats.Candidate(time.Now()), candidates: engines, chosenBy: tracker.name(), expectedWait: assigned.QueueDelay}
+	p.candidate.Name = assigned.Engine
 	return p, a
 }
 
-// prefillEngines counts the prefill engines, and gives those that the request has tried,
-// or that refuse or fail as this entry knows.
+// prefillEngines returns the number of prefill engines of the service, and those that the
+// request has tried already or that this entry sees refusing or failing.
 func (s *Server) prefillEngines(r *request, l route.Request) (n int, skip []roster.ID) {
 	now := time.Now()
 	for _, u := range s.roster.Upstreams(r.service.Name) {
@@ -81,76 +83,78 @@
 			continue
 		}
 		n++
-		o := u.Stats.Candidate(now)
-		if r.tried[m.Key()] || !u.Eligibility(now).Eligible() || o.RecentlyFull || o.FailureRate > assignFailing || l.OnlyResponsive && !o.Responsive {
+		c := u.Stats.Candidate(now)
+		if r.excluded[m.Key()] || !u.Eligibility(now).Eligible() || c.RecentlyFull || c.FailureRate > assignMaxFailureRate || l.OnlyResponsive && !c.Responsive {
 			skip = append(skip, m.ID)
 		}
 	}
 	return n, skip
 }
 
-// assignHere chooses for an entry by what is tracked here.
-func (s *Server) assignHere(c assignCall) assign.Assignment {
-	skip := make(map[roster.ID]bool, len(c.Skip))
-	for _, id := range c.Skip {
+// assignLocally assigns an engine by the load that is tracked in this process.
+func (s *Server) assignLocally(call assignRequest) assign.Assignment {
+	skip := make(map[roster.ID]bool, len(call.Exclude))
+	for _, id := range call.Exclude {
 		skip[id] = true
 	}
 	now := time.Now()
 	var engines []assign.Engine
-	for _, u := range s.roster.Upstreams(c.Shard.Service) {
+	for _, u := range s.roster.Upstreams(call.Shard.Service) {
 		m := u.Server()
-		o := u.Stats.Candidate(now)
-		if m.Role != domain.RolePrefill || !u.Eligibility(now).Eligible() || skip[m.ID] || o.RecentlyFull || !c.Shard.Contains(string(m.ID)) {
+		c := u.Stats.Candidate(now)
+		if m.Role != domain.RolePrefill || !u.Eligibility(now).Eligible() || skip[m.ID] || c.RecentlyFull || !call.Shard.Contains(string(m.ID)) {
 			continue
 		}
-		e := assign.Engine{ID: string(m.ID), ExtraLatency: time.Duration(o.FailureRate * float64(c.Within))}
-		if m.Zone != c.Near {
-			e.ExtraLatency += farStage
+		e := assign.Engine{ID: string(m.ID), ExtraLatency: time.Duration(c.FailureRate * float64(call.Timeout))}
+		if m.Zone != call.DecodeZone {
+			e.ExtraLatency += crossZoneStageCost
 		}
 		engines = append(engines, e)
 	}
-	each := s.mixes.PromptTokenTime(c.Shard.Service)
-	if each <= 0 {
-		each = prefillRate
+	tokenTime := s.profiles.PromptTokenTime(call.Shard.Service)
+	if tokenTime <= 0 {
+		tokenTime = defaultPromptTokenTime
 	}
-	return s.trackers.For(c.Shard).Assign(now, engines, assign.Work{Tokens: c.Tokens, PerToken: each, TTL: c.Within}, random())
+	return s.trackers.For(call.Shard).Assign(now, engines, assign.Work{Tokens: call.Tokens, PerToken: tokenTime, TTL: call.Timeout}, newRandom())
 }
 
-// keeps says whether the shard can be tracked.
-func (s *Server) keeps(p assign.Shard) bool {
-	c := s.holder.Current()
+// canTrack reports whether the shard is valid and its service is configured.
+func (s *Server) canTrack(p assign.Shard) bool {
+	c := s.config.Current()
 	return c != nil && c.Service(p.Service) != nil && p.Valid()
 }
 
-// answerAssign answers the other entries; an entry that knows no engines can't.
-func (s *Server) answerAssign(c assignCall) (assign.Assignment, bool) {
-	if !s.roster.Loaded() || c.Tokens < 0 || c.Within <= 0 || !s.keeps(c.Shard) {
+// handleAssign answers an assignment request of another entry. It returns false until the
+// registry of upstreams is loaded, and for invalid requests.
+func (s *Server) handleAssign(c assignRequest) (assign.Assignment, bool) {
+	if !s.roster.Loaded() || c.Tokens < 0 || c.Timeout <= 0 || !s.canTrack(c.Shard) {
 		return assign.Assignment{}, false
 	}
-	return s.assignHere(c), true
+	return s.assignLocally(c), true
 }
 
-// answerEnd takes word that work has ended.
-func (s *Server) answerEnd(e assignEnd) (struct{}, bool) {
-	if !s.keeps(e.Shard) {
+// handleAssignEnd records the end of assigned work. It returns false if the shard can't be
+// tracked.
+func (s *Server) handleAssignEnd(e assignmentEnd) (struct{}, bool) {
+	if !s.canTrack(e.Shard) {
 		return struct{}{}, false
 	}
 	s.trackers.For(e.Shard).Finish(e.Ticket)
 	return struct{}{}, true
 }
 
-// endAssignment tells the entry that gave the engine that the prompt is read, or will
-// not be.
+// endAssignment reports to the entry that assigned the engine that the prompt was prefilled
+// or will not be.
 func (s *Server) endAssignment(a assignment) {
 	if a.ticket == 0 {
 		return
 	}
-	end := assignEnd{Shard: a.shard, Ticket: a.ticket}
-	if a.by.peer == nil {
-		s.answerEnd(end)
+	end := assignmentEnd{Shard: a.shard, Ticket: a.ticket}
+	if a.owner.peer == nil {
+		s.handleAssignEnd(end)
 		return
 	}
-	s.later("end assignment", keeperWithin, func(ctx context.Context) error {
-		return callPeer(ctx, a.by.peer, http.MethodPost, assignEndPath, keeperWithin, end, nil)
+	s.background("end assignment", ownerTimeout, func(ctx context.Context) error {
+		return callPeer(ctx, a.owner.peer, http.MethodPost, assignEndPath, ownerTimeout, end, nil)
 	})
 }
--- a/direct/attempt.go
+++ b/direct/attempt.go
@@ -12,86 +12,88 @@
 	"jacinthworks/send"
 )
 
-// silenceSlack leaves the end of a request's time to its context, so that a
-// silence until then reads as what it is.
-const silenceSlack = 100 * time.Millisecond
+// readTimeoutMargin is added to the time left to a request where that is the read timeout,
+// so that the request's context ends first and the failure is reported as its deadline.
+const readTimeoutMargin = 100 * time.Millisecond
 
 // attempt is one send of a request to an upstream.
 type attempt struct {
 	upstream *roster.Upstream
 	start    roster.Start
-	stamp    AttemptInfo
-	work     roster.Cost
-	// silence bounds the wait for the header; zero is up to the request's end.
-	silence time.Duration
-	began   time.Time
-	// counted says that the upstream's load has the attempt already.
-	counted bool
-	// permit allows it by the upstream's rate limit.
+	info     AttemptInfo
+	cost     roster.Cost
+	// headerTimeout bounds the wait for the response header; zero means the time left to
+	// the request.
+	headerTimeout time.Duration
+	startedAt     time.Time
+	// loadCounted means that the upstream's load already includes the attempt.
+	loadCounted bool
+	// permit is the attempt's permit by the upstream's rate limit.
 	permit permit
 }
 
-// try sends the request to an upstream and waits for the header of its answer.
-// The caller of try closes the reply, and calls done.
-func (s *Server) try(ctx context.Context, r *request, a *attempt) (*send.Response, *failure) {
-	if !s.admits(r.id, a.upstream) {
-		return nil, s.withheld(r, a)
+// sendAttempt sends the request to an upstream and waits for the response header. The
+// caller closes the returned reply and calls finishAnswered.
+func (s *Server) sendAttempt(ctx context.Context, r *request, a *attempt) (*send.Response, *failure) {
+	if !s.acceptsNew(r.id, a.upstream) {
+		return nil, s.failNotSent(r, a)
 	}
 	server := a.upstream.Server()
-	a.start, a.began = server.Start, time.Now()
-	a.stamp.Upstream, a.stamp.Account, a.stamp.Timeout, a.stamp.Priority = server.ID, r.holder(), r.left(), r.priority()
+	a.start, a.startedAt = server.Start, time.Now()
+	a.info.Upstream, a.info.Account, a.info.Timeout, a.info.Priority = server.ID, r.accountName(), r.timeLeft(), r.priority()
 	header := r.header.Clone()
-	s.Protocol.SetAttemptHeader(header, a.stamp)
-	if a.silence <= 0 {
-		a.silence = r.left() + silenceSlack
+	s.Protocol.SetAttemptHeader(header, a.info)
+	if a.headerTimeout <= 0 {
+		a.headerTimeout = r.timeLeft() + readTimeoutMargin
 	}
-	if a.stamp.Stage != StagePrefill {
-		r.tries.Sent()
+	if a.info.Stage != StagePrefill {
+		r.attempts.Sent()
 	}
-	if !a.counted {
-		a.upstream.Stats.RequestStarted(a.work)
+	if !a.loadCounted {
+		a.upstream.Stats.RequestStarted(a.cost)
 	}
 	s.crashes.Begin(a.start.Key(), r, r.identity)
-	reply, note, err := s.exchange(ctx, r.id, a.upstream, send.Request{
-		Method: r.method, Target: r.target, Host: r.host, Header: header, Body: r.body, ReadTimeout: a.silence,
-		// A kept connection can break just as it is used, which leaves open
+	reply, info, err := s.exchange(ctx, r.id, a.upstream, send.Request{
+		Method: r.method, Target: r.target, Host: r.host, Header: header, Body: r.body, ReadTimeout: a.headerTimeout,
+		// A reused connection can break just as the request is written, which leaves open
 		// whether the request ran.
 		NewConn: !r.route.Retryable(),
-		Match:   func(h http.Header) bool { return s.mine(r, h) },
+		Match:   func(h http.Header) bool { return s.answersRequest(r, h) },
 	})
 	if err != nil {
-		return nil, s.broke(ctx, r, a, err)
+		return nil, s.failSend(ctx, r, a, err)
 	}
-	if note.LoadReported {
-		a.upstream.Stats.RecordLoad(time.Now(), note.InFlight)
+	if info.LoadReported {
+		a.upstream.Stats.RecordLoad(time.Now(), info.InFlight)
 	}
-	s.heardLimit(r, a, note, reply.Status)
+	s.recordLimit(r, a, info, reply.Status)
 	switch {
-	case note.Misdirected:
+	case info.Misdirected:
 		reply.Close()
-		if note.Instance != "" && note.Instance != a.start.ID {
+		if info.Instance != "" && info.Instance != a.start.ID {
 			s.roster.InstanceReplaced(a.upstream)
 		} else {
-			// Failure: an engine has changed its role, and the registry, which is away,
-			// does not tell. It shows as prefills that it turns away, one of each
-			// request and entry, until the registry is back.
+			// The engine has changed its role, and the registry, which is unreachable, has
+			// not said so. Until the registry is back, each entry sends it prefills that
+			// the engine refuses, one for each request.
 			a.upstream.Stats.RecordRefusal(time.Now())
 		}
-		return nil, s.failed(r, a, &failure{ran: domain.NotRun, reason: domain.ReasonNoUpstream, detail: "another start, or one of another role, answers at the address"})
-	case note.NotExecuted:
-		s.readShort(reply)
-		if a.stamp.Reservation != "" || a.stamp.Stage == StagePrefill {
+		return nil, s.finishFailed(r, a, &failure{ran: domain.NotRun, reason: domain.ReasonNoUpstream, detail: "another start, or one of another role, answers at the address"})
+	case info.NotExecuted:
+		s.readShortResponse(reply)
+		if a.info.Reservation != "" || a.info.Stage == StagePrefill {
 			a.upstream.Stats.RecordRefusal(time.Now())
 		} else {
-			a.upstream.Stats.HoldOff(time.Now().Add(s.fullFor()))
+			a.upstream.Stats.HoldOff(time.Now().Add(s.fullBackoff()))
 		}
-		return nil, s.failed(r, a, &failure{ran: domain.NotRun, reason: domain.ReasonNoRoom, detail: "the upstream refused unrun"})
+		return nil, s.finishFailed(r, a, &failure{ran: domain.NotRun, reason: domain.ReasonNoRoom, detail: "the upstream refused unrun"})
 	}
 	return reply, nil
 }
 
-// mine says whether an answer is to this request: one without an id is.
-func (s *Server) mine(r *request, h http.Header) bool {
+// answersRequest reports whether a response belongs to the request. A response without a
+// request id does.
+func (s *Server) answersRequest(r *request, h http.Header) bool {
 	id := s.Protocol.ParseResponse(http.StatusOK, h).ID
 	if id == "" || id == r.id {
 		return true
@@ -100,19 +102,20 @@
 	return false
 }
 
-// shortAnswer bounds, in bytes, an answer that is read only to keep its
-// connection.
-const shortAnswer = 4 << 10
+// maxShortResponse bounds, in bytes, the body of a response that is read only so that its
+// connection can be reused, and the answers of small calls.
+const maxShortResponse = 4 << 10
 
-// readShort reads a short answer to its end.
-func (s *Server) readShort(reply *send.Response) {
-	if _, err := reply.ReadAll(shortAnswer); err != nil {
+// readShortResponse reads a short response to its end.
+func (s *Server) readShortResponse(reply *send.Response) {
+	if _, err := reply.ReadAll(maxShortResponse); err != nil {
 		s.Log.Debug("short answer broke off", "err", err)
 	}
 }
 
-// broke sorts a send that has no answer.
-func (s *Server) broke(ctx context.Context, r *request, a *attempt, err error) *failure {
+// failSend classifies the error of a send that got no usable response, and ends the
+// attempt.
+func (s *Server) failSend(ctx context.Context, r *request, a *attempt, err error) *failure {
 	f := &failure{ran: domain.Unknown, reason: domain.ReasonLost, detail: err.Error()}
 	switch send.StageOf(err) {
 	case send.NotSent:
@@ -123,8 +126,8 @@
 	case send.TimedOut:
 		f.reason = domain.ReasonUpstream
 	case send.Broken:
-		if a.stamp.Stage != StagePrefill && ctx.Err() == nil {
-			s.suspect(r, a)
+		if a.info.Stage != StagePrefill && ctx.Err() == nil {
+			s.checkCrash(r, a)
 		}
 	}
 	if ctx.Err() != nil {
@@ -133,37 +136,38 @@
 	if f.reason != domain.ReasonCallerGone {
 		a.upstream.Stats.RecordFailure(time.Now())
 	}
-	return s.failed(r, a, f)
+	return s.finishFailed(r, a, f)
 }
 
-// failed notes an attempt without a usable answer.
-func (s *Server) failed(r *request, a *attempt, f *failure) *failure {
-	s.ended(r, a)
-	if a.stamp.Stage != StagePrefill {
-		r.tries.Ended(f.ran)
-	}
-	r.avoid(a.upstream)
-	s.Log.Info("attempt failed", "request", r.id, "upstream", a.start.ID, "stage", a.stamp.Stage, "send", r.tries.Sends(),
-		"ran", f.ran, "reason", f.reason, "detail", f.detail, "took", time.Since(a.began))
+// finishFailed records an attempt without a usable response.
+func (s *Server) finishFailed(r *request, a *attempt, f *failure) *failure {
+	s.releaseLoad(r, a)
+	if a.info.Stage != StagePrefill {
+		r.attempts.Ended(f.ran)
+	}
+	r.exclude(a.upstream)
+	s.Log.Info("attempt failed", "request", r.id, "upstream", a.start.ID, "stage", a.info.Stage, "send", r.attempts.Sends(),
+		"ran", f.ran, "reason", f.reason, "detail", f.detail, "took", time.Since(a.startedAt))
 	s.Meter.Inc("jacinthworks_attempts_total", meter.Labels{"service", string(r.service.Name), "outcome", string(f.reason)})
 	return f
 }
 
-// ended gives back what the attempt took of its upstream.
-func (s *Server) ended(r *request, a *attempt) {
-	a.upstream.Stats.RequestEnded(a.work)
+// releaseLoad removes the attempt from the load of its upstream.
+func (s *Server) releaseLoad(r *request, a *attempt) {
+	a.upstream.Stats.RequestEnded(a.cost)
 	s.crashes.End(a.start.Key(), r)
-	if a.counted {
-		s.lines.For(r.service.Name).SignalFree()
+	if a.loadCounted {
+		s.queues.For(r.service.Name).SignalFree()
 	}
 }
 
-// done notes an attempt that was answered.
-func (s *Server) done(r *request, a *attempt, took time.Duration, units int, good bool) {
+// finishAnswered records an attempt that got a response. took is the time to it, units the
+// work in it; good is false if the response reports a failure of the upstream.
+func (s *Server) finishAnswered(r *request, a *attempt, took time.Duration, units int, succeeded bool) {
 	now := time.Now()
-	s.ended(r, a)
+	s.releaseLoad(r, a)
 	outcome := "answered"
-	if good {
+	if succeeded {
 		a.upstream.Stats.RecordSuccess(now, took, units)
 		s.crashes.Ledger.RecordSurvival(now, r.identity)
 	} else {
@@ -171,25 +175,25 @@
 		outcome = "upstream_failed"
 	}
 	s.Meter.Inc("jacinthworks_attempts_total", meter.Labels{"service", string(r.service.Name), "outcome", outcome})
-	s.Meter.Observe("jacinthworks_attempt_seconds", meter.Labels{"service", string(r.service.Name), "stage", string(a.stamp.Stage)}, took)
+	s.Meter.Observe("jacinthworks_attempt_seconds", meter.Labels{"service", string(r.service.Name), "stage", string(a.info.Stage)}, took)
 }
 
-// again says whether another attempt may follow the one that failed, and takes
-// it from the budget.
-func (s *Server) again(ctx context.Context, r *request, f *failure) bool {
+// mayRetry reports whether another attempt may follow the failed one, and charges it to the
+// retry budget.
+func (s *Server) mayRetry(ctx context.Context, r *request, f *failure) bool {
 	if f.final {
 		return false
 	}
-	verdict := r.tries.Allow(f.ran)
+	decision := r.attempts.Allow(f.ran)
 	switch {
 	case ctx.Err() != nil:
-		verdict = retry.TooLate
-	case verdict == retry.Allowed && !f.unsent && !s.budgets.window(r.service.Name).Take(time.Now(), s.terms()):
-		verdict = retry.OverBudget
+		decision = retry.TooLate
+	case decision == retry.Allowed && !f.unsent && !s.retryBudgets.window(r.service.Name).Take(time.Now(), s.retryTerms()):
+		decision = retry.OverBudget
 	}
-	if verdict == retry.Allowed {
+	if decision == retry.Allowed {
 		return true
 	}
-	s.Log.Info("not repeated", "request", r.id, "why", verdict, "sends", r.tries.Sends(), "runs", r.tries.Runs(), "left", r.left())
+	s.Log.Info("not repeated", "request", r.id, "why", decision, "sends", r.attempts.Sends(), "runs", r.attempts.Runs(), "left", r.timeLeft())
 	return false
 }
--- a/direct/budget.go
+++ b/direct/budget.go
@@ -8,32 +8,32 @@
 	"jacinthworks/retry"
 )
 
-// budgets are the allowances for repeats of each service.
-type budgets struct {
-	mu sync.Mutex // a leaf
-	of map[domain.Service]*retry.Window
+// retryBudgets holds the retry budget of each service.
+type retryBudgets struct {
+	mu        sync.Mutex // leaf lock: no other lock is acquired while it is held
+	byService map[domain.Service]*retry.Window
 }
 
-func (b *budgets) window(s domain.Service) *retry.Window {
+func (b *retryBudgets) window(s domain.Service) *retry.Window {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.of == nil {
-		b.of = make(map[domain.Service]*retry.Window)
+	if b.byService == nil {
+		b.byService = make(map[domain.Service]*retry.Window)
 	}
-	if b.of[s] == nil {
-		b.of[s] = &retry.Window{}
+	if b.byService[s] == nil {
+		b.byService[s] = &retry.Window{}
 	}
-	return b.of[s]
+	return b.byService[s]
 }
 
-// terms are the figures that bound repeats here: the fleet's, and this entry's
-// part of the fixed number.
-func (s *Server) terms() retry.WindowConfig {
-	p := s.live.Load().Repeats
-	return retry.WindowConfig{Ratio: p.Ratio, Fixed: p.Fixed / float64(s.members.count(time.Now())) * fixedPart, Span: p.Span}
+// retryTerms returns the bounds on retries in this process: the ratio and the time span of
+// the whole fleet, and this entry's share of the fixed number.
+func (s *Server) retryTerms() retry.WindowConfig {
+	p := s.liveSettings.Load().Repeats
+	return retry.WindowConfig{Ratio: p.Ratio, Fixed: p.Fixed / float64(s.members.count(time.Now())) * fixedRetryPart, Span: p.Span}
 }
 
-// fixedPart is the part of the fixed number that is given out: the rest covers
-// entries that have just come, and repeats that were not asked for here, such
-// as a prefill that failed.
-const fixedPart = 0.6
+// fixedRetryPart is the part of the fixed number of retries that is shared out among the
+// entries. The rest covers entries that have just started, and retries that were not
+// charged to a budget, such as a failed prefill.
+const fixedRetryPart = 0.6
--- a/direct/change.go
+++ b/direct/change.go
@@ -11,98 +11,99 @@
 )
 
 const (
-	// changeTold is how long the notice names an order: several times what a
-	// watch takes to bring it.
-	changeTold = 5 * time.Second
-	// changeSlack is what a change may take beyond its own time, for what the
+	// roleChangeRetention is how long the notice names a role change: several times the
+	// delay of a watch.
+	roleChangeRetention = 5 * time.Second
+	// roleChangeMargin is added to the engine's switch time, for the requests that the
 	// engine still runs.
-	changeSlack = 2 * time.Second
+	roleChangeMargin = 2 * time.Second
 )
 
-// RoleChange is an order to an engine that keeps it away for a time.
+// RoleChange is a role change that an engine was ordered to make, during which the engine
+// takes no requests.
 type RoleChange struct {
 	roster.Start
 	Fence fence.Token `json:"fence"`
-	// To is the role that the engine has after it; empty where it may not carry the
-	// order out.
+	// To is the engine's new role; empty if the engine may not carry out the order.
 	To domain.Role `json:"to,omitempty"`
 }
 
-// changing are the engines that this entry has lately told to change their
-// role. The zero value is ready to use; it must not be copied.
+// recentChanges holds the role changes that this entry has ordered lately. The zero value
+// is ready to use; it must not be copied.
 //
-// Failure: an engine that changes its role refuses what comes for it, and has
-// nothing else to do, so that each entry takes it for the best one. The registry
-// tells of the change when it is over. It shows as refused prefills, which use up
-// the repeats that are allowed, and then as prompts that decode engines have to
-// read. A notice, which all entries watch, tells them within milliseconds.
-type changing struct {
-	mu   sync.Mutex // a leaf
-	told []toldChange
+// An engine that changes its role refuses new requests and is otherwise idle, so it looks
+// like the best choice to each entry, and the registry lists the new role only when the
+// change is over. The refused prefills would use up the retry budget, and then decode
+// engines would have to read the prompts. A notice, which all entries watch, reaches the
+// entries within milliseconds.
+type recentChanges struct {
+	mu      sync.Mutex // leaf lock: no other lock is acquired while it is held
+	changes []timedChange
 }
 
-type toldChange struct {
+type timedChange struct {
 	RoleChange
-	at time.Time
+	orderedAt time.Time
 }
 
-// tell notes orders of this entry, and gives all that its notice is to name.
-func (c *changing) tell(now time.Time, orders []RoleChange) []RoleChange {
+// add adds orders given at now, and returns all changes that the notice is to name.
+func (c *recentChanges) add(now time.Time, orders []RoleChange) []RoleChange {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var left []toldChange
-	for _, t := range c.told {
-		if now.Sub(t.at) < changeTold {
-			left = append(left, t)
+	var recent []timedChange
+	for _, t := range c.changes {
+		if now.Sub(t.orderedAt) < roleChangeRetention {
+			recent = append(recent, t)
 		}
 	}
-	for _, one := range orders {
-		left = append(left, toldChange{one, now})
+	for _, change := range orders {
+		recent = append(recent, timedChange{change, now})
 	}
-	c.told = left
+	c.changes = recent
 	var all []RoleChange
-	for _, t := range left {
+	for _, t := range recent {
 		all = append(all, t.RoleChange)
 	}
 	return all
 }
 
-// tellChanges tells all entries, this one included, of orders that were given.
-func (s *Server) tellChanges(ctx context.Context, orders []RoleChange) {
+// announceChanges notifies all entries, this one included, of the role changes that were
+// ordered.
+func (s *Server) announceChanges(ctx context.Context, orders []RoleChange) {
 	now := time.Now()
-	n := Notice{By: s.Settings.Name, Orders: s.changing.tell(now, orders)}
-	s.heed(now, n)
-	s.notify(ctx, rolesNotice, n)
+	notice := Notice{By: s.Settings.Name, Orders: s.recentChanges.add(now, orders)}
+	s.applyChanges(now, notice)
+	s.writeNotice(ctx, rolesNotice, notice)
 }
 
-// noteOrders takes orders for known without heeding them: a notice that stands in
-// a list may be old.
-func (s *Server) noteOrders(n Notice) {
-	for _, one := range n.Orders {
-		if u := s.roster.ByInstance(one.Start); u != nil {
-			u.Stats.AcceptOrder(uint64(one.Fence))
+// recordOrders records the fencing tokens of a listed notice without closing the engines to
+// new requests: a listed notice may be old.
+func (s *Server) recordOrders(n Notice) {
+	for _, change := range n.Orders {
+		if u := s.roster.ByInstance(change.Start); u != nil {
+			u.Stats.AcceptOrder(uint64(change.Fence))
 		}
 	}
 }
 
-// heed keeps work away from the engines that were told to change their role,
-// until they have or should have.
-func (s *Server) heed(now time.Time, n Notice) {
-	for _, one := range n.Orders {
-		u := s.roster.ByInstance(one.Start)
-		if u == nil || !u.Stats.AcceptOrder(uint64(one.Fence)) {
+// applyChanges closes the engines whose role changes to new requests, until the change is
+// done or should be.
+func (s *Server) applyChanges(now time.Time, n Notice) {
+	for _, change := range n.Orders {
+		u := s.roster.ByInstance(change.Start)
+		if u == nil || !u.Stats.AcceptOrder(uint64(change.Fence)) {
 			continue
 		}
-		away := changeSlack
-		if c := s.holder.Current(); c != nil {
+		duration := roleChangeMargin
+		if c := s.config.Current(); c != nil {
 			if v := c.Service(u.Server().Service); v != nil && v.Engine != nil {
-				away += v.Engine.SwitchTime
+				duration += v.Engine.SwitchTime
 			}
 		}
-		u.Stats.SuspendUntil(now.Add(away))
-		if one.To != "" {
-			u.ExpectRole(one.To, now.Add(away))
+		u.Stats.SuspendUntil(now.Add(duration))
+		if change.To != "" {
+			u.ExpectRole(change.To, now.Add(duration))
 		}
-		s.Log.Info("engine changes its role", "upstream", one.ID, "fence", one.Fence, "told_by", n.By, "away", away)
+		s.Log.Info("engine changes its role", "upstream", change.ID, "fence", change.Fence, "told_by", n.By, "away", duration)
 	}
 }
--- a/direct/client.go
+++ b/direct/client.go
@@ -5,8 +5,8 @@
 	"jacinthworks/paths"
 )
 
-// identify finds the account whose key the caller shows. From here on neither the
-// key nor what the caller said of its account is in the request.
+// identify finds the client account of the caller's API key. It removes from the request's
+// header the key and whatever the caller stated about its account.
 func (s *Server) identify(r *request, c *paths.Config) *failure {
 	if !c.RequiresKey() {
 		return nil
@@ -22,15 +22,17 @@
 	return nil
 }
 
-// holder names the account to upstreams; "" where callers have none.
-func (r *request) holder() domain.Account {
+// accountName is the client account that is passed to upstreams; empty if the caller has
+// none.
+func (r *request) accountName() domain.Account {
 	if r.client == nil {
 		return ""
 	}
 	return r.client.Name
 }
 
-// priority is the request's rank, 0 first: its account's, or else its route's.
+// priority is the request's priority, 0 being the highest: that of its account, else that
+// of its route.
 func (r *request) priority() int {
 	if r.client != nil && r.client.HasPriority {
 		return r.client.Priority
--- a/direct/crash.go
+++ b/direct/crash.go
@@ -17,32 +17,32 @@
 	"jacinthworks/roster"
 )
 
-// deathWithin bounds the dial that tells a dead upstream from a connection that
-// broke: a live one accepts within milliseconds.
-const deathWithin = 300 * time.Millisecond
+// probeTimeout bounds the dial that tells a crashed upstream from a broken connection: a
+// live upstream accepts within milliseconds.
+const probeTimeout = 300 * time.Millisecond
 
-// deathsGather is the time in which deaths are gathered for one notice: one
-// upstream's requests break one after the other.
-const deathsGather = 300 * time.Millisecond
+// crashBatchDelay is how long crashes are collected for one notice: the requests of a
+// crashed upstream fail one after the other.
+const crashBatchDelay = 300 * time.Millisecond
 
-// tellDeaths tells the other entries of the upstreams that died here.
+// announceCrashes notifies the other entries of the upstreams that crashed while they ran
+// requests of this one.
 //
-// Failure: a request crashes whatever runs it, and its caller sends it again, to
-// another entry each time. No entry sees more than one death of it, and none
-// stops it.
-func (s *Server) tellDeaths() {
+// A request that crashes each upstream may be sent again by its caller to a different entry
+// each time. Each entry would see only one crash, and none would stop the request.
+func (s *Server) announceCrashes() {
 	if s.Notices == nil || s.Records == nil {
 		return
 	}
-	s.later("tell of deaths", deathsGather+2*storeWithin, func(ctx context.Context) error {
-		group.Sleep(ctx, deathsGather)
-		s.notify(ctx, deathsNotice+string(s.Settings.Name), Notice{By: s.Settings.Name, Evidence: s.crashes.TakeNotice()})
+	s.background("tell of deaths", crashBatchDelay+2*storeTimeout, func(ctx context.Context) error {
+		group.Sleep(ctx, crashBatchDelay)
+		s.writeNotice(ctx, crashNoticePrefix+string(s.Settings.Name), Notice{By: s.Settings.Name, Evidence: s.crashes.TakeNotice()})
 		return nil
 	})
 }
 
-// learn takes in what another entry saw.
-func (s *Server) learn(now time.Time, n Notice) {
+// mergeCrashes merges the crashes that another entry saw.
+func (s *Server) mergeCrashes(now time.Time, n Notice) {
 	if len(n.Evidence.Deaths) == 0 || n.By == s.Settings.Name {
 		return
 	}
@@ -50,33 +50,31 @@
 	s.Log.Info("deaths told", "by", n.By, "deaths", len(n.Evidence.Deaths), "newest", n.Evidence.Deaths[0].Upstream)
 }
 
-// suspect looks whether an upstream that broke a connection is dead, and notes
-// what it ran.
+// checkCrash dials, in the background, an upstream that broke a connection, and records the
+// requests that it ran if it has crashed.
 //
-// Failure: one request crashes each upstream that runs it, and its caller sends
-// it again. It shows as upstreams that die one after the other. A broken
-// connection alone says little, since answers are lost as well; one to an
-// upstream that takes no connection any more is a death.
-func (s *Server) suspect(r *request, a *attempt) {
+// A request that crashes each upstream that runs it, and that its caller sends again, takes
+// down one upstream after the other. A broken connection alone is weak evidence, since
+// responses also get lost; an upstream that refuses new connections as well has crashed.
+func (s *Server) checkCrash(r *request, a *attempt) {
 	ids := s.crashes.RunningOn(a.start.Key(), r, r.identity)
 	addr := a.upstream.Server().Addr
-	s.later("look at a broken upstream", 2*deathWithin, func(ctx context.Context) error {
-		err := takesNone(ctx, addr)
+	s.background("look at a broken upstream", 2*probeTimeout, func(ctx context.Context) error {
+		err := probe(ctx, addr)
 		if err == nil && !a.upstream.Restarted() {
 			return nil
 		}
 		if s.crashes.RecordDeath(retry.Death{Upstream: domain.Host(a.start.ID), Incarnation: incarnationOf(a.start), Time: time.Now(), Running: ids}) {
-			s.tellDeaths()
+			s.announceCrashes()
 		}
 		s.Log.Info("upstream died", "upstream", a.start.ID, "born", a.start.Born, "request", r.id, "running", len(ids), "err", err)
 		return nil
 	})
 }
 
-// takesNone gives the error of connecting to an address, nil where it takes a
-// connection.
-func takesNone(ctx context.Context, addr netip.AddrPort) error {
-	d := net.Dialer{Timeout: deathWithin}
+// probe dials an address and returns the error, nil if the connection was accepted.
+func probe(ctx context.Context, addr netip.AddrPort) error {
+	d := net.Dialer{Timeout: probeTimeout}
 	c, err := d.DialContext(ctx, "tcp", addr.String())
 	if err != nil {
 		return errors.Wrap(err, "direct: looking at an upstream")
@@ -84,11 +82,11 @@
 	return c.Close()
 }
 
-// incarnationOf gives a number for a start.
+// incarnationOf returns a number that identifies a start of an upstream.
 func incarnationOf(start roster.Start) domain.Incarnation {
 	key := start.Key()
 	var b [8]byte
 	binary.BigEndian.PutUint64(b[:], xxhash.Sum64String(string(key.ID)+"/"+strconv.FormatInt(key.StartedAtMillis, 10)))
-	b[0], b[1] = 0, 0 // numbers stay exact in JSON
+	b[0], b[1] = 0, 0 // JSON numbers are exact only up to 53 bits
 	return domain.Incarnation(binary.BigEndian.Uint64(b[:]))
 }
--- a/direct/direct.go
+++ b/direct/direct.go
@@ -1,19 +1,19 @@
-// Package direct serves callers straight from upstreams that are registered
-// with the platform, with no process of ours beside them. It accepts a
-// request, ends it exactly once, and says truly whether it ran.
+// Package direct sends callers' requests to upstreams that are registered with the
+// platform, without a side process beside them. Each request ends exactly once, with an
+// answer or with a refusal that states truthfully whether the request ran.
 //
 // # Usage
 //
-//	s := &direct.Server{Settings: settings, Log: log, Protocol: protocol, Configs: configs, Servers: servers}
+//	s := &direct.Server{Settings: settings, Log: log, Protocol: protocol, Configs: configs, Upstreams: upstreams}
 //	err := s.Run(ctx) // until ctx ends; then drains, bounded by stop_within
 //
-// The life of a request: accepted and matched to a route (request.go); placed
-// at an upstream (place.go); attempted (attempt.go), with a prefill before it
-// where the service has engines for that (prefill.go); answered whole
-// (plain.go) or event by event (stream.go); ended once, with an answer or a
-// refusal (end.go). What the entries tell each other is in notice.go, who of them
-// gives orders to engines in roles.go, who relays for the others in relays.go. Each
-// has a record (register.go), which relays hand on (records.go).
+// A request is accepted and matched to a route (request.go), placed at an upstream
+// (place.go), attempted (attempt.go), after a prefill if the service has prefill engines
+// (prefill.go), answered whole (plain.go) or event by event (stream.go), and ended once,
+// with an answer or a refusal (end.go). Entries notify each other of role changes and
+// crashes by notices (notice.go). One entry changes the roles of engines (roles.go), and
+// some relay the platform's store to the others (relays.go). Each entry keeps a record in
+// the store (register.go), which relays serve to the others (records.go).
 package direct
 
 import (
@@ -53,65 +53,66 @@
 	Settings conf.Direct
 	Log      hclog.Logger
 	Protocol Protocol
-	// Configs and Servers are where the configuration and the upstreams are
-	// read from.
+	// Configs and Upstreams are the sources of the configuration and of the upstreams.
 	Configs   feed.Source[*paths.Config]
 	Upstreams feed.Source[roster.Server]
-	// Members, if set, are the records of all entries.
+	// Members, if set, is the source of the records of all entries.
 	Members feed.Source[Member]
-	// RelayRecord, if set, is the record of the entries that relay.
+	// Relays, if set, is the source of the record of the entries that relay.
 	Relays feed.Source[RelayRecord]
-	// Notices, if set, are what entries tell each other.
+	// Notices, if set, is the source of the notices of all entries.
 	Notices feed.Source[Notice]
-	// Records, if set, holds the lease of the one entry that gives orders to
-	// engines; without it no engine changes its role.
+	// Records, if set, is the store of the lease that the one entry holds which changes the
+	// roles of engines; without it no engine changes its role.
 	Records lease.Records
 	// Meter takes the counters and histograms.
 	Meter *meter.Registry
-	// Reload, if set, reads the settings again; it is asked on each Reloads and
-	// from time to time, since settings also change without a word.
+	// Reload, if set, reads the settings again. It is called on each signal of
+	// ReloadSignals, and periodically, since settings also change without a signal.
 	Reload        func() (conf.Direct, error)
 	ReloadSignals <-chan os.Signal
-	// OnListen, if set, is told the addresses once they accept connections.
+	// OnListen, if set, is called with the addresses once they accept connections.
 	OnListen func(callers, ready netip.AddrPort)
 
-	// live are the settings that may change while the process runs.
-	live     atomic.Pointer[conf.Direct]
-	holder   paths.Holder
-	roster   roster.Roster
-	crashes  retry.Crashes[roster.InstanceKey, *request]
-	budgets  budgets
-	lines    search.Queues
-	ages     delay.AgeEstimator
-	members  members
-	changing changing
-	mixes    roles.Profiles
-	peers    peers
-	records  records
-	// unready say when what comes before the configuration should return.
-	unready  delay.RetryEstimator
-	quotas   quotas
-	limits   limits
-	reach    pacer.Prober[domain.Host]
-	fields   meter.SeenNames
-	unread   meter.SeenNames
-	keepers  relay.Unresponsive
-	trackers assign.Trackers
-	record   ownRecord
-	leaving  atomic.Bool
-	// leavingNow is closed when leaving is set; rolesFree is told when the lease
+	// liveSettings are the settings that may change while the process runs.
+	liveSettings  atomic.Pointer[conf.Direct]
+	config        paths.Holder
+	roster        roster.Roster
+	crashes       retry.Crashes[roster.InstanceKey, *request]
+	retryBudgets  retryBudgets
+	queues        search.Queues
+	ages          delay.AgeEstimator
+	members       members
+	recentChanges recentChanges
+	profiles      roles.Profiles
+	peers         peers
+	recordCache   recordCache
+	// configReturns spreads the retries of requests that arrive before the configuration is
+	// known.
+	configRetryAfter delay.RetryEstimator
+	quotas           quotas
+	limits           limits
+	ownerProber      pacer.Prober[domain.Host]
+	unknownFields    meter.SeenNames
+	malformedFields  meter.SeenNames
+	unresponsive     relay.Unresponsive
+	trackers         assign.Trackers
+	ownRecord        ownRecord
+	draining         atomic.Bool
+	// drainStarted is closed when draining is set; rolesLeaseFreed signals that the lease
 	// of roles was released.
-	leavingNow chan struct{}
-	rolesFree  chan struct{}
-	// sought is closed when the records of the entries were looked for at the start.
-	sought chan struct{}
-	// recordGone is told when the store may lack this entry's record.
-	recordGone chan struct{}
+	drainStarted    chan struct{}
+	rolesLeaseFreed chan struct{}
+	// discovered is closed when the search for the records of the entries at the start is
+	// over.
+	discovered chan struct{}
+	// recordLost signals that the store may lack this entry's record.
+	recordLost chan struct{}
 	// configured is closed when the first configuration is in force.
 	configured     chan struct{}
 	configuredOnce sync.Once
-	work           group.Group
-	workCtx        context.Context
+	backgroundWork group.Group
+	backgroundCtx  context.Context
 }
 
 // Run serves until ctx ends, then drains and returns.
@@ -131,8 +132,8 @@
 	}
 	serving, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	s.workCtx = serving
-	idle := &conns.IdleCloser{Limit: s.idleLimit}
+	s.backgroundCtx = serving
+	idle := &conns.IdleCloser{Limit: s.idleTimeout}
 	public := &http.Server{
 		Handler:           http.HandlerFunc(s.serve),
 		ReadHeaderTimeout: s.Settings.Limits.HeaderTimeout,
@@ -143,14 +144,14 @@
 	balancer := &http.Server{Handler: s.readyHandler(), ReadHeaderTimeout: s.Settings.Limits.HeaderTimeout}
 
 	var loops group.Group
-	s.follow(serving, &loops)
-	loops.Go(serving, "ended work", s.reap)
+	s.startFeeds(serving, &loops)
+	loops.Go(serving, "ended work", s.logBackground)
 	loops.Go(serving, "idle connections", idle.Run)
 	loops.Go(serving, "settings", s.reload)
 	loops.Go(serving, "roles", s.planRoles)
 	loops.Go(serving, "callers", func(context.Context) error { return serveOn(public, callers) })
 	loops.Go(serving, "balancer", func(context.Context) error { return serveOn(balancer, ready) })
-	loops.Go(serving, "entries reached", s.lookAround)
+	loops.Go(serving, "entries reached", s.watchPeers)
 	if others != nil {
 		loops.Go(serving, "other entries", servePeers(others, peerListener))
 	}
@@ -168,7 +169,7 @@
 		_ = others.Close()
 	}
 	stop()
-	s.work.Close()
+	s.backgroundWork.Close()
 	for _, end := range loops.Wait() {
 		s.Log.Warn("ended with an error", "goroutine", end.Name, "err", end.Err)
 	}
@@ -176,15 +177,15 @@
 	return nil
 }
 
-// follow begins to follow what the platform's store holds. Where others can be asked for
-// it, nothing waits for the records of the entries.
-func (s *Server) follow(ctx context.Context, loops *group.Group) {
-	if s.seed(ctx) {
-		loops.Go(ctx, "relays", s.findRelays)
-	} else if err := s.findRelaysOnce(ctx, relaysWithin); err == nil {
-		close(s.sought)
+// startFeeds starts following the platform's store. If other entries can be asked for its
+// contents, nothing waits for the records of the entries.
+func (s *Server) startFeeds(ctx context.Context, loops *group.Group) {
+	if s.seedRelays(ctx) {
+		loops.Go(ctx, "relays", s.discoverRelays)
+	} else if err := s.discoverRelaysOnce(ctx, memberReadTimeout); err == nil {
+		close(s.discovered)
 	} else {
-		loops.Go(ctx, "relays", s.findRelaysLater)
+		loops.Go(ctx, "relays", s.discoverRelaysLater)
 	}
 	loops.Go(ctx, "configuration", s.configFeed().Run)
 	loops.Go(ctx, "upstreams", s.serverFeed().Run)
@@ -196,8 +197,8 @@
 	}
 }
 
-// maxHeaderBytes bounds a request's header, in bytes; the configuration's own
-// limit is lower and stands for callers that keep to it.
+// maxHeaderBytes bounds a request's header, in bytes. The configuration's own limit is
+// lower and meant for callers that observe it.
 const maxHeaderBytes = 64 << 10
 
 func (s *Server) init() {
@@ -211,12 +212,12 @@
 	s.roster.Log = s.Log
 	s.peers.fleet.Self, s.peers.fleet.MinMembers = s.Settings.Name, s.Settings.RelayFrom
 	s.peers.fleet.Bootstrap = s.Settings.FirstStart
-	s.leavingNow, s.rolesFree, s.configured = make(chan struct{}), make(chan struct{}, 1), make(chan struct{})
-	s.recordGone, s.sought = make(chan struct{}, 1), make(chan struct{})
-	s.quotas.counter.Since = time.Now()
-	s.quotas.alone.Since = s.quotas.counter.Since.Add(-quotaSaved)
+	s.drainStarted, s.rolesLeaseFreed, s.configured = make(chan struct{}), make(chan struct{}, 1), make(chan struct{})
+	s.recordLost, s.discovered = make(chan struct{}, 1), make(chan struct{})
+	s.quotas.shared.Since = time.Now()
+	s.quotas.isolated.Since = s.quotas.shared.Since.Add(-isolatedQuotaAccrual)
 	live := s.Settings
-	s.live.Store(&live)
+	s.liveSettings.Store(&live)
 }
 
 func serveOn(h *http.Server, l net.Listener) error {
@@ -227,9 +228,9 @@
 	return errors.Wrap(err, "direct: serve")
 }
 
-// reap reads the ends of work that outlives its request.
-func (s *Server) reap(context.Context) error {
-	for end := range s.work.Exits() {
+// logBackground logs the errors of background work.
+func (s *Server) logBackground(context.Context) error {
+	for end := range s.backgroundWork.Exits() {
 		if end.Err != nil {
 			s.Log.Debug("work ended", "name", end.Name, "err", end.Err)
 		}
@@ -237,20 +238,20 @@
 	return nil
 }
 
-// later runs fn past the end of a request.
-func (s *Server) later(name string, within time.Duration, fn func(context.Context) error) {
-	s.work.Go(s.workCtx, name, func(ctx context.Context) error {
+// background runs fn beyond the end of the request, for at most the given time.
+func (s *Server) background(name string, within time.Duration, fn func(context.Context) error) {
+	s.backgroundWork.Go(s.backgroundCtx, name, func(ctx context.Context) error {
 		ctx, cancel := context.WithTimeout(ctx, within)
 		defer cancel()
 		return fn(ctx)
 	})
 }
 
-// configFeed follows the configuration.
+// configFeed returns the feed of the configuration.
 func (s *Server) configFeed() *feed.Feed[*paths.Config] {
 	return &feed.Feed[*paths.Config]{
-		Name: feedConfigs, Source: relayed(s, feedConfigs, s.Configs, &s.peers.configs), Log: s.Log, Wait: s.Settings.WatchWait,
-		BatchDelay: s.gather, OnRestore: s.rewound,
+		Name: feedConfigs, Source: relaySource(s, feedConfigs, s.Configs, &s.peers.configs), Log: s.Log, Wait: s.Settings.WatchWait,
+		BatchDelay: s.batchDelay, OnRestore: s.onStoreRestored,
 		OnList: func(now time.Time, all []feed.Item[*paths.Config]) {
 			for _, c := range feed.Values(all) {
 				s.offerConfig(now, c, feedConfigs)
@@ -266,10 +267,10 @@
 	}
 }
 
-// offerConfig takes a configuration that somebody told, if it is newer than the one in
-// force.
+// offerConfig puts a configuration in force if it is newer than the current one. by names
+// the feed or the entry that it came from.
 func (s *Server) offerConfig(now time.Time, c *paths.Config, by string) {
-	changed, found := s.holder.Update(now, c)
+	changed, found := s.config.Update(now, c)
 	if !changed {
 		return
 	}
@@ -280,20 +281,20 @@
 	}
 }
 
-// serverFeed follows the registry of upstreams.
+// serverFeed returns the feed of the registry of upstreams.
 func (s *Server) serverFeed() *feed.Feed[roster.Server] {
 	return &feed.Feed[roster.Server]{
-		Name: feedUpstreams, Source: relayed(s, feedUpstreams, s.Upstreams, &s.peers.upstreams), Log: s.Log, Wait: s.Settings.WatchWait,
-		StaleStart: true, BatchDelay: s.gather,
+		Name: feedUpstreams, Source: relaySource(s, feedUpstreams, s.Upstreams, &s.peers.upstreams), Log: s.Log, Wait: s.Settings.WatchWait,
+		StaleStart: true, BatchDelay: s.batchDelay,
 		OnList: s.roster.SetAll, OnChange: s.roster.Apply, OnDisconnect: s.roster.RegistryLost, OnReconnect: s.roster.RegistryRecovered, OnRestore: s.roster.RegistryRestored,
 	}
 }
 
-// readyHandler answers the platform's balancer.
+// readyHandler answers the health checks of the platform's load balancer.
 func (s *Server) readyHandler() http.Handler {
 	m := http.NewServeMux()
 	m.HandleFunc("GET /ready", func(w http.ResponseWriter, _ *http.Request) {
-		if s.leaving.Load() || s.holder.Current() == nil || !s.roster.Loaded() {
+		if s.draining.Load() || s.config.Current() == nil || !s.roster.Loaded() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
@@ -302,16 +303,16 @@
 	return m
 }
 
-// random gives the source of draws for one request.
-func random() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
+// newRandom returns a random source for one request.
+func newRandom() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
 
-// idleUnknown holds until a configuration says more.
-const idleUnknown = time.Minute
+// defaultIdleTimeout applies while no configuration sets an idle timeout.
+const defaultIdleTimeout = time.Minute
 
-// idleLimit is how long a caller's connection is kept without a request.
-func (s *Server) idleLimit() time.Duration {
-	if c := s.holder.Current(); c != nil && c.Limits.IdleTimeout > 0 {
+// idleTimeout is how long a caller's connection is kept without a request.
+func (s *Server) idleTimeout() time.Duration {
+	if c := s.config.Current(); c != nil && c.Limits.IdleTimeout > 0 {
 		return c.Limits.IdleTimeout
 	}
-	return idleUnknown
+	return defaultIdleTimeout
 }
--- a/direct/end.go
+++ b/direct/end.go
@@ -10,39 +10,39 @@
 	"jacinthworks/meter"
 )
 
-// A refusal of what has not run says when to return.
+// The bounds on the Retry-After of a request that has not run.
 const (
-	// returnAfter is the least time: a place comes free, or an upstream is
+	// minRetryAfter is the least Retry-After: capacity gets free, or an upstream is
 	// replaced, within some hundred milliseconds.
-	returnAfter = 500 * time.Millisecond
-	// returnPart is the part of the caller's time that it may take at most, so
-	// that there is time left for the work.
-	returnPart = 3
+	minRetryAfter = 500 * time.Millisecond
+	// retryAfterDivisor divides the caller's remaining time. Retry-After is at most the
+	// quotient, so that time is left for the work.
+	retryAfterDivisor = 3
 )
 
-// refuse ends a request that has no answer. One that was begun to be answered
-// is broken off, since what was sent of it must not look whole.
+// refuse ends a request that has no answer. If part of an answer was written, the
+// connection is aborted, since the caller must not take that part for the whole.
 func (s *Server) refuse(r *request, f *failure) {
-	f.ran = f.ran.Merge(r.tries.Ran())
+	f.ran = f.ran.Merge(r.attempts.Ran())
 	if f.ran == domain.NotRun {
-		s.giveBack(r)
+		s.refundQuota(r)
 	}
-	s.end(r, "refused", "reason", f.reason, "ran", f.ran, "detail", f.detail)
-	if r.begun || f.reason == domain.ReasonCallerGone {
+	s.finish(r, "refused", "reason", f.reason, "ran", f.ran, "detail", f.detail)
+	if r.responseBegun || f.reason == domain.ReasonCallerGone {
 		panic(http.ErrAbortHandler)
 	}
-	given := domain.Refusal{RequestID: r.id, Reason: f.reason, Ran: f.ran, Detail: f.detail}
+	refusal := domain.Refusal{RequestID: r.id, Reason: f.reason, Ran: f.ran, Detail: f.detail}
 	status := statusOf(f)
 	if status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests {
-		given.RetryAfter = min(max(f.retryAfter, returnAfter), max(r.left()/returnPart, 0))
-		seconds := strconv.FormatFloat(given.RetryAfter.Seconds(), 'f', 3, 64)
+		refusal.RetryAfter = min(max(f.retryAfter, minRetryAfter), max(r.timeLeft()/retryAfterDivisor, 0))
+		seconds := strconv.FormatFloat(refusal.RetryAfter.Seconds(), 'f', 3, 64)
 		r.w.Header().Set("Retry-After", seconds)
 	}
 	if status == http.StatusUnauthorized {
 		r.w.Header().Set("WWW-Authenticate", "Bearer")
 	}
 	r.w.Header().Set("Content-Type", "application/problem+json")
-	problem := given.Problem()
+	problem := refusal.Problem()
 	problem.Status = status
 	r.w.WriteHeader(status)
 	if err := json.NewEncoder(r.w).Encode(problem); err != nil {
@@ -50,8 +50,8 @@
 	}
 }
 
-// statusOf gives the status of a refusal. 503 and 429 promise that the request
-// has not run and will not, so anything else that broke off gets 502 or 504.
+// statusOf returns the HTTP status of a refusal. 503 and 429 promise that the request has
+// not run and will not, so a failure of a request that may have run gets 502 or 504.
 func statusOf(f *failure) int {
 	status := f.reason.Status()
 	switch {
@@ -63,21 +63,21 @@
 	return status
 }
 
-// end writes the one line of a request's end, and counts it.
-func (s *Server) end(r *request, outcome string, more ...any) {
-	if r.ended {
+// finish writes the one log line of a request's end, and counts the request.
+func (s *Server) finish(r *request, outcome string, fields ...any) {
+	if r.finished {
 		return
 	}
-	r.ended = true
+	r.finished = true
 	took := time.Since(r.accepted)
-	route, kind := "-", "-"
+	route, routeKind := "-", "-"
 	if r.route != nil {
-		route, kind = r.route.Name, string(r.route.Kind)
+		route, routeKind = r.route.Name, string(r.route.Kind)
 	}
 	s.Log.Info(outcome, append([]any{
-		"request", r.id, "route", route, "kind", kind, "version", r.version,
-		"sends", r.tries.Sends(), "runs", r.tries.Runs(), "took", took,
-	}, more...)...)
-	s.Meter.Inc("jacinthworks_requests_total", meter.Labels{"route", route, "kind", kind, "outcome", outcome})
-	s.Meter.Observe("jacinthworks_request_seconds", meter.Labels{"kind", kind, "outcome", outcome}, took)
+		"request", r.id, "route", route, "kind", routeKind, "version", r.version,
+		"sends", r.attempts.Sends(), "runs", r.attempts.Runs(), "took", took,
+	}, fields...)...)
+	s.Meter.Inc("jacinthworks_requests_total", meter.Labels{"route", route, "kind", routeKind, "outcome", outcome})
+	s.Meter.Observe("jacinthworks_request_seconds", meter.Labels{"kind", routeKind, "outcome", outcome}, took)
 }
--- a/direct/end_test.go
+++ b/direct/end_test.go
@@ -9,10 +9,10 @@
 	"jacinthworks/domain"
 )
 
-// Story: a stream's first engine is lost, and there is no room for a second
-// try, or its caller is over its share. The caller gets 503 or 429, takes that
-// for "not run", and sends it again although it may have run.
-func TestNoPromiseForWhatMayHaveRun(t *testing.T) {
+// Guards against a 503 or 429, which callers take for "not run", for a request that may
+// have run: the first engine of a stream crashes and there is no room for a second attempt,
+// or the caller is over its share. The caller would send a request again that may have run.
+func TestStatusOfPromisesNotRunOnlyIfNotRun(t *testing.T) {
 	reasons := []domain.Reason{
 		domain.ReasonCallerShare, domain.ReasonNoRoom, domain.ReasonTooLate, domain.ReasonNoUpstream, domain.ReasonStale,
 		domain.ReasonDraining, domain.ReasonUpstream, domain.ReasonLost, domain.ReasonDeadline,
--- a/direct/engines.go
+++ b/direct/engines.go
@@ -15,25 +15,24 @@
 	"jacinthworks/roster"
 )
 
-// engineState is an engine and its account of itself.
+// engineState is an engine and the state that it reported.
 type engineState struct {
 	upstream *roster.Upstream
 	server   roster.Server
 	state    State
 }
 
-// askedMost is how many engines the holder of the roles asks in a round.
+// maxPolledEngines is how many engines the holder of the roles lease polls in a round.
 //
-// Load pattern: a thousand engines, each asked every second by one process, which
-// holds a connection to each: 16% of a core and 72 MB with 1,350 of them. The
-// means of 128 are within a few parts in a hundred. What it costs: the planner
-// takes the engines that were asked for all there are, so that it moves too few at
-// a time, and goes on at the next one.
-const askedMost = 128
+// Polling 1,350 engines each second from one process, with a connection to each, took 16%
+// of a core and 72 MB. The means over 128 engines are within a few percent of those over
+// all. The planner treats the polled engines as all engines, so it changes the roles of too
+// few at a time and continues in the next round.
+const maxPolledEngines = 128
 
-// engines gives the engines of a service that stay, those that have asked for a pause
-// included: a pause is no loss.
-func (s *Server) engines(service domain.Service) []*roster.Upstream {
+// activeEngines returns the engines of a service that are not leaving, including those that
+// have requested a backoff: a backoff is no loss of capacity.
+func (s *Server) activeEngines(service domain.Service) []*roster.Upstream {
 	now := time.Now()
 	var all []*roster.Upstream
 	for _, u := range s.roster.Upstreams(service) {
@@ -44,52 +43,52 @@
 	return all
 }
 
-// stays says whether an upstream will be sent something again.
+// stays reports whether an upstream will be sent requests again.
 func stays(a roster.Eligibility) bool { return a.Eligible() || a.Reason == roster.ExcludedBackoff }
 
-// sample gives the engines to be asked: the same ones each time, so that
-// connections to them are used again, but for those that come and go.
+// sample returns the engines to be polled: the same ones each time, apart from engines that
+// come and go, so that connections are reused.
 func sample(pool []*roster.Upstream, salt domain.Host) []*roster.Upstream {
-	if len(pool) <= askedMost {
+	if len(pool) <= maxPolledEngines {
 		return pool
 	}
 	rank := func(u *roster.Upstream) uint64 { return xxhash.Sum64String(string(salt) + "/" + string(u.Server().ID)) }
 	drawn := slices.Clone(pool)
 	slices.SortFunc(drawn, func(a, b *roster.Upstream) int { return cmp.Compare(rank(a), rank(b)) })
-	return drawn[:askedMost]
+	return drawn[:maxPolledEngines]
 }
 
-// accounts are the engines' last accounts of themselves, for one goroutine.
-type accounts map[roster.InstanceKey]State
+// lastStates holds the state that each engine last reported. It is used by one goroutine.
+type lastStates map[roster.InstanceKey]State
 
-// states asks engines for their accounts, all at once. One that has asked for a pause is
-// taken to be as it last said.
-func (s *Server) states(ctx context.Context, engines []*roster.Upstream, last accounts) []engineState {
-	ctx, cancel := context.WithTimeout(ctx, stateWithin)
+// pollEngines fetches the states of all given engines at once. For an engine that has
+// requested a backoff, the last reported state is used.
+func (s *Server) pollEngines(ctx context.Context, engines []*roster.Upstream, last lastStates) []engineState {
+	ctx, cancel := context.WithTimeout(ctx, stateTimeout)
 	defer cancel()
 	answers := make(chan *engineState, len(engines))
 	for _, u := range engines {
-		go func() { // its end is read below
+		go func() { // ends with a value in answers, all of which are read below
 			m := u.Server()
 			if state, known := last[m.Key()]; known && !u.Eligibility(time.Now()).Eligible() {
 				answers <- &engineState{upstream: u, server: m, state: state}
 				return
 			}
-			state, err := s.askState(ctx, u)
+			state, err := s.fetchState(ctx, u)
 			if err != nil {
 				s.Log.Debug("no state of an engine", "upstream", m.ID, "err", err)
 				answers <- nil
 				return
 			}
-			// Failure: an engine started anew under its id, and the registry does not
-			// tell yet. An order by what the earlier start had taken would be one to
-			// the later.
-			if told := (roster.Start{ID: m.ID, Born: state.StartedAt}); !told.Same(m.Start) {
+			// The engine restarted under the same id, and the registry does not list the
+			// new start yet. An order computed from the state of the earlier start would
+			// reach the later one.
+			if reported := (roster.Start{ID: m.ID, Born: state.StartedAt}); !reported.Same(m.Start) {
 				s.Log.Info("engine started anew, its account is not used", "upstream", m.ID, "born", state.StartedAt, "known", m.Born)
 				answers <- nil
 				return
 			}
-			s.heardStated("", u, ResponseInfo{Leaving: state.Leaving})
+			s.recordAnnouncement("", u, ResponseInfo{Leaving: state.Leaving})
 			answers <- &engineState{upstream: u, server: m, state: state}
 		}()
 	}
@@ -106,8 +105,8 @@
 	return all
 }
 
-func (s *Server) askState(ctx context.Context, u *roster.Upstream) (State, error) {
-	body, status, err := s.ask(ctx, u, s.Protocol.StateRequest(), stateWithin)
+func (s *Server) fetchState(ctx context.Context, u *roster.Upstream) (State, error) {
+	body, status, err := s.callUpstream(ctx, u, s.Protocol.StateRequest(), stateTimeout)
 	if err != nil {
 		return State{}, err
 	}
@@ -117,39 +116,39 @@
 	return s.Protocol.ParseState(body)
 }
 
-// view turns the engines' accounts into what the planner goes by: the share of
-// memory taken at decode engines, and for each that is kept busy the prefill engines
-// that the mix of the requests keeps busy beside it.
-func view(v *paths.Service, states []engineState, mix mixRatio) roles.View {
-	prefills, decodes := roles.Pool{Model: v.Name, Role: domain.RolePrefill}, roles.Pool{Model: v.Name, Role: domain.RoleDecode}
-	out := roles.View{Demand: map[roles.Pool]float64{prefills: 0, decodes: 0}}
+// demandView turns the engines' states into the input of the planner. The demand for decode
+// engines is the memory in use, in engines; that for prefill engines follows from it by the
+// ratio of the two in the current mix of requests.
+func demandView(v *paths.Service, states []engineState, mix prefillRatio) roles.View {
+	prefillPool, decodePool := roles.Pool{Model: v.Name, Role: domain.RolePrefill}, roles.Pool{Model: v.Name, Role: domain.RoleDecode}
+	result := roles.View{Demand: map[roles.Pool]float64{prefillPool: 0, decodePool: 0}}
 	engines := make(map[roles.Pool]int)
-	taken := 0.0
+	memoryUsed := 0.0
 	for _, e := range states {
 		pool := roles.Pool{Model: v.Name, Role: e.state.Role}
-		out.Engines = append(out.Engines, roles.Engine{
+		result.Engines = append(result.Engines, roles.Engine{
 			Host: domain.Host(e.server.ID), Zone: e.server.Zone, Pool: pool, Changing: e.state.RoleChanging, Since: time.Now(),
 		})
 		engines[pool]++
-		if pool == decodes && e.state.KVCapacity > 0 {
-			taken += float64(e.state.KVUsed) / float64(e.state.KVCapacity)
+		if pool == decodePool && e.state.KVCapacity > 0 {
+			memoryUsed += float64(e.state.KVUsed) / float64(e.state.KVCapacity)
 		}
 	}
 	switch {
-	case engines[decodes] == 0 && len(states) > 0:
-		// Failure: all decode engines are lost. Where there is none, no memory is
-		// taken, and nothing seems to ask for one, while all requests are refused.
-		out.Demand[decodes] = 1
+	case engines[decodePool] == 0 && len(states) > 0:
+		// No decode engine is left. Without an engine no memory is in use, so that there
+		// would seem to be no demand, while all requests are refused.
+		result.Demand[decodePool] = 1
 	case mix.known:
-		out.Demand[decodes], out.Demand[prefills] = taken, prefillPart*mix.ratio*taken
-		if even := taken * float64(engines[prefills]) / float64(engines[decodes]); !mix.sure {
-			out.Demand[prefills] = min(out.Demand[prefills], even) // takes none from decode
+		result.Demand[decodePool], result.Demand[prefillPool] = memoryUsed, prefillWeight*mix.ratio*memoryUsed
+		if balanced := memoryUsed * float64(engines[prefillPool]) / float64(engines[decodePool]); !mix.sufficient {
+			result.Demand[prefillPool] = min(result.Demand[prefillPool], balanced) // takes no engine from decode
 		}
 	}
-	return out
+	return result
 }
 
-// prefillPart weighs a busy prefill engine against the memory of a decode engine. A
-// prompt can wait for some 100 ms within its target, so that prefill may be busier;
-// a decode engine without memory refuses.
-const prefillPart = 0.75
+// prefillWeight weighs a busy prefill engine against the memory of a decode engine. A
+// prompt can wait for some 100 ms within its target latency, so prefill engines may be
+// busier; a decode engine without memory refuses requests.
+const prefillWeight = 0.75
--- a/direct/engines_test.go
+++ b/direct/engines_test.go
@@ -16,8 +16,8 @@
 	"jacinthworks/roster"
 )
 
-// pool gives engines, a third of them for prefill.
-func pool(t *testing.T, n int) []*roster.Upstream {
+// newPool returns n engines, a third of them prefill engines, and one that is draining.
+func newPool(t *testing.T, n int) []*roster.Upstream {
 	t.Helper()
 	s := &Server{}
 	s.roster.Log = hclog.NewNullLogger()
@@ -32,20 +32,20 @@
 	}
 	all = append(all, feed.Item[roster.Server]{Name: "leaves", Value: roster.Server{Start: roster.Start{ID: "leaves"}, Service: "m", Role: domain.RoleDecode, Draining: true}})
 	s.roster.SetAll(time.Now(), all)
-	return s.engines("m")
+	return s.activeEngines("m")
 }
 
-func TestFewEnginesAreAllAsked(t *testing.T) {
-	require.Len(t, sample(pool(t, 45), "entry-1"), 45)
+func TestSampleReturnsAllEnginesOfASmallPool(t *testing.T) {
+	require.Len(t, sample(newPool(t, 45), "entry-1"), 45)
 }
 
-// Story: a pool grows to thousands. The one entry that asks each of them every
-// second holds a connection to each, and is the first to run out of memory.
-func TestOfManyEnginesASampleIsAsked(t *testing.T) {
-	all := pool(t, 2900)
+// Guards against one entry that polls each engine of a pool of thousands every second, with
+// a connection to each, and runs out of memory first.
+func TestSampleIsBoundedAndStableInALargePool(t *testing.T) {
+	all := newPool(t, 2900)
 	first := sample(all, "entry-1")
-	require.Len(t, first, askedMost)
-	require.Equal(t, first, sample(all, "entry-1"), "connections are used again")
+	require.Len(t, first, maxPolledEngines)
+	require.Equal(t, first, sample(all, "entry-1"), "connections are reused")
 	require.NotEqual(t, first, sample(all, "entry-2"))
 	prefill := 0
 	for _, u := range first {
@@ -53,8 +53,8 @@
 			prefill++
 		}
 	}
-	require.InDelta(t, askedMost/3, prefill, askedMost/8, "of each role its part")
-	require.GreaterOrEqual(t, overlap(first, sample(all[1:], "entry-1")), askedMost-1, "one that goes changes no other")
+	require.InDelta(t, maxPolledEngines/3, prefill, maxPolledEngines/8, "each role in proportion")
+	require.GreaterOrEqual(t, overlap(first, sample(all[1:], "entry-1")), maxPolledEngines-1, "an engine that leaves replaces no other")
 }
 
 func overlap(a, b []*roster.Upstream) int {
@@ -69,42 +69,42 @@
 	return n
 }
 
-// Story: all decode engines crash for good. No memory is taken any more, so that no
-// pool seems to ask for an engine, and all requests are refused until the end.
-func TestWithoutDecodeEnginesOneIsAskedFor(t *testing.T) {
+// Guards against zero demand when all decode engines have crashed for good: without them no
+// memory is in use, and all requests would be refused until the end.
+func TestDemandViewAsksForADecodeEngineIfNoneIsLeft(t *testing.T) {
 	v := &paths.Service{Name: "m"}
-	state := func(id string, r domain.Role, taken int) engineState {
+	state := func(id string, r domain.Role, used int) engineState {
 		return engineState{
 			server: roster.Server{Start: roster.Start{ID: roster.ID(id)}},
-			state:  State{Role: r, KVCapacity: 100, KVUsed: taken},
+			state:  State{Role: r, KVCapacity: 100, KVUsed: used},
 		}
 	}
-	prefills, decodes := roles.Pool{Model: "m", Role: domain.RolePrefill}, roles.Pool{Model: "m", Role: domain.RoleDecode}
-	alone := []engineState{state("a", domain.RolePrefill, 0), state("b", domain.RolePrefill, 0), state("c", domain.RolePrefill, 0)}
-	seen := view(v, alone, mixRatio{})
-	require.Positive(t, seen.Demand[decodes])
+	prefillPool, decodePool := roles.Pool{Model: "m", Role: domain.RolePrefill}, roles.Pool{Model: "m", Role: domain.RoleDecode}
+	prefillOnly := []engineState{state("a", domain.RolePrefill, 0), state("b", domain.RolePrefill, 0), state("c", domain.RolePrefill, 0)}
+	demand := demandView(v, prefillOnly, prefillRatio{})
+	require.Positive(t, demand.Demand[decodePool])
 	p := roles.Planner{Timing: roles.TimingFor(6 * time.Second)}
-	orders := p.Plan(time.Now(), seen, func(time.Time) (fence.Token, error) { return 1, nil })
+	orders := p.Plan(time.Now(), demand, func(time.Time) (fence.Token, error) { return 1, nil })
 	require.Len(t, orders, 1)
-	require.Equal(t, decodes, orders[0].To)
+	require.Equal(t, decodePool, orders[0].To)
 
-	both := append(alone, state("d", domain.RoleDecode, 50))
-	require.Zero(t, view(v, both, mixRatio{}).Demand[decodes], "nothing is known of the mix yet")
-	seen = view(v, both, mixRatio{ratio: 0.4, known: true, sure: true})
-	require.InDelta(t, 0.5, seen.Demand[decodes], 1e-9)
-	require.InDelta(t, prefillPart*0.4*0.5, seen.Demand[prefills], 1e-9)
+	both := append(prefillOnly, state("d", domain.RoleDecode, 50))
+	require.Zero(t, demandView(v, both, prefillRatio{}).Demand[decodePool], "the ratio is not known yet")
+	demand = demandView(v, both, prefillRatio{ratio: 0.4, known: true, sufficient: true})
+	require.InDelta(t, 0.5, demand.Demand[decodePool], 1e-9)
+	require.InDelta(t, prefillWeight*0.4*0.5, demand.Demand[prefillPool], 1e-9)
 }
 
-// Story: the load begins, and the first request has an answer of a few tokens. By it
-// alone prefill needs more engines than decode; ten of 28 decode engines were told
-// to change, and the first burst found them away.
-func TestFewRequestsTakeNoDecodeEngine(t *testing.T) {
-	var m roles.Profile
+// Guards against role changes that are based on the first requests alone. By a first
+// request with an answer of a few tokens, prefill needs more engines than decode; ten of 28
+// decode engines were ordered to change, and were not available for the first burst.
+func TestPlannerKeepsDecodeEnginesUntilTheProfileIsSufficient(t *testing.T) {
+	var profile roles.Profile
 	now := time.Now()
-	m.RecordRequest(now, 3000, 64, 0.1)
-	m.RecordPrefill(now, 3000, 100*time.Millisecond)
-	m.RecordAnswer(now, 104, 400*time.Millisecond)
-	ratio, known := m.Ratio()
+	profile.RecordRequest(now, 3000, 64, 0.1)
+	profile.RecordPrefill(now, 3000, 100*time.Millisecond)
+	profile.RecordAnswer(now, 104, 400*time.Millisecond)
+	ratio, known := profile.Ratio()
 	require.True(t, known)
 	require.Greater(t, ratio, 1.0)
 	var states []engineState
@@ -115,12 +115,12 @@
 		}
 		states = append(states, e)
 	}
-	plan := func(sure bool) []roles.Order {
+	plan := func(sufficient bool) []roles.Order {
 		p := roles.Planner{Timing: roles.TimingFor(6 * time.Second)}
-		seen := view(&paths.Service{Name: "m"}, states, mixRatio{ratio: ratio, known: true, sure: sure})
-		next := func(time.Time) (fence.Token, error) { return 1, nil }
-		return append(p.Plan(now, seen, next), p.Plan(now.Add(time.Second), seen, next)...)
+		demand := demandView(&paths.Service{Name: "m"}, states, prefillRatio{ratio: ratio, known: true, sufficient: sufficient})
+		issue := func(time.Time) (fence.Token, error) { return 1, nil }
+		return append(p.Plan(now, demand, issue), p.Plan(now.Add(time.Second), demand, issue)...)
 	}
-	require.Empty(t, plan(m.Sufficient()))
-	require.NotEmpty(t, plan(true), "many requests like it do")
+	require.Empty(t, plan(profile.Sufficient()))
+	require.NotEmpty(t, plan(true), "a sufficient profile takes engines from decode")
 }
--- a/direct/exchange.go
+++ b/direct/exchange.go
@@ -12,27 +12,28 @@
 	"jacinthworks/send"
 )
 
-// errBarred is of a call that was not made, since its upstream is to be sent nothing new.
-var errBarred = errors.New("direct: the upstream is to be sent nothing new")
+// errNotAccepting is the error of a call that was not made because its upstream accepts no
+// new requests.
+var errNotAccepting = errors.New("direct: the upstream is to be sent nothing new")
 
-// exchange sends to an upstream, and takes in what the answer states of it. Whatever this
-// process sends to upstreams goes this way; what asks for something new asks s.admits first.
+// exchange sends a request to an upstream, and records what the response states about the
+// upstream. All calls to upstreams go through it; a call that asks for new work must check
+// acceptsNew first.
 func (s *Server) exchange(ctx context.Context, id domain.RequestID, u *roster.Upstream, q send.Request) (*send.Response, ResponseInfo, error) {
-	reply, err := s.client(u).Do(ctx, q)
+	reply, err := s.clientOf(u).Do(ctx, q)
 	if err != nil {
 		return nil, ResponseInfo{}, err
 	}
-	note := s.Protocol.ParseResponse(reply.Status, reply.Header)
-	s.noteFields(id, u.Server().ID, reply.Header)
-	s.heardStated(id, u, note)
-	return reply, note, nil
+	info := s.Protocol.ParseResponse(reply.Status, reply.Header)
+	s.logUnknownFields(id, u.Server().ID, reply.Header)
+	s.recordAnnouncement(id, u, info)
+	return reply, info, nil
 }
 
-// admits says whether an upstream may be sent something new, just before it is.
-//
-// Failure: a request is placed, waits for a permit, for room or for its prompt, and goes to
-// an upstream that has meanwhile told another request that it leaves.
-func (s *Server) admits(id domain.RequestID, u *roster.Upstream) bool {
+// acceptsNew reports whether an upstream accepts new requests. It is called just before the
+// send: while a request waits for a permit, for an allocation or for its prefill, its
+// upstream may announce in the response to another request that it is leaving.
+func (s *Server) acceptsNew(id domain.RequestID, u *roster.Upstream) bool {
 	a := u.Eligibility(time.Now())
 	if a.Eligible() {
 		return true
@@ -43,15 +44,15 @@
 	return false
 }
 
-// withheld ends an attempt that was not sent, and gives back all that was taken for it.
-func (s *Server) withheld(r *request, a *attempt) *failure {
-	if a.counted {
-		a.upstream.Stats.RequestEnded(a.work)
-		s.lines.For(r.service.Name).SignalFree()
+// failNotSent ends an attempt that was not sent, and releases all that was taken for it.
+func (s *Server) failNotSent(r *request, a *attempt) *failure {
+	if a.loadCounted {
+		a.upstream.Stats.RequestEnded(a.cost)
+		s.queues.For(r.service.Name).SignalFree()
 	}
-	if a.stamp.Reservation != "" {
-		s.drop(r, a.upstream, a.stamp.Reservation)
+	if a.info.Reservation != "" {
+		s.releaseReservation(r, a.upstream, a.info.Reservation)
 	}
-	s.unpermit(a.permit)
-	return &failure{ran: domain.NotRun, reason: domain.ReasonNoUpstream, detail: errBarred.Error(), unsent: true, granted: true}
+	s.releasePermit(a.permit)
+	return &failure{ran: domain.NotRun, reason: domain.ReasonNoUpstream, detail: errNotAccepting.Error(), unsent: true, retryGranted: true}
 }
--- a/direct/exchange_test.go
+++ b/direct/exchange_test.go
@@ -12,8 +12,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// methodCalls gives, by function of this package, the names of Server's methods that it calls, in
-// their order.
+// methodCalls returns, by function of this package, the names of Server's methods that it
+// calls, in order.
 func methodCalls(t *testing.T) map[string][]string {
 	t.Helper()
 	names, err := filepath.Glob("*.go")
@@ -43,25 +43,25 @@
 	return calls
 }
 
-// Guards against a way of sending to upstreams that does not ask whether they may be sent
-// something new, or does not hear what their answers state.
-func TestAllThatIsSentAsksFirstAndHearsTheAnswer(t *testing.T) {
-	ending := []string{"dropNow", "free"} // they end what the upstream still keeps for this entry
+// Guards against calls to upstreams that do not check whether the upstream accepts new
+// requests, or that ignore what the response states about the upstream.
+func TestUpstreamCallsCheckEligibilityAndRecordTheResponse(t *testing.T) {
+	releasing := []string{"releaseReservationNow", "freeHandle"} // these release what the upstream keeps for this entry
 	var sending []string
 	for name, all := range methodCalls(t) {
 		if name != "exchange" {
-			require.NotContains(t, all, "client", name)
+			require.NotContains(t, all, "clientOf", name)
 		}
 		at := slices.Index(all, "exchange")
 		if at < 0 {
 			continue
 		}
 		sending = append(sending, name)
-		if !slices.Contains(ending, name) {
-			asked := slices.Index(all, "admits")
-			require.True(t, asked >= 0 && asked < at, name)
+		if !slices.Contains(releasing, name) {
+			checked := slices.Index(all, "acceptsNew")
+			require.True(t, checked >= 0 && checked < at, name)
 		}
 	}
 	slices.Sort(sending)
-	require.Equal(t, []string{"ask", "dropNow", "free", "try"}, sending)
+	require.Equal(t, []string{"callUpstream", "freeHandle", "releaseReservationNow", "sendAttempt"}, sending)
 }
--- a/direct/fields.go
+++ b/direct/fields.go
@@ -8,10 +8,10 @@
 	"jacinthworks/roster"
 )
 
-// noteFields logs and counts the fields that an answer is the first to have and that have
-// no meaning here, without their values, which are the caller's.
-func (s *Server) noteFields(id domain.RequestID, upstream roster.ID, h http.Header) {
-	for _, name := range s.fields.AddHeader(h) {
+// logUnknownFields logs and counts response header fields that have no meaning here, each
+// name once. The values are left out, since they belong to the caller.
+func (s *Server) logUnknownFields(id domain.RequestID, upstream roster.ID, h http.Header) {
+	for _, name := range s.unknownFields.AddHeader(h) {
 		if s.Protocol.KnownField(name) {
 			continue
 		}
--- a/direct/fleet.go
+++ b/direct/fleet.go
@@ -12,98 +12,100 @@
 )
 
 const (
-	// memberKind is the collection of the entries' records.
-	memberKind = "entries/"
-	// memberEvery is how often an entry reads the records of all, and the shortest time
-	// between two writings of its own.
-	memberEvery = 30 * time.Second
-	// memberEach is the time between two writings for each entry of the fleet, so that all
-	// together write four records a second, however many they are.
-	memberEach = 250 * time.Millisecond
-	// memberMissed is how many writings may be missing until an entry counts no longer.
-	memberMissed = 4
-	// memberFirst is the time from an entry's first writing to its first
-	// reading: entries that start together have written theirs by then.
-	memberFirst = 3 * time.Second
-	// memberRetry is the pause after a write that failed.
-	memberRetry = 2 * time.Second
-	// membersUnknown is among how many entries the budget is shared out at least until
-	// the number is known: more than most deployments have.
-	membersUnknown = 32
+	// memberPrefix is the collection of the entries' records in the store.
+	memberPrefix = "entries/"
+	// memberInterval is how often an entry reads the records of all entries, and the
+	// shortest time between two writes of its own.
+	memberInterval = 30 * time.Second
+	// memberWriteSpacing is the time between two writes per entry in the fleet, so that all
+	// together write four records a second, whatever their number.
+	memberWriteSpacing = 250 * time.Millisecond
+	// memberMaxMissed is how many writes an entry may miss before it is no longer counted.
+	memberMaxMissed = 4
+	// memberFirstRead is the delay from an entry's first write to its first read: by then
+	// entries that started together have written their records.
+	memberFirstRead = 3 * time.Second
+	// memberRetryDelay is the pause after a failed write or read.
+	memberRetryDelay = 2 * time.Second
+	// minMembersAssumed is the least number of entries among which the retry budget is
+	// shared until the number is known: more than most deployments have.
+	minMembersAssumed = 32
 )
 
-// Member is an entry's record in the platform.
+// Member is an entry's record in the platform's store.
 type Member struct {
 	Name domain.Host `json:"name"`
-	// Beat changes with each writing.
+	// Beat changes with each write.
 	Beat uint64 `json:"beat"`
-	// Written is when, by the writer's time of day.
+	// Written is the time of the last write, by the writer's wall clock.
 	Written time.Time `json:"written,omitzero"`
-	// Every is the time until it is written anew.
+	// Every is the time to the next write.
 	Every time.Duration `json:"every,omitempty"`
-	// Since is when an entry of this name first wrote it, by its time of day.
+	// Since is when an entry of this name first wrote the record, by its wall clock.
 	Since time.Time `json:"since,omitzero"`
-	// Peer is where it answers other entries, Zone and Cores its host's; entries
-	// that do not listen for others say none.
+	// Peer is the address at which it answers other entries, empty if it does not listen
+	// for them. Zone and Cores describe its host.
 	Peer  netip.AddrPort `json:"peer,omitzero"`
 	Zone  domain.Zone    `json:"zone,omitempty"`
 	Cores float64        `json:"cores,omitempty"`
 }
 
-// gone is the time after which the entry is gone if its record was not written anew.
-func (m Member) gone() time.Duration { return memberMissed * max(m.Every, memberEvery) }
+// expiry is the time after a write at which the entry is taken for gone if its record was
+// not written again.
+func (m Member) expiry() time.Duration { return memberMaxMissed * max(m.Every, memberInterval) }
 
-// members counts the entries, among which the fixed number of repeats is
-// shared out, and the connections that an upstream takes.
+// members counts the entries, among which the fixed number of retries is shared, and the
+// connections that an upstream accepts.
 //
-// Failure: each of twenty-four entries takes an eighth of the fleet's repeats.
-// It shows under faults, as three times as many repeats as the operators allow.
-// A record for each entry holds since a lost one counts on for minutes, which
-// only makes the others' shares smaller.
+// Without the count, each of 24 entries took an eighth of the fleet's retries, so that
+// under faults the fleet made three times the retries that the operators allow. A stopped
+// entry is counted for minutes more, which only makes the shares of the others smaller, so
+// a record that is read periodically is enough.
 //
-// The records are read from time to time and not watched: each writing of each
-// entry would wake all of them, so that the calls grew with their square.
+// The records are polled and not watched: each write of each entry would wake all entries,
+// so that the calls would grow with the square of their number.
 type members struct {
-	mu    sync.Mutex // a leaf
-	seen  map[string]heard
-	known atomic.Bool
-	// found is how many had a record when this entry started.
-	found atomic.Int64
+	mu     sync.Mutex // leaf lock: no other lock is acquired while it is held
+	byName map[string]memberSeen
+	loaded atomic.Bool
+	// foundAtStart is how many entries had a record when this one started.
+	foundAtStart atomic.Int64
 }
 
-// heard is an entry's last beat, when it was first read, and how long it counts from then.
-type heard struct {
-	beat  uint64
-	at    time.Time
-	lasts time.Duration
+// memberSeen is an entry's last heartbeat, when it was first read, and how long it counts
+// from then.
+type memberSeen struct {
+	heartbeat uint64
+	readAt    time.Time
+	expiry    time.Duration
 }
 
-// listed takes all records.
-func (m *members) listed(now time.Time, all []feed.Item[Member]) {
+// update replaces what is known by a reading of all records.
+func (m *members) update(now time.Time, all []feed.Item[Member]) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	seen := make(map[string]heard)
+	seen := make(map[string]memberSeen)
 	for _, i := range all {
-		// One that can't be read is an entry as well, of which no beat is heard.
-		seen[i.Name] = heard{beat: i.Value.Beat, at: now, lasts: i.Value.gone()}
-		if old, known := m.seen[i.Name]; known && old.beat == i.Value.Beat {
+		// A record that can't be read counts as an entry as well, with no heartbeat.
+		seen[i.Name] = memberSeen{heartbeat: i.Value.Beat, readAt: now, expiry: i.Value.expiry()}
+		if old, known := m.byName[i.Name]; known && old.heartbeat == i.Value.Beat {
 			seen[i.Name] = old
 		}
 	}
-	m.seen = seen
-	m.known.Store(true)
+	m.byName = seen
+	m.loaded.Store(true)
 }
 
-// count gives the number of entries.
+// count returns the number of entries, at least 1.
 func (m *members) count(now time.Time) int {
-	if !m.known.Load() {
-		return max(membersUnknown, int(m.found.Load()))
+	if !m.loaded.Load() {
+		return max(minMembersAssumed, int(m.foundAtStart.Load()))
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	n := 0
-	for _, h := range m.seen {
-		if now.Sub(h.at) <= h.lasts {
+	for _, h := range m.byName {
+		if now.Sub(h.readAt) <= h.expiry {
 			n++
 		}
 	}
@@ -111,17 +113,17 @@
 }
 
 func (s *Server) readMembers(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, storeWithin)
+	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	all, err := s.readRecords(ctx)
 	if err != nil {
 		return err
 	}
 	before := s.members.count(time.Now())
-	s.members.listed(time.Now(), all)
+	s.members.update(time.Now(), all)
 	s.setPeers(all, true)
 	if n := s.members.count(time.Now()); n != before {
-		s.Log.Info("entries", "count", n, "before", before, "repeats", s.terms().Fixed)
+		s.Log.Info("entries", "count", n, "before", before, "repeats", s.retryTerms().Fixed)
 	}
 	return nil
 }
--- a/direct/fleet_test.go
+++ b/direct/fleet_test.go
@@ -11,64 +11,66 @@
 	"jacinthworks/feed"
 )
 
-// Story: the operators allow 88 repeats in ten seconds beside a part of the
-// requests. Twenty-four entries each take what would be right for eight, and
-// under faults the fleet repeats three times as much as allowed.
-func TestTheFixedNumberIsSharedOutAmongAllEntries(t *testing.T) {
+// Guards against shares of the retry budget that do not depend on the number of entries.
+// The operators allow 88 retries in ten seconds beside a part of the requests; when each of
+// 24 entries took the share that was right for eight, the fleet made three times the
+// allowed retries under faults.
+func TestRetryTermsShareTheFixedNumberAmongAllEntries(t *testing.T) {
 	var s Server
-	s.live.Store(&conf.Direct{Repeats: conf.Repeats{Ratio: 0.2, Fixed: 88, Span: 10 * time.Second}})
-	require.LessOrEqual(t, s.terms().Fixed, 88.0/membersUnknown, "before the others are known")
+	s.liveSettings.Store(&conf.Direct{Repeats: conf.Repeats{Ratio: 0.2, Fixed: 88, Span: 10 * time.Second}})
+	require.LessOrEqual(t, s.retryTerms().Fixed, 88.0/minMembersAssumed, "before the records are read")
 	now := time.Now()
 	var all []feed.Item[Member]
 	for n := range 24 {
 		all = append(all, feed.Item[Member]{Name: strconv.Itoa(n)})
 	}
-	s.members.listed(now, all)
+	s.members.update(now, all)
 	require.Equal(t, 24, s.members.count(now))
-	require.LessOrEqual(t, 24*s.terms().Fixed, 88.0)
+	require.LessOrEqual(t, 24*s.retryTerms().Fixed, 88.0)
 	all[0].Value.Beat++
-	gone := Member{}.gone()
-	s.members.listed(now.Add(gone), all)
-	require.Equal(t, 24, s.members.count(now.Add(gone)))
-	require.Equal(t, 1, s.members.count(now.Add(gone+time.Millisecond)), "lost entries count on for a while only")
-	s.members.listed(now.Add(2*gone), all[:1])
-	require.Equal(t, 1, s.members.count(now.Add(2*gone)), "it is there, though it has not beaten")
+	expiry := Member{}.expiry()
+	s.members.update(now.Add(expiry), all)
+	require.Equal(t, 24, s.members.count(now.Add(expiry)))
+	require.Equal(t, 1, s.members.count(now.Add(expiry+time.Millisecond)), "lost entries are counted only until they expire")
+	s.members.update(now.Add(2*expiry), all[:1])
+	require.Equal(t, 1, s.members.count(now.Add(2*expiry)), "counted until it expires, though its heartbeat has not changed")
 }
 
-// Guards against a large fleet that, just started, shares its repeats out among too few.
-func TestAFleetThatIsOnRecordSharesAmongAllAtItsStart(t *testing.T) {
+// Guards against a large fleet that has just started and shares the retry budget among too
+// few entries.
+func TestMemberCountUsesTheRecordsFoundAtStart(t *testing.T) {
 	var s Server
-	require.Equal(t, membersUnknown, s.members.count(time.Now()))
-	s.members.found.Store(300)
+	require.Equal(t, minMembersAssumed, s.members.count(time.Now()))
+	s.members.foundAtStart.Store(300)
 	require.Equal(t, 300, s.members.count(time.Now()))
-	s.members.found.Store(4)
-	require.Equal(t, membersUnknown, s.members.count(time.Now()), "others may start together with it")
+	s.members.foundAtStart.Store(4)
+	require.Equal(t, minMembersAssumed, s.members.count(time.Now()), "other entries may start at the same time")
 }
 
-// Guards against writes of records that grow with the fleet, and against an entry that
-// the others take for gone since it writes so seldom.
-func TestRecordsAreWrittenAtABoundedRate(t *testing.T) {
+// Guards against writes of records that grow with the fleet, and against an entry that the
+// others take for gone because it writes too rarely.
+func TestMemberWriteIntervalBoundsTheRateOfAllEntries(t *testing.T) {
 	for _, n := range []int{1, 24, 120, 300, 1000, 3000} {
-		period := recordPeriod(n)
+		period := memberWriteInterval(n)
 		require.LessOrEqual(t, float64(n)/period.Seconds(), 4.0, "%d entries", n)
-		require.GreaterOrEqual(t, period, memberEvery)
+		require.GreaterOrEqual(t, period, memberInterval)
 		written := time.Now()
-		for _, every := range []time.Duration{0, memberEvery, period} {
-			next := nextRecord(written, every, n)
-			require.Less(t, next.Sub(written)+memberEvery, Member{Every: every}.gone()+time.Millisecond, "%d entries, said %v", n, every)
+		for _, every := range []time.Duration{0, memberInterval, period} {
+			next := nextMemberWrite(written, every, n)
+			require.Less(t, next.Sub(written)+memberInterval, Member{Every: every}.expiry()+time.Millisecond, "%d entries, interval %v", n, every)
 		}
 	}
 }
 
-// Guards against a write of each entry when all start again after a loss of power.
-func TestARecordThatStillHoldsIsNotWritten(t *testing.T) {
+// Guards against a write by each entry when all start again after a loss of power.
+func TestRefreshRecordKeepsAValidRecordOfAnEarlierStart(t *testing.T) {
 	s := &Server{Settings: conf.Direct{Name: "e", Zone: "z", Cores: 0.5}}
 	now := time.Now()
-	m := Member{Name: "e", Zone: "z", Cores: 0.5, Written: now.Add(-10 * time.Second), Every: memberEvery, Since: now.Add(-time.Hour)}
+	m := Member{Name: "e", Zone: "z", Cores: 0.5, Written: now.Add(-10 * time.Second), Every: memberInterval, Since: now.Add(-time.Hour)}
 	item := feed.Item[Member]{Name: "e", Revision: 7, Value: m}
-	s.found(now, item)
-	require.NoError(t, s.keepRecord(t.Context(), 1), "nothing is written, or it would fail without a store")
-	require.Equal(t, m.Since, s.record.since)
+	s.adoptRecord(now, item)
+	require.NoError(t, s.refreshRecord(t.Context(), 1), "a write would fail without a store")
+	require.Equal(t, m.Since, s.ownRecord.since)
 	for name, change := range map[string]func(*Member){
 		"another host":       func(m *Member) { m.Cores = 1 },
 		"another zone":       func(m *Member) { m.Zone = "y" },
@@ -77,7 +79,7 @@
 	} {
 		other := item
 		change(&other.Value)
-		s.found(now, other)
-		require.True(t, s.record.written.IsZero(), name)
+		s.adoptRecord(now, other)
+		require.True(t, s.ownRecord.written.IsZero(), name)
 	}
 }
--- a/direct/item.go
+++ b/direct/item.go
@@ -7,30 +7,30 @@
 	"jacinthworks/search"
 )
 
-// begunWait is how long a stream that has begun waits to go on elsewhere:
-// callers leave after some two seconds without an event.
-const begunWait = 1500 * time.Millisecond
+// resumeMaxWait is how long a stream that has begun waits for capacity to be resumed
+// elsewhere: callers give up after some two seconds without an event.
+const resumeMaxWait = 1500 * time.Millisecond
 
-// item describes a request to the queue, and says until when it may wait. One
-// that would have its room after the target is of little use to its caller: it
-// is told to return instead. One that returns late is served from what the others
-// leave, or refused: waiting for it, it took the places of fresh ones.
+// queueItem describes a request to the queue, and returns the time until which it may wait.
+// late is true if that time has passed already: a request that would get its capacity after
+// its target is of little use to its caller. A late request gets only capacity that no
+// other request takes, or is refused with a time to retry.
 //
-// Load pattern: a burst is refused in part, and what was refused returns in the
-// next second. Served in order of arrival, it takes the places of fresh
-// requests, which are then late as well, and so on after the burst.
-func item(l *search.Queue, r *request) (i queue.Item, until time.Time, late bool) {
-	toFirst := l.TimeToFirstEvent()
+// Part of a burst is refused and comes back in the next second. In order of arrival, these
+// retries would take the places of new requests, which would then be late as well, and the
+// lateness would outlast the burst.
+func queueItem(l *search.Queue, r *request) (i queue.Item, until time.Time, late bool) {
+	firstEventLatency := l.TimeToFirstEvent()
 	i = queue.Item{
 		ID: r.id, Account: r.account, Priority: queue.PriorityCount - 1 - r.priority(),
-		PromptTokens: r.ask.PromptTokens, MaxOutputTokens: r.tokens() - r.ask.PromptTokens,
-		FirstTokenDeadline: r.first.Add(r.targetLatency()), Deadline: r.until, FirstTokenLatency: toFirst, TotalLatency: toFirst,
+		PromptTokens: r.info.PromptTokens, MaxOutputTokens: r.expectedTokens() - r.info.PromptTokens,
+		FirstTokenDeadline: r.firstSent.Add(r.targetLatency()), Deadline: r.deadline, FirstTokenLatency: firstEventLatency, TotalLatency: firstEventLatency,
 	}
-	// Failure: a stream that goes on elsewhere is told to return as if it had
-	// not begun. It shows as an answer that is cut in its middle.
-	if r.begun {
+	// A stream to be resumed must not be refused as if it had not begun: its caller would
+	// get an answer that is cut in the middle.
+	if r.responseBegun {
 		i.Priority, i.FirstTokenDeadline = queue.PriorityCount-1, time.Time{}
-		i.Deadline = time.Now().Add(begunWait + i.TotalLatency)
+		i.Deadline = time.Now().Add(resumeMaxWait + i.TotalLatency)
 		return i, i.Deadline.Add(-i.TotalLatency), false
 	}
 	until = i.FirstTokenDeadline.Add(-i.FirstTokenLatency)
--- a/direct/keeper.go
+++ b/direct/keeper.go
@@ -12,135 +12,136 @@
 	"jacinthworks/send"
 )
 
-// An entry keeps state for all where many of them have to go by one count. Which one
-// follows from the key of the state; see relay.Fleet.Owners.
+// Some state, such as rate limits and quotas, is kept by one entry for the whole fleet, so
+// that all entries go by one count. The key of the state determines its owner; see
+// relay.Fleet.Owners.
 const (
-	// keeperWithin bounds a call: two round trips, for a connection and the answer,
-	// and a host that waits for its share of a processor.
-	keeperWithin = 80 * time.Millisecond
-	// keeperTries is how many entries are asked in turn, beside those that are known not
-	// to answer.
-	keeperTries = 2
-	// keeperMost bounds a call, in bytes.
-	keeperMost = 16 << 10
-	// alivePath is where an entry answers that it can be asked.
+	// ownerTimeout bounds a call at an owner: two round trips, for the connection and the
+	// answer, and the delay of a host that waits for its share of a processor.
+	ownerTimeout = 80 * time.Millisecond
+	// maxOwnerTries is how many owners are called in turn, not counting those that are
+	// known not to answer.
+	maxOwnerTries = 2
+	// maxOwnerRequest bounds the body of a call, in bytes.
+	maxOwnerRequest = 16 << 10
+	// alivePath is the peer endpoint that answers 200 while the process accepts calls.
 	alivePath = "/v1/alive"
 )
 
-// tryKeeper tries an entry that did not answer.
-func (s *Server) tryKeeper(p *relay.Peer) {
-	s.later("try keeper", keeperWithin, func(ctx context.Context) error {
-		if err := callPeer(ctx, p, http.MethodGet, alivePath, keeperWithin, nil, nil); err != nil {
+// probeOwner calls, in the background, an owner that did not answer before.
+func (s *Server) probeOwner(p *relay.Peer) {
+	s.background("try keeper", ownerTimeout, func(ctx context.Context) error {
+		if err := callPeer(ctx, p, http.MethodGet, alivePath, ownerTimeout, nil, nil); err != nil {
 			return err
 		}
-		s.keepers.MarkUp(p)
+		s.unresponsive.MarkUp(p)
 		s.Log.Info("keeper reached again", "entry", p.Name)
 		return nil
 	})
 }
 
-// keeper is an entry that answered; nil stands for this one.
-type keeper struct{ peer *relay.Peer }
+// owner is the entry that answered a call; a nil peer stands for this process.
+type owner struct{ peer *relay.Peer }
 
-// name is for the log.
-func (k keeper) name() string {
+// name is the owner's name in log lines.
+func (k owner) name() string {
 	if k.peer == nil {
 		return "self"
 	}
 	return string(k.peer.Name)
 }
 
-// askKeeper makes a call at the entry that keeps the state of a key, one of the first so
-// many that may, or does it here where that is this one: own is told whether no other
-// entry should. It gives false where none can be reached.
+// callOwner makes a call at the entry that owns a key. It tries the first maxOwners owners
+// in order of precedence. If one of them is this entry, it calls local instead, with first
+// true if no other entry precedes this one. It returns false if no owner can be reached.
 //
-// Failure: an entry leaves, and the others keep the state of its keys elsewhere. What it
-// still grants its own callers by its own count is granted twice. One that leaves asks
-// the others first.
-func askKeeper[A any](ctx context.Context, s *Server, key, path string, most int, call any, own func(first bool) A) (answer A, by keeper, ok bool) {
-	tries, last := 0, -1
-	for n, o := range s.peers.fleet.Owners(time.Now(), key, most) {
-		if o.Peer == nil && s.leaving.Load() {
-			last = n
+// When an entry drains, the others go to the next owner of its keys. What the draining
+// entry still granted to its own callers by its own count would be granted twice, so a
+// draining entry calls the other owners first.
+func callOwner[A any](ctx context.Context, s *Server, key, path string, maxOwners int, call any, local func(first bool) A) (answer A, by owner, ok bool) {
+	tried, ownRank := 0, -1
+	for n, o := range s.peers.fleet.Owners(time.Now(), key, maxOwners) {
+		if o.Peer == nil && s.draining.Load() {
+			ownRank = n
 			continue
 		}
 		if o.Peer == nil {
-			return own(n == 0), keeper{}, true
+			return local(n == 0), owner{}, true
 		}
-		ask, try := s.keepers.Check(time.Now(), o.Peer)
-		if try {
-			s.tryKeeper(o.Peer)
+		allowed, probe := s.unresponsive.Check(time.Now(), o.Peer)
+		if probe {
+			s.probeOwner(o.Peer)
 		}
-		if !ask {
+		if !allowed {
 			continue
 		}
-		if tries++; tries > keeperTries {
+		if tried++; tried > maxOwnerTries {
 			break
 		}
-		err := callPeer(ctx, o.Peer, http.MethodPost, path, keeperWithin, call, &answer)
+		err := callPeer(ctx, o.Peer, http.MethodPost, path, ownerTimeout, call, &answer)
 		if err == nil {
-			return answer, keeper{o.Peer}, true
+			return answer, owner{o.Peer}, true
 		}
 		if ctx.Err() != nil {
 			break
 		}
-		s.keepers.MarkDown(time.Now(), o.Peer)
+		s.unresponsive.MarkDown(time.Now(), o.Peer)
 		s.Log.Info("keeper not reached", "key", key, "entry", o.Peer.Name, "err", err)
 	}
-	if last >= 0 && ctx.Err() == nil {
-		return own(last == 0), keeper{}, true
+	if ownRank >= 0 && ctx.Err() == nil {
+		return local(ownRank == 0), owner{}, true
 	}
 	var none A
-	return none, keeper{}, false
+	return none, owner{}, false
 }
 
-// first says whether no other entry should keep the state of a key.
-func (s *Server) first(key string) bool {
+// isFirstOwner reports whether this entry is the first owner of a key.
+func (s *Server) isFirstOwner(key string) bool {
 	owners := s.peers.fleet.Owners(time.Now(), key, 1)
 	return len(owners) > 0 && owners[0].Peer == nil
 }
 
-// errLeaving says that another entry answers and does nothing for others: it leaves, or
-// knows too little yet.
-var errLeaving = errors.New("direct: call of an entry: it does not serve others")
+// errPeerUnavailable is the error of a call that another entry refused because it is
+// draining or has no configuration or registry yet.
+var errPeerUnavailable = errors.New("direct: call of an entry: it does not serve others")
 
-// callPeer makes one call at another entry. A nil call has no body; a nil answer is not
-// read.
+// callPeer makes one call at another entry. A nil call sends no body; with a nil answer the
+// response is not decoded.
 func callPeer(ctx context.Context, p *relay.Peer, method, path string, within time.Duration, call, answer any) error {
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
-	ask := send.Request{Method: method, Target: path, ReadTimeout: within}
+	request := send.Request{Method: method, Target: path, ReadTimeout: within}
 	if call != nil {
 		body, err := json.Marshal(call)
 		if err != nil {
 			return errors.Wrap(err, "direct: call of an entry")
 		}
-		ask.Header, ask.Body = http.Header{"Content-Type": {"application/json"}}, body
+		request.Header, request.Body = http.Header{"Content-Type": {"application/json"}}, body
 	}
-	reply, err := p.Do(ctx, ask)
+	reply, err := p.Do(ctx, request)
 	if err != nil {
 		return err
 	}
-	text, err := reply.ReadAll(shortAnswer)
+	body, err := reply.ReadAll(maxShortResponse)
 	switch {
 	case err != nil:
 		return err
 	case reply.Status == http.StatusServiceUnavailable:
-		return errLeaving
+		return errPeerUnavailable
 	case reply.Status != http.StatusOK:
 		return errors.Errorf("direct: call of an entry: status %d", reply.Status)
 	case answer == nil:
 		return nil
 	}
-	return errors.Wrap(json.Unmarshal(text, answer), "direct: answer of "+string(p.Name))
+	return errors.Wrap(json.Unmarshal(body, answer), "direct: answer of "+string(p.Name))
 }
 
-// keeperHandler answers the calls of other entries; answer gives false where nothing
-// can be said, as before the configuration is known.
-func keeperHandler[C, A any](s *Server, answer func(C) (A, bool)) http.HandlerFunc {
+// ownerHandler serves the calls of other entries. answer returns false if the call can't be
+// answered, for example before the configuration is known; the status is then 503.
+func ownerHandler[C, A any](s *Server, answer func(C) (A, bool)) http.HandlerFunc {
 	return func(w http.ResponseWriter, h *http.Request) {
 		var call C
-		if err := json.NewDecoder(http.MaxBytesReader(w, h.Body, keeperMost)).Decode(&call); err != nil {
+		if err := json.NewDecoder(http.MaxBytesReader(w, h.Body, maxOwnerRequest)).Decode(&call); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
--- a/direct/keeper_test.go
+++ b/direct/keeper_test.go
@@ -15,9 +15,9 @@
 	"jacinthworks/relay"
 )
 
-// Guards against an entry that leaves and goes on counting beside the one that the others
-// go to.
-func TestAnEntryThatLeavesAsksTheOthersFirst(t *testing.T) {
+// Guards against a draining entry that goes on counting beside the owner that the others
+// call.
+func TestCallOwnerPrefersOtherOwnersWhileDraining(t *testing.T) {
 	other := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = io.WriteString(w, `"other"`)
 	}))
@@ -29,20 +29,20 @@
 		{Name: "entry-1", Addr: other.Listener.Addr().(*net.TCPAddr).AddrPort(), Cores: 1},
 	}
 	s.peers.fleet.SetMembers(members, true)
-	own := func(bool) string { return "own" }
-	ask := func(key string) string {
-		a, _, ok := askKeeper(t.Context(), s, key, limitPath, 2, nil, own)
+	local := func(bool) string { return "own" }
+	call := func(key string) string {
+		a, _, ok := callOwner(t.Context(), s, key, limitPath, 2, nil, local)
 		require.True(t, ok)
 		return a
 	}
-	var key string // one that this entry keeps
+	var key string // a key that this entry owns
 	for n := 0; key == ""; n++ {
-		if k := fmt.Sprint("key-", n); ask(k) == "own" {
+		if k := fmt.Sprint("key-", n); call(k) == "own" {
 			key = k
 		}
 	}
-	s.leaving.Store(true)
-	require.Equal(t, "other", ask(key))
+	s.draining.Store(true)
+	require.Equal(t, "other", call(key))
 	other.Close()
-	require.Equal(t, "own", ask(key), "none other answers")
+	require.Equal(t, "own", call(key), "no other owner answers")
 }
--- a/direct/limit.go
+++ b/direct/limit.go
@@ -14,97 +14,99 @@
 )
 
 const (
-	// limitPath is where the entry that counts for an upstream under a rate limit is
-	// asked, and told of the limit.
+	// limitPath is the peer endpoint at which the owner of an upstream's rate limit grants
+	// requests and is notified of the limit.
 	limitPath = "/v1/limit"
-	// limitNewsPath is where an entry is told that a limit has begun, fallen far or ended.
-	limitNewsPath = "/v1/limit_news"
-	// pauseLongest bounds the time for which an entry that was told to wait does not
-	// ask again: meanwhile it does not hear that the limit has ended.
-	pauseLongest = 2 * time.Second
-	// spreadWithin bounds the telling of all entries.
-	spreadWithin = 5 * time.Second
-	// noKeeperAfter is when to ask again where no request was granted and no entry that
-	// counts could be reached.
-	noKeeperAfter = time.Second
+	// limitUpdatePath is the peer endpoint that is notified when a limit has begun, fallen
+	// far or ended.
+	limitUpdatePath = "/v1/limit_news"
+	// maxLimitRecheck bounds how long an entry that was denied does not call the owner
+	// again: meanwhile it is not notified by the response that the limit has ended.
+	maxLimitRecheck = 2 * time.Second
+	// limitBroadcastTimeout bounds the calls that notify all entries of a limit.
+	limitBroadcastTimeout = 5 * time.Second
+	// noPermitRetryAfter is the time to the next try if the request ended before a permit
+	// was granted.
+	noPermitRetryAfter = time.Second
 )
 
-// limits are what this entry counts of upstreams under a rate limit. The zero value is
-// ready to use; it must not be copied.
+// limits counts the requests to upstreams that state a rate limit. The zero value is ready
+// to use; it must not be copied.
 type limits struct {
-	// keeper is asked by all entries, alone is for what this one sends while it reaches
-	// none of those that count.
-	keeper pacer.Limiter[roster.InstanceKey]
-	alone  pacer.Limiter[roster.InstanceKey]
+	// shared counts for the whole fleet, for the upstreams whose rate limit this entry
+	// owns. isolated counts the requests of this entry alone while it reaches no owner.
+	shared   pacer.Limiter[roster.InstanceKey]
+	isolated pacer.Limiter[roster.InstanceKey]
 }
 
-// limitUse is what a limitCall is for.
-type limitUse string
+// limitOp is the operation that a limitRequest asks for.
+type limitOp string
 
-// The uses.
+// The operations.
 const (
-	limitTake limitUse = "take"
-	limitGive limitUse = "give"
-	// limitTell only tells of the limit.
-	limitTell limitUse = "tell"
+	limitTake   limitOp = "take"
+	limitRefund limitOp = "give"
+	// limitReport only reports what the upstream stated.
+	limitReport limitOp = "tell"
 )
 
-// limitCall asks the entry that counts for an upstream.
-type limitCall struct {
-	Use   limitUse             `json:"use"`
-	Start roster.Start         `json:"start"`
-	Said  pacer.ObservationAge `json:"said"`
-	// Timeout is how long the request can wait.
-	Within time.Duration `json:"within,omitempty"`
+// limitRequest is a call at the owner of an upstream's rate limit.
+type limitRequest struct {
+	Op     limitOp              `json:"use"`
+	Start  roster.Start         `json:"start"`
+	Stated pacer.ObservationAge `json:"said"`
+	// MaxWait is how long the request can wait.
+	MaxWait time.Duration `json:"within,omitempty"`
 }
 
-// limitAnswer is the verdict, and what the entry that counts knows of the limit.
-type limitAnswer struct {
+// limitResponse is the owner's decision, and the limit that it last observed.
+type limitResponse struct {
 	Granted bool                 `json:"granted"`
 	Wait    time.Duration        `json:"wait"`
-	Said    pacer.ObservationAge `json:"said"`
+	Stated  pacer.ObservationAge `json:"said"`
 }
 
-// permit allows one request to an upstream, and says by whom it was counted. The zero
-// value is one that nobody counted.
+// permit allows one request by the upstream's rate limit. grantedBy names the entry that
+// granted it. The zero value is the permit for an upstream without a rate limit.
 type permit struct {
-	upstream *roster.Upstream
-	by       string
-	wait     time.Duration
+	upstream  *roster.Upstream
+	grantedBy string
+	wait      time.Duration
 }
 
-// log gives what the line of a placement says of the permit.
-func (p permit) log() []any {
+// logFields returns the permit's fields of the log line of a placement.
+func (p permit) logFields() []any {
 	if p.upstream == nil {
 		return nil
 	}
-	return []any{"limit_by", p.by, "limit_wait", p.wait}
+	return []any{"limit_by", p.grantedBy, "limit_wait", p.wait}
 }
 
-// limited keeps the request from an upstream whose rate limit allows it only later.
-func (r *request) limited(u *roster.Upstream, wait time.Duration) {
-	r.avoid(u)
+// avoidLimited excludes an upstream whose rate limit allows the request only after wait.
+func (r *request) avoidLimited(u *roster.Upstream, wait time.Duration) {
+	r.exclude(u)
 	if r.limitWait == 0 || wait < r.limitWait {
 		r.limitWait = max(wait, time.Millisecond)
 	}
 }
 
-// heardLimit notes what an answer says of the upstream's rate limit. An answer that says
-// nothing ends a limit, unless it is a failure or a refusal: those need not be the
-// upstream's own words.
-func (s *Server) heardLimit(r *request, a *attempt, n ResponseInfo, status int) {
+// recordLimit records the rate limit that a response states. A response that states none
+// ends the limit, unless it is a failure or a refusal: those may come from something other
+// than the upstream itself.
+func (s *Server) recordLimit(r *request, a *attempt, n ResponseInfo, status int) {
 	if !n.RateLimitReported || n.Misdirected {
 		return
 	}
 	if !n.RateLimit.Limited() && (n.NotExecuted || status >= http.StatusInternalServerError) {
 		return
 	}
-	if s.learnLimit(a.upstream, pacer.Observation{Rate: n.RateLimit, Sent: a.began, Received: time.Now()}, r.id, "answer") {
-		s.tellLimit(a.upstream)
+	if s.learnLimit(a.upstream, pacer.Observation{Rate: n.RateLimit, Sent: a.startedAt, Received: time.Now()}, r.id, "answer") {
+		s.reportLimit(a.upstream)
 	}
 }
 
-// learnLimit takes a statement, and says whether the belief has changed.
+// learnLimit takes a statement of a rate limit, and reports whether the limit that this
+// process assumes has changed.
 func (s *Server) learnLimit(u *roster.Upstream, st pacer.Observation, id domain.RequestID, by string) bool {
 	_, age := u.Stats.RateLimit(time.Now())
 	before, rate := u.Stats.ObserveRateLimit(st)
@@ -117,119 +119,121 @@
 	return true
 }
 
-// tellLimit tells the entry that counts, which tells the others of what they can't wait
-// for, and of the rest when they next ask.
-func (s *Server) tellLimit(u *roster.Upstream) {
-	s.later("tell rate limit", keeperTries*keeperWithin, func(ctx context.Context) error {
-		s.askLimit(ctx, u, limitCall{Use: limitTell})
+// reportLimit reports, in the background, an upstream's rate limit to its owner. The owner
+// broadcasts urgent changes, and notifies the others of the rest in the responses to their
+// calls.
+func (s *Server) reportLimit(u *roster.Upstream) {
+	s.background("tell rate limit", maxOwnerTries*ownerTimeout, func(ctx context.Context) error {
+		s.callLimitOwner(ctx, u, limitRequest{Op: limitReport})
 		return nil
 	})
 }
 
-// permit asks for one request to the upstream. It waits for the request's turn, where
-// that comes within the given time, and else gives false and when to ask again.
-func (s *Server) permit(ctx context.Context, r *request, u *roster.Upstream, within time.Duration) (p permit, wait time.Duration, ok bool) {
+// acquirePermit acquires a permit for one request to the upstream. It waits for the
+// request's turn if that comes within the given time; otherwise it returns false and the
+// time after which to try again.
+func (s *Server) acquirePermit(ctx context.Context, r *request, u *roster.Upstream, within time.Duration) (granted permit, wait time.Duration, ok bool) {
 	for ctx.Err() == nil {
 		now := time.Now()
 		rate, age := u.Stats.RateLimit(now)
 		if !rate.Limited() {
 			return permit{}, 0, true
 		}
-		a, by := limitAnswer{Wait: u.Stats.RateLimitWait(now)}, "known"
-		if a.Wait <= within {
-			a, by = s.askLimit(ctx, u, limitCall{Use: limitTake, Within: within})
-			s.learnLimit(u, a.Said.At(time.Now()), r.id, by)
+		answer, grantedBy := limitResponse{Wait: u.Stats.RateLimitWait(now)}, "known"
+		if answer.Wait <= within {
+			answer, grantedBy = s.callLimitOwner(ctx, u, limitRequest{Op: limitTake, MaxWait: within})
+			s.learnLimit(u, answer.Stated.At(time.Now()), r.id, grantedBy)
 		}
-		if !a.Granted {
-			u.Stats.SetRateLimitWait(now.Add(min(a.Wait, pauseLongest)))
-			s.logLimited(r, u, "denied", rate, age, a.Wait, by)
-			return permit{}, a.Wait, false
+		if !answer.Granted {
+			u.Stats.SetRateLimitWait(now.Add(min(answer.Wait, maxLimitRecheck)))
+			s.logLimited(r, u, "denied", rate, age, answer.Wait, grantedBy)
+			return permit{}, answer.Wait, false
 		}
-		p := permit{upstream: u, by: by, wait: a.Wait}
-		if a.Wait <= 0 {
-			return p, 0, true
+		granted := permit{upstream: u, grantedBy: grantedBy, wait: answer.Wait}
+		if answer.Wait <= 0 {
+			return granted, 0, true
 		}
-		s.logLimited(r, u, "waits", rate, age, a.Wait, by)
-		group.Sleep(ctx, a.Wait)
+		s.logLimited(r, u, "waits", rate, age, answer.Wait, grantedBy)
+		group.Sleep(ctx, answer.Wait)
 		if now, _ := u.Stats.RateLimit(time.Now()); ctx.Err() == nil && !now.Stricter(rate) {
-			return p, 0, true
+			return granted, 0, true
 		}
-		// The turn was counted by a limit that has become stricter since.
-		s.unpermit(p)
-		within -= a.Wait
+		// The permit was counted by a limit that has since become stricter.
+		s.releasePermit(granted)
+		within -= answer.Wait
 	}
-	return permit{}, noKeeperAfter, false
+	return permit{}, noPermitRetryAfter, false
 }
 
-// logLimited writes the line of a request that is held up by a rate limit.
+// logLimited logs and counts a request that a rate limit delays or denies.
 func (s *Server) logLimited(r *request, u *roster.Upstream, outcome string, rate pacer.Rate, age, wait time.Duration, by string) {
 	s.Log.Info("rate limited", "request", r.id, "upstream", u.Server().ID, "outcome", outcome, "limit", rate, "limit_age", age, "wait", wait, "by", by)
 	s.Meter.Inc("jacinthworks_limited_total", meter.Labels{"service", string(r.service.Name), "outcome", outcome})
 }
 
-// unpermit gives back a permit whose request was not sent.
-func (s *Server) unpermit(p permit) {
+// releasePermit returns, in the background, a permit whose request was not sent.
+func (s *Server) releasePermit(p permit) {
 	if p.upstream == nil {
 		return
 	}
-	s.later("give back permit", keeperTries*keeperWithin, func(ctx context.Context) error {
-		s.askLimit(ctx, p.upstream, limitCall{Use: limitGive})
+	s.background("give back permit", maxOwnerTries*ownerTimeout, func(ctx context.Context) error {
+		s.callLimitOwner(ctx, p.upstream, limitRequest{Op: limitRefund})
 		return nil
 	})
 }
 
-// askLimit makes the call at the entry that counts for the upstream. Where none of those
-// can be reached, this entry has its part of the limit.
-func (s *Server) askLimit(ctx context.Context, u *roster.Upstream, call limitCall) (a limitAnswer, by string) {
+// callLimitOwner makes a call at the owner of the upstream's rate limit. If no owner can be
+// reached, this entry counts its own share of the limit.
+func (s *Server) callLimitOwner(ctx context.Context, u *roster.Upstream, call limitRequest) (a limitResponse, by string) {
 	call.Start = u.Server().Start
-	call.Said = u.Stats.RateLimitObservation().Age(time.Now())
-	own := func(bool) limitAnswer { return s.countLimit(call) }
+	call.Stated = u.Stats.RateLimitObservation().Age(time.Now())
+	local := func(bool) limitResponse { return s.serveLimit(call) }
 	key := limitKey(call.Start.Key())
-	if a, k, ok := askKeeper(ctx, s, key, limitPath, math.MaxInt, call, own); ok {
+	if a, k, ok := callOwner(ctx, s, key, limitPath, math.MaxInt, call, local); ok {
 		return a, k.name()
 	}
 	now := time.Now()
-	standing := pacer.Reachability{Members: 1, Reached: 1}
+	reachability := pacer.Reachability{Members: 1, Reached: 1}
 	if s.Members != nil {
-		standing.Members = s.members.count(now)
+		reachability.Members = s.members.count(now)
 	}
-	return countAt(&s.limits.alone, now, call, standing), "alone"
+	return applyLimitRequest(&s.limits.isolated, now, call, reachability), "alone"
 }
 
-// limitKey is by which the entry is found that counts for an upstream.
+// limitKey is the key by which the owner of an upstream's rate limit is determined.
 func limitKey(k roster.InstanceKey) string { return "limit/" + string(k.ID) }
 
-// countLimit answers for an upstream that this entry counts for.
-func (s *Server) countLimit(call limitCall) limitAnswer {
+// serveLimit answers a call for an upstream whose rate limit this entry owns.
+func (s *Server) serveLimit(call limitRequest) limitResponse {
 	now, key := time.Now(), call.Start.Key()
-	s.reach.Use(now, limitKey(key))
-	a := countAt(&s.limits.keeper, now, call, s.standing(now, limitKey(key)))
-	if said, news := s.limits.keeper.NextBroadcast(now, key); news {
-		n := limitNews{Start: call.Start, Said: said.Age(now), By: s.Settings.Name}
-		s.answerLimitNews(n)
-		s.spreadLimit(n)
+	s.ownerProber.Use(now, limitKey(key))
+	a := applyLimitRequest(&s.limits.shared, now, call, s.reachability(now, limitKey(key)))
+	if observation, due := s.limits.shared.NextBroadcast(now, key); due {
+		update := limitUpdate{Start: call.Start, Stated: observation.Age(now), Sender: s.Settings.Name}
+		s.handleLimitUpdate(update)
+		s.broadcastLimit(update)
 	}
 	return a
 }
 
-// limitNews tells of a limit that has begun, fallen far or ended.
-type limitNews struct {
-	Start roster.Start         `json:"start"`
-	Said  pacer.ObservationAge `json:"said"`
-	By    domain.Host          `json:"by"`
+// limitUpdate notifies an entry of a limit that has begun, fallen far or ended.
+type limitUpdate struct {
+	Start  roster.Start         `json:"start"`
+	Stated pacer.ObservationAge `json:"said"`
+	Sender domain.Host          `json:"by"`
 }
 
-// spreadLimit tells all other entries.
-func (s *Server) spreadLimit(n limitNews) {
-	began := time.Now()
-	s.later("spread rate limit", spreadWithin, func(ctx context.Context) error {
+// broadcastLimit notifies all other entries of a limit in the background.
+func (s *Server) broadcastLimit(n limitUpdate) {
+	started := time.Now()
+	s.background("spread rate limit", limitBroadcastTimeout, func(ctx context.Context) error {
 		for _, p := range s.peers.fleet.Others(s.peers.fleet.MemberCount()) {
-			if ask, _ := s.keepers.Check(time.Now(), p); !ask {
+			if allowed, _ := s.unresponsive.Check(time.Now(), p); !allowed {
 				continue
 			}
-			late := n
-			late.Said = n.Said.Add(time.Since(began))
-			if err := callPeer(ctx, p, http.MethodPost, limitNewsPath, keeperWithin, late, nil); err != nil {
+			update := n
+			update.Stated = n.Stated.Add(time.Since(started))
+			if err := callPeer(ctx, p, http.MethodPost, limitUpdatePath, ownerTimeout, update, nil); err != nil {
 				s.Log.Debug("rate limit not told", "entry", p.Name, "err", err)
 			}
 		}
@@ -237,46 +241,48 @@
 	})
 }
 
-// answerLimitNews takes the word of another entry.
-func (s *Server) answerLimitNews(n limitNews) (struct{}, bool) {
-	if n.Said.Rate < 0 {
+// handleLimitUpdate takes a rate limit that another entry broadcast. It returns false if
+// the limit is invalid.
+func (s *Server) handleLimitUpdate(n limitUpdate) (struct{}, bool) {
+	if n.Stated.Rate < 0 {
 		return struct{}{}, false
 	}
 	if u := s.roster.ByInstance(n.Start); u != nil {
-		s.learnLimit(u, n.Said.At(time.Now()), "", string(n.By))
+		s.learnLimit(u, n.Stated.At(time.Now()), "", string(n.Sender))
 	}
 	return struct{}{}, true
 }
 
-func countAt(k *pacer.Limiter[roster.InstanceKey], now time.Time, call limitCall, standing pacer.Reachability) limitAnswer {
-	key, said := call.Start.Key(), call.Said.At(now)
-	switch call.Use {
-	case limitGive:
-		return limitAnswer{Granted: true, Said: k.Refund(now, key, said, standing).Age(now)}
-	case limitTell:
-		return limitAnswer{Granted: true, Said: k.Observe(now, key, said).Age(now)}
+func applyLimitRequest(k *pacer.Limiter[roster.InstanceKey], now time.Time, call limitRequest, reachability pacer.Reachability) limitResponse {
+	key, observation := call.Start.Key(), call.Stated.At(now)
+	switch call.Op {
+	case limitRefund:
+		return limitResponse{Granted: true, Stated: k.Refund(now, key, observation, reachability).Age(now)}
+	case limitReport:
+		return limitResponse{Granted: true, Stated: k.Observe(now, key, observation).Age(now)}
 	}
-	v := k.Take(now, key, said, standing, call.Within)
-	return limitAnswer{Granted: v.Granted, Wait: v.Wait, Said: v.Observation.Age(now)}
+	v := k.Take(now, key, observation, reachability, call.MaxWait)
+	return limitResponse{Granted: v.Granted, Wait: v.Wait, Stated: v.Observation.Age(now)}
 }
 
-// answerLimit answers the other entries.
-func (s *Server) answerLimit(call limitCall) (limitAnswer, bool) {
-	if call.Start.ID == "" || call.Said.Rate < 0 || call.Within < 0 {
-		return limitAnswer{}, false
+// handleLimit answers a rate limit call of another entry. It returns false if the call is
+// invalid.
+func (s *Server) handleLimit(call limitRequest) (limitResponse, bool) {
+	if call.Start.ID == "" || call.Stated.Rate < 0 || call.MaxWait < 0 {
+		return limitResponse{}, false
 	}
-	return s.countLimit(call), true
+	return s.serveLimit(call), true
 }
 
-// limitWithin is how long a plain request can wait for its turn at an upstream: not at
-// all where another one may take it, and else until its target.
-func (s *Server) limitWithin(r *request, u *roster.Upstream) time.Duration {
+// maxLimitWait is how long a plain request can wait for its turn at an upstream: not at all
+// if another upstream may take the request, otherwise until its target.
+func (s *Server) maxLimitWait(r *request, u *roster.Upstream) time.Duration {
 	now := time.Now()
 	for _, other := range s.roster.Upstreams(r.service.Name) {
 		m := other.Server()
-		if other != u && other.Eligibility(now).Eligible() && !r.tried[m.Key()] && !other.Stats.Candidate(now).RecentlyFull {
+		if other != u && other.Eligibility(now).Eligible() && !r.excluded[m.Key()] && !other.Stats.Candidate(now).RecentlyFull {
 			return 0
 		}
 	}
-	return max(0, r.first.Add(r.targetLatency()).Sub(now)-u.Stats.Candidate(now).UnitTime)
+	return max(0, r.firstSent.Add(r.targetLatency()).Sub(now)-u.Stats.Candidate(now).UnitTime)
 }
--- a/direct/mix.go
+++ b/direct/mix.go
@@ -12,109 +12,109 @@
 	"jacinthworks/roles"
 )
 
-// mixRatio is how many prefill engines are kept busy for each decode engine that
-// is; sure says that it may take engines from decode.
-type mixRatio struct {
-	ratio       float64
-	known, sure bool
+// prefillRatio is the number of busy prefill engines for each busy decode engine.
+// sufficient means that enough requests were measured to take engines from decode for it.
+type prefillRatio struct {
+	ratio             float64
+	known, sufficient bool
 }
 
-func ratioOf(s roles.Sample) (r mixRatio) {
+func prefillRatioOf(s roles.Sample) (r prefillRatio) {
 	r.ratio, r.known = s.Ratio()
-	r.sure = s.Sufficient()
+	r.sufficient = s.Sufficient()
 	return r
 }
 
 const (
-	// mixPath is where an entry tells what it saw of its requests.
+	// mixPath is the peer endpoint that returns what an entry measured of its requests.
 	mixPath = "/v1/mix"
-	// mixWithin bounds the call for it: one round trip, and an entry that waits for
-	// its share of a processor.
-	mixWithin = 400 * time.Millisecond
-	// mixMost bounds the entries that are asked: the ratio of some is that of all.
-	mixMost = 64
+	// mixTimeout bounds a call of mixPath: one round trip, and the delay of an entry that
+	// waits for its share of a processor.
+	mixTimeout = 400 * time.Millisecond
+	// maxMixPeers bounds the entries that are asked: the ratio over some of them is close
+	// to that over all.
+	maxMixPeers = 64
 )
 
-// serveMix answers the holder of the roles.
+// serveMix answers the holder of the roles lease.
 func (s *Server) serveMix(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
-	if err := json.NewEncoder(w).Encode(s.mixes.Samples(time.Now())); err != nil {
+	if err := json.NewEncoder(w).Encode(s.profiles.Samples(time.Now())); err != nil {
 		s.Log.Debug("mix not taken", "err", err)
 	}
 }
 
-// fleetMix adds up what all entries saw. One that does not answer counts for
-// nothing.
+// fleetMix adds up what the entries measured. An entry that does not answer is left out.
 func (s *Server) fleetMix(ctx context.Context) (sum map[domain.Service]roles.Sample, answered int) {
-	ctx, cancel := context.WithTimeout(ctx, mixWithin)
+	ctx, cancel := context.WithTimeout(ctx, mixTimeout)
 	defer cancel()
-	others := s.peers.fleet.Others(mixMost)
+	others := s.peers.fleet.Others(maxMixPeers)
 	answers := make(chan map[domain.Service]roles.Sample, len(others))
 	for _, p := range others {
-		go func() { // its end is read below
-			all, err := askMix(ctx, p)
+		go func() { // ends with a value in answers, all of which are read below
+			all, err := fetchMix(ctx, p)
 			if err != nil {
 				s.Log.Debug("no mix of an entry", "entry", p.Name, "err", err)
 			}
 			answers <- all
 		}()
 	}
-	sum = s.mixes.Samples(time.Now())
+	sum = s.profiles.Samples(time.Now())
 	for range others {
 		all := <-answers
 		if all != nil {
 			answered++
 		}
-		for name, one := range all {
-			sum[name] = sum[name].Add(one)
+		for name, sample := range all {
+			sum[name] = sum[name].Add(sample)
 		}
 	}
 	return sum, answered
 }
 
-func askMix(ctx context.Context, p *relay.Peer) (all map[domain.Service]roles.Sample, err error) {
-	err = callPeer(ctx, p, http.MethodGet, mixPath, mixWithin, nil, &all)
+func fetchMix(ctx context.Context, p *relay.Peer) (all map[domain.Service]roles.Sample, err error) {
+	err = callPeer(ctx, p, http.MethodGet, mixPath, mixTimeout, nil, &all)
 	return all, err
 }
 
-// mixSent notes a stream that has its room.
-func (s *Server) mixSent(r *request) {
+// recordSent records in the load profile a stream that has its allocation.
+func (s *Server) recordSent(r *request) {
 	e := r.engine()
 	if e == nil || e.KVTokens <= 0 {
 		return
 	}
-	answer := r.tokens() - r.ask.PromptTokens
-	// Its memory grows with the answer: half of that on the mean.
-	memory := (float64(r.ask.PromptTokens) + float64(answer)/2) / float64(e.KVTokens)
-	s.mixes.Update(r.service.Name, func(x *roles.Profile) { x.RecordRequest(time.Now(), r.ask.PromptTokens, answer, memory) })
+	answer := r.expectedTokens() - r.info.PromptTokens
+	// The memory grows with the answer: on average, half of the answer is in it.
+	memory := (float64(r.info.PromptTokens) + float64(answer)/2) / float64(e.KVTokens)
+	s.profiles.Update(r.service.Name, func(x *roles.Profile) { x.RecordRequest(time.Now(), r.info.PromptTokens, answer, memory) })
 }
 
-func (s *Server) mixPrefilled(r *request, took time.Duration) {
-	s.mixes.Update(r.service.Name, func(x *roles.Profile) { x.RecordPrefill(time.Now(), r.ask.PromptTokens, took) })
+func (s *Server) recordPrefill(r *request, took time.Duration) {
+	s.profiles.Update(r.service.Name, func(x *roles.Profile) { x.RecordPrefill(time.Now(), r.info.PromptTokens, took) })
 }
 
-// notedEvents is how many events of an answer are noted at once.
-const notedEvents = 8
+// paceSampleEvents is how many events of an answer make one measurement of its pace.
+const paceSampleEvents = 8
 
-// paced notes how fast the events of an answer come. The zero value begins with
-// the first event.
-type paced struct {
-	began  time.Time
-	events int
+// eventPace measures how fast the events of an answer come. The first event starts the
+// measurement.
+type eventPace struct {
+	startedAt time.Time
+	events    int
 }
 
-// add takes what was read of the answer.
-func (p *paced) add(s *Server, r *request, b []byte) {
+// add takes the bytes that were read of the answer.
+func (p *eventPace) add(s *Server, r *request, b []byte) {
 	now := time.Now()
-	if p.began.IsZero() {
-		p.began = now
+	if p.startedAt.IsZero() {
+		p.startedAt = now
 		return
 	}
 	p.events += bytes.Count(b, []byte("\n\n"))
-	if p.events < notedEvents || r.engine() == nil {
+	if p.events < paceSampleEvents || r.engine() == nil {
 		return
 	}
-	tokens, took := p.events*max(r.engine().TokensPerEvent, 1), now.Sub(p.began)
-	s.mixes.Update(r.service.Name, func(x *roles.Profile) { x.RecordAnswer(now, tokens, took) })
-	p.began, p.events = now, 0
+	tokens, took := p.events*max(r.engine().TokensPerEvent, 1), now.Sub(p.startedAt)
+	s.profiles.Update(r.service.Name, func(x *roles.Profile) { x.RecordAnswer(now, tokens, took) })
+	p.startedAt, p.events = now, 0
 }
--- a/direct/newest.go
+++ b/direct/newest.go
@@ -18,19 +18,19 @@
 )
 
 const (
-	// configPath is where an entry gives the configuration that it has in force.
+	// configPath is the peer endpoint that returns the configuration in force.
 	configPath = "/v1/configuration"
-	// configAsked is how many others an entry asks at its start, and configWithin bounds
-	// a call, in which a configuration of some thousand routes is passed on.
-	configAsked  = 3
-	configWithin = 250 * time.Millisecond
-	// configMost bounds an answer, in bytes.
-	configMost = 8 << 20
+	// maxConfigPeers is how many other entries an entry asks at its start. configTimeout
+	// bounds a call, which transfers a configuration of up to some thousand routes.
+	maxConfigPeers = 3
+	configTimeout  = 250 * time.Millisecond
+	// maxConfigResponse bounds a response, in bytes.
+	maxConfigResponse = 8 << 20
 )
 
 // serveConfig answers an entry that starts.
 func (s *Server) serveConfig(w http.ResponseWriter, _ *http.Request) {
-	c := s.holder.Current()
+	c := s.config.Current()
 	if c == nil {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -40,21 +40,21 @@
 	}
 }
 
-// askConfigs takes the newest configuration that some other entries have in force, where
-// the store may ever have come back from a copy.
+// fetchConfigs puts in force the newest configuration that a few other entries have, if the
+// store may ever have been restored from a copy.
 //
-// Failure: an entry starts after the store has come back from an older copy, and before
-// the operators have written what it lacks. It serves routes and keys that were taken
-// away, which no other entry does.
-func (s *Server) askConfigs(ctx context.Context, known []feed.Item[Member]) {
+// After the store was restored from an older copy, and until the operators have written
+// again what it lacks, an entry that starts would serve routes and keys that were removed,
+// which no other entry serves.
+func (s *Server) fetchConfigs(ctx context.Context, known []feed.Item[Member]) {
 	if !slices.ContainsFunc(known, func(i feed.Item[Member]) bool { return i.Revision.MayBeRestored() }) {
 		return
 	}
-	others := drawn(s.peers.fleet.Others(len(known)), configAsked)
+	others := randomSample(s.peers.fleet.Others(len(known)), maxConfigPeers)
 	var calls group.Group
 	for _, p := range others {
 		calls.Go(ctx, "configuration of "+string(p.Name), func(ctx context.Context) error {
-			c, err := askConfig(ctx, p)
+			c, err := fetchConfig(ctx, p)
 			if err != nil {
 				s.Log.Debug("configuration not given", "entry", p.Name, "err", err)
 				return nil
@@ -66,10 +66,10 @@
 	calls.Wait()
 }
 
-func askConfig(ctx context.Context, p *relay.Peer) (*paths.Config, error) {
-	ctx, cancel := context.WithTimeout(ctx, configWithin)
+func fetchConfig(ctx context.Context, p *relay.Peer) (*paths.Config, error) {
+	ctx, cancel := context.WithTimeout(ctx, configTimeout)
 	defer cancel()
-	reply, err := p.Do(ctx, send.Request{Method: http.MethodGet, Target: configPath, ReadTimeout: configWithin})
+	reply, err := p.Do(ctx, send.Request{Method: http.MethodGet, Target: configPath, ReadTimeout: configTimeout})
 	if err != nil {
 		return nil, err
 	}
@@ -78,6 +78,6 @@
 		return nil, errors.Errorf("direct: configuration of %s: status %d", p.Name, reply.Status)
 	}
 	var c paths.Config
-	err = gob.NewDecoder(io.LimitReader(reply, configMost)).Decode(&c)
+	err = gob.NewDecoder(io.LimitReader(reply, maxConfigResponse)).Decode(&c)
 	return &c, errors.Wrap(err, "direct: configuration of "+string(p.Name))
 }
--- a/direct/peers.go
+++ b/direct/peers.go
@@ -15,7 +15,7 @@
 	"jacinthworks/roster"
 )
 
-// peers are what this entry tells the others and asks of them. The zero value is
+// peers is what this entry serves to the other entries and asks of them. The zero value is
 // ready to use; it must not be copied.
 type peers struct {
 	fleet     relay.Fleet
@@ -31,16 +31,16 @@
 	feedNotices   = "notices"
 )
 
-// relayed gives a source that asks other entries first, where entries listen for
-// each other.
-func relayed[T any](s *Server, name string, from feed.Source[T], hub *relay.Replica[T]) feed.Source[T] {
+// relaySource returns a source that asks other entries before the store. If entries do not
+// listen for each other, it returns the store's own.
+func relaySource[T any](s *Server, name string, direct feed.Source[T], replica *relay.Replica[T]) feed.Source[T] {
 	if !s.Settings.PeerListen.IsValid() {
-		return from
+		return direct
 	}
-	return relay.Source[T]{Name: name, Direct: from, Hub: hub, Fleet: &s.peers.fleet, Log: s.Log}
+	return relay.Source[T]{Name: name, Direct: direct, Hub: replica, Fleet: &s.peers.fleet, Log: s.Log}
 }
 
-// listenPeers opens the address where the other entries ask; nil for none.
+// listenPeers opens the listener for the other entries; nil if the settings have none.
 func (s *Server) listenPeers() (*http.Server, net.Listener, error) {
 	if !s.Settings.PeerListen.IsValid() {
 		return nil, nil, nil
@@ -49,7 +49,7 @@
 	if err != nil {
 		return nil, nil, errors.Wrap(err, "direct: peer_listen")
 	}
-	// The port may have been left to the system.
+	// The settings may leave the port to the operating system.
 	s.Settings.PeerListen = l.Addr().(*net.TCPAddr).AddrPort()
 	s.peers.fleet.SelfAddr, s.peers.fleet.Seeds = s.Settings.PeerListen, s.Settings.Seeds
 	m := http.NewServeMux()
@@ -60,24 +60,24 @@
 	m.HandleFunc("GET "+mixPath, s.serveMix)
 	m.HandleFunc("GET "+configPath, s.serveConfig)
 	m.HandleFunc("GET "+alivePath, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
-	m.HandleFunc("POST "+quotaPath, keeperHandler(s, s.answerQuota))
-	m.HandleFunc("POST "+limitPath, keeperHandler(s, s.answerLimit))
-	m.HandleFunc("POST "+limitNewsPath, keeperHandler(s, s.answerLimitNews))
-	m.HandleFunc("POST "+reachPath, keeperHandler(s, s.answerReach))
-	m.HandleFunc("POST "+assignPath, keeperHandler(s, s.answerAssign))
-	m.HandleFunc("POST "+assignEndPath, keeperHandler(s, s.answerEnd))
+	m.HandleFunc("POST "+quotaPath, ownerHandler(s, s.handleQuota))
+	m.HandleFunc("POST "+limitPath, ownerHandler(s, s.handleLimit))
+	m.HandleFunc("POST "+limitUpdatePath, ownerHandler(s, s.handleLimitUpdate))
+	m.HandleFunc("POST "+reachPath, ownerHandler(s, s.handleReach))
+	m.HandleFunc("POST "+assignPath, ownerHandler(s, s.handleAssign))
+	m.HandleFunc("POST "+assignEndPath, ownerHandler(s, s.handleAssignEnd))
 	return &http.Server{
-		Handler:           s.unlessLeaving(m),
+		Handler:           s.refuseWhileDraining(m),
 		ReadHeaderTimeout: s.Settings.Limits.HeaderTimeout,
 		ErrorLog:          s.Log.StandardLogger(&hclog.StandardLoggerOptions{ForceLevel: hclog.Debug}),
 	}, l, nil
 }
 
-// unlessLeaving refuses the others once this process leaves: they ask elsewhere
-// before it is gone.
-func (s *Server) unlessLeaving(h http.Handler) http.Handler {
+// refuseWhileDraining answers 503 while this process drains, so that the others go
+// elsewhere before it ends.
+func (s *Server) refuseWhileDraining(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if s.leaving.Load() {
+		if s.draining.Load() {
 			w.Header().Set("Connection", "close")
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
@@ -86,22 +86,21 @@
 	})
 }
 
-// setPeers takes the records of all entries; whole says that those which started
-// with this one had time to write theirs.
+// setPeers takes the records of all entries. whole means that entries which started
+// together with this one had time to write theirs.
 func (s *Server) setPeers(all []feed.Item[Member], whole bool) {
-	s.peers.fleet.SetMembers(peersOf(time.Now(), feed.Values(all)), whole)
+	s.peers.fleet.SetMembers(relayMembers(time.Now(), feed.Values(all)), whole)
 }
 
-// peersOf gives the entries that may be asked.
+// relayMembers returns the entries that may be asked.
 //
-// Failure: hosts are taken away for good, and their records stay. It shows as relays
-// that are all gone, so that each entry watches the store for itself. A record that was
-// not written for some minutes names nobody; where clocks differ by more than that, no
-// relay is used.
-func peersOf(now time.Time, all []Member) []relay.Member {
+// Records of hosts that were removed for good stay in the store. If only such hosts were
+// relays, each entry would watch the store itself. So a record that was not written for
+// some minutes is left out; if clocks differ by more than that, no relay is used.
+func relayMembers(now time.Time, all []Member) []relay.Member {
 	var members []relay.Member
 	for _, m := range all {
-		if now.Sub(m.Written).Abs() <= m.gone() {
+		if now.Sub(m.Written).Abs() <= m.expiry() {
 			members = append(members, relay.Member{Name: m.Name, Zone: m.Zone, Addr: m.Peer, Cores: m.Cores, Since: m.Since.UTC()})
 		}
 	}
@@ -109,27 +108,28 @@
 }
 
 const (
-	// gatherEach is the pause after changes for each entry of the fleet, so that
-	// all entries together call the store at the same rate however many they are.
-	gatherEach = 15 * time.Millisecond
-	// gatherMost bounds it: changes are to be in force within a few seconds.
-	gatherMost = time.Second
+	// batchDelayPerEntry is the pause after changes per entry in the fleet, so that all
+	// entries together call the store at the same rate whatever their number.
+	batchDelayPerEntry = 15 * time.Millisecond
+	// maxBatchDelay bounds the pause after changes: they should be in force within a few
+	// seconds.
+	maxBatchDelay = time.Second
 )
 
-// gather is the pause after changes of the configuration or of the registry. Where
-// few entries watch for all, it is not needed; in the first seconds, in which a fleet
-// may start and all upstreams register, it is the longest.
-func (s *Server) gather() time.Duration {
+// batchDelay is the pause after changes of the configuration or of the registry, in which
+// further changes are collected. It is zero if a few entries watch for all. In the first
+// seconds, in which a fleet may start and all upstreams register, it is the longest.
+func (s *Server) batchDelay() time.Duration {
 	switch {
 	case s.peers.fleet.UsesRelays():
 		return 0
-	case s.Settings.PeerListen.IsValid() && !s.members.known.Load():
-		return gatherMost
+	case s.Settings.PeerListen.IsValid() && !s.members.loaded.Load():
+		return maxBatchDelay
 	}
-	return min(time.Duration(s.members.count(time.Now()))*gatherEach, gatherMost)
+	return min(time.Duration(s.members.count(time.Now()))*batchDelayPerEntry, maxBatchDelay)
 }
 
-// servePeers answers the other entries until ctx ends.
+// servePeers serves the other entries until the server is closed.
 func servePeers(h *http.Server, l net.Listener) func(context.Context) error {
 	return func(context.Context) error { return serveOn(h, l) }
 }
--- a/direct/place.go
+++ b/direct/place.go
@@ -11,113 +11,115 @@
 	"jacinthworks/route"
 )
 
-// The costs that a choice weighs, as time.
+// The costs that placement weighs, as times or multiples of a target latency.
 const (
-	// onceFails is how many targets a failure costs a request that cannot be
-	// repeated: it is lost.
-	onceFails = 10
-	// repeatFails is the same for one that can: it is late.
-	repeatFails = 1.5
-	// farCall and farStage are what crossing availability zones is worth: the
-	// bytes are paid for, and a link between zones can fail.
-	farCall  = 10 * time.Millisecond
-	farStage = 20 * time.Millisecond
-	// defaultTarget is for routes without one.
-	defaultTarget = time.Second
+	// lostFailCost is the cost, in targets, of a failure of a request that can't be
+	// retried: the request is lost.
+	lostFailCost = 10
+	// retryFailCost is the cost, in targets, of a failure of a request that can be retried:
+	// the request is late.
+	retryFailCost = 1.5
+	// crossZoneCallCost and crossZoneStageCost are the costs of crossing availability
+	// zones, for a plain call and for a stage of a model request: the traffic is charged
+	// for, and a link between zones can fail.
+	crossZoneCallCost  = 10 * time.Millisecond
+	crossZoneStageCost = 20 * time.Millisecond
+	// defaultTargetLatency is for routes without a target.
+	defaultTargetLatency = time.Second
 )
 
-// targetLatency is the time to the answer that the route aims at.
+// targetLatency is the route's target for the time to the answer.
 func (r *request) targetLatency() time.Duration {
 	if r.route.Target > 0 {
 		return r.route.Target
 	}
-	return defaultTarget
+	return defaultTargetLatency
 }
 
-// failCost is what a failed attempt costs the request.
+// failCost is the cost of a failed attempt of the request.
 func (r *request) failCost() time.Duration {
-	if r.tries.CanRepeat() {
-		return time.Duration(repeatFails * float64(r.targetLatency()))
+	if r.attempts.CanRepeat() {
+		return time.Duration(retryFailCost * float64(r.targetLatency()))
 	}
-	return onceFails * r.targetLatency()
+	return lostFailCost * r.targetLatency()
 }
 
-// placed is an upstream that was chosen, and the figures that it was chosen by.
-type placed struct {
-	upstream *roster.Upstream
-	offer    route.Candidate
-	// of counts the upstreams that the choice was from; full says that none had
-	// room, as far as known.
-	of   int
-	full bool
-	// by is the entry that chose, and ahead the wait that it expects; empty where the
-	// choice was this entry's own.
-	by    string
-	ahead time.Duration
+// placement is the upstream that was chosen for a request, and the figures of the choice.
+type placement struct {
+	upstream  *roster.Upstream
+	candidate route.Candidate
+	// candidates counts the upstreams that were considered; full means that none of them
+	// had room, as far as known.
+	candidates int
+	full       bool
+	// chosenBy is the entry that assigned the upstream, and expectedWait the wait for it
+	// that was estimated; chosenBy is empty if this entry chose by itself.
+	chosenBy     string
+	expectedWait time.Duration
 }
 
-// place chooses an upstream of a role for the request; "" is a plain one. It
-// gives none where none is left, or, for a load that skips them, where all that
-// are left have just refused.
-func (s *Server) place(r *request, role domain.Role, near domain.Zone, l route.Request) placed {
+// place chooses an upstream of a role for the request; the empty role is that of a plain
+// upstream. It returns no upstream if none is left, or, if l skips upstreams that were
+// recently full, if only such upstreams are left.
+func (s *Server) place(r *request, role domain.Role, near domain.Zone, l route.Request) placement {
 	now := time.Now()
-	var offers []route.Candidate
+	var candidates []route.Candidate
 	var members []*roster.Upstream
 	for _, u := range s.roster.Upstreams(r.service.Name) {
 		m := u.Server()
-		if m.Role != role || r.tried[m.Key()] || !u.Eligibility(now).Eligible() {
+		if m.Role != role || r.excluded[m.Key()] || !u.Eligibility(now).Eligible() {
 			continue
 		}
-		o := u.Stats.Candidate(now)
-		o.Name, o.SameZone, o.Slots = string(m.ID), m.Zone == near, m.Slots
+		c := u.Stats.Candidate(now)
+		c.Name, c.SameZone, c.Slots = string(m.ID), m.Zone == near, m.Slots
 		if e := r.service.Engine; e != nil {
-			o.MemoryTokens = e.KVTokens
+			c.MemoryTokens = e.KVTokens
 		}
-		offers = append(offers, o)
+		candidates = append(candidates, c)
 		members = append(members, u)
 	}
-	best, full := route.SelectBest(offers, l, r.random)
+	best, full := route.SelectBest(candidates, l, r.random)
 	if best < 0 {
-		return placed{of: len(offers)}
+		return placement{candidates: len(candidates)}
 	}
-	return placed{upstream: members[best], offer: offers[best], of: len(offers), full: full}
+	return placement{upstream: members[best], candidate: candidates[best], candidates: len(candidates), full: full}
 }
 
-// logPlaced writes the decision's line.
-func (s *Server) logPlaced(r *request, role domain.Role, p placed, more ...any) {
+// logPlacement logs a placement.
+func (s *Server) logPlacement(r *request, role domain.Role, p placement, fields ...any) {
 	if p.upstream == nil {
-		s.Log.Info("no upstream", "request", r.id, "service", r.service.Name, "role", role, "of", p.of, "tried", len(r.tried))
+		s.Log.Info("no upstream", "request", r.id, "service", r.service.Name, "role", role, "of", p.candidates, "tried", len(r.excluded))
 		return
 	}
-	o := p.offer
+	c := p.candidate
 	if rate, age := p.upstream.Stats.RateLimit(time.Now()); rate.Limited() {
-		more = append(more, "limit", rate, "limit_age", age)
+		fields = append(fields, "limit", rate, "limit_age", age)
 		s.Meter.Inc("jacinthworks_limited_total", meter.Labels{"service", string(r.service.Name), "outcome", "placed"})
 	}
 	s.Log.Info("placed", append([]any{
-		"request", r.id, "service", r.service.Name, "role", role, "upstream", o.Name, "of", p.of, "full", p.full, "own", o.OwnRequests,
-		"others", math.Round(10*o.OtherRequests) / 10, "tokens", o.OwnTokens, "fails", math.Round(100*o.FailureRate) / 100, "speed", o.UnitTime,
-		"heard", p.upstream.EntryAge(time.Now()), "by", p.by, "ahead", p.ahead,
-	}, more...)...)
+		"request", r.id, "service", r.service.Name, "role", role, "upstream", c.Name, "of", p.candidates, "full", p.full, "own", c.OwnRequests,
+		"others", math.Round(10*c.OtherRequests) / 10, "tokens", c.OwnTokens, "fails", math.Round(100*c.FailureRate) / 100, "speed", c.UnitTime,
+		"heard", p.upstream.EntryAge(time.Now()), "by", p.chosenBy, "ahead", p.expectedWait,
+	}, fields...)...)
 }
 
-// engine is the description of the service's engines; nil for a plain one.
+// engine describes the service's engines; nil for a plain service.
 func (r *request) engine() *paths.Engine { return r.service.Engine }
 
-// tokens is the memory that the request is likely to need on an engine. The
-// most that it may answer is several times what answers are as a rule.
-func (r *request) tokens() int {
-	likely := r.ask.ExpectedOutputTokens
+// expectedTokens is the KV memory that the request is likely to need on an engine, in
+// tokens. The limit on the answer is usually several times the answer.
+func (r *request) expectedTokens() int {
+	likely := r.info.ExpectedOutputTokens
 	if likely <= 0 {
-		likely = r.ask.MaxOutputTokens / outputPart
+		likely = r.info.MaxOutputTokens / outputDivisor
 	}
-	return r.ask.PromptTokens + min(max(likely, leastOutput), max(r.ask.MaxOutputTokens, leastOutput))
+	return r.info.PromptTokens + min(max(likely, minOutputTokens), max(r.info.MaxOutputTokens, minOutputTokens))
 }
 
 const (
-	// outputPart is the part of the most that an answer is taken for where the
-	// caller does not say.
-	outputPart = 3
-	// leastOutput is the least answer, in tokens, that room is kept for.
-	leastOutput = 64
+	// outputDivisor is the divisor of the limit on the answer that gives the expected
+	// answer, if the caller states no expectation.
+	outputDivisor = 3
+	// minOutputTokens is the least answer, in tokens, that memory is reserved for.
+	minOutputTokens = 64
 )
--- a/direct/plain.go
+++ b/direct/plain.go
@@ -15,63 +15,63 @@
 )
 
 const (
-	// wholeAnswer is the longest answer, in bytes, that is read to its end
-	// before any of it is passed on: until then another attempt can replace it.
-	wholeAnswer = 256 << 10
-	// tryPart is the part of the target that a request which can be repeated
-	// leaves to its first attempt.
-	tryPart = 0.55
-	// tryLeast is the least time for an attempt: several times the usual work.
-	tryLeast = 60 * time.Millisecond
+	// maxBufferedResponse is the longest response, in bytes, that is read to its end before
+	// any of it is passed on: until then another attempt can replace it.
+	maxBufferedResponse = 256 << 10
+	// firstAttemptPart is the part of the target that the first attempt of a request which
+	// can be retried may take.
+	firstAttemptPart = 0.55
+	// minAttemptTime is the least time for an attempt: several times the usual work.
+	minAttemptTime = 60 * time.Millisecond
 )
 
-// plain serves a request that is answered whole.
-func (s *Server) plain(ctx context.Context, r *request) *failure {
+// servePlain serves a request whose answer is passed on whole.
+func (s *Server) servePlain(ctx context.Context, r *request) *failure {
 	for {
-		p := s.place(r, "", s.Settings.Zone, route.Request{Units: 1, FailureCost: r.failCost(), CrossZoneCost: farCall})
+		p := s.place(r, "", s.Settings.Zone, route.Request{Units: 1, FailureCost: r.failCost(), CrossZoneCost: crossZoneCallCost})
 		if p.upstream == nil {
-			s.logPlaced(r, "", p)
-			return s.unplaced(r, "")
+			s.logPlacement(r, "", p)
+			return s.noUpstreamFailure(r, "")
 		}
-		allowed, wait, ok := s.permit(ctx, r, p.upstream, s.limitWithin(r, p.upstream))
+		permitted, wait, ok := s.acquirePermit(ctx, r, p.upstream, s.maxLimitWait(r, p.upstream))
 		if !ok {
-			r.limited(p.upstream, wait)
+			r.avoidLimited(p.upstream, wait)
 			continue
 		}
-		s.logPlaced(r, "", p, allowed.log()...)
-		a := &attempt{upstream: p.upstream, silence: r.patience(), permit: allowed}
-		f := s.call(ctx, r, a)
+		s.logPlacement(r, "", p, permitted.logFields()...)
+		a := &attempt{upstream: p.upstream, headerTimeout: r.attemptTimeout(), permit: permitted}
+		f := s.attemptPlain(ctx, r, a)
 		if f == nil {
 			return nil
 		}
-		if r.begun || !f.granted && !s.again(ctx, r, f) {
+		if r.responseBegun || !f.retryGranted && !s.mayRetry(ctx, r, f) {
 			return f
 		}
 	}
 }
 
-// unplaced is the refusal where no upstream of a role is left to try.
-func (s *Server) unplaced(r *request, role domain.Role) *failure {
-	f := &failure{ran: r.tries.Ran(), reason: domain.ReasonNoRoom, final: true}
-	wait, each, paused := s.pausedFor(r.service.Name, role)
+// noUpstreamFailure is the refusal if no upstream of a role is left to try.
+func (s *Server) noUpstreamFailure(r *request, role domain.Role) *failure {
+	f := &failure{ran: r.attempts.Ran(), reason: domain.ReasonNoRoom, final: true}
+	wait, interval, paused := s.poolBackoff(r.service.Name, role)
 	switch {
 	case r.limitWait > 0 && (!paused || r.limitWait < wait):
 		f.detail, f.retryAfter = "upstreams are at their rate limits", r.limitWait
 		return f
 	case paused:
 		f.detail = "all upstreams have asked for a pause"
-		f.retryAfter = s.lines.For(r.service.Name).Stagger.Delay(time.Now(), wait, each)
+		f.retryAfter = s.queues.For(r.service.Name).Stagger.Delay(time.Now(), wait, interval)
 		return f
 	}
-	return &failure{ran: r.tries.Ran(), reason: domain.ReasonNoUpstream, detail: "no upstream is left to try", final: true}
+	return &failure{ran: r.attempts.Ran(), reason: domain.ReasonNoUpstream, detail: "no upstream is left to try", final: true}
 }
 
-// pausedFor gives the time until the first upstream of a role may be sent something again,
-// how often this entry's part of all of them takes a request, and whether all that stay
-// have asked for a pause.
-func (s *Server) pausedFor(service domain.Service, role domain.Role) (wait, each time.Duration, all bool) {
+// poolBackoff returns the time until the backoff of the first upstream of a role ends, the
+// mean interval at which this entry's share of the upstreams in backoff takes a request,
+// and whether all upstreams that are not leaving have requested a backoff.
+func (s *Server) poolBackoff(service domain.Service, role domain.Role) (wait, interval time.Duration, all bool) {
 	now := time.Now()
-	rate := 0.0 // requests a second
+	rate := 0.0 // requests per second
 	for _, u := range s.roster.Upstreams(service) {
 		if u.Server().Role != role {
 			continue
@@ -81,120 +81,123 @@
 			return 0, 0, false
 		}
 		if a.Remaining <= 0 {
-			continue // it leaves
+			continue // it is leaving for good
 		}
 		if !all || a.Remaining < wait {
 			wait, all = a.Remaining, true
 		}
-		o := u.Stats.Candidate(now)
-		o.Slots = u.Server().Slots
-		rate += o.EstimateRate()
+		c := u.Stats.Candidate(now)
+		c.Slots = u.Server().Slots
+		rate += c.EstimateRate()
 	}
 	if rate > 0 {
-		each = time.Duration(float64(s.searching(now)) / rate * float64(time.Second))
+		interval = time.Duration(float64(s.competingEntries(now)) / rate * float64(time.Second))
 	}
-	return wait, each, all
+	return wait, interval, all
 }
 
-// patience bounds an attempt's silence where another can follow; zero is no
-// bound. One that hangs would take the whole time else.
-func (r *request) patience() time.Duration {
-	if !r.tries.CanRepeat() {
+// attemptTimeout bounds the wait for the header of an attempt's response if another attempt
+// can follow, since an upstream that hangs would use up the whole time; zero is no bound.
+func (r *request) attemptTimeout() time.Duration {
+	if !r.attempts.CanRepeat() {
 		return 0
 	}
-	return max(time.Duration(tryPart*float64(r.targetLatency())), tryLeast)
+	return max(time.Duration(firstAttemptPart*float64(r.targetLatency())), minAttemptTime)
 }
 
-// call makes one attempt and passes its answer on.
-func (s *Server) call(ctx context.Context, r *request, a *attempt) *failure {
-	reply, f := s.try(ctx, r, a)
+// attemptPlain makes one attempt and passes its response on.
+func (s *Server) attemptPlain(ctx context.Context, r *request, a *attempt) *failure {
+	reply, f := s.sendAttempt(ctx, r, a)
 	if f != nil {
 		return f
 	}
 	defer reply.Close()
-	head, whole, err := readHead(reply)
+	head, complete, err := bufferResponse(reply)
 	if err != nil {
-		return s.broke(ctx, r, a, err)
+		return s.failSend(ctx, r, a, err)
 	}
-	good := reply.Status < http.StatusInternalServerError
-	if !good {
-		if f := s.replaces(ctx, r, a); f != nil {
+	succeeded := reply.Status < http.StatusInternalServerError
+	if !succeeded {
+		if f := s.retryFailedResponse(ctx, r, a); f != nil {
 			return f
 		}
 	}
-	s.done(r, a, time.Since(a.began), 1, good)
-	if err := s.pass(r, reply, head, whole); err != nil {
-		if errors.Is(err, errCaller) {
-			s.end(r, "caller_gone", "upstream", a.start.ID, "err", err)
+	s.finishAnswered(r, a, time.Since(a.startedAt), 1, succeeded)
+	if err := s.passResponse(r, reply, head, complete); err != nil {
+		if errors.Is(err, errCallerWrite) {
+			s.finish(r, "caller_gone", "upstream", a.start.ID, "err", err)
 			panic(http.ErrAbortHandler)
 		}
 		return &failure{ran: domain.DidRun, reason: domain.ReasonLost, detail: err.Error()}
 	}
-	s.end(r, "answered", "upstream", a.start.ID, "status", reply.Status)
+	s.finish(r, "answered", "upstream", a.start.ID, "status", reply.Status)
 	return nil
 }
 
-// replaces drops an answer that tells of a failure where another attempt is
-// granted in its place; else it gives nil, and the answer is passed on.
-func (s *Server) replaces(ctx context.Context, r *request, a *attempt) *failure {
-	if !r.tries.CanRepeat() || ctx.Err() != nil || !s.has(r, "", a.start) {
+// retryFailedResponse discards a response that reports a failure, and returns a failure, if
+// another attempt is granted in its place; otherwise it returns nil, and the response is
+// passed on.
+func (s *Server) retryFailedResponse(ctx context.Context, r *request, a *attempt) *failure {
+	if !r.attempts.CanRepeat() || ctx.Err() != nil || !s.hasOther(r, "", a.start) {
 		return nil
 	}
-	f := &failure{ran: domain.DidRun, reason: domain.ReasonUpstream, detail: "the upstream answered with a failure", granted: true}
-	if !s.budgets.window(r.service.Name).Take(time.Now(), s.terms()) {
+	f := &failure{ran: domain.DidRun, reason: domain.ReasonUpstream, detail: "the upstream answered with a failure", retryGranted: true}
+	if !s.retryBudgets.window(r.service.Name).Take(time.Now(), s.retryTerms()) {
 		return nil
 	}
 	a.upstream.Stats.RecordFailure(time.Now())
-	return s.failed(r, a, f)
+	return s.finishFailed(r, a, f)
 }
 
-// has says whether another upstream is left that was not tried.
-func (s *Server) has(r *request, role domain.Role, but roster.Start) bool {
+// hasOther reports whether an upstream of the role, other than the given start, is left to
+// try.
+func (s *Server) hasOther(r *request, role domain.Role, but roster.Start) bool {
 	for _, u := range s.roster.Upstreams(r.service.Name) {
 		m, now := u.Server(), time.Now()
-		if m.Role == role && m.Key() != but.Key() && !r.tried[m.Key()] && u.Eligibility(now).Eligible() && u.Stats.RateLimitWait(now) == 0 {
+		if m.Role == role && m.Key() != but.Key() && !r.excluded[m.Key()] && u.Eligibility(now).Eligible() && u.Stats.RateLimitWait(now) == 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// readHead reads an answer to its end, or as much of it as is read ahead.
-func readHead(reply *send.Response) (head []byte, whole bool, err error) {
+// bufferResponse reads a response to its end, or up to maxBufferedResponse. complete means
+// that it was read to its end.
+func bufferResponse(reply *send.Response) (head []byte, complete bool, err error) {
 	var b bytes.Buffer
-	n, err := io.CopyN(&b, reply, wholeAnswer)
+	n, err := io.CopyN(&b, reply, maxBufferedResponse)
 	switch {
 	case errors.Is(err, io.EOF):
 		return b.Bytes(), true, nil
 	case err != nil:
 		return nil, false, err
 	}
-	return b.Bytes(), n < wholeAnswer, nil
+	return b.Bytes(), n < maxBufferedResponse, nil
 }
 
-// errCaller is behind errors of writing to the caller.
-var errCaller = errors.New("direct: caller")
+// errCallerWrite is the error of a failed write to the caller.
+var errCallerWrite = errors.New("direct: caller")
 
-// pass gives an answer to the caller.
-func (s *Server) pass(r *request, reply *send.Response, head []byte, whole bool) error {
-	s.header(r, reply)
+// passResponse writes a response to the caller.
+func (s *Server) passResponse(r *request, reply *send.Response, head []byte, complete bool) error {
+	s.writeHeader(r, reply)
 	if _, err := r.w.Write(head); err != nil {
-		return errors.Join(errCaller, err)
+		return errors.Join(errCallerWrite, err)
 	}
-	if whole {
+	if complete {
 		return nil
 	}
 	to := &callerWriter{w: r.w}
 	if _, err := io.Copy(to, reply); err != nil {
 		if to.err != nil {
-			return errors.Join(errCaller, to.err)
+			return errors.Join(errCallerWrite, to.err)
 		}
 		return err
 	}
 	return nil
 }
 
-// callerWriter remembers an error of the caller's side.
+// callerWriter remembers the error of a write to the caller.
 type callerWriter struct {
 	w   io.Writer
 	err error
@@ -209,9 +212,9 @@
 	return n, err
 }
 
-// header passes the status and the header of an answer on as they are. An
-// absent Date or Content-Type stays absent.
-func (s *Server) header(r *request, reply *send.Response) {
+// writeHeader passes on the status and the header of a response unchanged. An absent Date
+// or Content-Type stays absent.
+func (s *Server) writeHeader(r *request, reply *send.Response) {
 	to := r.w.Header()
 	length := reply.Header.Get("Content-Length")
 	for name, values := range send.EndToEnd(reply.Header) {
@@ -225,6 +228,6 @@
 			to[name] = nil
 		}
 	}
-	r.begun = true
+	r.responseBegun = true
 	r.w.WriteHeader(reply.Status)
 }
--- a/direct/prefill.go
+++ b/direct/prefill.go
@@ -12,193 +12,196 @@
 )
 
 const (
-	// prefillFrom is the shortest prompt, in tokens, that is prefilled apart.
-	// A decode engine reads a shorter one in less time than the move takes.
-	prefillFrom = 200
-	// prefillTries bounds the prefills of one attempt; after them the decode
-	// engine reads the prompt.
-	prefillTries = 2
-	// prefillSlack is how many times the expected time a prefill may take, and
-	// prefillLeast the least that it is given: queued work of other entries is
-	// not known here. It is never given more than the target: by then the decode
-	// engine would have read the prompt itself.
-	prefillSlack = 4
-	prefillLeast = 250 * time.Millisecond
-	// prefillRate stands in until an engine was measured, in time for a token.
-	prefillRate = 40 * time.Microsecond
-	// ownSlower is how many times as long a decode engine takes for a prompt: it reads at
-	// half the speed, and a quarter of what is measured at prefill engines is the call.
-	ownSlower = 1.5
-	// ownSpace is what must lie between two prompts that a decode engine reads:
-	// its answers make an event meanwhile.
-	ownSpace = 100 * time.Millisecond
-	// ownWait bounds the wait for another prompt that a decode engine reads.
-	ownWait = 600 * time.Millisecond
-	// usualGap is the part of a route's longest pause that an answer takes without
-	// any prompt read beside it.
-	usualGap = 0.2
-	// freeWithin bounds the freeing of a handle, which ends by itself soon.
-	freeWithin = time.Second
+	// minPrefillPrompt is the shortest prompt, in tokens, that a prefill engine reads. A
+	// decode engine reads a shorter prompt in less time than the transfer of the KV cache
+	// takes.
+	minPrefillPrompt = 200
+	// maxPrefillTries bounds the prefills of one attempt; after them the decode engine
+	// reads the prompt.
+	maxPrefillTries = 2
+	// prefillTimeoutFactor is how many times the expected time a prefill may take, and
+	// minPrefillTimeout the least that it may take: the work that other entries have queued
+	// is not known here. It never gets more than the target: by then the decode engine
+	// would have read the prompt itself.
+	prefillTimeoutFactor = 4
+	minPrefillTimeout    = 250 * time.Millisecond
+	// defaultPromptTokenTime is the assumed prefill time per token of an engine that was
+	// not measured yet.
+	defaultPromptTokenTime = 40 * time.Microsecond
+	// decodeSlowdown is how many times as long a decode engine takes for a prompt: it reads
+	// at half the speed, and a quarter of the time that is measured at prefill engines is
+	// the call.
+	decodeSlowdown = 1.5
+	// decodePromptGap is the time between two prompts that a decode engine reads, in which
+	// its answers produce an event.
+	decodePromptGap = 100 * time.Millisecond
+	// maxDecodePromptWait bounds the wait for another prompt that the decode engine reads.
+	maxDecodePromptWait = 600 * time.Millisecond
+	// usualGapPart is the part of a route's longest gap that an answer takes between two
+	// events without a prompt being read beside it.
+	usualGapPart = 0.2
+	// freeTimeout bounds the call that frees a handle. The handle expires soon anyway.
+	freeTimeout = time.Second
 )
 
-// prefilled is a prompt that was read, and where.
-type prefilled struct {
+// prefillResult is the handle of a prefilled prompt, and the upstream that keeps it.
+type prefillResult struct {
 	upstream *roster.Upstream
 	handle   KVHandle
 }
 
-// prefill has the prompt read by a prefill engine near the decode engine of
-// the answer, whose room is kept meanwhile. It gives nil where that failed:
-// then the decode engine reads it.
-func (s *Server) prefill(ctx context.Context, r *request, decode *room) *prefilled {
+// prefill has the prompt read by a prefill engine near the decode engine of the answer,
+// whose memory stays reserved meanwhile. It returns nil if that failed; the decode engine
+// then reads the prompt itself.
+func (s *Server) prefill(ctx context.Context, r *request, decode *allocation) *prefillResult {
 	zone := decode.upstream.Server().Zone
-	granted := false // one more, from the budget of repeats
-	for n := 0; n < prefillTries && ctx.Err() == nil; {
-		if r.prefills > 0 && !granted && !s.budgets.window(r.service.Name).Take(time.Now(), s.terms()) {
+	charged := false // whether this prefill was charged to the retry budget already
+	for n := 0; n < maxPrefillTries && ctx.Err() == nil; {
+		if r.prefills > 0 && !charged && !s.retryBudgets.window(r.service.Name).Take(time.Now(), s.retryTerms()) {
 			return nil
 		}
-		granted = true
+		charged = true
 		load := route.Request{
-			Units: r.ask.PromptTokens, Tokens: r.ask.PromptTokens, Typical: route.RequestSize{Units: r.ask.PromptTokens, Tokens: r.ask.PromptTokens},
-			FailureCost: r.targetLatency(), CrossZoneCost: farStage, SkipRecentlyFull: true,
-			// A prefill that fails is a repeat in the end: without one left it is
-			// given only to an engine that is sure to answer.
-			OnlyResponsive: !s.budgets.window(r.service.Name).Available(time.Now(), s.terms()),
+			Units: r.info.PromptTokens, Tokens: r.info.PromptTokens, Typical: route.RequestSize{Units: r.info.PromptTokens, Tokens: r.info.PromptTokens},
+			FailureCost: r.targetLatency(), CrossZoneCost: crossZoneStageCost, SkipRecentlyFull: true,
+			// A failed prefill in effect costs a retry: without a retry left, the prompt
+			// goes only to an engine that answered lately.
+			OnlyResponsive: !s.retryBudgets.window(r.service.Name).Available(time.Now(), s.retryTerms()),
 		}
 		p, assigned := s.assignPrefill(ctx, r, zone, load)
 		if p.upstream == nil {
 			p = s.place(r, domain.RolePrefill, zone, load)
-			p.ahead = p.offer.EstimateWait(load)
+			p.expectedWait = p.candidate.EstimateWait(load)
 		}
-		s.logPlaced(r, domain.RolePrefill, p, "only_sure", load.OnlyResponsive)
+		s.logPlacement(r, domain.RolePrefill, p, "only_sure", load.OnlyResponsive)
 		if p.upstream == nil {
 			s.Log.Info("prefill passed over", "request", r.id, "why", "no engine", "only_sure", load.OnlyResponsive)
 			return nil
 		}
-		if p.ahead > s.prefillWait(r) {
-			s.Log.Info("prefill passed over", "request", r.id, "upstream", p.offer.Name, "wait", p.ahead)
+		if p.expectedWait > s.maxPrefillWait(r) {
+			s.Log.Info("prefill passed over", "request", r.id, "upstream", p.candidate.Name, "wait", p.expectedWait)
 			s.endAssignment(assigned)
 			return nil
 		}
-		allowed, _, ok := s.permit(ctx, r, p.upstream, 0)
+		permitted, _, ok := s.acquirePermit(ctx, r, p.upstream, 0)
 		if !ok {
 			s.endAssignment(assigned)
-			continue // its engine is kept away from
+			continue // the engine is excluded now
 		}
 		r.prefills++
-		granted = false
-		done, f := s.prefillAt(ctx, r, p.upstream, allowed)
+		charged = false
+		result, f := s.attemptPrefill(ctx, r, p.upstream, permitted)
 		s.endAssignment(assigned)
-		if done != nil {
-			return done
+		if result != nil {
+			return result
 		}
-		if f.granted {
+		if f.retryGranted {
 			r.prefills--
-			granted = true
+			charged = true
 			continue // nothing was sent
 		}
 		if f.unsent {
-			// No try: its engine is kept away from. The next one comes from the
-			// budget of repeats all the same: without that, prompts went on to
-			// dark engines, and with the budget spent they go to engines that
-			// answered lately.
+			// Not counted as a try, and the engine is excluded now. The next try is charged
+			// to the retry budget all the same: otherwise prompts would go on to
+			// unreachable engines, whereas with the budget spent they go only to engines
+			// that answered lately.
 			continue
 		}
 		n++
 		if r.prefills == 1 {
-			s.budgets.window(r.service.Name).Record(time.Now(), s.terms())
+			s.retryBudgets.window(r.service.Name).Record(time.Now(), s.retryTerms())
 		}
 	}
 	return nil
 }
 
-// prefillWait gives the longest wait for a prefill engine that is better than to
-// have the decode engine read the prompt.
+// maxPrefillWait is the longest wait for a prefill engine that is better than having the
+// decode engine read the prompt.
 //
-// Load pattern: a burst, or prefill engines that are lost. Prompts that decode
-// engines read pause the answers there, a dozen each, and where one is long or two
-// come together, for longer than the routes allow. Shortly before, the same
-// prompts would have had a prefill engine to themselves within their targets.
-func (s *Server) prefillWait(r *request) time.Duration {
-	own := s.ownRead(r)
-	if own > r.pauseLeft() {
-		return r.left()
+// In a burst, or when prefill engines crash, each prompt that a decode engine reads pauses
+// a dozen answers there, and a long prompt, or two together, pauses them for longer than
+// the routes allow. The same prompts would have had a prefill engine to themselves shortly
+// before, within their targets.
+func (s *Server) maxPrefillWait(r *request) time.Duration {
+	decodeTime := s.decodeReadTime(r)
+	if decodeTime > r.maxPromptPause() {
+		return r.timeLeft()
 	}
-	return max(own, time.Until(r.first.Add(r.targetLatency()))-own)
+	return max(decodeTime, time.Until(r.firstSent.Add(r.targetLatency()))-decodeTime)
 }
 
-// ownRead is the time that a decode engine takes for the prompt.
-func (s *Server) ownRead(r *request) time.Duration {
-	each := s.mixes.PromptTokenTime(r.service.Name)
-	if each <= 0 {
-		each = prefillRate
+// decodeReadTime is the time that a decode engine takes to read the prompt.
+func (s *Server) decodeReadTime(r *request) time.Duration {
+	tokenTime := s.profiles.PromptTokenTime(r.service.Name)
+	if tokenTime <= 0 {
+		tokenTime = defaultPromptTokenTime
 	}
-	return time.Duration(ownSlower * float64(r.ask.PromptTokens) * float64(each))
+	return time.Duration(decodeSlowdown * float64(r.info.PromptTokens) * float64(tokenTime))
 }
 
-// pauseLeft is how long the answers of an engine may pause for a prompt.
-func (r *request) pauseLeft() time.Duration {
+// maxPromptPause is how long the answers of an engine may pause for a prompt.
+func (r *request) maxPromptPause() time.Duration {
 	gap := r.route.TargetGap
 	if gap <= 0 {
 		gap = defaultGap
 	}
-	return time.Duration((1 - usualGap) * float64(gap))
+	return time.Duration((1 - usualGapPart) * float64(gap))
 }
 
-// ownTurn waits until no other prompt of this entry is read by the decode engine.
-func (s *Server) ownTurn(ctx context.Context, r *request, decode *room) {
-	if wait := decode.upstream.Stats.QueuePrefill(time.Now(), s.ownRead(r)+ownSpace, ownWait); wait > 0 {
+// waitDecodeTurn waits until the decode engine has read the other prompts of this entry.
+func (s *Server) waitDecodeTurn(ctx context.Context, r *request, decode *allocation) {
+	if wait := decode.upstream.Stats.QueuePrefill(time.Now(), s.decodeReadTime(r)+decodePromptGap, maxDecodePromptWait); wait > 0 {
 		s.Log.Info("waits for another prompt", "request", r.id, "upstream", decode.upstream.Server().ID, "wait", wait)
 		group.Sleep(ctx, wait)
 	}
 }
 
-func (s *Server) prefillAt(ctx context.Context, r *request, u *roster.Upstream, allowed permit) (*prefilled, *failure) {
-	offer := u.Stats.Candidate(time.Now())
-	each := offer.UnitTime
-	if each == 0 {
-		each = prefillRate
+func (s *Server) attemptPrefill(ctx context.Context, r *request, u *roster.Upstream, permitted permit) (*prefillResult, *failure) {
+	candidate := u.Stats.Candidate(time.Now())
+	tokenTime := candidate.UnitTime
+	if tokenTime == 0 {
+		tokenTime = defaultPromptTokenTime
 	}
 	a := &attempt{
-		upstream: u, permit: allowed, work: roster.Cost{MemoryTokens: r.ask.PromptTokens, PromptTokens: r.ask.PromptTokens},
-		silence: min(max(prefillLeast, prefillSlack*each*time.Duration(r.ask.PromptTokens+offer.QueuedTokens)), r.targetLatency()),
+		upstream: u, permit: permitted, cost: roster.Cost{MemoryTokens: r.info.PromptTokens, PromptTokens: r.info.PromptTokens},
+		headerTimeout: min(max(minPrefillTimeout, prefillTimeoutFactor*tokenTime*time.Duration(r.info.PromptTokens+candidate.QueuedTokens)), r.targetLatency()),
 	}
-	a.stamp.Stage = StagePrefill
-	reply, f := s.try(ctx, r, a)
+	a.info.Stage = StagePrefill
+	reply, f := s.sendAttempt(ctx, r, a)
 	if f != nil {
 		return nil, f
 	}
-	body, err := reply.ReadAll(shortAnswer)
+	body, err := reply.ReadAll(maxShortResponse)
 	if err != nil {
-		return nil, s.broke(ctx, r, a, err)
+		return nil, s.failSend(ctx, r, a, err)
 	}
-	took := time.Since(a.began)
-	h, err := s.Protocol.ParseHandle(body)
+	took := time.Since(a.startedAt)
+	handle, err := s.Protocol.ParseHandle(body)
 	if reply.Status != http.StatusOK || err != nil {
 		u.Stats.RecordFailure(time.Now())
-		return nil, s.failed(r, a, &failure{ran: domain.NotRun, reason: domain.ReasonUpstream, detail: "no handle in the answer to a prefill"})
+		return nil, s.finishFailed(r, a, &failure{ran: domain.NotRun, reason: domain.ReasonUpstream, detail: "no handle in the answer to a prefill"})
 	}
-	s.done(r, a, took, r.ask.PromptTokens, true)
-	if offer.QueuedTokens == 0 && r.prefills == 1 {
-		s.mixPrefilled(r, took)
+	s.finishAnswered(r, a, took, r.info.PromptTokens, true)
+	if candidate.QueuedTokens == 0 && r.prefills == 1 {
+		s.recordPrefill(r, took)
 	}
-	h.Addr = u.Server().Addr
-	s.Log.Info("prefilled", "request", r.id, "upstream", a.start.ID, "tokens", h.Tokens, "took", took)
-	return &prefilled{upstream: u, handle: h}, nil
+	handle.Addr = u.Server().Addr
+	s.Log.Info("prefilled", "request", r.id, "upstream", a.start.ID, "tokens", handle.Tokens, "took", took)
+	return &prefillResult{upstream: u, handle: handle}, nil
 }
 
-// free frees the memory of a prompt that no engine will fetch.
-func (s *Server) free(r *request, p *prefilled) {
+// freeHandle frees, in the background, the KV cache of a prompt that no engine will fetch.
+func (s *Server) freeHandle(r *request, p *prefillResult) {
 	if p == nil {
 		return
 	}
-	s.later("free handle", freeWithin, func(ctx context.Context) error {
+	s.background("free handle", freeTimeout, func(ctx context.Context) error {
 		reply, _, err := s.exchange(ctx, r.id, p.upstream, s.Protocol.FreeHandleRequest(p.handle))
 		if err != nil {
 			s.Log.Info("handle not freed", "request", r.id, "err", err)
 			return nil
 		}
-		s.readShort(reply)
+		s.readShortResponse(reply)
 		return nil
 	})
 }
--- a/direct/protocol.go
+++ b/direct/protocol.go
@@ -12,50 +12,55 @@
 	"jacinthworks/send"
 )
 
-// Protocol is how requests and answers say what the product has to know of
-// them, beside method, path and body. Each deployment's adapter has one.
+// Protocol translates between requests and responses as the deployment's callers and
+// upstreams send them and the facts that this package needs beside method, path and body.
+// Each deployment has an adapter that implements it.
 type Protocol interface {
-	// ParseRequest reads what a request says of itself, and takes out of its header
-	// what only this system may set.
+	// ParseRequest parses what a request's header states, and removes from it the fields
+	// that only this system may set.
 	ParseRequest(h http.Header) RequestInfo
-	// TakeAPIKey reads the key that a caller shows, and takes it out of its header
-	// together with whatever it says of its account.
+	// TakeAPIKey returns the caller's API key. It removes from the header the key and
+	// whatever the caller stated about its account.
 	TakeAPIKey(h http.Header) string
-	// AttemptInfo sets what an upstream is to know of an attempt.
+	// SetAttemptHeader sets the header fields that describe an attempt to an upstream.
 	SetAttemptHeader(h http.Header, s AttemptInfo)
-	// ParseResponse tells what an answer says beside its body.
+	// ParseResponse parses the status and the header of a response.
 	ParseResponse(status int, h http.Header) ResponseInfo
-	// KnownField says whether a header field of an answer has a meaning here, be it used or not.
+	// KnownField reports whether a response header field has a meaning here, whether or not
+	// it is used.
 	KnownField(name string) bool
-	// KVHandle reads the answer to a prefill.
+	// ParseHandle parses the response to a prefill.
 	ParseHandle(body []byte) (KVHandle, error)
-	// FreeHandleRequest gives the call that frees a prefilled prompt.
+	// FreeHandleRequest returns the call that frees the KV cache of a prefilled prompt.
 	FreeHandleRequest(h KVHandle) send.Request
-	// Reservation gives the call that holds room for so many tokens, Held reads its
-	// answer ("" where there is no room), Drop gives the call that frees it.
+	// ReserveRequest returns the call that reserves memory for so many tokens, for at most
+	// life. ParseReservation parses its response; the reservation is empty if there is no
+	// memory. ReleaseRequest returns the call that frees the reservation.
 	ReserveRequest(tokens int, life time.Duration) (send.Request, error)
 	ParseReservation(status int, body []byte) (Reservation, error)
 	ReleaseRequest(h Reservation) send.Request
-	// StateRequest gives the call for an engine's state, State reads its answer.
+	// StateRequest returns the call for an engine's state, and ParseState parses its
+	// response.
 	StateRequest() send.Request
 	ParseState(body []byte) (State, error)
-	// RoleChangeRequest gives the order that changes an engine's role, if it has
-	// taken just so many orders before; Ordered reads its answer's status.
+	// RoleChangeRequest returns the call that orders an engine to change its role, provided
+	// that it has accepted exactly as many orders before as after says. ParseOrderOutcome
+	// reads the outcome from the status of the response.
 	RoleChangeRequest(to domain.Role, holder domain.Host, number fence.Token, after int) (send.Request, error)
 	ParseOrderOutcome(status int) OrderOutcome
 }
 
-// RequestInfo is what a request says of itself.
+// RequestInfo is what a request's header states.
 type RequestInfo struct {
-	// ID is the caller's, one for each send.
+	// ID is the caller's request id, unique for each send.
 	ID domain.RequestID
-	// Timeout is how long the caller waits; zero where it does not say.
+	// Timeout is how long the caller waits; zero if it does not say.
 	Timeout time.Duration
-	// PromptTokens and Output are the prompt's tokens and the most of the answer.
+	// PromptTokens is the length of the prompt, MaxOutputTokens the limit on the answer.
 	PromptTokens, MaxOutputTokens int
-	// ExpectedOutputTokens is the caller's guess of the answer's tokens; zero for none.
+	// ExpectedOutputTokens is the caller's estimate of the answer's length; zero for none.
 	ExpectedOutputTokens int
-	// LastEvent is the last event that the caller has of the stream.
+	// LastEvent is the id of the last event of the stream that the caller has.
 	LastEvent string
 }
 
@@ -64,94 +69,96 @@
 
 // The stages.
 const (
-	// StageWhole is everything.
+	// StageWhole is prefill and decode on one engine, or a plain request.
 	StageWhole Stage = ""
-	// StagePrefill reads the prompt and gives a handle to its memory.
+	// StagePrefill reads the prompt and returns a handle of its KV cache.
 	StagePrefill Stage = "prefill"
-	// StageDecode fetches the memory of a prompt and makes the answer.
+	// StageDecode fetches the KV cache of a prompt and generates the answer.
 	StageDecode Stage = "decode"
 )
 
-// AttemptInfo is what an upstream is to know of an attempt.
+// AttemptInfo describes an attempt to an upstream.
 type AttemptInfo struct {
-	// Upstream is the start that the attempt is meant for; any other refuses.
+	// Upstream is the start of the upstream that the attempt is meant for; any other
+	// refuses it.
 	Upstream roster.ID
-	// Account is who asks; empty where callers have no accounts.
+	// Account is the caller's account; empty if callers have none.
 	Account domain.Account
-	// Timeout is the time left.
+	// Timeout is the time left to the request.
 	Timeout time.Duration
 	Stage   Stage
-	// Source is where the prompt's memory is, for StageDecode.
+	// Source is where the prompt's KV cache is, for StageDecode.
 	Source KVHandle
-	// Reservation is room that is held for the attempt.
+	// Reservation is the memory that was reserved for the attempt.
 	Reservation Reservation
-	// LastEvent is the last event passed on, where a stream goes on.
+	// LastEvent is the id of the last event passed on, if a stream is resumed.
 	LastEvent string
-	// Priority is the route's rank, 0 first.
+	// Priority is the request's priority, 0 being the highest.
 	Priority int
 }
 
-// ResponseInfo is what an answer says beside its body.
+// ResponseInfo is what the status and the header of a response state.
 type ResponseInfo struct {
-	// ID is that of the request it answers; empty where it does not say.
+	// ID is the id of the request that the response belongs to; empty if it does not say.
 	ID domain.RequestID
-	// NotExecuted says that the upstream did not run the request and will not.
+	// NotExecuted means that the upstream did not run the request and will not.
 	NotExecuted bool
-	// Misdirected says that the request was not for this start of the upstream,
-	// or not for its role; Instance is the start that answered, where it says.
+	// Misdirected means that the request was meant for another start of the upstream, or
+	// for another role. Instance is the start that answered, if stated.
 	Misdirected bool
 	Instance    roster.ID
-	// LoadReported says that Running counts the requests there, those that wait
-	// included.
+	// LoadReported means that InFlight was stated: the requests at the upstream, waiting
+	// ones included.
 	LoadReported bool
 	InFlight     int
-	// RateLimitReported says that Limit is the rate limit that the upstream stated, or that it
-	// stated none.
+	// RateLimitReported means that RateLimit is known: the rate limit that the upstream
+	// stated, or that it stated none.
 	RateLimitReported bool
 	RateLimit         pacer.Rate
-	// Leaving says that the upstream is on its way out.
+	// Leaving means that the upstream is shutting down.
 	Leaving bool
-	// Backoff is for how long the upstream wants nothing of this process; zero where it
+	// Backoff is for how long the upstream wants no requests of this process; zero if it
 	// does not say.
 	Backoff time.Duration
-	// MalformedFields are the names of fields that say nothing which could be read.
+	// MalformedFields names the header fields whose values could not be parsed.
 	MalformedFields []string
 }
 
-// KVHandle is the memory of a prompt that was read, at an upstream.
+// KVHandle refers to the KV cache of a prefilled prompt at an upstream.
 type KVHandle struct {
 	Addr   netip.AddrPort
 	Name   string
 	Tokens int
 }
 
-// Valid says whether there is one.
+// Valid reports whether the handle refers to anything.
 func (h KVHandle) Valid() bool { return h.Name != "" }
 
-// Reservation names room that an engine keeps for one request.
+// Reservation names memory that an engine reserves for one request.
 type Reservation string
 
-// State is an engine's own account of itself.
+// State is what an engine reports of itself.
 type State struct {
-	// StartedAt is when it started; zero where it does not say.
+	// StartedAt is when the engine started; zero if it does not say.
 	StartedAt time.Time
 	Role      domain.Role
-	// RoleChanging says that an order is being carried out; Orders counts those
-	// taken since its start.
+	// RoleChanging means that the engine is changing its role. OrdersAccepted counts the
+	// orders that it has accepted since its start.
 	RoleChanging   bool
 	OrdersAccepted int
-	// InFlight and Waiting count requests; Taken is the part of Memory, in
-	// tokens, that cannot be given up.
+	// Running and Waiting count requests. KVUsed is the part of KVCapacity, in tokens, that
+	// can't be evicted.
 	Running, Waiting   int
 	KVCapacity, KVUsed int
-	// Leaving says that it is on its way out.
+	// Leaving means that the engine is shutting down.
 	Leaving bool
 }
 
-// OrderOutcome is what an engine answers to an order.
+// OrderOutcome is the outcome of an order to an engine.
 type OrderOutcome string
 
-// The answers. Any other end leaves open whether it will be carried out.
+// The outcomes that a response states. After any other response it is unknown whether the
+// order will be carried out.
 const (
 	OrderAccepted OrderOutcome = "taken"
 	OrderFenced   OrderOutcome = "fenced"
--- a/direct/quota.go
+++ b/direct/quota.go
@@ -11,138 +11,141 @@
 )
 
 const (
-	// quotaPath is where the entry that counts for an account is asked.
+	// quotaPath is the peer endpoint at which the owner of an account's quota is called.
 	quotaPath = "/v1/quota"
-	// quotaAlone is the part of its share that an entry spends which reaches none of
-	// those that count: they go on giving out all of it, since they can't tell an
-	// entry that is cut off from one that is gone.
-	quotaAlone = 0.2
-	// quotaSaved is the time for which an entry has saved up at its start for when it
-	// reaches none of those that count.
-	quotaSaved = time.Hour
-	// quotaOver is the part of the operators' tolerance that accounts get. The rest is for
-	// requests that reach their engines later than they were granted, and for what
-	// entries spend that can't reach the one that counts.
-	quotaOver = 0.5
-	// quotaStandby is the time for which an entry saves up that counts only while
-	// another can't be reached.
+	// isolatedQuotaPart is the part of its share that an entry spends while it reaches no
+	// owner. The owners go on granting the whole quota, since they can't tell an entry that
+	// is cut off from one that has stopped.
+	isolatedQuotaPart = 0.2
+	// isolatedQuotaAccrual is how long the isolated counter of an entry counts as having
+	// accrued quota when the entry starts.
+	isolatedQuotaAccrual = time.Hour
+	// overQuotaPart is the part of the operators' tolerance that is granted to accounts.
+	// The rest covers requests that reach their engines later than they were granted, and
+	// what is spent by entries that can't reach the owner.
+	overQuotaPart = 0.5
+	// standbyQuotaAccrual limits the burst that an owner grants while other entries precede
+	// it as owners, to what accrues in this time.
 	//
-	// Failure: the host that counts is cut off in the middle of a flood. The next one has
-	// counted nothing for minutes, and grants a second burst in the same window.
-	quotaStandby = 250 * time.Millisecond
+	// If the first owner is cut off during a flood, the next one has counted nothing for
+	// minutes, and would grant a second burst in the same window.
+	standbyQuotaAccrual = 250 * time.Millisecond
 )
 
-// quotas are what this entry counts for others, and what it knows of accounts that
-// others count for. The zero value is ready to use; it must not be copied.
+// quotas counts the quotas of accounts: those that this entry owns, and what it has learned
+// of those that others own. The zero value is ready to use; it must not be copied.
 type quotas struct {
-	// counter is asked by all entries, alone is for what this one spends unasked.
-	counter quota.Counter
-	alone   quota.Counter
-
-	mu sync.Mutex // a leaf
-	// spent is until when an account has nothing.
-	spent map[domain.Account]time.Time
+	// shared counts for the whole fleet. isolated counts what this entry spends while it
+	// reaches no owner.
+	shared   quota.Counter
+	isolated quota.Counter
+
+	mu sync.Mutex // leaf lock: no other lock is acquired while it is held
+	// exhaustedUntil is when an account that was denied may be granted requests again.
+	exhaustedUntil map[domain.Account]time.Time
 }
 
-// quotaCall asks the entry that counts to take the cost, or to give it back.
-type quotaCall struct {
+// quotaRequest asks the owner of an account's quota to charge a cost, or to refund it.
+type quotaRequest struct {
 	Account domain.Account `json:"account"`
 	Cost    float64        `json:"cost"`
-	// Back gives back; Over says that it was granted over the quota.
-	Back bool `json:"back,omitempty"`
-	Over bool `json:"over,omitempty"`
+	// Refund asks for a refund. Over means that the cost was granted over the quota.
+	Refund bool `json:"back,omitempty"`
+	Over   bool `json:"over,omitempty"`
 }
 
-// charge takes the request's cost from its account's quota, before anything is
-// spent on it.
+// charge charges the request's cost to the quota of its account, before anything else is
+// spent on the request.
 func (s *Server) charge(ctx context.Context, r *request) *failure {
 	if r.client == nil || !r.client.Quota.Limited() {
 		return nil
 	}
-	cost := r.client.Quota.Cost(r.ask.PromptTokens + r.ask.MaxOutputTokens)
+	cost := r.client.Quota.Cost(r.info.PromptTokens + r.info.MaxOutputTokens)
 	now := time.Now()
-	v, by := quota.Decision{Wait: s.quotas.wait(now, r.account)}, "known"
-	if v.Wait <= 0 {
-		v, by = s.takeQuota(ctx, r.client, quotaCall{Account: r.account, Cost: cost})
-		s.quotas.note(now, r.account, v)
+	decision, decidedBy := quota.Decision{Wait: s.quotas.remainingWait(now, r.account)}, "known"
+	if decision.Wait <= 0 {
+		decision, decidedBy = s.callQuotaOwner(ctx, r.client, quotaRequest{Account: r.account, Cost: cost})
+		s.quotas.recordDenial(now, r.account, decision)
 	}
-	if v.Granted {
-		r.cost, r.over = cost, v.OverQuota
-		s.Log.Debug("quota", "request", r.id, "account", r.account, "cost", cost, "over", v.OverQuota, "left", v.Level, "by", by, "took", time.Since(now))
+	if decision.Granted {
+		r.cost, r.overQuota = cost, decision.OverQuota
+		s.Log.Debug("quota", "request", r.id, "account", r.account, "cost", cost, "over", decision.OverQuota, "left", decision.Level, "by", decidedBy, "took", time.Since(now))
 		return nil
 	}
-	s.Log.Info("over quota", "request", r.id, "account", r.account, "cost", cost, "left", v.Level, "wait", v.Wait, "by", by,
+	s.Log.Info("over quota", "request", r.id, "account", r.account, "cost", cost, "left", decision.Level, "wait", decision.Wait, "by", decidedBy,
 		"rate", r.client.Quota.Rate, "burst", r.client.Quota.Burst, "version", r.version)
-	return &failure{ran: domain.NotRun, reason: domain.ReasonQuota, detail: "the account is over its quota", retryAfter: v.Wait}
+	return &failure{ran: domain.NotRun, reason: domain.ReasonQuota, detail: "the account is over its quota", retryAfter: decision.Wait}
 }
 
-// overQuota refuses a request whose account is over its quota, and for which others
-// leave no room.
-func (s *Server) overQuota(r *request) *failure {
-	wait := s.lines.For(r.service.Name).RetryAfter.Delay(time.Now())
-	s.Log.Info("over quota", "request", r.id, "account", r.account, "cost", r.cost, "by", "no room", "asked", r.asked, "wait", wait)
+// refuseOverQuota refuses a request that goes over its account's quota and for which the
+// other requests leave no room.
+func (s *Server) refuseOverQuota(r *request) *failure {
+	wait := s.queues.For(r.service.Name).RetryAfter.Delay(time.Now())
+	s.Log.Info("over quota", "request", r.id, "account", r.account, "cost", r.cost, "by", "no room", "asked", r.enginesAsked, "wait", wait)
 	return &failure{ran: domain.NotRun, reason: domain.ReasonQuota, detail: "the account is over its quota and no engine has room to spare", retryAfter: wait, final: true}
 }
 
-// giveBack gives back what a request took that has not run.
-func (s *Server) giveBack(r *request) {
+// refundQuota refunds, in the background, the cost of a request that has not run.
+func (s *Server) refundQuota(r *request) {
 	if r.cost == 0 {
 		return
 	}
-	call := quotaCall{Account: r.account, Cost: r.cost, Back: true, Over: r.over}
+	call := quotaRequest{Account: r.account, Cost: r.cost, Refund: true, Over: r.overQuota}
 	r.cost = 0
 	client := r.client
-	s.later("give back quota", keeperTries*keeperWithin, func(ctx context.Context) error {
-		s.takeQuota(ctx, client, call)
+	s.background("give back quota", maxOwnerTries*ownerTimeout, func(ctx context.Context) error {
+		s.callQuotaOwner(ctx, client, call)
 		return nil
 	})
 }
 
-// takeQuota makes the call at the entry that counts for the account; where none of
-// those can be reached it spends a part of this entry's share.
-func (s *Server) takeQuota(ctx context.Context, a *paths.Account, call quotaCall) (v quota.Decision, by string) {
-	own := func(first bool) quota.Decision { return s.count(time.Now(), a, call, first) }
-	if v, k, ok := askKeeper(ctx, s, quotaKey(a.Name), quotaPath, keeperTries, call, own); ok {
-		return v, k.name()
+// callQuotaOwner makes a call at the owner of the account's quota. If no owner can be
+// reached, it spends a part of this entry's own share.
+func (s *Server) callQuotaOwner(ctx context.Context, a *paths.Account, call quotaRequest) (decision quota.Decision, decidedBy string) {
+	local := func(first bool) quota.Decision { return s.applyQuota(time.Now(), a, call, first) }
+	if decision, k, ok := callOwner(ctx, s, quotaKey(a.Name), quotaPath, maxOwnerTries, call, local); ok {
+		return decision, k.name()
 	}
 	now := time.Now()
-	part := 1.0
+	share := 1.0
 	if n := s.members.count(now); n > 1 {
-		part = quotaAlone / float64(n)
+		share = isolatedQuotaPart / float64(n)
 	}
-	return apply(&s.quotas.alone, now, call, quota.Allowance{Quota: limitOf(a).Scale(part)}), "alone"
+	return applyQuotaRequest(&s.quotas.isolated, now, call, quota.Allowance{Quota: quotaLimit(a).Scale(share)}), "alone"
 }
 
-// quotaKey is by which the entry is found that counts for an account.
+// quotaKey is the key by which the owner of an account's quota is determined.
 func quotaKey(a domain.Account) string { return "quota/" + string(a) }
 
-// count answers for an account that this entry counts for. first says that no other
-// should: only that one grants what goes over the quota, which two would both do.
-func (s *Server) count(now time.Time, a *paths.Account, call quotaCall, first bool) quota.Decision {
-	terms := quota.Allowance{Quota: limitOf(a)}
+// applyQuota applies a call to an account whose quota this entry owns. first means that no
+// other entry precedes it: only the first owner grants requests over the quota, which two
+// owners would otherwise both do.
+func (s *Server) applyQuota(now time.Time, a *paths.Account, call quotaRequest, first bool) quota.Decision {
+	allowance := quota.Allowance{Quota: quotaLimit(a)}
 	if first {
-		terms.Excess = s.live.Load().Quotas.ExcessLimit(terms.Quota, quotaOver)
+		allowance.Excess = s.liveSettings.Load().Quotas.ExcessLimit(allowance.Quota, overQuotaPart)
 	} else {
-		terms.Quota.Burst = min(terms.Quota.Burst, terms.Quota.Rate*quotaStandby.Seconds())
+		allowance.Quota.Burst = min(allowance.Quota.Burst, allowance.Quota.Rate*standbyQuotaAccrual.Seconds())
 	}
-	return apply(&s.quotas.counter, now, call, terms)
+	return applyQuotaRequest(&s.quotas.shared, now, call, allowance)
 }
 
-func limitOf(a *paths.Account) quota.Limit {
+func quotaLimit(a *paths.Account) quota.Limit {
 	return quota.Limit{Rate: a.Quota.Rate, Burst: a.Quota.Burst}
 }
 
-func apply(c *quota.Counter, now time.Time, call quotaCall, terms quota.Allowance) quota.Decision {
-	if call.Back {
-		c.Refund(now, call.Account, terms, call.Cost, call.Over)
+func applyQuotaRequest(c *quota.Counter, now time.Time, call quotaRequest, allowance quota.Allowance) quota.Decision {
+	if call.Refund {
+		c.Refund(now, call.Account, allowance, call.Cost, call.Over)
 		return quota.Decision{Granted: true}
 	}
-	return c.Take(now, call.Account, terms, call.Cost)
+	return c.Take(now, call.Account, allowance, call.Cost)
 }
 
-// answerQuota answers the other entries.
-func (s *Server) answerQuota(call quotaCall) (v quota.Decision, ok bool) {
-	c := s.holder.Current()
+// handleQuota answers a quota call of another entry. It returns false if the configuration
+// is not known yet or the cost is invalid.
+func (s *Server) handleQuota(call quotaRequest) (v quota.Decision, ok bool) {
+	c := s.config.Current()
 	if c == nil || call.Cost < 0 {
 		return v, false
 	}
@@ -150,30 +153,30 @@
 	if a == nil || !a.Quota.Limited() {
 		return quota.Decision{Granted: true}, true
 	}
-	return s.count(time.Now(), a, call, s.first(quotaKey(a.Name))), true
+	return s.applyQuota(time.Now(), a, call, s.isFirstOwner(quotaKey(a.Name))), true
 }
 
-// wait gives how long the account is known to have nothing.
+// remainingWait is how long the account is known to be denied.
 //
-// Load pattern: an account sends many times its quota, and each refusal costs the
-// entry that counts as much as a grant. Told once, an entry refuses by itself what
-// can't be granted yet, whatever its size: asking again for smaller requests only gave
-// them all that came back.
-func (q *quotas) wait(now time.Time, a domain.Account) time.Duration {
+// An account may send many times its quota, and each denial costs the owner as much as a
+// grant. After one denial, an entry denies all requests of the account by itself until the
+// quota has accrued again, whatever their cost: calling again for cheaper requests would
+// only give them all of what accrues.
+func (q *quotas) remainingWait(now time.Time, a domain.Account) time.Duration {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return max(0, q.spent[a].Sub(now))
+	return max(0, q.exhaustedUntil[a].Sub(now))
 }
 
-// note remembers an account that has nothing.
-func (q *quotas) note(now time.Time, a domain.Account, v quota.Decision) {
+// recordDenial remembers until when an account is denied.
+func (q *quotas) recordDenial(now time.Time, a domain.Account, v quota.Decision) {
 	if v.Granted {
 		return
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if q.spent == nil {
-		q.spent = make(map[domain.Account]time.Time)
+	if q.exhaustedUntil == nil {
+		q.exhaustedUntil = make(map[domain.Account]time.Time)
 	}
-	q.spent[a] = now.Add(v.Wait)
+	q.exhaustedUntil[a] = now.Add(v.Wait)
 }
