--- a/direct/reach.go
+++ b/direct/reach.go
@@ -18,118 +18,120 @@
 )
 
 const (
-	// reachPath is where an entry is asked which others it reaches.
+	// reachPath is the peer endpoint that reports which other entries an entry reaches.
 	reachPath = "/v1/reach"
-	// reachMost is how many of the others are asked each time, drawn at random: enough
-	// to tell a side of a fleet that was cut in two.
-	reachMost = 16
-	// reachIndirect bounds a call that is made for another entry, within the time that
-	// entry waits.
-	reachIndirect = keeperWithin / 2
+	// maxReachSample is how many other entries are called each time, drawn at random:
+	// enough to tell which side of a partitioned fleet this entry is on.
+	maxReachSample = 16
+	// indirectProbeTimeout bounds a probe on behalf of another entry, within the time that
+	// the other one waits.
+	indirectProbeTimeout = ownerTimeout / 2
 )
 
-// reachCall asks which of some entries another one reaches.
-type reachCall struct {
+// reachRequest asks which of some entries the called one reaches.
+type reachRequest struct {
 	Entries []domain.Host `json:"entries,omitempty"`
 }
 
-type reachAnswer struct {
+type reachResponse struct {
 	Reached []domain.Host `json:"reached,omitempty"`
 }
 
-// lookAround looks for other entries while this one counts for all by some key.
-func (s *Server) lookAround(ctx context.Context) error {
-	woken := s.reach.Triggered()
+// watchPeers probes other entries while this one owns a rate limit.
+func (s *Server) watchPeers(ctx context.Context) error {
+	wake := s.ownerProber.Triggered()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-woken:
+		case <-wake:
 		}
 		for ctx.Err() == nil {
-			keys := s.reach.Keys(time.Now())
+			keys := s.ownerProber.Keys(time.Now())
 			if len(keys) == 0 {
 				break
 			}
-			s.lookOnce(ctx, keys)
+			s.probePeers(ctx, keys)
 			group.Sleep(ctx, pacer.ProbeInterval)
 		}
 	}
 }
 
-// lookOnce asks those that go before this entry, and then some of the others, which
-// also look for those that did not answer.
-func (s *Server) lookOnce(ctx context.Context, keys []string) {
+// probePeers calls the entries that precede this one as owners of the keys, and then a
+// sample of the others, which also probe those that did not answer.
+func (s *Server) probePeers(ctx context.Context, keys []string) {
 	now := time.Now()
-	before := s.allBefore(now, keys)
-	g := pacer.ProbeResult[domain.Host]{Predecessors: make(map[domain.Host]pacer.PeerState)}
-	var missing []domain.Host
-	for i, a := range askReach(ctx, before, reachCall{}) {
-		name := before[i].Name
-		g.Predecessors[name] = presence(a.err)
-		if g.Predecessors[name] == pacer.Unreachable {
-			missing = append(missing, name)
+	predecessors := s.allPrecedingOwners(now, keys)
+	result := pacer.ProbeResult[domain.Host]{Predecessors: make(map[domain.Host]pacer.PeerState)}
+	var unreachable []domain.Host
+	for i, a := range callReach(ctx, predecessors, reachRequest{}) {
+		name := predecessors[i].Name
+		result.Predecessors[name] = peerStateOf(a.err)
+		if result.Predecessors[name] == pacer.Unreachable {
+			unreachable = append(unreachable, name)
 		}
 	}
-	sample := drawn(s.peers.fleet.Others(s.peers.fleet.MemberCount()), reachMost)
-	for _, a := range askReach(ctx, sample, reachCall{Entries: missing}) {
-		switch presence(a.err) {
+	sample := randomSample(s.peers.fleet.Others(s.peers.fleet.MemberCount()), maxReachSample)
+	for _, a := range callReach(ctx, sample, reachRequest{Entries: unreachable}) {
+		switch peerStateOf(a.err) {
 		case pacer.Alive:
-			g.Answered++
+			result.Answered++
 		case pacer.Unreachable:
-			g.Unreachable++
+			result.Unreachable++
 		}
 		for _, name := range a.Reached {
-			g.Predecessors[name] = pacer.Alive
+			result.Predecessors[name] = pacer.Alive
 		}
 	}
-	if s.reach.SetResult(time.Now(), g) {
-		s.Log.Info("entries reached", "answered", g.Answered, "silent", g.Unreachable, "before", g.Predecessors, "took", time.Since(now))
+	if s.ownerProber.SetResult(time.Now(), result) {
+		s.Log.Info("entries reached", "answered", result.Answered, "silent", result.Unreachable, "before", result.Predecessors, "took", time.Since(now))
 	}
 }
 
-// presence sorts the end of a call at another entry. One that leaves, or whose host
-// refuses the connection since no process listens, gives out nothing; one that is cut
-// off is silent.
-func presence(err error) pacer.PeerState {
+// peerStateOf classifies the outcome of a call at another entry. An entry that drains, or
+// whose host refuses the connection because no process listens, grants nothing; one that is
+// cut off is unreachable and may still grant.
+func peerStateOf(err error) pacer.PeerState {
 	switch {
 	case err == nil:
 		return pacer.Alive
-	case errors.Is(err, errLeaving), errors.Is(err, syscall.ECONNREFUSED):
+	case errors.Is(err, errPeerUnavailable), errors.Is(err, syscall.ECONNREFUSED):
 		return pacer.Stopped
 	}
 	return pacer.Unreachable
 }
 
-// drawn gives at most so many of the entries, at random.
-func drawn(all []*relay.Peer, most int) []*relay.Peer {
+// randomSample returns at most so many of the peers, at random.
+func randomSample(all []*relay.Peer, limit int) []*relay.Peer {
 	some := slices.Clone(all)
 	rand.Shuffle(len(some), func(i, j int) { some[i], some[j] = some[j], some[i] })
-	return some[:min(len(some), most)]
+	return some[:min(len(some), limit)]
 }
 
-// standing is how sure this entry is to be the only one that counts by a key.
-func (s *Server) standing(now time.Time, key string) pacer.Reachability {
-	return s.reach.Reachability(now, names(s.before(now, key)))
+// reachability describes how certain this entry is to be the only one that enforces the
+// limit of a key for the fleet.
+func (s *Server) reachability(now time.Time, key string) pacer.Reachability {
+	return s.ownerProber.Reachability(now, peerNames(s.precedingOwners(now, key)))
 }
 
-// before gives the entries that count by a key before this one does.
-func (s *Server) before(now time.Time, key string) []*relay.Peer {
-	var before []*relay.Peer
+// precedingOwners returns the entries that precede this one as owners of a key.
+func (s *Server) precedingOwners(now time.Time, key string) []*relay.Peer {
+	var predecessors []*relay.Peer
 	for _, o := range s.peers.fleet.Owners(now, key, math.MaxInt) {
 		if o.Peer == nil {
 			break
 		}
-		before = append(before, o.Peer)
+		predecessors = append(predecessors, o.Peer)
 	}
-	return before
+	return predecessors
 }
 
-// allBefore gives the entries that count before this one does by any of the keys.
-func (s *Server) allBefore(now time.Time, keys []string) []*relay.Peer {
+// allPrecedingOwners returns the entries that precede this one as owners of any of the
+// keys.
+func (s *Server) allPrecedingOwners(now time.Time, keys []string) []*relay.Peer {
 	var all []*relay.Peer
 	for _, key := range keys {
-		for _, p := range s.before(now, key) {
+		for _, p := range s.precedingOwners(now, key) {
 			if !slices.Contains(all, p) {
 				all = append(all, p)
 			}
@@ -138,19 +140,19 @@
 	return all
 }
 
-// reached is what one entry answered.
-type reached struct {
-	reachAnswer
+// reachResult is the response of one entry, or the error of the call.
+type reachResult struct {
+	reachResponse
 	err error
 }
 
-// askReach asks the entries at once, and gives the answers in their order.
-func askReach(ctx context.Context, all []*relay.Peer, call reachCall) []reached {
+// callReach calls all given entries at once, and returns the results in their order.
+func callReach(ctx context.Context, all []*relay.Peer, call reachRequest) []reachResult {
 	var calls group.Group
-	answers := make([]reached, len(all))
+	answers := make([]reachResult, len(all))
 	for i, p := range all {
 		calls.Go(ctx, string(p.Name), func(ctx context.Context) error {
-			answers[i].err = callPeer(ctx, p, http.MethodPost, reachPath, keeperWithin, call, &answers[i].reachAnswer)
+			answers[i].err = callPeer(ctx, p, http.MethodPost, reachPath, ownerTimeout, call, &answers[i].reachResponse)
 			return nil
 		})
 	}
@@ -158,17 +160,17 @@
 	return answers
 }
 
-// answerReach tells another entry which of those that it misses answer here.
-func (s *Server) answerReach(c reachCall) (a reachAnswer, ok bool) {
+// handleReach probes the given entries for another one, and returns those that answer.
+func (s *Server) handleReach(c reachRequest) (a reachResponse, ok bool) {
 	var calls group.Group
 	var mu sync.Mutex
 	for _, p := range s.peers.fleet.Others(s.peers.fleet.MemberCount()) {
 		if !slices.Contains(c.Entries, p.Name) {
 			continue
 		}
-		calls.Go(s.workCtx, string(p.Name), func(ctx context.Context) error {
-			if err := callPeer(ctx, p, http.MethodGet, alivePath, reachIndirect, nil, nil); err != nil {
-				return nil // told by its absence
+		calls.Go(s.backgroundCtx, string(p.Name), func(ctx context.Context) error {
+			if err := callPeer(ctx, p, http.MethodGet, alivePath, indirectProbeTimeout, nil, nil); err != nil {
+				return nil // reported by its absence from the response
 			}
 			mu.Lock()
 			defer mu.Unlock()
@@ -180,8 +182,8 @@
 	return a, true
 }
 
-// names gives those of the entries.
-func names(all []*relay.Peer) (names []domain.Host) {
+// peerNames returns the names of the peers.
+func peerNames(all []*relay.Peer) (names []domain.Host) {
 	for _, p := range all {
 		names = append(names, p.Name)
 	}
--- a/direct/records.go
+++ b/direct/records.go
@@ -17,43 +17,45 @@
 )
 
 const (
-	// recordsPath is where a relay gives the records of all entries.
+	// recordsPath is the peer endpoint at which a relay returns the records of all entries.
 	recordsPath = "/v1/entries"
-	// recordsFresh is the age up to which a relay gives records that it has read before.
-	// It is well under memberFirst, after which entries that start together read those
-	// of all.
-	recordsFresh = time.Second
-	// recordsWithin bounds a call for them, with the relay's own reading of the store.
-	recordsWithin = 500 * time.Millisecond
-	// recordsMost bounds an answer, in bytes: some tens of thousands of records.
-	recordsMost = 4 << 20
-	// recordsAgain is the pause before relays are asked again whose processes are not up.
-	recordsAgain = 40 * time.Millisecond
+	// recordsMaxAge is the age up to which a relay returns records that it read before. It
+	// is well under memberFirstRead, after which entries that start together read the
+	// records of all.
+	recordsMaxAge = time.Second
+	// recordsTimeout bounds a call, including the relay's own read of the store.
+	recordsTimeout = 500 * time.Millisecond
+	// maxRecordsResponse bounds a response, in bytes: some tens of thousands of records.
+	maxRecordsResponse = 4 << 20
+	// recordsRetryDelay is the pause before relays whose processes are not up are called
+	// again.
+	recordsRetryDelay = 40 * time.Millisecond
 )
 
-// records are those of all entries as this one read them for others. The zero value is
-// ready to use; it must not be copied.
+// recordCache holds the records of all entries as this one last read them for others. The
+// zero value is ready to use; it must not be copied.
 //
-// Load pattern: each entry reads the records of all from time to time, and all do at once
-// when they start together. At the store, the bytes are the square of their number.
-type records struct {
-	mu   sync.Mutex // held while the store is read: others wait for the same reading
-	at   time.Time
-	body []byte
-	err  error
+// Each entry reads the records of all periodically, and all entries do at once when they
+// start together. Read from the store directly, the bytes would grow with the square of
+// their number.
+type recordCache struct {
+	mu     sync.Mutex // held while the store is read: other callers wait for the same read
+	readAt time.Time
+	body   []byte
+	err    error
 }
 
-// packed gives the records in the form in which they are sent, or why there are none, read
-// anew where that is older than recordsFresh.
-func (c *records) packed(ctx context.Context, from feed.Source[Member]) ([]byte, error) {
+// encoded returns the records as they are sent, or the error of reading them. It reads them
+// again if the last read is older than recordsMaxAge.
+func (c *recordCache) encoded(ctx context.Context, from feed.Source[Member]) ([]byte, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := lease.Boottime()
-	if !c.at.IsZero() && now.Sub(c.at) <= recordsFresh {
+	if !c.readAt.IsZero() && now.Sub(c.readAt) <= recordsMaxAge {
 		return c.body, c.err
 	}
 	all, err := feed.ListAll(ctx, from, true)
-	c.at, c.body, c.err = now, nil, err
+	c.readAt, c.body, c.err = now, nil, err
 	if err == nil {
 		c.body, c.err = relay.Encode(all)
 	}
@@ -66,10 +68,10 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	// Others wait for the same reading, so that it outlives this call.
-	ctx, cancel := context.WithTimeout(s.workCtx, recordsWithin)
+	// Other calls wait for the same read, so it must outlive this one.
+	ctx, cancel := context.WithTimeout(s.backgroundCtx, recordsTimeout)
 	defer cancel()
-	body, err := s.records.packed(ctx, s.Members)
+	body, err := s.recordCache.encoded(ctx, s.Members)
 	if err != nil {
 		s.Log.Debug("records of the entries not given", "err", err)
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -80,31 +82,31 @@
 	}
 }
 
-// readRecords reads the records of all entries, from a relay or, where none answers or
-// this entry is one, from the store.
+// readRecords reads the records of all entries from a relay. It reads them from the store
+// if no relay answers or this entry is a relay itself.
 func (s *Server) readRecords(ctx context.Context) ([]feed.Item[Member], error) {
-	began := time.Now()
+	started := time.Now()
 	for {
-		all, err := relay.Hedge(ctx, relay.HedgeDelay, s.peers.fleet.RelayPeers(lease.Boottime()), askRecords)
+		all, err := relay.Hedge(ctx, relay.HedgeDelay, s.peers.fleet.RelayPeers(lease.Boottime()), fetchRecords)
 		if err == nil {
 			return all, nil
 		}
-		if !errors.Is(err, syscall.ECONNREFUSED) || ctx.Err() != nil || time.Since(began) > recordsWithin {
+		if !errors.Is(err, syscall.ECONNREFUSED) || ctx.Err() != nil || time.Since(started) > recordsTimeout {
 			break
 		}
-		group.Sleep(ctx, recordsAgain)
+		group.Sleep(ctx, recordsRetryDelay)
 	}
 	return feed.ListAll(ctx, s.Members, true)
 }
 
-func askRecords(ctx context.Context, p *relay.Peer) ([]feed.Item[Member], error) {
-	ctx, cancel := context.WithTimeout(ctx, recordsWithin)
+func fetchRecords(ctx context.Context, p *relay.Peer) ([]feed.Item[Member], error) {
+	ctx, cancel := context.WithTimeout(ctx, recordsTimeout)
 	defer cancel()
-	reply, err := p.Do(ctx, send.Request{Method: http.MethodGet, Target: recordsPath, ReadTimeout: recordsWithin})
+	reply, err := p.Do(ctx, send.Request{Method: http.MethodGet, Target: recordsPath, ReadTimeout: recordsTimeout})
 	if err != nil {
 		return nil, err
 	}
-	body, err := reply.ReadAll(recordsMost)
+	body, err := reply.ReadAll(maxRecordsResponse)
 	switch {
 	case err != nil:
 		return nil, err
--- a/direct/relays.go
+++ b/direct/relays.go
@@ -13,16 +13,16 @@
 	"jacinthworks/feed"
 )
 
-// RelayRecord is the record of the entries that watch the platform's store for all.
+// RelayRecord lists the entries that watch the platform's store for all.
 //
-// Load pattern: all entries are killed at once and start again. To know which of them
-// relay, each would read the records of all. This one is a few hundred bytes, whatever
-// their number.
+// If all entries are killed at once and start again, each would have to read the records of
+// all to learn which of them relay. This record is a few hundred bytes, whatever their
+// number.
 type RelayRecord struct {
 	Entries []RelayEntry `json:"entries"`
 }
 
-// RelayEntry is one of them, and where it answers others.
+// RelayEntry is a relay and the address at which it serves other entries.
 type RelayEntry struct {
 	Name domain.Host    `json:"name"`
 	Peer netip.AddrPort `json:"peer"`
@@ -32,13 +32,13 @@
 	// RelayRecordName is the name of the record in its collection.
 	RelayRecordName = "main"
 	relaysRecord    = "relays/" + RelayRecordName
-	// seedWithin bounds the reading of the record at a start.
-	seedWithin = 150 * time.Millisecond
+	// relayRecordTimeout bounds the read of the record at the start.
+	relayRecordTimeout = 150 * time.Millisecond
 )
 
-// seed finds out who can be asked before the records of the entries are known, and says
-// whether there is anybody.
-func (s *Server) seed(ctx context.Context) bool {
+// seedRelays determines which entries can be asked before the records of the entries are
+// known, and reports whether there are any.
+func (s *Server) seedRelays(ctx context.Context) bool {
 	if !s.Settings.PeerListen.IsValid() {
 		return false
 	}
@@ -54,13 +54,13 @@
 	return len(recorded) > 0 || len(s.Settings.Seeds) > 0
 }
 
-// recordedRelays gives the entries that relayed last, nil where none did. Where the store
-// does not tell, there is nobody but the seeds.
+// recordedRelays returns the relays of the record, nil if there is none. If the record
+// can't be read, the list is empty and not nil, so that only the seeds are asked.
 func (s *Server) recordedRelays(ctx context.Context) []netip.AddrPort {
 	if s.Relays == nil {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, seedWithin)
+	ctx, cancel := context.WithTimeout(ctx, relayRecordTimeout)
 	defer cancel()
 	all, err := feed.ListAll(ctx, s.Relays, true)
 	if err != nil {
@@ -76,100 +76,101 @@
 	return recorded
 }
 
-// tellRelays writes the record of the relays where this entry is one of them, and the
-// record says otherwise.
-func (s *Server) tellRelays(ctx context.Context) error {
+// recordRelays writes the record of the relays if this entry is one of them and the record
+// says otherwise.
+func (s *Server) recordRelays(ctx context.Context) error {
 	chosen := s.peers.fleet.Relays()
 	if len(chosen) == 0 || s.Relays == nil {
 		return nil
 	}
-	var now RelayRecord
+	var current RelayRecord
 	for _, m := range chosen {
-		now.Entries = append(now.Entries, RelayEntry{Name: m.Name, Peer: m.Addr})
+		current.Entries = append(current.Entries, RelayEntry{Name: m.Name, Peer: m.Addr})
 	}
-	ctx, cancel := context.WithTimeout(ctx, storeWithin)
+	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	all, err := feed.ListAll(ctx, s.Relays, true)
 	if err != nil {
 		return err
 	}
-	if len(all) == 1 && all[0].DecodeErr == nil && slices.Equal(all[0].Value.Entries, now.Entries) {
+	if len(all) == 1 && all[0].DecodeErr == nil && slices.Equal(all[0].Value.Entries, current.Entries) {
 		return nil
 	}
-	value, err := json.Marshal(now)
+	value, err := json.Marshal(current)
 	if err != nil {
 		return errors.Wrap(err, "direct: record of the relays")
 	}
-	if err := s.overwrite(ctx, relaysRecord, value); err != nil {
+	if err := s.overwriteRecord(ctx, relaysRecord, value); err != nil {
 		return err
 	}
-	s.Log.Info("relays recorded", "entries", now.Entries)
+	s.Log.Info("relays recorded", "entries", current.Entries)
 	return nil
 }
 
 const (
-	// relaysWithin bounds the reading of the records at a start: two pages, which take some
-	// milliseconds. Without them the store is watched directly.
-	relaysWithin = 300 * time.Millisecond
-	// seedsWithin is the same where seeds are asked, which may be starting as well.
-	seedsWithin = time.Second
+	// memberReadTimeout bounds the read of the records at the start: two pages, which take
+	// some milliseconds. Without them the store is watched directly.
+	memberReadTimeout = 300 * time.Millisecond
+	// seedReadTimeout bounds the same read if seeds are asked, which may be starting as
+	// well.
+	seedReadTimeout = time.Second
 )
 
-// findRelays looks for the relays while seeds stand in for them.
-func (s *Server) findRelays(ctx context.Context) error {
-	if err := s.findRelaysOnce(ctx, seedsWithin); err != nil {
-		return s.findRelaysLater(ctx)
+// discoverRelays finds the relays while seeds are asked in their place.
+func (s *Server) discoverRelays(ctx context.Context) error {
+	if err := s.discoverRelaysOnce(ctx, seedReadTimeout); err != nil {
+		return s.discoverRelaysLater(ctx)
 	}
-	close(s.sought)
+	close(s.discovered)
 	return nil
 }
 
-// findRelaysOnce reads the records of the entries, by which the relays are known.
+// discoverRelaysOnce reads the records of the entries, which determine the relays.
 //
-// Load pattern: many entries are killed at once and start again. Until they know the
-// relays, each of them watches the store for itself. The number of entries is taken from
-// this reading only where it is high: others that start at the same time may not be among
-// them, and too few would share out too many repeats.
-func (s *Server) findRelaysOnce(ctx context.Context, within time.Duration) error {
+// If many entries are killed at once and start again, each of them watches the store itself
+// until it knows the relays. This read can only raise the number of entries: others that
+// start at the same time may have no record yet, and a number that is too low would allow
+// too many retries.
+func (s *Server) discoverRelaysOnce(ctx context.Context, within time.Duration) error {
 	if s.Members == nil || !s.Settings.PeerListen.IsValid() {
 		return nil
 	}
-	all, err := s.readRelays(ctx, within)
+	all, err := s.readMembersAtStart(ctx, within)
 	if err != nil {
 		s.Log.Info("records of the entries not read", "err", err)
 		return err
 	}
 	for _, i := range all {
-		if i.Name == string(s.Settings.Name) { // of an earlier start
-			s.found(time.Now(), i)
+		if i.Name == string(s.Settings.Name) { // written by an earlier start
+			s.adoptRecord(time.Now(), i)
 		}
 	}
-	s.askConfigs(ctx, all)
+	s.fetchConfigs(ctx, all)
 	return nil
 }
 
-func (s *Server) readRelays(ctx context.Context, within time.Duration) ([]feed.Item[Member], error) {
+func (s *Server) readMembersAtStart(ctx context.Context, within time.Duration) ([]feed.Item[Member], error) {
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
 	all, err := s.readRecords(ctx)
 	if err != nil {
 		return nil, err
 	}
-	s.members.found.Store(int64(len(all)))
+	s.members.foundAtStart.Store(int64(len(all)))
 	s.setPeers(all, false)
 	return all, nil
 }
 
-// findRelaysLater finds them as soon as the configuration is known.
+// discoverRelaysLater finds the relays once the configuration is known.
 //
-// Failure: all entries start while the store is away. When it is back they serve, but
-// know nobody for some seconds: each counts for itself, and refuses accounts that are
-// far below their quotas.
-func (s *Server) findRelaysLater(ctx context.Context) error {
-	close(s.sought)
+// If all entries start while the store is unreachable, they serve as soon as it is back,
+// but know of no other entry for some seconds. Each would enforce quotas by its own count,
+// and refuse accounts that are far below their quotas.
+func (s *Server) discoverRelaysLater(ctx context.Context) error {
+	close(s.discovered)
 	select {
 	case <-s.configured:
-		if _, err := s.readRelays(ctx, relaysWithin); err != nil {
+		if _, err := s.readMembersAtStart(ctx, memberReadTimeout); err != nil {
 			s.Log.Info("records of the entries not read", "err", err)
 		}
 	case <-ctx.Done():
--- a/direct/reload.go
+++ b/direct/reload.go
@@ -8,16 +8,16 @@
 	"jacinthworks/conf"
 )
 
-// reloadEvery is how often the settings are read without being asked to: they
-// may change without a signal, and reading them costs some 100 us.
-const reloadEvery = 5 * time.Second
+// reloadInterval is how often the settings are read without a signal: they may change
+// without one, and reading them takes some 100 us.
+const reloadInterval = 5 * time.Second
 
-// reload reads the settings again when it is asked to, and from time to time.
+// reload reads the settings again on each signal, and periodically.
 func (s *Server) reload(ctx context.Context) error {
 	if s.Reload == nil {
 		return nil
 	}
-	t := time.NewTicker(reloadEvery)
+	t := time.NewTicker(reloadInterval)
 	defer t.Stop()
 	for {
 		asked := false
@@ -32,8 +32,8 @@
 	}
 }
 
-// reloadOnce puts changed settings in force. Settings that do not hold change
-// nothing; addresses are taken at the start only.
+// reloadOnce puts changed settings in force. Invalid settings change nothing; addresses are
+// read only at the start.
 func (s *Server) reloadOnce(asked bool) {
 	d, err := s.Reload()
 	if err != nil {
@@ -41,16 +41,16 @@
 		return
 	}
 	d.Limits = d.Limits.OrDefaults()
-	old := s.live.Load()
+	old := s.liveSettings.Load()
 	changed := !reflect.DeepEqual(d, *old)
 	if !asked && !changed {
 		return
 	}
-	s.live.Store(&d)
+	s.liveSettings.Store(&d)
 	s.Log.Info("settings reloaded", "asked", asked, "changed", changed, "restart_needed", needsRestart(*old, d))
 }
 
-// needsRestart says whether settings changed that are read at the start only.
+// needsRestart reports whether settings changed that are read only at the start.
 func needsRestart(old, fresh conf.Direct) bool {
 	fresh.Repeats, fresh.Quotas, fresh.StopWithin, fresh.FirstStart = old.Repeats, old.Quotas, old.StopWithin, old.FirstStart
 	fresh.Seeds = old.Seeds // only asked at a start
--- a/direct/reload_test.go
+++ b/direct/reload_test.go
@@ -14,10 +14,10 @@
 	"jacinthworks/conf"
 )
 
-// Story: the settings file changes and the process gets SIGHUP. It went down by
-// the signal, and cut what ran. It must read the file, put it in force and go
-// on; a file that does not hold changes nothing.
-func TestSettingsAreReloaded(t *testing.T) {
+// Guards against a process that SIGHUP kills, with its requests, when the settings file has
+// changed. It must read the file, put it in force and go on; an invalid file changes
+// nothing.
+func TestReloadAppliesValidSettingsOnSIGHUP(t *testing.T) {
 	reloads := make(chan os.Signal, 1)
 	next := conf.Direct{Repeats: conf.Repeats{Ratio: 0.2, Fixed: 10}}
 	var failure error
@@ -37,16 +37,16 @@
 	next.Repeats.Fixed = 20
 	reloads <- syscall.SIGHUP
 	<-read
-	require.Eventually(t, func() bool { return s.live.Load().Repeats.Fixed == 20 }, 5*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return s.liveSettings.Load().Repeats.Fixed == 20 }, 5*time.Second, time.Millisecond)
 	next.Repeats.Fixed, failure = 30, errors.New("not TOML")
 	reloads <- syscall.SIGHUP
 	<-read
 	cancel()
 	require.NoError(t, <-ended)
-	require.EqualValues(t, 20, s.live.Load().Repeats.Fixed)
+	require.EqualValues(t, 20, s.liveSettings.Load().Repeats.Fixed)
 }
 
-func TestAnAddressNeedsARestart(t *testing.T) {
+func TestNeedsRestartIgnoresLiveSettings(t *testing.T) {
 	old := conf.Direct{Name: "a", StopWithin: time.Second}
 	fresh := old
 	fresh.StopWithin = 2 * time.Second
--- a/direct/request.go
+++ b/direct/request.go
@@ -19,24 +19,26 @@
 
 // request is one accepted request until its end.
 type request struct {
-	ask      RequestInfo
+	info     RequestInfo
 	id       domain.RequestID
 	accepted time.Time
-	// first is when the caller asked for the first time, as far as known.
-	first time.Time
-	// account is who asks: the caller's address, where nothing else names one.
+	// firstSent is when the caller first sent the request, as far as known.
+	firstSent time.Time
+	// account is the caller's account, or the caller's address if it has none.
 	account domain.Account
-	// until is when it must have its end: the caller's or the route's limit.
-	until   time.Time
-	version paths.Version
-	// client is the account whose key the caller showed; nil where callers need none.
+	// deadline is when the request must have ended, by the limit of the caller or of the
+	// route.
+	deadline time.Time
+	version  paths.Version
+	// client is the account of the caller's API key; nil if callers need none.
 	client *paths.Account
-	// cost is what was taken of its quota.
+	// cost is what was charged to the account's quota.
 	cost float64
-	// over says that it goes over its account's quota: it takes only what others leave.
-	over    bool
-	route   *paths.Route
-	service *paths.Service
+	// overQuota means that the request goes over its account's quota, and may use only
+	// capacity that no other request takes.
+	overQuota bool
+	route     *paths.Route
+	service   *paths.Service
 	// identity is the same for each send of the same work.
 	identity retry.Identity
 	random   *rand.Rand
@@ -48,73 +50,74 @@
 	body   []byte
 
 	w http.ResponseWriter
-	// begun says that the caller has been given part of an answer.
-	begun bool
-	// tries are its attempts, and what may follow each.
-	tries retry.Attempts
-	// asked counts the engines that were asked to hold room for it.
-	asked int
-	// prefills counts the calls that had its prompt read.
+	// responseBegun means that part of a response was written to the caller.
+	responseBegun bool
+	// attempts counts the attempts, and decides what may follow each.
+	attempts retry.Attempts
+	// enginesAsked counts the engines that were asked for memory.
+	enginesAsked int
+	// prefills counts the calls that prefill the request's prompt.
 	prefills int
-	// tried are upstreams that failed or refused it.
-	tried map[roster.InstanceKey]bool
+	// excluded are the upstreams that later attempts must not use: those that failed or
+	// refused the request, or were at their rate limit.
+	excluded map[roster.InstanceKey]bool
 	// limitWait is the time until the rate limit of an upstream may allow the request.
 	limitWait time.Duration
-	ended     bool
+	finished  bool
 }
 
-// defaultWithin bounds a request whose caller and route say nothing.
-const defaultWithin = 30 * time.Second
+// defaultTimeout bounds a request if neither caller nor route states a limit.
+const defaultTimeout = 30 * time.Second
 
-// failure is why a request has no answer, or not yet.
+// failure is why a request or an attempt has no response.
 type failure struct {
 	ran        domain.Execution
 	reason     domain.Reason
 	detail     string
 	retryAfter time.Duration
-	// unsent says that no byte of the attempt left this process.
+	// unsent means that no byte of the attempt left this process.
 	unsent bool
-	// final says that no other attempt would find more.
+	// final means that another attempt would not succeed either.
 	final bool
-	// granted says that another attempt was taken from the budget already.
-	granted bool
+	// retryGranted means that another attempt needs no charge to the retry budget.
+	retryGranted bool
 }
 
-// serve takes one request from its header to its end.
+// serve handles one request from its header to its end.
 func (s *Server) serve(w http.ResponseWriter, h *http.Request) {
-	r := &request{accepted: time.Now(), w: conns.NewDeadlineWriter(w, s.Settings.Limits.WriteTimeout), random: random()}
-	r.until = r.accepted.Add(defaultWithin)
-	if s.leaving.Load() {
+	r := &request{accepted: time.Now(), w: conns.NewDeadlineWriter(w, s.Settings.Limits.WriteTimeout), random: newRandom()}
+	r.deadline = r.accepted.Add(defaultTimeout)
+	if s.draining.Load() {
 		w.Header().Set("Connection", "close")
 	}
 	r.header = send.EndToEnd(h.Header)
-	r.ask = s.Protocol.ParseRequest(r.header)
+	r.info = s.Protocol.ParseRequest(r.header)
 	if from, err := netip.ParseAddrPort(h.RemoteAddr); err == nil {
 		r.account = domain.Account(from.Addr().String())
 	}
-	r.id, r.method, r.target, r.host = r.ask.ID, h.Method, h.RequestURI, h.Host
+	r.id, r.method, r.target, r.host = r.info.ID, h.Method, h.RequestURI, h.Host
 	if f := s.accept(r, h); f != nil {
 		s.refuse(r, f)
 		return
 	}
-	ctx, cancel := context.WithDeadline(h.Context(), r.until)
+	ctx, cancel := context.WithDeadline(h.Context(), r.deadline)
 	defer cancel()
 	var f *failure
 	if r.route.Kind == paths.Stream {
-		f = s.stream(ctx, r)
+		f = s.serveStream(ctx, r)
 	} else {
-		f = s.plain(ctx, r)
+		f = s.servePlain(ctx, r)
 	}
 	if f != nil {
 		s.refuse(r, f)
 	}
 }
 
-// accept matches a request to its route and reads its body.
+// accept matches a request to its route, reads its body, and charges its account's quota.
 func (s *Server) accept(r *request, h *http.Request) *failure {
-	c := s.holder.Current()
+	c := s.config.Current()
 	if c == nil {
-		return &failure{ran: domain.NotRun, reason: domain.ReasonStale, detail: "no configuration is known yet", retryAfter: s.unready.Delay(r.accepted)}
+		return &failure{ran: domain.NotRun, reason: domain.ReasonStale, detail: "no configuration is known yet", retryAfter: s.configRetryAfter.Delay(r.accepted)}
 	}
 	r.version = c.Version
 	if r.id == "" {
@@ -128,8 +131,8 @@
 	if f := s.identify(r, c); f != nil {
 		return f
 	}
-	r.tries = retry.Attempts{Repeatable: route.Retryable(), Limit: route.Attempts}
-	if f := r.read(h, c.Limits.MaxBody); f != nil {
+	r.attempts = retry.Attempts{Repeatable: route.Retryable(), Limit: route.Attempts}
+	if f := r.readBody(h, c.Limits.MaxBody); f != nil {
 		return f
 	}
 	name := route.Pick(r.random)
@@ -137,41 +140,42 @@
 	if r.service == nil {
 		return &failure{ran: domain.NotRun, reason: domain.ReasonNoUpstream, detail: "the route names a service that does not exist", retryAfter: time.Second}
 	}
-	r.first = r.accepted.Add(-s.ages.Estimate(route.Name, r.ask.Timeout))
+	r.firstSent = r.accepted.Add(-s.ages.Estimate(route.Name, r.info.Timeout))
 	r.identity = retry.Identify("", name, []byte(r.method), []byte(r.target), r.body)
-	r.limit()
+	r.setDeadline()
 	if s.crashes.Ledger.Suspicion(r.accepted, r.identity) == retry.Blocked {
 		return &failure{ran: domain.NotRun, reason: domain.ReasonCrashes, detail: "upstreams died running it"}
 	}
 	if f := s.charge(h.Context(), r); f != nil {
 		return f
 	}
-	s.budgets.window(name).Accepted(r.accepted, s.terms())
-	s.Log.Info("accepted", "request", r.id, "route", route.Name, "service", name, "version", c.Version, "prompt", r.ask.PromptTokens, "tokens", r.tokens(), "left", r.left())
+	s.retryBudgets.window(name).Accepted(r.accepted, s.retryTerms())
+	s.Log.Info("accepted", "request", r.id, "route", route.Name, "service", name, "version", c.Version, "prompt", r.info.PromptTokens, "tokens", r.expectedTokens(), "left", r.timeLeft())
 	return nil
 }
 
-// limit works out when the request must have its end.
-func (r *request) limit() {
-	if r.ask.Timeout > 0 {
-		r.until = r.accepted.Add(r.ask.Timeout)
+// setDeadline determines when the request must have ended.
+func (r *request) setDeadline() {
+	if r.info.Timeout > 0 {
+		r.deadline = r.accepted.Add(r.info.Timeout)
 	}
-	if t := r.route.Timeout; t > 0 && r.accepted.Add(t).Before(r.until) {
-		r.until = r.accepted.Add(t)
+	if t := r.route.Timeout; t > 0 && r.accepted.Add(t).Before(r.deadline) {
+		r.deadline = r.accepted.Add(t)
 	}
 }
 
-// read takes in the whole body: only what is held here can be sent again.
-func (r *request) read(h *http.Request, most int64) *failure {
-	if most <= 0 {
-		most = defaultMaxBody
+// readBody reads the whole body: only a request that is held in memory can be sent again.
+func (r *request) readBody(h *http.Request, limit int64) *failure {
+	if limit <= 0 {
+		limit = defaultMaxBody
 	}
-	// The server's own writer: it closes the connection of a body that is too large.
+	// http.MaxBytesReader needs the server's own writer, to close the connection of a body
+	// that is too large.
 	w := r.w
 	if bounded, ok := w.(*conns.DeadlineWriter); ok {
 		w = bounded.Unwrap()
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(w, h.Body, most))
+	body, err := io.ReadAll(http.MaxBytesReader(w, h.Body, limit))
 	var large *http.MaxBytesError
 	switch {
 	case errors.As(err, &large):
@@ -183,16 +187,16 @@
 	return nil
 }
 
-// defaultMaxBody bounds a body, in bytes, where the configuration does not.
+// defaultMaxBody bounds a body, in bytes, if the configuration does not.
 const defaultMaxBody = 4 << 20
 
-// left is the time to the request's end.
-func (r *request) left() time.Duration { return time.Until(r.until) }
+// timeLeft is the time to the request's deadline.
+func (r *request) timeLeft() time.Duration { return time.Until(r.deadline) }
 
-// avoid keeps the next attempt from an upstream.
-func (r *request) avoid(u *roster.Upstream) {
-	if r.tried == nil {
-		r.tried = make(map[roster.InstanceKey]bool)
+// exclude keeps later attempts away from an upstream.
+func (r *request) exclude(u *roster.Upstream) {
+	if r.excluded == nil {
+		r.excluded = make(map[roster.InstanceKey]bool)
 	}
-	r.tried[u.Server().Key()] = true
+	r.excluded[u.Server().Key()] = true
 }
--- a/direct/roles.go
+++ b/direct/roles.go
@@ -15,24 +15,25 @@
 )
 
 const (
-	// rolesLease is the record of the entry that gives orders to engines.
+	// rolesLease is the record of the lease that lets one entry change the roles of
+	// engines.
 	rolesLease = "leases/roles"
-	// planEvery is how often the holder looks at the engines: their accounts
-	// are up to a second old, and a change takes several.
-	planEvery = time.Second
-	// stateWithin bounds the call for an engine's state.
-	stateWithin = 500 * time.Millisecond
-	// orderWithin bounds the call that gives an order; the lease allows for
-	// longer (fence.OrderTimeout).
-	orderWithin = 2 * time.Second
-	// storeWithin bounds one call for the lease.
-	storeWithin = 2 * time.Second
+	// planInterval is how often the lease holder polls the engines: their reported states
+	// are up to a second old, and a role change takes several.
+	planInterval = time.Second
+	// stateTimeout bounds the call for an engine's state.
+	stateTimeout = 500 * time.Millisecond
+	// orderTimeout bounds the call that gives an order. The lease allows for longer
+	// (fence.OrderTimeout).
+	orderTimeout = 2 * time.Second
+	// storeTimeout bounds one call of the store.
+	storeTimeout = 2 * time.Second
 )
 
-// planRoles holds the lease, or waits for it, and while it holds it has
-// engines change their roles as the load asks. One entry does it for all, since
-// an engine that changes is away for seconds, and two that decide apart would
-// both send it, or one there and one back.
+// planRoles acquires the lease, and while it holds the lease it changes the roles of
+// engines as the load demands. Only one entry does so: an engine that changes its role
+// takes no requests for seconds, and two entries that decide independently would both
+// change it, or reverse each other's changes.
 func (s *Server) planRoles(ctx context.Context) error {
 	if s.Records == nil {
 		return nil
@@ -41,84 +42,84 @@
 		Records: s.Records, Name: rolesLease,
 		Guard: fence.Guard{Holder: s.Settings.Name, Incarnation: domain.NewIncarnation(), Fresh: s.Settings.FirstStart},
 	}
-	planners, last := make(map[domain.Service]*roles.Planner), make(map[domain.Service]accounts)
-	held := false
-	began, looked := time.Now(), time.Time{}
+	planners, last := make(map[domain.Service]*roles.Planner), make(map[domain.Service]lastStates)
+	holding := false
+	began, lastRead := time.Now(), time.Time{}
 	stepping := false // the lease has another step to take at once
 	for ctx.Err() == nil {
-		if s.leaving.Load() {
+		if s.draining.Load() {
 			s.releaseRoles(ctx, k)
 			return nil
 		}
-		if !held && !stepping {
-			if wait := s.standby(time.Now(), began, looked); wait > 0 {
-				s.pauseRoles(ctx, k, wait)
+		if !holding && !stepping {
+			if wait := s.standbyWait(time.Now(), began, lastRead); wait > 0 {
+				s.waitRoles(ctx, k, wait)
 				continue
 			}
-			if time.Since(looked) >= lookEvery {
-				looked = time.Now()
+			if time.Since(lastRead) >= leaseReadInterval {
+				lastRead = time.Now()
 				k.Invalidate()
 			}
 		}
-		try, cancel := context.WithTimeout(ctx, storeWithin)
-		wait := k.Step(try)
+		stepCtx, cancel := context.WithTimeout(ctx, storeTimeout)
+		wait := k.Step(stepCtx)
 		cancel()
 		stepping = wait <= 0
-		if k.Holds() != held {
-			held = !held
-			s.Log.Info("lease of roles", "held", held)
+		if k.Holds() != holding {
+			holding = !holding
+			s.Log.Info("lease of roles", "held", holding)
 			clear(planners)
 		}
-		if held {
+		if holding {
 			s.planOnce(ctx, k, planners, last)
-			wait = min(wait, nextPlan(time.Now(), planners))
+			wait = min(wait, planDelay(time.Now(), planners))
 		} else {
-			wait = min(wait, lookEvery)
+			wait = min(wait, leaseReadInterval)
 		}
-		s.pauseRoles(ctx, k, wait)
+		s.waitRoles(ctx, k, wait)
 	}
 	return nil
 }
 
-// pauseRoles waits for the next step, or for word that the lease is free or that
-// this process leaves.
-func (s *Server) pauseRoles(ctx context.Context, k *lease.Keeper, wait time.Duration) {
+// waitRoles waits for the next step, for the signal that the lease is free, or for the
+// start of the drain.
+func (s *Server) waitRoles(ctx context.Context, k *lease.Keeper, wait time.Duration) {
 	t := time.NewTimer(wait)
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
 	case <-t.C:
-	case <-s.rolesFree:
+	case <-s.rolesLeaseFreed:
 		k.Invalidate()
-	case <-s.leavingNow:
+	case <-s.drainStarted:
 	}
 }
 
-// releaseRoles gives the lease back at a planned stop, and tells the others.
+// releaseRoles releases the lease at a planned stop, and notifies the other entries.
 func (s *Server) releaseRoles(ctx context.Context, k *lease.Keeper) {
-	ctx, cancel := context.WithTimeout(ctx, storeWithin)
+	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	released := k.Release(ctx)
 	s.Log.Info("lease of roles", "held", false, "released", released)
 	if released {
-		s.notify(ctx, rolesNotice, Notice{By: s.Settings.Name, Orders: s.changing.tell(time.Now(), nil), Released: true})
+		s.writeNotice(ctx, rolesNotice, Notice{By: s.Settings.Name, Orders: s.recentChanges.add(time.Now(), nil), Released: true})
 	}
 }
 
-// released takes word that the lease of roles is free.
-func (s *Server) released(by domain.Host) {
+// onLeaseReleased notes that another entry has released the roles lease.
+func (s *Server) onLeaseReleased(by domain.Host) {
 	if by == s.Settings.Name {
 		return
 	}
 	select {
-	case s.rolesFree <- struct{}{}:
-	default: // is told already
+	case s.rolesLeaseFreed <- struct{}{}:
+	default: // already signalled
 	}
 }
 
-// planOnce looks at the engines of each service and gives the orders due.
-func (s *Server) planOnce(ctx context.Context, k *lease.Keeper, planners map[domain.Service]*roles.Planner, last map[domain.Service]accounts) {
-	c := s.holder.Current()
+// planOnce polls the engines of each service and gives the orders that are due.
+func (s *Server) planOnce(ctx context.Context, k *lease.Keeper, planners map[domain.Service]*roles.Planner, last map[domain.Service]lastStates) {
+	c := s.config.Current()
 	if c == nil {
 		return
 	}
@@ -128,64 +129,63 @@
 		if v.Engine == nil || v.Engine.SwitchTime <= 0 {
 			continue
 		}
-		pool := s.engines(v.Name)
+		pool := s.activeEngines(v.Name)
 		if last[v.Name] == nil {
-			last[v.Name] = make(accounts)
+			last[v.Name] = make(lastStates)
 		}
-		states := s.states(ctx, sample(pool, s.Settings.Name), last[v.Name])
-		mix := ratioOf(samples[v.Name])
-		seen := view(v, states, mix)
-		s.Log.Info("engines", "service", v.Name, "of", len(pool), "answered", len(states), "ratio", mix.ratio, "sure", mix.sure,
+		states := s.pollEngines(ctx, sample(pool, s.Settings.Name), last[v.Name])
+		mix := prefillRatioOf(samples[v.Name])
+		demand := demandView(v, states, mix)
+		s.Log.Info("engines", "service", v.Name, "of", len(pool), "answered", len(states), "ratio", mix.ratio, "sure", mix.sufficient,
 			"entries", entries, "requests", math.Round(samples[v.Name].Requests),
-			"prefill", seen.Demand[roles.Pool{Model: v.Name, Role: domain.RolePrefill}],
-			"decode", seen.Demand[roles.Pool{Model: v.Name, Role: domain.RoleDecode}])
+			"prefill", demand.Demand[roles.Pool{Model: v.Name, Role: domain.RolePrefill}],
+			"decode", demand.Demand[roles.Pool{Model: v.Name, Role: domain.RoleDecode}])
 		p := planners[v.Name]
 		if p == nil {
-			if idle(seen) {
+			if noDemand(demand) {
 				continue
 			}
 			p = &roles.Planner{Timing: roles.TimingFor(v.Engine.SwitchTime)}
 			planners[v.Name] = p
 		}
-		var taken []RoleChange
-		for _, o := range p.Plan(time.Now(), seen, k.Issue) {
-			one := RoleChange{Start: startOf(states, o.Host), Fence: o.Fence}
-			switch s.changeRole(ctx, k, states, o) {
+		var changes []RoleChange
+		for _, o := range p.Plan(time.Now(), demand, k.Issue) {
+			change := RoleChange{Start: startOf(states, o.Host), Fence: o.Fence}
+			switch s.sendRoleOrder(ctx, k, states, o) {
 			case OrderAccepted:
-				one.To = o.To.Role
-				taken = append(taken, one)
+				change.To = o.To.Role
+				changes = append(changes, change)
 			case orderUnknown:
-				taken = append(taken, one)
+				changes = append(changes, change)
 			}
 		}
-		if len(taken) > 0 {
-			s.tellChanges(ctx, taken)
+		if len(changes) > 0 {
+			s.announceChanges(ctx, changes)
 		}
 	}
 }
 
-// planLeast is the least time between two looks at the engines: their accounts are
-// no newer.
-const planLeast = 200 * time.Millisecond
+// minPlanInterval is the least time between two polls of the engines: their reported states
+// are no newer.
+const minPlanInterval = 200 * time.Millisecond
 
-// nextPlan gives the time to the next look at the engines.
-func nextPlan(now time.Time, planners map[domain.Service]*roles.Planner) time.Duration {
-	next := planEvery
+// planDelay returns the time to the next poll of the engines.
+func planDelay(now time.Time, planners map[domain.Service]*roles.Planner) time.Duration {
+	next := planInterval
 	for _, p := range planners {
 		if left, pending := p.NextBalance(now); pending {
-			next = min(next, max(left, planLeast))
+			next = min(next, max(left, minPlanInterval))
 		}
 	}
 	return next
 }
 
-// idle says whether nothing is asked of the engines.
+// noDemand reports whether there is no demand for engines.
 //
-// Load pattern: a deployment starts, and its first requests come seconds later. A
-// planner that has seen only idle engines believes their load when some more samples
-// have borne it out; one that begins with the load gives its first orders a second
-// earlier.
-func idle(v roles.View) bool {
+// In a new deployment the first requests come seconds after the start. A planner that has
+// seen only idle engines needs some more samples to confirm the load; a planner that begins
+// with the load gives its first orders a second earlier.
+func noDemand(v roles.View) bool {
 	for _, d := range v.Demand {
 		if d > 0 {
 			return false
@@ -194,7 +194,7 @@
 	return true
 }
 
-// startOf gives the start of an engine that was asked.
+// startOf returns the start of a polled engine.
 func startOf(states []engineState, h domain.Host) roster.Start {
 	for _, e := range states {
 		if domain.Host(e.server.ID) == h {
@@ -204,25 +204,25 @@
 	return roster.Start{}
 }
 
-// ask makes a call of this process's own to an upstream.
-func (s *Server) ask(ctx context.Context, u *roster.Upstream, r send.Request, within time.Duration) (body []byte, status int, err error) {
+// callUpstream makes a call of this process's own at an upstream.
+func (s *Server) callUpstream(ctx context.Context, u *roster.Upstream, r send.Request, within time.Duration) (body []byte, status int, err error) {
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
 	s.Protocol.SetAttemptHeader(r.Header, AttemptInfo{Upstream: u.Server().ID, Timeout: within})
-	if !s.admits("", u) {
-		return nil, 0, errBarred
+	if !s.acceptsNew("", u) {
+		return nil, 0, errNotAccepting
 	}
 	reply, _, err := s.exchange(ctx, "", u, r)
 	if err != nil {
 		return nil, 0, err
 	}
-	body, err = reply.ReadAll(shortAnswer)
+	body, err = reply.ReadAll(maxShortResponse)
 	return body, reply.Status, err
 }
 
-// changeRole gives one order. It names how many orders the engine had taken:
-// one that is carried out late, after another, is then not carried out at all.
-func (s *Server) changeRole(ctx context.Context, k *lease.Keeper, states []engineState, o roles.Order) OrderOutcome {
+// sendRoleOrder sends one order. The order states how many orders the engine had taken
+// before, so that an order which arrives after a later one is not carried out.
+func (s *Server) sendRoleOrder(ctx context.Context, k *lease.Keeper, states []engineState, o roles.Order) OrderOutcome {
 	for _, e := range states {
 		if domain.Host(e.server.ID) != o.Host {
 			continue
@@ -232,10 +232,10 @@
 			s.Log.Error("order not given", "upstream", o.Host, "err", err)
 			return OrderRefused
 		}
-		_, status, err := s.ask(ctx, e.upstream, r, orderWithin)
+		_, status, err := s.callUpstream(ctx, e.upstream, r, orderTimeout)
 		outcome := orderUnknown
 		switch {
-		case errors.Is(err, errBarred):
+		case errors.Is(err, errNotAccepting):
 			outcome = OrderRefused
 		case err == nil:
 			outcome = s.Protocol.ParseOrderOutcome(status)
@@ -248,5 +248,5 @@
 	return OrderRefused
 }
 
-// orderUnknown is the outcome of an order without an answer.
+// orderUnknown is the outcome of an order without a response.
 const orderUnknown OrderOutcome = "no_answer"
--- a/direct/room.go
+++ b/direct/room.go
@@ -12,74 +12,75 @@
 )
 
 const (
-	// lookAgain is how often a request whose turn it is looks for room that
-	// the requests of other processes gave back.
-	lookAgain = 40 * time.Millisecond
-	// holdWithin bounds the call that holds room; it takes a round trip.
-	holdWithin = 150 * time.Millisecond
-	// holdPart is the part of the likely answer that room is held for. The
-	// engine keeps what is held for the whole run, and most of an answer's
-	// memory is taken near its end.
-	holdPart = 1.0
-	// reserve is the part of an engine's memory that is left to requests which
-	// can still meet their target: two or three of them.
-	reserve = 0.20
-	// dropWithin bounds the call that frees held room, which ends by itself.
-	dropWithin = time.Second
-	// fullCost is how much longer a request takes at an engine that is full
-	// than at an empty one, of what counts here: its first event.
-	fullCost = 200 * time.Millisecond
+	// reserveRetryInterval is how often the request at the head of the queue looks for
+	// memory that requests of other entries have freed.
+	reserveRetryInterval = 40 * time.Millisecond
+	// reserveTimeout bounds the call that reserves memory, which takes a round trip.
+	reserveTimeout = 150 * time.Millisecond
+	// reservedOutputPart is the part of the expected answer that memory is reserved for.
+	// The engine keeps the reservation for the whole run, and most of an answer's memory is
+	// used near its end.
+	reservedOutputPart = 1.0
+	// lateReservePart is the part of an engine's memory that late requests leave free for
+	// requests which can still meet their target: enough for two or three.
+	lateReservePart = 0.20
+	// releaseTimeout bounds the call that frees a reservation, which expires anyway.
+	releaseTimeout = time.Second
+	// fullEngineCost is how much longer a request takes to its first event at a full engine
+	// than at an idle one.
+	fullEngineCost = 200 * time.Millisecond
 )
 
-// room is a place for a request at the engine that makes the answer.
-type room struct {
-	upstream *roster.Upstream
-	hold     Reservation
-	work     roster.Cost
-	since    time.Time
-	// permit allows the request by the upstream's rate limit.
+// allocation is an engine that was chosen to generate a request's answer, and the memory
+// that is reserved there. The reservation is empty if the service's engines do not take
+// reservations.
+type allocation struct {
+	upstream    *roster.Upstream
+	reservation Reservation
+	cost        roster.Cost
+	allocatedAt time.Time
+	// permit is the request's permit by the upstream's rate limit.
 	permit permit
 }
 
-// room finds a place for a request at an engine of the role, before anything is
-// spent on it.
+// allocate finds an engine of the role with memory for the request, and reserves the
+// memory, before any work is spent on the request.
 //
-// Failure: prompts are read for answers that no engine has memory for. It shows
-// under bursts, as prompts read in vain and requests that are refused after
-// they waited for the reading. Holding the place first holds because the engine
-// itself counts what it has promised, to all callers together.
-func (s *Server) room(ctx context.Context, r *request, role domain.Role) (*room, *failure) {
-	l := s.lines.For(r.service.Name)
-	i, until, late := item(l, r)
-	late = late || r.over && !r.begun
-	if found, any := s.look(ctx, r, role, late); found != nil {
+// Without it, in a burst, prompts would be prefilled for answers that no engine has memory
+// for, and the requests refused after the wait. The reservation is reliable because the
+// engine itself counts what it has promised to all entries together.
+func (s *Server) allocate(ctx context.Context, r *request, role domain.Role) (*allocation, *failure) {
+	l := s.queues.For(r.service.Name)
+	i, until, late := queueItem(l, r)
+	late = late || r.overQuota && !r.responseBegun
+	if found, any := s.tryEngines(ctx, r, role, late); found != nil {
 		return found, nil
 	} else if !any {
-		return nil, s.unplaced(r, role)
+		return nil, s.noUpstreamFailure(r, role)
 	}
-	if r.over && !r.begun {
-		return nil, s.overQuota(r)
+	if r.overQuota && !r.responseBegun {
+		return nil, s.refuseOverQuota(r)
 	}
 	if late {
-		return nil, s.unroomed(ctx, r, &queue.Refusal{Reason: domain.ReasonTooLate, Detail: queue.DetailExpired})
+		return nil, s.queueFailure(ctx, r, &queue.Refusal{Reason: domain.ReasonTooLate, Detail: queue.DetailExpired})
 	}
 	if refusal := l.Acquire(ctx, i, until); refusal != nil {
-		return nil, s.unroomed(ctx, r, refusal)
+		return nil, s.queueFailure(ctx, r, refusal)
 	}
 	defer l.Release()
 	for {
-		found, any := s.look(ctx, r, role, late)
+		found, any := s.tryEngines(ctx, r, role, late)
 		switch {
 		case found != nil:
 			return found, nil
 		case ctx.Err() != nil:
-			return nil, s.unroomed(ctx, r, &queue.Refusal{Reason: domain.ReasonOf(ctx)})
+			return nil, s.queueFailure(ctx, r, &queue.Refusal{Reason: domain.ReasonOf(ctx)})
 		case !any:
-			return nil, s.unplaced(r, role)
+			return nil, s.noUpstreamFailure(r, role)
 		case !time.Now().Before(until):
-			return nil, s.unroomed(ctx, r, l.Expire(i))
+			return nil, s.queueFailure(ctx, r, l.Expire(i))
 		}
-		t := time.NewTimer(lookAgain)
+		t := time.NewTimer(reserveRetryInterval)
 		select {
 		case <-l.Freed():
 		case <-t.C:
@@ -89,174 +90,179 @@
 	}
 }
 
-// stillThere gives the room, or another where its engine takes nothing new any more.
+// revalidate returns the allocation, or another one if its engine accepts no new requests
+// any more.
 //
-// Failure: an engine leaves, or asks for a pause, while a prompt is read for it,
-// which can take seconds where prefill engines are lost. It shows as a request
-// that reaches a server which takes nothing new any more. Looking again just
-// before the send leaves the time of one message.
-func (s *Server) stillThere(ctx context.Context, r *request, role domain.Role, p *room) (*room, *failure) {
+// An engine may start to leave or request a backoff while the prompt is being prefilled,
+// which can take seconds when prefill engines crash. With this check just before the send,
+// a request reaches such an engine only if the state changes within the time of one
+// message.
+func (s *Server) revalidate(ctx context.Context, r *request, role domain.Role, p *allocation) (*allocation, *failure) {
 	if p.upstream.Eligibility(time.Now()).Eligible() {
 		return p, nil
 	}
 	s.Log.Info("engine takes nothing new, other room is sought", "request", r.id, "upstream", p.upstream.Server().ID)
 	s.release(r, p)
-	return s.room(ctx, r, role)
+	return s.allocate(ctx, r, role)
 }
 
-// unroomed turns a refusal of the queue into the request's.
-func (s *Server) unroomed(ctx context.Context, r *request, q *queue.Refusal) *failure {
+// queueFailure turns a refusal of the queue into the failure of the request.
+func (s *Server) queueFailure(ctx context.Context, r *request, q *queue.Refusal) *failure {
 	f := &failure{ran: domain.NotRun, reason: q.Reason, detail: string(q.Detail), final: true}
-	f.retryAfter = max(q.RetryAfter, s.lines.For(r.service.Name).RetryAfter.Delay(time.Now()))
+	f.retryAfter = max(q.RetryAfter, s.queues.For(r.service.Name).RetryAfter.Delay(time.Now()))
 	if ctx.Err() != nil {
 		f.reason = domain.ReasonOf(ctx)
 	}
 	s.Log.Info("no room", "request", r.id, "service", r.service.Name, "reason", f.reason, "detail", f.detail,
-		"asked", r.asked, "retry_after", f.retryAfter, "waited", time.Since(r.accepted), "wait_expected", q.Inputs.Wait, "waiting", q.Inputs.Items)
+		"asked", r.enginesAsked, "retry_after", f.retryAfter, "waited", time.Since(r.accepted), "wait_expected", q.Inputs.Wait, "waiting", q.Inputs.Items)
 	return f
 }
 
-// look asks the engines that may have room, the best first. any says that
-// there is an engine at all.
-func (s *Server) look(ctx context.Context, r *request, role domain.Role, late bool) (found *room, any bool) {
+// tryEngines asks the engines that may have memory for the request, the best first. any
+// reports whether there is an engine at all.
+func (s *Server) tryEngines(ctx context.Context, r *request, role domain.Role, late bool) (found *allocation, any bool) {
 	load := route.Request{
-		SkipRecentlyFull: true, Units: 1, Tokens: r.tokens(), Typical: route.RequestSize{Tokens: r.tokens()},
-		MemoryPressureCost: fullCost, FailureCost: r.failCost(), CrossZoneCost: farStage,
+		SkipRecentlyFull: true, Units: 1, Tokens: r.expectedTokens(), Typical: route.RequestSize{Tokens: r.expectedTokens()},
+		MemoryPressureCost: fullEngineCost, FailureCost: r.failCost(), CrossZoneCost: crossZoneStageCost,
 	}
 	for n := 0; n < route.MaxEnginesPerSearch && ctx.Err() == nil; n++ {
 		p := s.place(r, role, s.Settings.Zone, load)
 		if p.upstream == nil {
-			return nil, p.of > 0
+			return nil, p.candidates > 0
 		}
-		r.asked++
-		if found := s.take(ctx, r, p.upstream, late); found != nil {
-			more := append(found.permit.log(), "held", found.hold != "", "asked", r.asked, "late", late, "waited", time.Since(r.accepted))
-			s.logPlaced(r, role, p, more...)
+		r.enginesAsked++
+		if found := s.allocateAt(ctx, r, p.upstream, late); found != nil {
+			fields := append(found.permit.logFields(), "held", found.reservation != "", "asked", r.enginesAsked, "late", late, "waited", time.Since(r.accepted))
+			s.logPlacement(r, role, p, fields...)
 			return found, true
 		}
 	}
 	return nil, true
 }
 
-// take holds room at the engine, where engines do; else it counts on it. For a
-// request that is late already it first asks for more than it needs.
+// allocateAt allocates memory at the engine: by a call if engines take reservations,
+// otherwise only in the load that this process tracks. A late request must first get more
+// memory than it needs.
 //
-// Load pattern: a burst with returns from an earlier one. What is late takes
-// each place that comes free while no fresh request happens to wait here, and
-// the fresh ones of all entries find none. Asking for more leaves the last
-// places of each engine to them.
-func (s *Server) take(ctx context.Context, r *request, u *roster.Upstream, late bool) *room {
-	allowed, _, ok := s.permit(ctx, r, u, 0)
+// In a burst with retries from an earlier one, late requests would take all memory that is
+// freed while no new request happens to wait in this process, and the new requests of all
+// entries would find none. Reserving more leaves the last memory of each engine to the new
+// requests.
+func (s *Server) allocateAt(ctx context.Context, r *request, u *roster.Upstream, late bool) *allocation {
+	granted, _, ok := s.acquirePermit(ctx, r, u, 0)
 	if !ok {
 		return nil
 	}
-	p := &room{upstream: u, work: roster.Cost{MemoryTokens: r.tokens()}, since: time.Now(), permit: allowed}
-	if r.engine().HoldLife > 0 && !s.takeHold(ctx, r, p, late) {
-		s.unpermit(allowed)
+	p := &allocation{upstream: u, cost: roster.Cost{MemoryTokens: r.expectedTokens()}, allocatedAt: time.Now(), permit: granted}
+	if r.engine().HoldLife > 0 && !s.reserveMemory(ctx, r, p, late) {
+		s.releasePermit(granted)
 		return nil
 	}
-	u.Stats.RequestStarted(p.work)
+	u.Stats.RequestStarted(p.cost)
 	return p
 }
 
-// takeHold has the engine hold the room, and says whether it does.
-func (s *Server) takeHold(ctx context.Context, r *request, p *room, late bool) bool {
+// reserveMemory reserves the request's memory at the engine, and reports whether the engine
+// granted it.
+func (s *Server) reserveMemory(ctx context.Context, r *request, p *allocation, late bool) bool {
 	u := p.upstream
-	need := r.ask.PromptTokens + max(int(holdPart*float64(r.tokens()-r.ask.PromptTokens)), leastOutput)
-	more := 0
-	if !r.begun {
-		more = s.lines.For(r.service.Name).Headroom(time.Now(), need)
+	tokens := r.info.PromptTokens + max(int(reservedOutputPart*float64(r.expectedTokens()-r.info.PromptTokens)), minOutputTokens)
+	margin := 0
+	if !r.responseBegun {
+		margin = s.queues.For(r.service.Name).Headroom(time.Now(), tokens)
 	}
 	if late {
-		more = max(more, int(reserve*float64(r.engine().KVTokens)))
+		margin = max(margin, int(lateReservePart*float64(r.engine().KVTokens)))
 	}
-	if more > 0 {
-		spare := s.held(ctx, r, u, need+more)
-		if spare == "" {
+	if margin > 0 {
+		larger := s.requestReservation(ctx, r, u, tokens+margin)
+		if larger == "" {
 			return false
 		}
-		// Both together would need the room twice.
-		s.dropNow(ctx, r, u, spare)
+		// The larger reservation must be freed first: together they would need the memory
+		// twice.
+		s.releaseReservationNow(ctx, r, u, larger)
 	}
-	p.hold = s.held(ctx, r, u, need)
-	return p.hold != ""
+	p.reservation = s.requestReservation(ctx, r, u, tokens)
+	return p.reservation != ""
 }
 
-// held asks an engine to hold room; "" says that there is none, or no answer.
-func (s *Server) held(ctx context.Context, r *request, u *roster.Upstream, tokens int) Reservation {
-	began := time.Now()
-	h, err := s.askHold(ctx, u, tokens, r.engine().HoldLife)
+// requestReservation asks an engine for a reservation. It returns an empty one if the
+// engine has no memory or does not answer.
+func (s *Server) requestReservation(ctx context.Context, r *request, u *roster.Upstream, tokens int) Reservation {
+	started := time.Now()
+	reservation, err := s.callReserve(ctx, u, tokens, r.engine().HoldLife)
 	switch {
-	case errors.Is(err, errBarred):
+	case errors.Is(err, errNotAccepting):
 		return ""
 	case err != nil:
 		u.Stats.RecordFailure(time.Now())
-		r.avoid(u)
-		s.Log.Info("hold failed", "request", r.id, "upstream", u.Server().ID, "err", err, "took", time.Since(began))
+		r.exclude(u)
+		s.Log.Info("hold failed", "request", r.id, "upstream", u.Server().ID, "err", err, "took", time.Since(started))
 		return ""
-	case h == "":
-		u.Stats.HoldOff(time.Now().Add(s.fullFor()))
-		s.lines.For(r.service.Name).RecordFull(time.Now())
-		s.Log.Debug("no room held", "request", r.id, "upstream", u.Server().ID, "took", time.Since(began))
+	case reservation == "":
+		u.Stats.HoldOff(time.Now().Add(s.fullBackoff()))
+		s.queues.For(r.service.Name).RecordFull(time.Now())
+		s.Log.Debug("no room held", "request", r.id, "upstream", u.Server().ID, "took", time.Since(started))
 	}
-	return h
+	return reservation
 }
 
-// fullFor is how long work is kept away from an engine that has just said that it
-// has no room.
-func (s *Server) fullFor() time.Duration {
-	return route.CapacityBackoff{Processes: s.searching(time.Now())}.Interval()
+// fullBackoff is how long requests are kept away from an engine that has just reported no
+// memory.
+func (s *Server) fullBackoff() time.Duration {
+	return route.CapacityBackoff{Processes: s.competingEntries(time.Now())}.Interval()
 }
 
-// searching counts the entries that look for room.
+// competingEntries counts the entries that look for memory at the same engines.
 //
-// Failure: until the records were read, more entries are assumed than most deployments
-// have, which keeps the sum of all shares small. Taken for those that ask engines, they
-// made an entry that is alone leave a full engine for longer than its requests may wait.
-// It shows as requests that are refused although a place came free.
-func (s *Server) searching(now time.Time) int {
-	if s.members.known.Load() {
+// Until the records are read, the number of entries is assumed high, to keep the sum of all
+// shares small. Used here, that assumption made an entry that was alone leave a full engine
+// for longer than its requests may wait, so that requests were refused although memory had
+// become free.
+func (s *Server) competingEntries(now time.Time) int {
+	if s.members.loaded.Load() {
 		return s.members.count(now)
 	}
 	return s.peers.fleet.MemberCount()
 }
 
-func (s *Server) askHold(ctx context.Context, u *roster.Upstream, tokens int, life time.Duration) (Reservation, error) {
-	ask, err := s.Protocol.ReserveRequest(tokens, life)
+func (s *Server) callReserve(ctx context.Context, u *roster.Upstream, tokens int, life time.Duration) (Reservation, error) {
+	request, err := s.Protocol.ReserveRequest(tokens, life)
 	if err != nil {
 		return "", err
 	}
-	body, status, err := s.ask(ctx, u, ask, holdWithin)
+	body, status, err := s.callUpstream(ctx, u, request, reserveTimeout)
 	if err != nil {
 		return "", err
 	}
 	return s.Protocol.ParseReservation(status, body)
 }
 
-// release gives up room that was not used.
-func (s *Server) release(r *request, p *room) {
-	p.upstream.Stats.RequestEnded(p.work)
-	s.unpermit(p.permit)
-	s.lines.For(r.service.Name).SignalFree()
-	if p.hold != "" {
-		s.drop(r, p.upstream, p.hold)
+// release gives up an unused allocation.
+func (s *Server) release(r *request, p *allocation) {
+	p.upstream.Stats.RequestEnded(p.cost)
+	s.releasePermit(p.permit)
+	s.queues.For(r.service.Name).SignalFree()
+	if p.reservation != "" {
+		s.releaseReservation(r, p.upstream, p.reservation)
 	}
 }
 
-// drop frees held room, past the end of the request.
-func (s *Server) drop(r *request, u *roster.Upstream, h Reservation) {
-	s.later("drop hold", dropWithin, func(ctx context.Context) error {
-		s.dropNow(ctx, r, u, h)
+// releaseReservation frees a reservation in the background.
+func (s *Server) releaseReservation(r *request, u *roster.Upstream, h Reservation) {
+	s.background("drop hold", releaseTimeout, func(ctx context.Context) error {
+		s.releaseReservationNow(ctx, r, u, h)
 		return nil
 	})
 }
 
-// dropNow frees held room and waits for the answer.
-func (s *Server) dropNow(ctx context.Context, r *request, u *roster.Upstream, h Reservation) {
+// releaseReservationNow frees a reservation and waits for the response.
+func (s *Server) releaseReservationNow(ctx context.Context, r *request, u *roster.Upstream, h Reservation) {
 	reply, _, err := s.exchange(ctx, r.id, u, s.Protocol.ReleaseRequest(h))
 	if err != nil {
 		s.Log.Info("hold not dropped", "request", r.id, "err", err)
 		return
 	}
-	s.readShort(reply)
+	s.readShortResponse(reply)
 }
--- a/direct/spare.go
+++ b/direct/spare.go
@@ -7,18 +7,17 @@
 	"jacinthworks/send"
 )
 
-// sparePart is the part of the connections that an upstream takes which all
-// entries together may keep without a request. The rest is for requests: those
-// that may not be repeated have new connections, and an upstream that is busy
-// may take fewer than it states.
-const sparePart = 0.25
+// idleConnectionPart is the part of the connections that an upstream accepts which all
+// entries together may keep idle. The rest is for requests: requests that may not be
+// retried use new connections, and a busy upstream may accept fewer than it states.
+const idleConnectionPart = 0.25
 
-// client gives the client of an upstream, which keeps no more connections than
-// this entry's share.
-func (s *Server) client(u *roster.Upstream) *send.Client {
-	if c := s.holder.Current(); c != nil {
+// clientOf returns the client of an upstream, after limiting its idle connections to this
+// entry's share.
+func (s *Server) clientOf(u *roster.Upstream) *send.Client {
+	if c := s.config.Current(); c != nil {
 		if v := c.Service(u.Server().Service); v != nil && v.MaxConnections > 0 {
-			share := sparePart * float64(v.MaxConnections) / float64(s.members.count(time.Now()))
+			share := idleConnectionPart * float64(v.MaxConnections) / float64(s.members.count(time.Now()))
 			u.Client.SetMaxIdleConns(max(1, int(share)))
 		}
 	}
--- a/direct/standby.go
+++ b/direct/standby.go
@@ -3,45 +3,49 @@
 import "time"
 
 const (
-	// rolesHosts is how many entries look for the lease whenever it may have ended:
-	// the largest hosts, since the holder asks all engines and entries each second.
+	// rolesCandidates is how many entries read the lease whenever it may have expired:
+	// those on the largest hosts, since the holder polls all engines and entries each
+	// second.
 	//
-	// Load pattern: one entry renews the lease, and each of the others reads it every
-	// eight seconds: 400 calls of 68 entries within a minute.
-	rolesHosts = 4
-	// lookEvery is how often each of them reads the lease. Its end is counted from
-	// the first reading of the last renewal: read only when it may have ended, a
-	// lost holder's shows after up to twice its time, in which no order is given.
-	lookEvery = 2 * time.Second
-	// standbyEvery is how often the next largest host looks, for the case that those few
-	// are lost. Others look the more rarely the smaller they are, so that the looks of
-	// all together grow with the logarithm of their number.
-	standbyEvery = 32 * time.Second
-	// placeWithin is how long after its start an entry waits to know its place.
-	placeWithin = memberFirst + time.Second
+	// When each entry but the holder read the lease every eight seconds, 68 entries made
+	// 400 calls within a minute.
+	rolesCandidates = 4
+	// leaseReadInterval is how often each candidate reads the lease. The expiry is counted
+	// from the first read that saw the last renewal. If the lease were read only when it
+	// may have expired, the loss of the holder would show after up to twice the lease time,
+	// in which no order is given.
+	leaseReadInterval = 2 * time.Second
+	// standbyReadInterval is how often the next largest host reads the lease, in case all
+	// candidates have stopped. Smaller hosts read it more rarely, so that the reads of all
+	// entries together grow with the logarithm of their number.
+	standbyReadInterval = 32 * time.Second
+	// rankTimeout is how long after its start an entry waits to learn its rank by host
+	// size.
+	rankTimeout = memberFirstRead + time.Second
 )
 
-// standby gives how long this entry leaves the lease to others, which began at one
-// time and last looked at another.
-func (s *Server) standby(now, began, looked time.Time) time.Duration {
+// standbyWait is how long this entry leaves the lease to others. began is the time of its
+// start, and lastRead that of its last read of the lease, zero for none.
+func (s *Server) standbyWait(now, began, lastRead time.Time) time.Duration {
 	if !s.Settings.PeerListen.IsValid() {
 		return 0
 	}
-	place, known := s.peers.fleet.Rank()
+	rank, known := s.peers.fleet.Rank()
 	switch {
-	case known && place < rolesHosts:
+	case known && rank < rolesCandidates:
 		return 0
 	case known:
-		if looked.IsZero() {
-			looked = began
+		if lastRead.IsZero() {
+			lastRead = began
 		}
-		return min(looked.Add(standbyPeriod(place)).Sub(now), planEvery)
+		return min(lastRead.Add(standbyInterval(rank)).Sub(now), planInterval)
 	default:
-		return min(began.Add(placeWithin).Sub(now), planEvery)
+		return min(began.Add(rankTimeout).Sub(now), planInterval)
 	}
 }
 
-// standbyPeriod is how often the entry at a place among all looks, the largest host first.
-func standbyPeriod(place int) time.Duration {
-	return standbyEvery * time.Duration(place) / rolesHosts
+// standbyInterval is how often the entry of a rank reads the lease; rank 0 is the largest
+// host.
+func standbyInterval(rank int) time.Duration {
+	return standbyReadInterval * time.Duration(rank) / rolesCandidates
 }
--- a/direct/stated.go
+++ b/direct/stated.go
@@ -8,9 +8,9 @@
 	"jacinthworks/roster"
 )
 
-// heardStated notes what an answer says of the upstream's leaving, and of a pause that it
-// asks for. An answer of another start than was asked says nothing of this one.
-func (s *Server) heardStated(id domain.RequestID, u *roster.Upstream, n ResponseInfo) {
+// recordAnnouncement records that a response announces that the upstream is leaving, or
+// requests a backoff. A response of another start than the called one is ignored.
+func (s *Server) recordAnnouncement(id domain.RequestID, u *roster.Upstream, n ResponseInfo) {
 	m := u.Server()
 	if n.Misdirected || n.Instance != "" && n.Instance != m.ID {
 		return
@@ -27,14 +27,15 @@
 		s.Meter.Inc("jacinthworks_upstream_stated_total", meter.Labels{"service", string(m.Service), "what", "backoff"})
 	}
 	for _, name := range n.MalformedFields {
-		s.noteUnread(id, m.ID, name)
+		s.logMalformedField(id, m.ID, name)
 	}
 }
 
-// noteUnread logs a field of an answer that could not be read, once for each name.
-func (s *Server) noteUnread(id domain.RequestID, upstream roster.ID, name string) {
+// logMalformedField counts a response header field whose value could not be parsed, and
+// logs it once for each name.
+func (s *Server) logMalformedField(id domain.RequestID, upstream roster.ID, name string) {
 	s.Meter.Inc("jacinthworks_fields_unread_total", meter.Labels{"field", name})
-	if s.unread.Add(name) {
+	if s.malformedFields.Add(name) {
 		s.Log.Warn("field of an answer not read", "request", id, "upstream", upstream, "field", name)
 	}
 }
--- a/direct/stream.go
+++ b/direct/stream.go
@@ -14,27 +14,27 @@
 )
 
 const (
-	// headerPart is the part of the target after which a stream that may go
-	// on elsewhere gives up an upstream that has not begun to answer.
+	// headerPart is the part of the target after which a stream that can be resumed
+	// elsewhere gives up an upstream that has not sent a header.
 	headerPart = 0.7
-	// gapsLooked is after how many of the route's longest pauses an upstream is
-	// looked at: a batch that prefills pauses for one or two.
-	gapsLooked = 3
-	// defaultGap is for routes without a longest pause.
+	// probeGaps is after how many of the route's longest gaps without data an upstream is
+	// probed: a batch that prefills pauses the answers for one or two.
+	probeGaps = 3
+	// defaultGap is for routes without a longest gap.
 	defaultGap = 300 * time.Millisecond
-	// readAtOnce is how much of a stream is read at once, in bytes.
-	readAtOnce = 16 << 10
+	// streamReadSize is the size of the read buffer of a stream, in bytes.
+	streamReadSize = 16 << 10
 )
 
-// stream serves a request that is answered event by event.
-func (s *Server) stream(ctx context.Context, r *request) *failure {
-	e := &events.Splitter{LastEventID: r.ask.LastEvent}
+// serveStream serves a request whose answer is passed on event by event.
+func (s *Server) serveStream(ctx context.Context, r *request) *failure {
+	e := &events.Splitter{LastEventID: r.info.LastEvent}
 	for {
 		f := s.streamOnce(ctx, r, e)
 		if f == nil {
 			return nil
 		}
-		if !f.granted && !s.again(ctx, r, f) {
+		if !f.retryGranted && !s.mayRetry(ctx, r, f) {
 			return f
 		}
 		e.DiscardPartial()
@@ -43,48 +43,48 @@
 
 // streamOnce makes one attempt at the rest of a stream.
 func (s *Server) streamOnce(ctx context.Context, r *request, e *events.Splitter) *failure {
-	role := s.lastRole(r)
-	p, f := s.room(ctx, r, role)
+	role := s.answerRole(r)
+	allocated, f := s.allocate(ctx, r, role)
 	if f != nil {
 		return f
 	}
-	s.mixSent(r)
-	var from *prefilled
-	if role == domain.RoleDecode && r.ask.PromptTokens >= prefillFrom {
-		from = s.prefill(ctx, r, p)
-		if from == nil {
-			s.ownTurn(ctx, r, p)
+	s.recordSent(r)
+	var prefilled *prefillResult
+	if role == domain.RoleDecode && r.info.PromptTokens >= minPrefillPrompt {
+		prefilled = s.prefill(ctx, r, allocated)
+		if prefilled == nil {
+			s.waitDecodeTurn(ctx, r, allocated)
 		}
 	}
-	if p, f = s.stillThere(ctx, r, role, p); f != nil {
-		s.free(r, from)
+	if allocated, f = s.revalidate(ctx, r, role, allocated); f != nil {
+		s.freeHandle(r, prefilled)
 		return f
 	}
-	a := &attempt{upstream: p.upstream, work: p.work, counted: true, silence: r.headerPatience(), permit: p.permit}
-	a.stamp.LastEvent, a.stamp.Reservation = e.LastEventID, p.hold
-	if from != nil {
-		a.stamp.Stage, a.stamp.Source = StageDecode, from.handle
+	a := &attempt{upstream: allocated.upstream, cost: allocated.cost, loadCounted: true, headerTimeout: r.streamHeaderTimeout(), permit: allocated.permit}
+	a.info.LastEvent, a.info.Reservation = e.LastEventID, allocated.reservation
+	if prefilled != nil {
+		a.info.Stage, a.info.Source = StageDecode, prefilled.handle
 	}
 	if ctx.Err() != nil {
-		s.release(r, p)
-		s.free(r, from)
+		s.release(r, allocated)
+		s.freeHandle(r, prefilled)
 		return &failure{ran: domain.NotRun, reason: domain.ReasonOf(ctx), detail: "ended before an upstream had it"}
 	}
-	reply, f := s.try(ctx, r, a)
+	reply, f := s.sendAttempt(ctx, r, a)
 	if f != nil {
-		s.free(r, from)
+		s.freeHandle(r, prefilled)
 		return f
 	}
 	defer reply.Close()
 	if reply.Status != http.StatusOK {
-		return s.passFailure(ctx, r, a, reply)
+		return s.passNonStream(ctx, r, a, reply)
 	}
-	return s.events(ctx, r, a, reply, e, p.since)
+	return s.passEvents(ctx, r, a, reply, e, allocated.allocatedAt)
 }
 
-// lastRole is the role of the upstream that makes the answer: decode where the
-// service has such, else one that does everything.
-func (s *Server) lastRole(r *request) domain.Role {
+// answerRole is the role of the upstream that generates the answer: decode if the service
+// has decode engines, otherwise the role that does all stages.
+func (s *Server) answerRole(r *request) domain.Role {
 	if r.engine() == nil {
 		return ""
 	}
@@ -96,159 +96,158 @@
 	return ""
 }
 
-// headerPatience bounds the wait for the beginning of a stream where it may go
-// on elsewhere; zero is no bound.
-func (r *request) headerPatience() time.Duration {
-	if !r.tries.CanRepeat() {
+// streamHeaderTimeout bounds the wait for the header of a stream if another attempt can
+// follow; zero is no bound.
+func (r *request) streamHeaderTimeout() time.Duration {
+	if !r.attempts.CanRepeat() {
 		return 0
 	}
 	return time.Duration(headerPart * float64(r.targetLatency()))
 }
 
-// gapPatience is the pause after which an upstream is looked at, where the
-// stream may go on elsewhere; zero is never.
-func (r *request) gapPatience() time.Duration {
-	if !r.tries.CanRepeat() {
+// probeInterval is the time without data after which the upstream of a stream is probed, if
+// the stream can be resumed elsewhere; zero is never.
+func (r *request) probeInterval() time.Duration {
+	if !r.attempts.CanRepeat() {
 		return 0
 	}
 	gap := r.route.TargetGap
 	if gap <= 0 {
 		gap = defaultGap
 	}
-	return gapsLooked * gap
+	return probeGaps * gap
 }
 
-// pulse looks at the upstream of a stream in which nothing comes.
+// stallProbe dials the upstream of a stream on which no data arrives.
 //
-// Failure: an engine that ran out of memory stops a request for seconds and
-// then goes on. Taken for lost, its stream is cut, and no other has room for
-// the rest: it shows as an answer that ends in its middle though its engine
-// lives. An engine that is lost takes no connection, so that the dial tells the
-// two apart. A connection that went silent under a live engine is not found;
-// the caller leaves it.
-type pulse struct {
-	every time.Duration
-	timer *time.Timer
-	over  atomic.Bool
+// An engine that runs out of memory suspends a request for seconds and then continues. If
+// it were taken for crashed, its stream would be cut, and with no memory elsewhere for the
+// rest the caller would get an answer that ends in the middle. A crashed engine accepts no
+// connection, so the dial tells the two apart. It does not detect a connection that fails
+// without a reset while the engine is alive; such a stream ends when the caller gives up.
+type stallProbe struct {
+	interval time.Duration
+	timer    *time.Timer
+	stopped  atomic.Bool
 }
 
-func (s *Server) pulse(r *request, a *attempt, reply *send.Response) *pulse {
-	p := &pulse{every: r.gapPatience()}
-	if p.every <= 0 {
+func (s *Server) startStallProbe(r *request, a *attempt, reply *send.Response) *stallProbe {
+	p := &stallProbe{interval: r.probeInterval()}
+	if p.interval <= 0 {
 		return p
 	}
 	addr := a.upstream.Server().Addr
-	p.timer = time.AfterFunc(p.every, func() {
-		err := takesNone(s.workCtx, addr)
+	p.timer = time.AfterFunc(p.interval, func() {
+		err := probe(s.backgroundCtx, addr)
 		switch {
-		case p.over.Load():
+		case p.stopped.Load():
 		case err != nil:
-			s.Log.Info("silent upstream is lost", "request", r.id, "upstream", a.start.ID, "silent", p.every, "err", err)
+			s.Log.Info("silent upstream is lost", "request", r.id, "upstream", a.start.ID, "silent", p.interval, "err", err)
 			reply.Abort()
 		default:
-			p.timer.Reset(p.every)
+			p.timer.Reset(p.interval)
 		}
 	})
 	return p
 }
 
-// beat notes that something came.
-func (p *pulse) beat() {
+// reset restarts the interval after data came.
+func (p *stallProbe) reset() {
 	if p.timer != nil {
-		p.timer.Reset(p.every)
+		p.timer.Reset(p.interval)
 	}
 }
 
-// end ends the looking.
-func (p *pulse) end() {
-	p.over.Store(true)
+// stop ends the probing.
+func (p *stallProbe) stop() {
+	p.stopped.Store(true)
 	if p.timer != nil {
 		p.timer.Stop()
 	}
 }
 
-// passFailure passes on an answer that is not a stream.
-func (s *Server) passFailure(ctx context.Context, r *request, a *attempt, reply *send.Response) *failure {
-	head, whole, err := readHead(reply)
+// passNonStream passes on a response with a status other than 200, which is no stream.
+func (s *Server) passNonStream(ctx context.Context, r *request, a *attempt, reply *send.Response) *failure {
+	head, complete, err := bufferResponse(reply)
 	if err != nil {
-		return s.broke(ctx, r, a, err)
+		return s.failSend(ctx, r, a, err)
 	}
-	s.done(r, a, time.Since(a.began), 1, reply.Status < http.StatusInternalServerError)
-	if r.begun {
-		r.tries.Ended(domain.DidRun)
+	s.finishAnswered(r, a, time.Since(a.startedAt), 1, reply.Status < http.StatusInternalServerError)
+	if r.responseBegun {
+		r.attempts.Ended(domain.DidRun)
 		return &failure{ran: domain.DidRun, reason: domain.ReasonUpstream, detail: "the upstream failed the rest of the stream"}
 	}
-	if err := s.pass(r, reply, head, whole); err != nil {
+	if err := s.passResponse(r, reply, head, complete); err != nil {
 		return &failure{ran: domain.DidRun, reason: domain.ReasonLost, detail: err.Error()}
 	}
-	s.end(r, "answered", "upstream", a.start.ID, "status", reply.Status)
+	s.finish(r, "answered", "upstream", a.start.ID, "status", reply.Status)
 	return nil
 }
 
-// events passes the events of an answer on as they come.
-func (s *Server) events(ctx context.Context, r *request, a *attempt, reply *send.Response, e *events.Splitter, placed time.Time) *failure {
-	reply.SetReadTimeout(r.left() + silenceSlack)
-	p := s.pulse(r, a, reply)
-	defer p.end()
+// passEvents passes the events of an answer on as they come.
+func (s *Server) passEvents(ctx context.Context, r *request, a *attempt, reply *send.Response, e *events.Splitter, allocatedAt time.Time) *failure {
+	reply.SetReadTimeout(r.timeLeft() + readTimeoutMargin)
+	p := s.startStallProbe(r, a, reply)
+	defer p.stop()
 	flush := http.NewResponseController(r.w)
-	buffer := make([]byte, readAtOnce)
-	var first, longest time.Duration
-	var pace paced
-	last := time.Now()
+	buffer := make([]byte, streamReadSize)
+	var firstAfter, longestGap time.Duration
+	var pace eventPace
+	lastRead := time.Now()
 	for {
 		n, err := reply.Read(buffer)
-		if n > 0 && first > 0 {
-			longest = max(longest, time.Since(last))
+		if n > 0 && firstAfter > 0 {
+			longestGap = max(longestGap, time.Since(lastRead))
 		}
 		if n > 0 {
-			p.beat()
+			p.reset()
 		}
-		last = time.Now()
-		if n > 0 && first == 0 {
-			first = time.Since(a.began)
-			s.lines.For(r.service.Name).RecordFirstEvent(time.Since(placed))
+		lastRead = time.Now()
+		if n > 0 && firstAfter == 0 {
+			firstAfter = time.Since(a.startedAt)
+			s.queues.For(r.service.Name).RecordFirstEvent(time.Since(allocatedAt))
 		}
 		if n > 0 {
 			pace.add(s, r, buffer[:n])
 		}
-		fresh := buffer[:n]
+		unsent := buffer[:n]
 		if r.route.Resumable {
-			fresh = e.Add(fresh)
+			unsent = e.Add(unsent)
 		}
-		if len(fresh) > 0 {
-			if !r.begun {
-				s.header(r, reply)
+		if len(unsent) > 0 {
+			if !r.responseBegun {
+				s.writeHeader(r, reply)
 				s.Log.Info("first event", "request", r.id, "upstream", a.start.ID, "took", time.Since(r.accepted))
 			}
-			if _, werr := r.w.Write(fresh); werr == nil {
-				werr = flush.Flush()
-				if werr != nil {
-					return s.callerGone(r, a, werr)
+			if _, writeErr := r.w.Write(unsent); writeErr == nil {
+				writeErr = flush.Flush()
+				if writeErr != nil {
+					return s.failCallerGone(r, a, writeErr)
 				}
 			} else {
-				return s.callerGone(r, a, werr)
+				return s.failCallerGone(r, a, writeErr)
 			}
 		}
 		if err == nil {
 			continue
 		}
 		if !errors.Is(err, io.EOF) {
-			return s.broke(ctx, r, a, err)
+			return s.failSend(ctx, r, a, err)
 		}
 		if len(e.Partial()) > 0 {
-			return s.broke(ctx, r, a, errors.New("direct: the stream ends in the middle of an event"))
+			return s.failSend(ctx, r, a, errors.New("direct: the stream ends in the middle of an event"))
 		}
 		break
 	}
-	if !r.begun {
-		s.header(r, reply) // a stream without events
+	if !r.responseBegun {
+		s.writeHeader(r, reply) // a stream without events
 	}
-	s.done(r, a, first, 1, true)
-	s.end(r, "answered", "upstream", a.start.ID, "status", reply.Status, "first", first, "longest_gap", longest, "last_event", e.LastEventID)
+	s.finishAnswered(r, a, firstAfter, 1, true)
+	s.finish(r, "answered", "upstream", a.start.ID, "status", reply.Status, "first", firstAfter, "longest_gap", longestGap, "last_event", e.LastEventID)
 	return nil
 }
 
-// callerGone ends an attempt whose caller takes no more.
-func (s *Server) callerGone(r *request, a *attempt, err error) *failure {
-	return s.failed(r, a, &failure{ran: domain.DidRun, reason: domain.ReasonCallerGone, detail: err.Error()})
+// failCallerGone ends an attempt whose caller can't be written to.
+func (s *Server) failCallerGone(r *request, a *attempt, err error) *failure {
+	return s.finishFailed(r, a, &failure{ran: domain.DidRun, reason: domain.ReasonCallerGone, detail: err.Error()})
 }
