--- a/direct/attempt.go
+++ b/direct/attempt.go
@@ -98,7 +98,7 @@
 	if id == "" || id == r.id {
 		return true
 	}
-	s.Log.Warn("foreign answer passed over", "request", r.id, "answers", id)
+	s.Log.Warn("response to another request discarded", "request", r.id, "answers", id)
 	return false
 }
 
@@ -109,7 +109,7 @@
 // readShortResponse reads a short response to its end.
 func (s *Server) readShortResponse(reply *send.Response) {
 	if _, err := reply.ReadAll(maxShortResponse); err != nil {
-		s.Log.Debug("short answer broke off", "err", err)
+		s.Log.Debug("short response not read to its end", "err", err)
 	}
 }
 
@@ -194,6 +194,6 @@
 	if decision == retry.Allowed {
 		return true
 	}
-	s.Log.Info("not repeated", "request", r.id, "why", decision, "sends", r.attempts.Sends(), "runs", r.attempts.Runs(), "left", r.timeLeft())
+	s.Log.Info("not retried", "request", r.id, "why", decision, "sends", r.attempts.Sends(), "runs", r.attempts.Runs(), "left", r.timeLeft())
 	return false
 }
--- a/direct/crash.go
+++ b/direct/crash.go
@@ -34,7 +34,7 @@
 	if s.Notices == nil || s.Records == nil {
 		return
 	}
-	s.background("tell of deaths", crashBatchDelay+2*storeTimeout, func(ctx context.Context) error {
+	s.background("announce crashes", crashBatchDelay+2*storeTimeout, func(ctx context.Context) error {
 		group.Sleep(ctx, crashBatchDelay)
 		s.writeNotice(ctx, crashNoticePrefix+string(s.Settings.Name), Notice{By: s.Settings.Name, Evidence: s.crashes.TakeNotice()})
 		return nil
@@ -47,7 +47,7 @@
 		return
 	}
 	s.crashes.Ledger.Merge(now, n.Evidence)
-	s.Log.Info("deaths told", "by", n.By, "deaths", len(n.Evidence.Deaths), "newest", n.Evidence.Deaths[0].Upstream)
+	s.Log.Info("crash notice received", "by", n.By, "deaths", len(n.Evidence.Deaths), "newest", n.Evidence.Deaths[0].Upstream)
 }
 
 // checkCrash dials, in the background, an upstream that broke a connection, and records the
@@ -59,7 +59,7 @@
 func (s *Server) checkCrash(r *request, a *attempt) {
 	ids := s.crashes.RunningOn(a.start.Key(), r, r.identity)
 	addr := a.upstream.Server().Addr
-	s.background("look at a broken upstream", 2*probeTimeout, func(ctx context.Context) error {
+	s.background("probe upstream", 2*probeTimeout, func(ctx context.Context) error {
 		err := probe(ctx, addr)
 		if err == nil && !a.upstream.Restarted() {
 			return nil
@@ -77,7 +77,7 @@
 	d := net.Dialer{Timeout: probeTimeout}
 	c, err := d.DialContext(ctx, "tcp", addr.String())
 	if err != nil {
-		return errors.Wrap(err, "direct: looking at an upstream")
+		return errors.Wrap(err, "direct: dialing an upstream")
 	}
 	return c.Close()
 }
--- a/direct/direct.go
+++ b/direct/direct.go
@@ -120,11 +120,11 @@
 	s.init()
 	callers, err := net.Listen("tcp", s.Settings.Listen.String())
 	if err != nil {
-		return errors.Wrap(err, "direct: listen")
+		return errors.Wrap(err, "direct: opening the listen address")
 	}
 	ready, err := net.Listen("tcp", s.Settings.ReadyListen.String())
 	if err != nil {
-		return errors.Wrap(err, "direct: ready_listen")
+		return errors.Wrap(err, "direct: opening the ready_listen address")
 	}
 	others, peerListener, err := s.listenPeers()
 	if err != nil {
@@ -145,13 +145,13 @@
 
 	var loops group.Group
 	s.startFeeds(serving, &loops)
-	loops.Go(serving, "ended work", s.logBackground)
+	loops.Go(serving, "background work", s.logBackground)
 	loops.Go(serving, "idle connections", idle.Run)
 	loops.Go(serving, "settings", s.reload)
 	loops.Go(serving, "roles", s.planRoles)
 	loops.Go(serving, "callers", func(context.Context) error { return serveOn(public, callers) })
 	loops.Go(serving, "balancer", func(context.Context) error { return serveOn(balancer, ready) })
-	loops.Go(serving, "entries reached", s.watchPeers)
+	loops.Go(serving, "entry probes", s.watchPeers)
 	if others != nil {
 		loops.Go(serving, "other entries", servePeers(others, peerListener))
 	}
@@ -225,14 +225,14 @@
 	if errors.Is(err, http.ErrServerClosed) {
 		return nil
 	}
-	return errors.Wrap(err, "direct: serve")
+	return errors.Wrap(err, "direct: serving HTTP")
 }
 
 // logBackground logs the errors of background work.
 func (s *Server) logBackground(context.Context) error {
 	for end := range s.backgroundWork.Exits() {
 		if end.Err != nil {
-			s.Log.Debug("work ended", "name", end.Name, "err", end.Err)
+			s.Log.Debug("background work failed", "name", end.Name, "err", end.Err)
 		}
 	}
 	return nil
--- a/direct/engines.go
+++ b/direct/engines.go
@@ -76,7 +76,7 @@
 			}
 			state, err := s.fetchState(ctx, u)
 			if err != nil {
-				s.Log.Debug("no state of an engine", "upstream", m.ID, "err", err)
+				s.Log.Debug("no state received from engine", "upstream", m.ID, "err", err)
 				answers <- nil
 				return
 			}
@@ -84,7 +84,7 @@
 			// new start yet. An order computed from the state of the earlier start would
 			// reach the later one.
 			if reported := (roster.Start{ID: m.ID, Born: state.StartedAt}); !reported.Same(m.Start) {
-				s.Log.Info("engine started anew, its account is not used", "upstream", m.ID, "born", state.StartedAt, "known", m.Born)
+				s.Log.Info("engine restarted, its reported state is ignored", "upstream", m.ID, "born", state.StartedAt, "known", m.Born)
 				answers <- nil
 				return
 			}
@@ -111,7 +111,7 @@
 		return State{}, err
 	}
 	if status != 200 {
-		return State{}, errors.Errorf("direct: status %d", status)
+		return State{}, errors.Errorf("direct: fetching engine state: status %d", status)
 	}
 	return s.Protocol.ParseState(body)
 }
--- a/direct/fields.go
+++ b/direct/fields.go
@@ -15,7 +15,7 @@
 		if s.Protocol.KnownField(name) {
 			continue
 		}
-		s.Log.Warn("answer has an unknown field", "request", id, "upstream", upstream, "field", name)
+		s.Log.Warn("response has an unknown header field", "request", id, "upstream", upstream, "field", name)
 		s.Meter.Inc("jacinthworks_fields_unknown_total", meter.Labels{"field", name})
 	}
 }
--- a/direct/keeper.go
+++ b/direct/keeper.go
@@ -30,12 +30,12 @@
 
 // probeOwner calls, in the background, an owner that did not answer before.
 func (s *Server) probeOwner(p *relay.Peer) {
-	s.background("try keeper", ownerTimeout, func(ctx context.Context) error {
+	s.background("probe owner", ownerTimeout, func(ctx context.Context) error {
 		if err := callPeer(ctx, p, http.MethodGet, alivePath, ownerTimeout, nil, nil); err != nil {
 			return err
 		}
 		s.unresponsive.MarkUp(p)
-		s.Log.Info("keeper reached again", "entry", p.Name)
+		s.Log.Info("owner reachable again", "entry", p.Name)
 		return nil
 	})
 }
@@ -86,7 +86,7 @@
 			break
 		}
 		s.unresponsive.MarkDown(time.Now(), o.Peer)
-		s.Log.Info("keeper not reached", "key", key, "entry", o.Peer.Name, "err", err)
+		s.Log.Info("owner not reachable", "key", key, "entry", o.Peer.Name, "err", err)
 	}
 	if ownRank >= 0 && ctx.Err() == nil {
 		return local(ownRank == 0), owner{}, true
@@ -103,7 +103,7 @@
 
 // errPeerUnavailable is the error of a call that another entry refused because it is
 // draining or has no configuration or registry yet.
-var errPeerUnavailable = errors.New("direct: call of an entry: it does not serve others")
+var errPeerUnavailable = errors.New("direct: calling another entry: it is draining or not ready")
 
 // callPeer makes one call at another entry. A nil call sends no body; with a nil answer the
 // response is not decoded.
@@ -114,7 +114,7 @@
 	if call != nil {
 		body, err := json.Marshal(call)
 		if err != nil {
-			return errors.Wrap(err, "direct: call of an entry")
+			return errors.Wrap(err, "direct: encoding a call to another entry")
 		}
 		request.Header, request.Body = http.Header{"Content-Type": {"application/json"}}, body
 	}
@@ -129,11 +129,11 @@
 	case reply.Status == http.StatusServiceUnavailable:
 		return errPeerUnavailable
 	case reply.Status != http.StatusOK:
-		return errors.Errorf("direct: call of an entry: status %d", reply.Status)
+		return errors.Errorf("direct: calling another entry: status %d", reply.Status)
 	case answer == nil:
 		return nil
 	}
-	return errors.Wrap(json.Unmarshal(body, answer), "direct: answer of "+string(p.Name))
+	return errors.Wrap(json.Unmarshal(body, answer), "direct: decoding the response of "+string(p.Name))
 }
 
 // ownerHandler serves the calls of other entries. answer returns false if the call can't be
@@ -152,7 +152,7 @@
 		}
 		w.Header().Set("Content-Type", "application/json")
 		if err := json.NewEncoder(w).Encode(a); err != nil {
-			s.Log.Debug("answer not taken", "path", h.URL.Path, "err", err)
+			s.Log.Debug("response not written", "path", h.URL.Path, "err", err)
 		}
 	}
 }
--- a/direct/limit.go
+++ b/direct/limit.go
@@ -123,7 +123,7 @@
 // broadcasts urgent changes, and notifies the others of the rest in the responses to their
 // calls.
 func (s *Server) reportLimit(u *roster.Upstream) {
-	s.background("tell rate limit", maxOwnerTries*ownerTimeout, func(ctx context.Context) error {
+	s.background("report rate limit", maxOwnerTries*ownerTimeout, func(ctx context.Context) error {
 		s.callLimitOwner(ctx, u, limitRequest{Op: limitReport})
 		return nil
 	})
@@ -176,7 +176,7 @@
 	if p.upstream == nil {
 		return
 	}
-	s.background("give back permit", maxOwnerTries*ownerTimeout, func(ctx context.Context) error {
+	s.background("release permit", maxOwnerTries*ownerTimeout, func(ctx context.Context) error {
 		s.callLimitOwner(ctx, p.upstream, limitRequest{Op: limitRefund})
 		return nil
 	})
@@ -226,7 +226,7 @@
 // broadcastLimit notifies all other entries of a limit in the background.
 func (s *Server) broadcastLimit(n limitUpdate) {
 	started := time.Now()
-	s.background("spread rate limit", limitBroadcastTimeout, func(ctx context.Context) error {
+	s.background("broadcast rate limit", limitBroadcastTimeout, func(ctx context.Context) error {
 		for _, p := range s.peers.fleet.Others(s.peers.fleet.MemberCount()) {
 			if allowed, _ := s.unresponsive.Check(time.Now(), p); !allowed {
 				continue
@@ -234,7 +234,7 @@
 			update := n
 			update.Stated = n.Stated.Add(time.Since(started))
 			if err := callPeer(ctx, p, http.MethodPost, limitUpdatePath, ownerTimeout, update, nil); err != nil {
-				s.Log.Debug("rate limit not told", "entry", p.Name, "err", err)
+				s.Log.Debug("rate limit not sent to entry", "entry", p.Name, "err", err)
 			}
 		}
 		return nil
--- a/direct/mix.go
+++ b/direct/mix.go
@@ -40,7 +40,7 @@
 func (s *Server) serveMix(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(s.profiles.Samples(time.Now())); err != nil {
-		s.Log.Debug("mix not taken", "err", err)
+		s.Log.Debug("mix response not written", "err", err)
 	}
 }
 
@@ -54,7 +54,7 @@
 		go func() { // ends with a value in answers, all of which are read below
 			all, err := fetchMix(ctx, p)
 			if err != nil {
-				s.Log.Debug("no mix of an entry", "entry", p.Name, "err", err)
+				s.Log.Debug("no mix received from entry", "entry", p.Name, "err", err)
 			}
 			answers <- all
 		}()
--- a/direct/newest.go
+++ b/direct/newest.go
@@ -36,7 +36,7 @@
 		return
 	}
 	if err := gob.NewEncoder(w).Encode(c); err != nil {
-		s.Log.Debug("configuration not taken", "err", err)
+		s.Log.Debug("configuration response not written", "err", err)
 	}
 }
 
@@ -56,7 +56,7 @@
 		calls.Go(ctx, "configuration of "+string(p.Name), func(ctx context.Context) error {
 			c, err := fetchConfig(ctx, p)
 			if err != nil {
-				s.Log.Debug("configuration not given", "entry", p.Name, "err", err)
+				s.Log.Debug("no configuration received from entry", "entry", p.Name, "err", err)
 				return nil
 			}
 			s.offerConfig(time.Now(), c, string(p.Name))
@@ -75,9 +75,9 @@
 	}
 	defer reply.Close()
 	if reply.Status != http.StatusOK {
-		return nil, errors.Errorf("direct: configuration of %s: status %d", p.Name, reply.Status)
+		return nil, errors.Errorf("direct: fetching configuration from %s: status %d", p.Name, reply.Status)
 	}
 	var c paths.Config
 	err = gob.NewDecoder(io.LimitReader(reply, maxConfigResponse)).Decode(&c)
-	return &c, errors.Wrap(err, "direct: configuration of "+string(p.Name))
+	return &c, errors.Wrap(err, "direct: decoding configuration from "+string(p.Name))
 }
--- a/direct/notice.go
+++ b/direct/notice.go
@@ -64,7 +64,7 @@
 		err = s.overwriteRecord(ctx, name, value)
 	}
 	if err != nil {
-		s.Log.Info("others not notified", "notice", name, "err", err)
+		s.Log.Info("notice not written", "notice", name, "err", err)
 	}
 }
 
--- a/direct/peers.go
+++ b/direct/peers.go
@@ -47,7 +47,7 @@
 	}
 	l, err := net.Listen("tcp", s.Settings.PeerListen.String())
 	if err != nil {
-		return nil, nil, errors.Wrap(err, "direct: peer_listen")
+		return nil, nil, errors.Wrap(err, "direct: opening the peer_listen address")
 	}
 	// The settings may leave the port to the operating system.
 	s.Settings.PeerListen = l.Addr().(*net.TCPAddr).AddrPort()
--- a/direct/plain.go
+++ b/direct/plain.go
@@ -176,7 +176,7 @@
 }
 
 // errCallerWrite is the error of a failed write to the caller.
-var errCallerWrite = errors.New("direct: caller")
+var errCallerWrite = errors.New("direct: writing to the caller")
 
 // passResponse writes a response to the caller.
 func (s *Server) passResponse(r *request, reply *send.Response, head []byte, complete bool) error {
--- a/direct/prefill.go
+++ b/direct/prefill.go
@@ -75,11 +75,11 @@
 		}
 		s.logPlacement(r, domain.RolePrefill, p, "only_sure", load.OnlyResponsive)
 		if p.upstream == nil {
-			s.Log.Info("prefill passed over", "request", r.id, "why", "no engine", "only_sure", load.OnlyResponsive)
+			s.Log.Info("prefill skipped", "request", r.id, "why", "no engine", "only_sure", load.OnlyResponsive)
 			return nil
 		}
 		if p.expectedWait > s.maxPrefillWait(r) {
-			s.Log.Info("prefill passed over", "request", r.id, "upstream", p.candidate.Name, "wait", p.expectedWait)
+			s.Log.Info("prefill skipped", "request", r.id, "upstream", p.candidate.Name, "wait", p.expectedWait)
 			s.endAssignment(assigned)
 			return nil
 		}
@@ -151,7 +151,7 @@
 // waitDecodeTurn waits until the decode engine has read the other prompts of this entry.
 func (s *Server) waitDecodeTurn(ctx context.Context, r *request, decode *allocation) {
 	if wait := decode.upstream.Stats.QueuePrefill(time.Now(), s.decodeReadTime(r)+decodePromptGap, maxDecodePromptWait); wait > 0 {
-		s.Log.Info("waits for another prompt", "request", r.id, "upstream", decode.upstream.Server().ID, "wait", wait)
+		s.Log.Info("waiting for another prompt at the decode engine", "request", r.id, "upstream", decode.upstream.Server().ID, "wait", wait)
 		group.Sleep(ctx, wait)
 	}
 }
--- a/direct/quota.go
+++ b/direct/quota.go
@@ -93,7 +93,7 @@
 	call := quotaRequest{Account: r.account, Cost: r.cost, Refund: true, Over: r.overQuota}
 	r.cost = 0
 	client := r.client
-	s.background("give back quota", maxOwnerTries*ownerTimeout, func(ctx context.Context) error {
+	s.background("refund quota", maxOwnerTries*ownerTimeout, func(ctx context.Context) error {
 		s.callQuotaOwner(ctx, client, call)
 		return nil
 	})
--- a/direct/records.go
+++ b/direct/records.go
@@ -73,12 +73,12 @@
 	defer cancel()
 	body, err := s.recordCache.encoded(ctx, s.Members)
 	if err != nil {
-		s.Log.Debug("records of the entries not given", "err", err)
+		s.Log.Debug("records of the entries not available", "err", err)
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	if _, err := w.Write(body); err != nil {
-		s.Log.Debug("records of the entries not taken", "err", err)
+		s.Log.Debug("records response not written", "err", err)
 	}
 }
 
@@ -111,7 +111,7 @@
 	case err != nil:
 		return nil, err
 	case reply.Status != http.StatusOK:
-		return nil, errors.Errorf("direct: records of the entries: status %d", reply.Status)
+		return nil, errors.Errorf("direct: fetching the records of the entries: status %d", reply.Status)
 	}
 	return relay.Decode[Member](body)
 }
--- a/direct/register.go
+++ b/direct/register.go
@@ -155,7 +155,7 @@
 		Peer: s.Settings.PeerListen, Zone: s.Settings.Zone, Cores: s.Settings.Cores,
 	})
 	if err != nil {
-		return errors.Wrap(err, "direct: own record")
+		return errors.Wrap(err, "direct: encoding own record")
 	}
 	version, err := s.Records.Put(ctx, memberPrefix+string(s.Settings.Name), value, s.ownRecord.version)
 	if err != nil {
--- a/direct/relays.go
+++ b/direct/relays.go
@@ -98,7 +98,7 @@
 	}
 	value, err := json.Marshal(current)
 	if err != nil {
-		return errors.Wrap(err, "direct: record of the relays")
+		return errors.Wrap(err, "direct: encoding the record of the relays")
 	}
 	if err := s.overwriteRecord(ctx, relaysRecord, value); err != nil {
 		return err
--- a/direct/reload.go
+++ b/direct/reload.go
@@ -37,7 +37,7 @@
 func (s *Server) reloadOnce(asked bool) {
 	d, err := s.Reload()
 	if err != nil {
-		s.Log.Warn("settings not reloaded, the old ones hold", "err", err)
+		s.Log.Warn("settings not reloaded, the previous ones stay in force", "err", err)
 		return
 	}
 	d.Limits = d.Limits.OrDefaults()
--- a/direct/roles.go
+++ b/direct/roles.go
@@ -229,7 +229,7 @@
 		}
 		r, err := s.Protocol.RoleChangeRequest(o.To.Role, s.Settings.Name, o.Fence, e.state.OrdersAccepted)
 		if err != nil {
-			s.Log.Error("order not given", "upstream", o.Host, "err", err)
+			s.Log.Error("role order not encoded", "upstream", o.Host, "err", err)
 			return OrderRefused
 		}
 		_, status, err := s.callUpstream(ctx, e.upstream, r, orderTimeout)
--- a/direct/room.go
+++ b/direct/room.go
@@ -101,7 +101,7 @@
 	if p.upstream.Eligibility(time.Now()).Eligible() {
 		return p, nil
 	}
-	s.Log.Info("engine takes nothing new, other room is sought", "request", r.id, "upstream", p.upstream.Server().ID)
+	s.Log.Info("engine accepts no new requests, reserving at another one", "request", r.id, "upstream", p.upstream.Server().ID)
 	s.release(r, p)
 	return s.allocate(ctx, r, role)
 }
@@ -198,12 +198,12 @@
 	case err != nil:
 		u.Stats.RecordFailure(time.Now())
 		r.exclude(u)
-		s.Log.Info("hold failed", "request", r.id, "upstream", u.Server().ID, "err", err, "took", time.Since(started))
+		s.Log.Info("reservation failed", "request", r.id, "upstream", u.Server().ID, "err", err, "took", time.Since(started))
 		return ""
 	case reservation == "":
 		u.Stats.HoldOff(time.Now().Add(s.fullBackoff()))
 		s.queues.For(r.service.Name).RecordFull(time.Now())
-		s.Log.Debug("no room held", "request", r.id, "upstream", u.Server().ID, "took", time.Since(started))
+		s.Log.Debug("engine has no memory to reserve", "request", r.id, "upstream", u.Server().ID, "took", time.Since(started))
 	}
 	return reservation
 }
@@ -251,7 +251,7 @@
 
 // releaseReservation frees a reservation in the background.
 func (s *Server) releaseReservation(r *request, u *roster.Upstream, h Reservation) {
-	s.background("drop hold", releaseTimeout, func(ctx context.Context) error {
+	s.background("release reservation", releaseTimeout, func(ctx context.Context) error {
 		s.releaseReservationNow(ctx, r, u, h)
 		return nil
 	})
@@ -261,7 +261,7 @@
 func (s *Server) releaseReservationNow(ctx context.Context, r *request, u *roster.Upstream, h Reservation) {
 	reply, _, err := s.exchange(ctx, r.id, u, s.Protocol.ReleaseRequest(h))
 	if err != nil {
-		s.Log.Info("hold not dropped", "request", r.id, "err", err)
+		s.Log.Info("reservation not released", "request", r.id, "err", err)
 		return
 	}
 	s.readShortResponse(reply)
--- a/direct/stated.go
+++ b/direct/stated.go
@@ -17,13 +17,13 @@
 	}
 	now := time.Now()
 	if n.Leaving && u.Stats.MarkLeaving(now) {
-		s.Log.Info("upstream leaves", "request", id, "upstream", m.ID, "service", m.Service, "draining", m.Draining, "registry_age", u.EntryAge(now))
+		s.Log.Info("upstream is leaving", "request", id, "upstream", m.ID, "service", m.Service, "draining", m.Draining, "registry_age", u.EntryAge(now))
 		s.Meter.Inc("jacinthworks_upstream_stated_total", meter.Labels{"service", string(m.Service), "what", "leaving"})
 	}
 	stated := u.Stats.Announcement()
 	before := stated.BackoffLeft(now)
 	if u.Stats.BackOff(now, n.Backoff) {
-		s.Log.Info("upstream asks for a pause", "request", id, "upstream", m.ID, "service", m.Service, "pause", n.Backoff, "before", before)
+		s.Log.Info("upstream requested a backoff", "request", id, "upstream", m.ID, "service", m.Service, "pause", n.Backoff, "before", before)
 		s.Meter.Inc("jacinthworks_upstream_stated_total", meter.Labels{"service", string(m.Service), "what", "backoff"})
 	}
 	for _, name := range n.MalformedFields {
@@ -36,6 +36,6 @@
 func (s *Server) logMalformedField(id domain.RequestID, upstream roster.ID, name string) {
 	s.Meter.Inc("jacinthworks_fields_unread_total", meter.Labels{"field", name})
 	if s.malformedFields.Add(name) {
-		s.Log.Warn("field of an answer not read", "request", id, "upstream", upstream, "field", name)
+		s.Log.Warn("response header field not parsed", "request", id, "upstream", upstream, "field", name)
 	}
 }
--- a/direct/stream.go
+++ b/direct/stream.go
@@ -142,7 +142,7 @@
 		switch {
 		case p.stopped.Load():
 		case err != nil:
-			s.Log.Info("silent upstream is lost", "request", r.id, "upstream", a.start.ID, "silent", p.interval, "err", err)
+			s.Log.Info("stalled upstream is unreachable", "request", r.id, "upstream", a.start.ID, "silent", p.interval, "err", err)
 			reply.Abort()
 		default:
 			p.timer.Reset(p.interval)
