--- a/queue/bench_test.go
+++ b/queue/bench_test.go
@@ -8,8 +8,8 @@
 	"jacinthworks/domain"
 )
 
-// BenchmarkQueue measures an arrival and the service of an item, with the given
-// number of callers that each have one waiting.
+// BenchmarkQueue measures enqueueing and dequeueing an item, with the given number
+// of callers that each have one item waiting.
 func BenchmarkQueue(b *testing.B) {
 	for _, callers := range []int{9, 290, 2100} {
 		b.Run(fmt.Sprintf("callers=%d", callers), func(b *testing.B) {
--- a/queue/drain.go
+++ b/queue/drain.go
@@ -5,53 +5,58 @@
 	"time"
 )
 
-// drainMemory is the time constant over which the drain rate is measured: a
-// few mean prefills, so that one long prompt does not look like a stall, and
-// short enough that a lost zone shows in the waits within a few seconds.
-const drainMemory = 4 * time.Second
+// drainTimeConstant is the time constant over which the drain rate is averaged. It
+// spans several mean prefills, so that one long prompt does not look like a stall,
+// and is short enough that the loss of a zone shows in the expected waits within a
+// few seconds.
+const drainTimeConstant = 4 * time.Second
 
-// drainTrust is the backlogged time that must have been seen before a rate is
-// believed; in less, a single request handed over would make the rate.
-const drainTrust = 300 * time.Millisecond
+// minBacklogTime is the backlogged time that must be observed before the rate is
+// used; over less time, a single dequeued request would determine it.
+const minBacklogTime = 300 * time.Millisecond
 
-// drain measures how fast waiting work is handed over, in cost a second, over
-// the time in which something waited. Time without a backlog says nothing of
-// what the engines can take, and is left out.
-type drain struct {
-	last time.Time
-	// busy is backlogged seconds and cost what was handed over in them, both
-	// decaying alike.
-	busy, cost float64
+// drainMeter measures the rate at which waiting items are dequeued, as cost per
+// second of backlogged time. Time without a backlog is left out, because it does
+// not show how much the engines can take.
+type drainMeter struct {
+	lastUpdate time.Time
+	// backlogSeconds is the time with a backlog, and dequeuedCost the cost dequeued
+	// in it. Both decay with the same time constant.
+	backlogSeconds, dequeuedCost float64
 }
 
-// advance accounts for the time since the last call.
-func (d *drain) advance(now time.Time, backlogged bool) {
-	passed := now.Sub(d.last).Seconds()
-	known := !d.last.IsZero()
-	d.last = now
-	if !known || !backlogged || passed <= 0 {
+// advance accounts for the time since the last call; backlogged says whether items
+// were waiting during that time.
+func (d *drainMeter) advance(now time.Time, backlogged bool) {
+	elapsed := now.Sub(d.lastUpdate).Seconds()
+	known := !d.lastUpdate.IsZero()
+	d.lastUpdate = now
+	if !known || !backlogged || elapsed <= 0 {
 		return
 	}
-	keep := math.Exp(-passed / drainMemory.Seconds())
-	d.busy = d.busy*keep + passed
-	d.cost *= keep
+	decay := math.Exp(-elapsed / drainTimeConstant.Seconds())
+	d.backlogSeconds = d.backlogSeconds*decay + elapsed
+	d.dequeuedCost *= decay
 }
 
-func (d *drain) handed(now time.Time, cost int) {
+// add records dequeued cost. A negative cost undoes an earlier record.
+func (d *drainMeter) add(now time.Time, cost int) {
 	d.advance(now, true)
-	d.cost = max(0, d.cost+float64(cost))
+	d.dequeuedCost = max(0, d.dequeuedCost+float64(cost))
 }
 
-// rate gives the cost handed over in a second; false until it is known.
-func (d *drain) rate() (float64, bool) {
-	if d.busy < drainTrust.Seconds() {
+// rate returns the cost dequeued per second of backlogged time; false while it is
+// not known.
+func (d *drainMeter) rate() (float64, bool) {
+	if d.backlogSeconds < minBacklogTime.Seconds() {
 		return 0, false
 	}
-	return d.cost / d.busy, true
+	return d.dequeuedCost / d.backlogSeconds, true
 }
 
-// wait is the time that the rate takes for the cost; zero while unknown.
-func (d *drain) wait(cost int) time.Duration {
+// timeToDrain returns the time in which the given cost is dequeued at the current
+// rate; zero while the rate is not known.
+func (d *drainMeter) timeToDrain(cost int) time.Duration {
 	rate, known := d.rate()
 	if !known || cost == 0 {
 		return 0
@@ -59,9 +64,10 @@
 	return seconds(float64(cost) / max(rate, 1))
 }
 
-// maxWait keeps estimates within what a time.Duration can add up.
+// maxWait caps time estimates, so that sums of them fit in a time.Duration.
 const maxWait = time.Hour
 
+// seconds converts s to a duration of at most maxWait.
 func seconds(s float64) time.Duration {
 	return min(time.Duration(min(s, maxWait.Seconds())*float64(time.Second)), maxWait)
 }
--- a/queue/flow.go
+++ b/queue/flow.go
@@ -7,105 +7,111 @@
 	"jacinthworks/domain"
 )
 
-// caller is who a waiting item is charged to: its account or, for a hot key,
-// the key.
+// caller identifies whom a waiting item is charged to: the client account or, for a
+// hot key, the key.
 type caller struct {
 	account domain.Account
 	key     uint64
 }
 
-// flow is the waiting work of one caller in one lane.
+// flow holds the waiting items of one caller in one lane.
 type flow struct {
 	caller caller
 	lane   *lane
-	items  []*entry
-	// tag is the virtual time at which the flow's next item may start: the
-	// cost it has been served, counted from when it last had nothing to ask.
-	tag int64
-	// cost is the cost of the flow's items.
+	items  []*queuedItem
+	// startTag is the virtual start time of the flow's next item: the cost served
+	// to the flow, counted from the lane's virtual time when the flow last became
+	// active.
+	startTag int64
+	// cost is the total cost of the flow's items.
 	cost int
-	// place is the position in the lane's heap, or -1.
-	place int
+	// heapIndex is the position in the lane's heap, or -1.
+	heapIndex int
 }
 
-// lane is the work of one length in one class.
+// lane holds the waiting items of one prompt length, short or long, in one class.
 type lane struct {
-	number int
-	flows  heap[*flow]
-	byName map[caller]*flow
-	// virtual is the tag of the flow served last.
-	virtual int64
-	// tag is the lane's own virtual time against the other lane.
-	tag   int64
-	count int
-	cost  int
-	// active counts flows that have items.
-	active int
-	drain  drain
+	number   int
+	flows    heap[*flow]
+	byCaller map[caller]*flow
+	// virtualTime is the start tag of the flow that was served last.
+	virtualTime int64
+	// startTag is the lane's own virtual time, compared with that of the class's
+	// other lane.
+	startTag int64
+	count    int
+	cost     int
+	// activeFlows counts the flows that have waiting items.
+	activeFlows int
+	drain       drainMeter
 }
 
 // The lanes of a class.
 const (
 	laneShort = iota
 	laneLong
-	lanes
+	laneCount
 )
 
-// laneTotal is a lane over all classes. Short and long work drain at rates of
-// their own: short prompts pass long ones that no engine has room for.
+// laneTotal sums one lane over all classes. Short and long prompts have separate
+// drain rates, because short prompts are dequeued past long ones that no engine has
+// room for.
 type laneTotal struct {
 	cost  int
-	drain drain
-	// probed is when an item was last let in against its estimate.
-	probed time.Time
+	drain drainMeter
+	// lastProbe is when an item was last admitted as a probe; see admitProbe.
+	lastProbe time.Time
 }
 
-func laneOf(prompt int) int {
+// laneFor returns the lane for a prompt of the given number of tokens.
+func laneFor(prompt int) int {
 	if prompt >= LongPromptTokens {
 		return laneLong
 	}
 	return laneShort
 }
 
-// class is the work of one priority.
+// class holds the waiting items of one serving class; see classCount.
 type class struct {
-	lanes [lanes]lane
-	// oldest and newest are the ends of the list by age.
-	oldest, newest *entry
+	lanes [laneCount]lane
+	// oldest and newest are the ends of the list of all items of the class, ordered
+	// by age.
+	oldest, newest *queuedItem
 }
 
-// end says at which end of a class's list by age an entry is entered.
-type end bool
+// listEnd selects the end of a class's age-ordered list at which an item is linked.
+type listEnd bool
 
 const (
-	newest end = false
-	oldest end = true
+	atNewest listEnd = false
+	atOldest listEnd = true
 )
 
 func (k *class) init() {
 	for n := range k.lanes {
 		k.lanes[n].number = n
-		k.lanes[n].byName = make(map[caller]*flow)
+		k.lanes[n].byCaller = make(map[caller]*flow)
 		k.lanes[n].flows = heap[*flow]{
-			less: func(a, b *flow) bool { return a.tag < b.tag },
-			move: func(f *flow, place int) { f.place = place },
+			less:     func(a, b *flow) bool { return a.startTag < b.startTag },
+			setIndex: func(f *flow, index int) { f.heapIndex = index },
 		}
 	}
 }
 
-func (k *class) lane(i Item) *lane { return &k.lanes[laneOf(i.PromptTokens)] }
+func (k *class) lane(i Item) *lane { return &k.lanes[laneFor(i.PromptTokens)] }
 
-// enter counts the entry in and gives the flow it belongs to.
-func (k *class) enter(now time.Time, e *entry, c caller, at end) *flow {
-	k.insert(e, at)
+// addItem links the item into the age-ordered list and counts it in its lane and
+// its flow, and returns the flow, to which the caller of addItem appends the item.
+func (k *class) addItem(now time.Time, e *queuedItem, c caller, at listEnd) *flow {
+	k.linkByAge(e, at)
 	l := k.lane(e.item)
 	if l.count == 0 {
-		l.tag = max(l.tag, k.other(l).tag)
+		l.startTag = max(l.startTag, k.otherLane(l).startTag)
 	}
 	l.drain.advance(now, l.count > 0)
-	f := l.flow(c)
+	f := l.flowFor(c)
 	if len(f.items) == 0 {
-		l.active++
+		l.activeFlows++
 	}
 	f.cost += e.item.Cost()
 	l.count++
@@ -113,12 +119,12 @@
 	return f
 }
 
-// insert links the entry into the list by age.
-func (k *class) insert(e *entry, at end) {
+// linkByAge links the item into the age-ordered list.
+func (k *class) linkByAge(e *queuedItem, at listEnd) {
 	switch {
 	case k.newest == nil:
 		k.oldest, k.newest = e, e
-	case at == oldest:
+	case at == atOldest:
 		e.newer, k.oldest.older = k.oldest, e
 		k.oldest = e
 	default:
@@ -127,8 +133,8 @@
 	}
 }
 
-// remove unlinks the entry from the list by age.
-func (k *class) remove(e *entry) {
+// unlinkByAge unlinks the item from the age-ordered list.
+func (k *class) unlinkByAge(e *queuedItem) {
 	if e.newer != nil {
 		e.newer.older = e.older
 	} else {
@@ -141,86 +147,90 @@
 	}
 }
 
-// leave takes the entry out of the class.
-func (k *class) leave(now time.Time, e *entry) {
-	k.remove(e)
+// removeItem removes the item from the class, its lane and its flow.
+func (k *class) removeItem(now time.Time, e *queuedItem) {
+	k.unlinkByAge(e)
 	f := e.flow
 	l := f.lane
 	l.drain.advance(now, l.count > 0)
 	n := slices.Index(f.items, e)
 	f.items = slices.Delete(f.items, n, n+1)
 	if len(f.items) == 0 {
-		l.active--
+		l.activeFlows--
 	}
 	f.cost -= e.item.Cost()
 	l.count--
 	l.cost -= e.item.Cost()
 }
 
-func (k *class) other(l *lane) *lane {
+func (k *class) otherLane(l *lane) *lane {
 	if l == &k.lanes[laneShort] {
 		return &k.lanes[laneLong]
 	}
 	return &k.lanes[laneShort]
 }
 
-// pick gives the lane to serve, or nil. Each lane that has work gets half of
-// the tokens, so a short item waits behind one long item at the most, and a
-// long one behind as many short ones as cost the same. A lane whose first item
-// is too long for the room is passed over.
-func (k *class) pick(longest int) *lane {
+// nextLane returns the lane to serve next, or nil if none can be served. Each lane
+// with waiting items gets half of the service, measured in cost: a short item waits
+// behind at most one long item, and a long item behind short ones of the same total
+// cost. A lane whose first item has a prompt longer than maxPrompt tokens is
+// skipped.
+func (k *class) nextLane(maxPrompt int) *lane {
 	var best *lane
 	for n := range k.lanes {
 		l := &k.lanes[n]
-		if f := l.head(); f == nil || f.items[0].item.PromptTokens > longest {
+		if f := l.nextFlow(); f == nil || f.items[0].item.PromptTokens > maxPrompt {
 			continue
 		}
-		if best == nil || l.tag < best.tag {
+		if best == nil || l.startTag < best.startTag {
 			best = l
 		}
 	}
 	return best
 }
 
-// flow finds or makes the caller's flow.
-func (l *lane) flow(c caller) *flow {
-	f, ok := l.byName[c]
+// flowFor returns the caller's flow and creates it if there is none. A flow without
+// items starts at the lane's virtual time at the earliest, so that idle time earns
+// no credit.
+func (l *lane) flowFor(c caller) *flow {
+	f, ok := l.byCaller[c]
 	if !ok {
-		f = &flow{caller: c, lane: l, tag: l.virtual, place: -1}
-		l.byName[c] = f
+		f = &flow{caller: c, lane: l, startTag: l.virtualTime, heapIndex: -1}
+		l.byCaller[c] = f
 		l.flows.push(f)
 	}
-	if len(f.items) == 0 && f.tag < l.virtual {
-		f.tag = l.virtual
+	if len(f.items) == 0 && f.startTag < l.virtualTime {
+		f.startTag = l.virtualTime
 		l.fix(f)
 	}
 	return f
 }
 
-// head gives the flow to serve next, forgetting flows that have nothing to ask
-// and whose service the others have caught up with. A flow is kept until then:
-// a caller that lets its queue run empty for a moment must not be as good as
-// new, or sending one at a time would beat the fair share.
-func (l *lane) head() *flow {
+// nextFlow returns the flow with the lowest start tag that has items, and deletes
+// the empty flows before it. An empty flow is kept until the lane's other flows
+// have caught up with its start tag: otherwise a caller whose flow runs empty for a
+// moment would be treated as new, and sending one request at a time would get more
+// than the fair share.
+func (l *lane) nextFlow() *flow {
 	if l.count == 0 {
 		return nil
 	}
 	for {
-		f := l.flows.list[0]
+		f := l.flows.elements[0]
 		if len(f.items) > 0 {
 			return f
 		}
 		l.flows.remove(0)
-		delete(l.byName, f.caller)
+		delete(l.byCaller, f.caller)
 	}
 }
 
-// charge moves the flow and the lane on by the cost of what was served, or back
-// by that of what was not served after all.
+// charge advances the start tags of the lane and the flow by the cost served; a
+// negative cost undoes the charge for an item that is requeued.
 func (l *lane) charge(f *flow, cost int) {
-	l.tag += int64(cost)
-	f.tag += int64(cost)
+	l.startTag += int64(cost)
+	f.startTag += int64(cost)
 	l.fix(f)
 }
 
-func (l *lane) fix(f *flow) { l.flows.fix(f.place) }
+func (l *lane) fix(f *flow) { l.flows.fix(f.heapIndex) }
--- a/queue/heap.go
+++ b/queue/heap.go
@@ -1,33 +1,34 @@
 package queue
 
-// heap is a binary heap whose elements know their place, so that one can be
-// moved or removed from the middle.
+// heap is a binary heap whose elements store their index, so that an element in the
+// middle can be moved or removed.
 type heap[T any] struct {
-	list []T
-	less func(a, b T) bool
-	// move tells an element its place; -1 once it is out.
-	move func(t T, place int)
+	elements []T
+	less     func(a, b T) bool
+	// setIndex stores an element's index in the element; -1 once it has been
+	// removed.
+	setIndex func(t T, index int)
 }
 
 func (h *heap[T]) push(t T) {
-	h.list = append(h.list, t)
-	h.move(t, len(h.list)-1)
-	h.up(len(h.list) - 1)
+	h.elements = append(h.elements, t)
+	h.setIndex(t, len(h.elements)-1)
+	h.up(len(h.elements) - 1)
 }
 
 func (h *heap[T]) remove(n int) {
-	t, last := h.list[n], len(h.list)-1
+	t, last := h.elements[n], len(h.elements)-1
 	h.swap(n, last)
 	var zero T
-	h.list[last] = zero
-	h.list = h.list[:last]
-	h.move(t, -1)
+	h.elements[last] = zero
+	h.elements = h.elements[:last]
+	h.setIndex(t, -1)
 	if n < last {
 		h.fix(n)
 	}
 }
 
-// fix restores the order after the element at n changed.
+// fix restores the heap order after the element at n has changed.
 func (h *heap[T]) fix(n int) {
 	if !h.down(n) {
 		h.up(n)
@@ -37,7 +38,7 @@
 func (h *heap[T]) up(n int) {
 	for n > 0 {
 		parent := (n - 1) / 2
-		if !h.less(h.list[n], h.list[parent]) {
+		if !h.less(h.elements[n], h.elements[parent]) {
 			return
 		}
 		h.swap(n, parent)
@@ -49,13 +50,13 @@
 	start := n
 	for {
 		child := 2*n + 1
-		if child >= len(h.list) {
+		if child >= len(h.elements) {
 			break
 		}
-		if right := child + 1; right < len(h.list) && h.less(h.list[right], h.list[child]) {
+		if right := child + 1; right < len(h.elements) && h.less(h.elements[right], h.elements[child]) {
 			child = right
 		}
-		if !h.less(h.list[child], h.list[n]) {
+		if !h.less(h.elements[child], h.elements[n]) {
 			break
 		}
 		h.swap(n, child)
@@ -65,7 +66,7 @@
 }
 
 func (h *heap[T]) swap(a, b int) {
-	h.list[a], h.list[b] = h.list[b], h.list[a]
-	h.move(h.list[a], a)
-	h.move(h.list[b], b)
+	h.elements[a], h.elements[b] = h.elements[b], h.elements[a]
+	h.setIndex(h.elements[a], a)
+	h.setIndex(h.elements[b], b)
 }
--- a/queue/pace.go
+++ b/queue/pace.go
@@ -5,68 +5,72 @@
 	"time"
 )
 
-// paceMemory is the part of the former estimate that an observation leaves: the
-// last dozen requests make the estimate, about a second of work today.
-const paceMemory = 0.92
+// retainedWeight is the weight that the previous mean keeps at each observation:
+// the mean covers about the last dozen requests, which is about a second of work at
+// the present load.
+const retainedWeight = 0.92
 
-// paceMargin is how many mean deviations an estimate adds to the mean. With
-// none, half of the requests that are started at the last moment are late, and
-// their prefill is wasted; two cover about nine in ten.
-const paceMargin = 2
+// deviationFactor is the number of mean deviations that an estimate adds to the
+// mean. With none, half of the requests that are dequeued at the last moment miss
+// their target, and their prefill is wasted; with two, about nine in ten meet it.
+const deviationFactor = 2
 
-// The pace that is assumed until requests were seen: 20,000 prompt tokens a
-// second and a token each 40 ms.
+// The speed assumed until requests have been observed: 20,000 prompt tokens per
+// second, and 40 ms between output tokens.
 const (
-	startPrefill = 50 * time.Microsecond
-	startGap     = 40 * time.Millisecond
+	defaultPrefillPerToken = 50 * time.Microsecond
+	defaultTokenInterval   = 40 * time.Millisecond
 )
 
-// LatencyEstimator measures how long requests take once they left the queue, as a time
-// that each takes and a time for each token. Its estimates are an Item's
-// FirstTokenLatency and TotalLatency. The zero value is ready to use.
+// LatencyEstimator estimates how long requests take after they leave the queue,
+// from a fixed time for each request and a time for each token. Its estimates are
+// meant for Item.FirstTokenLatency and Item.TotalLatency. The zero value is ready
+// to use.
 type LatencyEstimator struct {
-	// extra is seconds to the first token beyond the prefill itself, apart for
-	// short and long prompts: a slow engine adds many times more to a long one.
-	extra [lanes]average
-	// gap is seconds between tokens.
-	gap average
+	// overhead is the time to the first token, in seconds, beyond the default
+	// prefill time. Short and long prompts have separate means, because a slow
+	// engine delays a long prompt many times more.
+	overhead [laneCount]decayingMean
+	// tokenInterval is the time between output tokens, in seconds.
+	tokenInterval decayingMean
 }
 
-// average is a decaying mean with its mean deviation.
-type average struct {
-	mean, deviation float64
-	seen            bool
+// decayingMean is an exponentially weighted mean with its mean absolute deviation.
+type decayingMean struct {
+	mean, meanDeviation float64
+	seen                bool
 }
 
-func (a *average) add(v float64) {
+func (a *decayingMean) add(v float64) {
 	if !a.seen {
 		a.mean, a.seen = v, true
 		return
 	}
-	a.deviation += (1 - paceMemory) * (math.Abs(v-a.mean) - a.deviation)
-	a.mean += (1 - paceMemory) * (v - a.mean)
+	a.meanDeviation += (1 - retainedWeight) * (math.Abs(v-a.mean) - a.meanDeviation)
+	a.mean += (1 - retainedWeight) * (v - a.mean)
 }
 
-func (a *average) high() float64 { return a.mean + paceMargin*a.deviation }
+func (a *decayingMean) upperBound() float64 { return a.mean + deviationFactor*a.meanDeviation }
 
-// Observe takes in a request that was answered: the times from leaving the queue
-// to its first and its last token.
+// Observe records a request that was answered: its prompt and output tokens, and
+// the times from leaving the queue to the first and the last token.
 func (p *LatencyEstimator) Observe(prompt, output int, first, end time.Duration) {
-	p.extra[laneOf(prompt)].add(max(0, first-prefill(prompt)).Seconds())
+	p.overhead[laneFor(prompt)].add(max(0, first-prefillTime(prompt)).Seconds())
 	if output > 1 {
-		p.gap.add((end - first).Seconds() / float64(output-1))
+		p.tokenInterval.add((end - first).Seconds() / float64(output-1))
 	}
 }
 
-// Estimate gives the times from leaving the queue to the first and last token
-// that about nine in ten requests stay within.
+// Estimate returns the times from leaving the queue to the first and the last
+// token, such that about nine in ten requests are faster.
 func (p *LatencyEstimator) Estimate(prompt, output int) (first, end time.Duration) {
-	gap := startGap.Seconds()
-	if p.gap.seen {
-		gap = p.gap.high()
+	tokenInterval := defaultTokenInterval.Seconds()
+	if p.tokenInterval.seen {
+		tokenInterval = p.tokenInterval.upperBound()
 	}
-	first = prefill(prompt) + seconds(p.extra[laneOf(prompt)].high())
-	return first, first + seconds(gap*float64(output))
+	first = prefillTime(prompt) + seconds(p.overhead[laneFor(prompt)].upperBound())
+	return first, first + seconds(tokenInterval*float64(output))
 }
 
-func prefill(prompt int) time.Duration { return time.Duration(prompt) * startPrefill }
+// prefillTime returns the prefill time of a prompt at the default speed.
+func prefillTime(prompt int) time.Duration { return time.Duration(prompt) * defaultPrefillPerToken }
--- a/queue/patience.go
+++ b/queue/patience.go
@@ -2,18 +2,19 @@
 
 import "time"
 
-// classes counts the classes of an entry: one for each priority, and one for
-// each priority of those that yield.
-const classes = 2 * PriorityCount
+// classCount is the number of serving classes: one for each priority, and a
+// deferred class for each priority.
+const classCount = 2 * PriorityCount
 
-// order is that in which classes are served: by priority, the class of priority 0
-// with its callers over their share last, after those that yield.
-var order = servingOrder()
+// servingOrder is the order in which the classes are served: by priority, then the
+// deferred classes by priority, and class 0, which also holds callers over their
+// share, last.
+var servingOrder = newServingOrder()
 
-func servingOrder() (list [classes]int) {
+func newServingOrder() (order [classCount]int) {
 	n := 0
 	add := func(class int) {
-		list[n] = class
+		order[n] = class
 		n++
 	}
 	for p := PriorityCount - 1; p > 0; p-- {
@@ -23,38 +24,41 @@
 		add(PriorityCount + p)
 	}
 	add(0)
-	return list
+	return order
 }
 
-// patience is the part of its time in which work that may wait yields to work
-// that may not. In the other half it has its own priority, which is enough to
-// be served before its deadline: it is accepted only when its expected wait is
-// within the whole.
-const patience = 0.5
-
-// yield lets an item that may wait go after all that may not, for a part of its
-// time. Without it a burst of long work that may wait is served before short
-// work of a lower priority, which is refused until that backlog is gone.
-func (i *Item) yield(now time.Time) {
-	lapse := i.lapse()
-	if !i.MayWait || lapse.IsZero() {
+// deferredFraction is the part of its time to expiry for which an item that may
+// wait is deferred. For the other half it has its own priority, which is enough to
+// be served in time: it was admitted only because its expected wait was shorter
+// than the whole.
+const deferredFraction = 0.5
+
+// setDeferral places an item that may wait in a deferred class, which is served
+// after the items of priorities 1 and above that may not wait, for deferredFraction
+// of its time to expiry. Without it, a burst of long requests that may wait is
+// served before short requests of a lower priority, and those are refused until the
+// burst has been served.
+func (i *Item) setDeferral(now time.Time) {
+	expiry := i.expiry()
+	if !i.MayWait || expiry.IsZero() {
 		return
 	}
-	i.yields = now.Add(time.Duration(patience * float64(lapse.Sub(now))))
+	i.deferredUntil = now.Add(time.Duration(deferredFraction * float64(expiry.Sub(now))))
 	i.class = PriorityCount + i.Priority
 }
 
-// rank is the priority by which a full queue sheds: yielding costs nothing of
-// it, being over a share does.
-func (i *Item) rank() int { return i.class % PriorityCount }
+// shedPriority returns the priority by which a full queue sheds items. A deferred
+// item keeps its own priority; a caller over its share has priority 0.
+func (i *Item) shedPriority() int { return i.class % PriorityCount }
 
-// promote gives their own priority to the items that have yielded long enough.
-func (q *Queue) promote(now time.Time) {
-	for len(q.yielding.list) > 0 && !now.Before(q.yielding.list[0].item.yields) {
-		e := q.yielding.list[0]
+// promoteDeferred moves items whose deferral has ended to the class of their own
+// priority.
+func (q *Queue) promoteDeferred(now time.Time) {
+	for len(q.deferredItems.elements) > 0 && !now.Before(q.deferredItems.elements[0].item.deferredUntil) {
+		e := q.deferredItems.elements[0]
 		q.unlink(now, e)
 		i := e.item
-		i.class, i.yields = i.Priority, time.Time{}
+		i.class, i.deferredUntil = i.Priority, time.Time{}
 		q.add(now, i, e.flow.caller)
 	}
 }
--- a/queue/probe.go
+++ b/queue/probe.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// probeEvery is how often a request is let in whose estimate alone says that it
-// comes too late: one a second costs little where the estimate is right, and
-// corrects one that is wrong within seconds.
-const probeEvery = time.Second
+// probeInterval is the time between two probes. One request per second costs little
+// while the latency estimates are right, and corrects wrong ones within seconds.
+const probeInterval = time.Second
 
-// probe lets one item a second in whatever its estimates say. This guards
-// against an estimate that nothing corrects: an engine that is paused in a
-// prefill leaves a measured speed so low that every request is refused on
-// arrival, nothing runs any more, and nothing is measured. It shows as refusals
-// without end from idle engines. The guard holds since what a probe measures
-// replaces the estimate, and a probe still ends at its target and deadline.
-func (q *Queue) probe(now time.Time, i *Item) {
-	lapse := i.lapse()
-	last := &q.lanes[laneOf(i.PromptTokens)].probed
-	if lapse.IsZero() || now.Before(lapse) || now.Sub(*last) < probeEvery {
+// admitProbe clears the latency estimates of one item per probeInterval and lane
+// that would be refused because of them. It guards against an estimate that is
+// never corrected: an engine paused during a prefill yields such a high latency
+// that every request is refused on arrival, so that no request runs and no new
+// latency is observed. The symptom is that requests are refused without end while
+// the engines are idle. A probe's observed latency corrects the estimate, and the
+// probe itself still expires at its target and deadline.
+func (q *Queue) admitProbe(now time.Time, i *Item) {
+	expiry := i.expiry()
+	last := &q.laneTotals[laneFor(i.PromptTokens)].lastProbe
+	if expiry.IsZero() || now.Before(expiry) || now.Sub(*last) < probeInterval {
 		return
 	}
 	*last = now
--- a/queue/queue.go
+++ b/queue/queue.go
@@ -1,44 +1,45 @@
-// Package queue decides who is served next, who waits and who is refused at one
-// entry for one service.
+// Package queue orders the waiting requests for one service at one entry: it
+// decides which request is served next, which ones wait and which are refused.
 //
-// The load patterns it answers, and what happens without it:
+// It handles these kinds of load:
 //
-//   - A hot caller: with one list in order of arrival, everybody waits behind
-//     the caller that sends most. Here callers share the engines by cost, and
-//     one that had several times the mean loses its priority.
-//   - A hot key: many callers send one body, so that sharing between callers
-//     gives that body most of the engines. A key that had several times a
-//     caller's mean is counted as one caller.
-//   - Long jobs among short ones: a 50,000-token pedigree is 2.5 s of prefill
-//     before a look-up of 10 ms. Long and short work have a lane each.
-//   - Overload: an unbounded list makes every answer late, so that goodput falls
-//     to nothing while the engines are busy. Here an arrival is refused at once
-//     when its expected wait passes its target, and told when to return.
-//   - Too little room for all kinds: the table's priorities say who is served
-//     first and, in a full queue, who is shed first. There is no aging: work
-//     waits no longer than its target or deadline, and in runs with and without
-//     aging callers received the same.
+//   - One caller sends most of the requests. In order of arrival, all other callers
+//     would wait behind it. Here callers share the engines by cost, and a caller that
+//     received several times the mean share loses its priority.
+//   - Many callers send the same body (a hot key). Sharing between callers would give
+//     that body most of the engines. A key that received several times a caller's mean
+//     share is charged as one caller.
+//   - Long prompts arrive among short ones. A prompt of 50,000 tokens takes 2.5 s of
+//     prefill, before a request that takes 10 ms. Short and long prompts have separate
+//     lanes.
+//   - The engines are overloaded. With an unbounded queue every answer is late, and
+//     goodput falls to zero while the engines are busy. Here a request is refused on
+//     arrival if its expected wait passes its target, and told when to retry.
+//   - The engines lack the capacity for all requests. The table's priorities determine
+//     what is served first and, in a full queue, what is shed first. Priorities do not
+//     age: a request waits no longer than its target or deadline, and in runs with and
+//     without aging callers received the same service.
 //
-// Fair queueing is by virtual time (start-time fair queueing) and not by
-// deficit round robin: a quantum would have to be as large as the largest
-// prompt to stay cheap, and then lets a caller with short requests send a
-// hundred of them in one turn. Virtual time costs a heap operation and needs no
-// quantum.
+// Fair queueing uses virtual time (start-time fair queueing) rather than deficit
+// round robin. The quantum of deficit round robin would have to be as large as the
+// largest prompt to stay cheap, and would then let a caller with short requests
+// send a hundred of them in one turn. Virtual time costs one heap operation and
+// needs no quantum.
 //
 // # Usage
 //
 //	var q queue.Queue
-//	v := q.Arrive(now, item, random)
-//	if v.Refusal != nil { refuse(item, v.Refusal) }
-//	for _, r := range v.Shed { refuse(r.Item, &r.Refusal) }
+//	d := q.Enqueue(now, item, random)
+//	if d.Refusal != nil { refuse(item, d.Refusal) }
+//	for _, r := range d.Shed { refuse(r.Item, &r.Refusal) }
 //	...
-//	for _, r := range q.Lapsed(now, random) { refuse(r.Item, &r.Refusal) }
-//	item, ok := q.Next(now, queue.AnyPrompt)
-//	if !placed { q.Return(now, item) } // no pair had room after all
-//	q.Remove(now, id)                  // the caller is gone
+//	for _, r := range q.RemoveExpired(now, random) { refuse(r.Item, &r.Refusal) }
+//	item, ok := q.Dequeue(now, queue.AnyPrompt)
+//	if !placed { q.Requeue(now, item) } // no pair of engines had room
+//	q.Remove(now, id)                   // the caller canceled the request
 //
-// The package reads no clock and draws no random numbers of its own. A Queue is
-// not safe for concurrent use; its owner holds a lock.
+// The package reads no clock and has no random source of its own. A Queue is not
+// safe for concurrent use; its owner must hold a lock.
 package queue
 
 import (
@@ -50,69 +51,74 @@
 	"jacinthworks/domain"
 )
 
-// PriorityCount is the number of priority classes: 0 to 9, as in the table.
+// PriorityCount is the number of priorities: 0 to 9, as in the table.
 const PriorityCount = 10
 
-// DefaultMaxItems bounds a queue whose Limits say nothing. At today's drain of
-// about ten requests a second and entry it is far beyond what can be served
-// within any target; it bounds memory and not waiting.
+// DefaultMaxItems bounds a queue whose Limits set no bound. At a drain rate of
+// about ten requests per second and entry it is far more than can be served within
+// any target; it bounds memory rather than waiting time.
 const DefaultMaxItems = 1000
 
-// LongPromptTokens is the prompt length, in tokens, from which work is long: 0.4 s of
-// prefill at 20,000 tokens a second, the most that a request with a target of
-// 1 s can have in front of it.
+// LongPromptTokens is the prompt length, in tokens, from which a prompt is long:
+// 0.4 s of prefill at 20,000 tokens per second, the most that a request with a
+// target of 1 s can afford ahead of it.
 const LongPromptTokens = 8000
 
-// OutputTokenCost is the cost of one output token in prompt tokens: a full decode
-// engine gives about 400 tokens a second, a prefill engine takes 20,000.
+// OutputTokenCost is the cost of one output token, in prompt tokens: a full decode
+// engine generates about 400 tokens per second, and a prefill engine processes
+// 20,000.
 const OutputTokenCost = 50
 
-// AnyPrompt is the room for a prompt of any length.
+// AnyPrompt is the limit with which Dequeue returns prompts of any length.
 const AnyPrompt = math.MaxInt
 
 // Limits bound a queue.
 type Limits struct {
-	// MaxItems is the table's queue limit; zero stands for DefaultMaxItems.
+	// MaxItems is the table's queue limit; zero means DefaultMaxItems.
 	MaxItems int
 }
 
-// Item is one request that waits.
+// Item is a request to enqueue.
 type Item struct {
 	ID      domain.RequestID
 	Account domain.Account
-	// Key is a hash of the idempotency key or body; zero is not counted.
+	// Key is a hash of the idempotency key or the body; zero if the item has none,
+	// and is then not counted.
 	Key uint64
-	// Priority is the row's: 0 to 9, the higher the sooner.
+	// Priority is that of the table row: 0 to 9, the highest is served first.
 	Priority int
-	// PromptTokens and Output are the prompt's tokens that are not known to be
-	// cached, and the most tokens of the answer; both zero for plain services.
+	// PromptTokens is the number of prompt tokens that are not known to be cached,
+	// and MaxOutputTokens the most tokens of the answer; both are zero for plain
+	// services.
 	PromptTokens    int
 	MaxOutputTokens int
-	// FirstTokenDeadline and Deadline are when the row's targets pass; zero is never.
+	// FirstTokenDeadline and Deadline are the times at which the table row's
+	// targets expire; zero if there is none.
 	FirstTokenDeadline time.Time
 	Deadline           time.Time
-	// MayWait lets the item queue past FirstTokenDeadline, up to Deadline.
+	// MayWait lets the item wait past FirstTokenDeadline, up to Deadline.
 	MayWait bool
-	// FirstTokenLatency and TotalLatency are the times that a request like this takes from
-	// leaving the queue to its first token and to its end.
+	// FirstTokenLatency and TotalLatency are the estimated times from leaving the
+	// queue to the first token and to the end of the answer.
 	FirstTokenLatency time.Duration
 	TotalLatency      time.Duration
 
-	// class is where the item waits: its priority, 0 for a caller over its
-	// share, or a class of those that yield until the time yields.
-	class  int
-	yields time.Time
-	// charged is who paid when Next gave the item, and waited says that it
-	// counted in the drain.
-	charged caller
-	waited  bool
+	// class is the serving class in which the item waits: its priority, 0 for a
+	// caller over its share, or a deferred class until deferredUntil.
+	class         int
+	deferredUntil time.Time
+	// chargedTo is the caller that Dequeue charged for the item. countedInDrain
+	// reports whether the item was counted in the drain rate.
+	chargedTo      caller
+	countedInDrain bool
 }
 
-// Cost is the item's work in prompt tokens, at least 1.
+// Cost returns the item's work in prompt tokens, at least 1.
 func (i Item) Cost() int { return max(1, i.PromptTokens+OutputTokenCost*i.MaxOutputTokens) }
 
-// lapse is when the item can no longer meet what it must; zero is never.
-func (i Item) lapse() time.Time {
+// expiry returns the time after which the item can no longer meet its target or
+// deadline; zero if there is none.
+func (i Item) expiry() time.Time {
 	var at time.Time
 	if !i.Deadline.IsZero() {
 		at = i.Deadline.Add(-i.TotalLatency)
@@ -127,104 +133,107 @@
 	return at
 }
 
-// entry is an item in the queue.
-type entry struct {
-	item    Item
+// queuedItem is an item in the queue.
+type queuedItem struct {
+	item Item
+	// arrived is when the item was last enqueued, requeued or promoted.
 	arrived time.Time
-	// lapse is kept from arrival.
-	lapse time.Time
-	flow  *flow
-	// place is the position in the heap of lapses, or -1; yieldPlace that in
-	// the heap of yielding entries.
-	place, yieldPlace int
-	// older and newer are the neighbours by arrival in the class.
-	older, newer *entry
+	// expiry is the result of Item.expiry on arrival.
+	expiry time.Time
+	flow   *flow
+	// expiryIndex is the position in the heap of expiries, and deferredIndex that
+	// in the heap of deferred items; -1 if the item is not in the heap.
+	expiryIndex, deferredIndex int
+	// older and newer are the neighbours in the class's age-ordered list.
+	older, newer *queuedItem
 }
 
-// Queue holds the waiting requests of one service at one entry. The zero value
-// is empty and ready to use.
+// Queue holds the waiting requests for one service at one entry. The zero value is
+// empty and ready to use.
 type Queue struct {
 	Limits Limits
 
-	classes [classes]class
-	items   map[domain.RequestID]*entry
-	callers map[caller]int
-	shares  shares
-	lapses  heap[*entry]
-	// yielding holds the entries that get their own priority later.
-	yielding heap[*entry]
-	waiting  int
-	// lanes count and measure each lane over all classes.
-	lanes   [lanes]laneTotal
-	returns returns
+	classes  [classCount]class
+	items    map[domain.RequestID]*queuedItem
+	callers  map[caller]int
+	history  serviceHistory
+	expiries heap[*queuedItem]
+	// deferredItems holds the items that are promoted to the class of their own
+	// priority later.
+	deferredItems heap[*queuedItem]
+	waitingCost   int
+	// laneTotals hold the cost and the drain rate of each lane over all classes.
+	laneTotals [laneCount]laneTotal
+	retries    retrySchedule
 }
 
-// Enqueue accepts the item or refuses it at once. An item already waiting under
-// the same ID is accepted and not added again.
+// Enqueue admits the item or refuses it at once. An item that is already waiting
+// with the same ID is admitted and not added again.
 func (q *Queue) Enqueue(now time.Time, i Item, random *rand.Rand) Decision {
 	q.init()
 	i.Priority = min(max(i.Priority, 0), PriorityCount-1)
 	if _, ok := q.items[i.ID]; ok {
 		return Decision{}
 	}
-	q.probe(now, &i)
-	c, over := q.callerOf(now, i)
+	q.admitProbe(now, &i)
+	c, overShare := q.chargedCaller(now, i)
 	i.class = i.Priority
-	if over {
+	if overShare {
 		i.class = 0
 	} else {
-		i.yield(now)
+		i.setDeferral(now)
 	}
-	g := q.grounds(now, i, c)
-	if r := q.refusal(now, i, c, g, random); r != nil {
-		return Decision{Inputs: g, Refusal: r}
+	inputs := q.decisionInputs(now, i, c)
+	if refusal := q.admissionRefusal(now, i, c, inputs, random); refusal != nil {
+		return Decision{Inputs: inputs, Refusal: refusal}
 	}
-	v := Decision{Inputs: g}
+	decision := Decision{Inputs: inputs}
 	if len(q.items) >= q.Limits.items() {
-		victim := q.newestLowest()
-		if victim.item.rank() >= i.rank() {
-			v.Refusal = q.refuse(now, i, domain.ReasonNoRoom, DetailQueueFull, g, random)
-			return v
+		candidate := q.shedCandidate()
+		if candidate.item.shedPriority() >= i.shedPriority() {
+			decision.Refusal = q.newRefusal(now, i, domain.ReasonNoRoom, DetailQueueFull, inputs, random)
+			return decision
 		}
-		v.Shed = append(v.Shed, q.shed(now, victim, random))
+		decision.Shed = append(decision.Shed, q.shed(now, candidate, random))
 	}
 	q.add(now, i, c)
-	return v
+	return decision
 }
 
-// Dequeue takes the item that is to be served next among those whose prompt is no
-// longer than the given number of tokens. Take out Lapsed items first.
-func (q *Queue) Dequeue(now time.Time, longest int) (Item, bool) {
-	q.promote(now)
-	for _, p := range order {
+// Dequeue removes and returns the item to serve next, among those with a prompt of
+// at most maxPrompt tokens. Call RemoveExpired first.
+func (q *Queue) Dequeue(now time.Time, maxPrompt int) (Item, bool) {
+	q.promoteDeferred(now)
+	for _, p := range servingOrder {
 		k := &q.classes[p]
 		if k.newest == nil {
 			continue
 		}
-		if l := k.pick(longest); l != nil {
+		if l := k.nextLane(maxPrompt); l != nil {
 			return q.serve(now, l), true
 		}
 	}
 	return Item{}, false
 }
 
-// Requeue puts back an item that Next gave and that found no room after all. It
-// is the next of its caller again, at the cost it had.
+// Requeue puts back an item that Dequeue returned and that could not be placed. It
+// becomes the next item of its caller, and its charge is undone.
 func (q *Queue) Requeue(now time.Time, i Item) {
 	q.init()
 	if _, ok := q.items[i.ID]; ok {
 		return
 	}
-	e := q.link(now, i, i.charged, oldest)
+	e := q.link(now, i, i.chargedTo, atOldest)
 	e.flow.items = slices.Insert(e.flow.items, 0, e)
 	e.flow.lane.charge(e.flow, -i.Cost())
-	if i.waited {
-		q.handed(now, e.flow.lane, -i.Cost())
+	if i.countedInDrain {
+		q.recordDequeue(now, e.flow.lane, -i.Cost())
 	}
-	q.serveShares(now, i, -i.Cost())
+	q.recordService(now, i, -i.Cost())
 }
 
-// Remove takes out an item whose caller is gone and reports whether it waited.
+// Remove removes an item whose caller canceled the request, and reports whether it
+// was waiting.
 func (q *Queue) Remove(now time.Time, id domain.RequestID) bool {
 	e, ok := q.items[id]
 	if ok {
@@ -233,47 +242,48 @@
 	return ok
 }
 
-// RemoveExpired takes out the items that can no longer meet their first-token target
-// or deadline, each with its refusal.
+// RemoveExpired removes and returns the items that can no longer meet their
+// first-token target or deadline, each with its refusal.
 func (q *Queue) RemoveExpired(now time.Time, random *rand.Rand) []Refused {
 	var out []Refused
-	for len(q.lapses.list) > 0 && !now.Before(q.lapses.list[0].lapse) {
-		e := q.lapses.list[0]
-		g := q.grounds(now, e.item, e.flow.caller)
+	for len(q.expiries.elements) > 0 && !now.Before(q.expiries.elements[0].expiry) {
+		e := q.expiries.elements[0]
+		inputs := q.decisionInputs(now, e.item, e.flow.caller)
 		q.unlink(now, e)
-		r := q.refuse(now, e.item, domain.ReasonTooLate, DetailExpired, g, random)
+		r := q.newRefusal(now, e.item, domain.ReasonTooLate, DetailExpired, inputs, random)
 		out = append(out, Refused{Item: e.item, Refusal: *r})
 	}
 	return out
 }
 
-// NextExpiry says when Lapsed will have something to give.
+// NextExpiry returns the time at which RemoveExpired will next have an item to
+// return; false if there is none.
 func (q *Queue) NextExpiry() (time.Time, bool) {
-	if len(q.lapses.list) == 0 {
+	if len(q.expiries.elements) == 0 {
 		return time.Time{}, false
 	}
-	return q.lapses.list[0].lapse, true
+	return q.expiries.elements[0].expiry, true
 }
 
-// Len is the number of items waiting.
+// Len returns the number of waiting items.
 func (q *Queue) Len() int { return len(q.items) }
 
-// WaitingCost is the cost of all items waiting, in prompt tokens.
-func (q *Queue) WaitingCost() int { return q.waiting }
+// WaitingCost returns the cost of all waiting items, in prompt tokens.
+func (q *Queue) WaitingCost() int { return q.waitingCost }
 
 func (q *Queue) init() {
 	if q.items != nil {
 		return
 	}
-	q.items = make(map[domain.RequestID]*entry)
+	q.items = make(map[domain.RequestID]*queuedItem)
 	q.callers = make(map[caller]int)
-	q.lapses = heap[*entry]{
-		less: func(a, b *entry) bool { return a.lapse.Before(b.lapse) },
-		move: func(e *entry, place int) { e.place = place },
+	q.expiries = heap[*queuedItem]{
+		less:     func(a, b *queuedItem) bool { return a.expiry.Before(b.expiry) },
+		setIndex: func(e *queuedItem, index int) { e.expiryIndex = index },
 	}
-	q.yielding = heap[*entry]{
-		less: func(a, b *entry) bool { return a.item.yields.Before(b.item.yields) },
-		move: func(e *entry, place int) { e.yieldPlace = place },
+	q.deferredItems = heap[*queuedItem]{
+		less:     func(a, b *queuedItem) bool { return a.item.deferredUntil.Before(b.item.deferredUntil) },
+		setIndex: func(e *queuedItem, index int) { e.deferredIndex = index },
 	}
 	for p := range q.classes {
 		q.classes[p].init()
@@ -289,93 +299,99 @@
 
 // add appends the item to its caller's flow.
 func (q *Queue) add(now time.Time, i Item, c caller) {
-	e := q.link(now, i, c, newest)
+	e := q.link(now, i, c, atNewest)
 	e.flow.items = append(e.flow.items, e)
 	e.flow.lane.fix(e.flow)
 }
 
-// link enters the item in every count; the owner puts it into its flow.
-func (q *Queue) link(now time.Time, i Item, c caller, at end) *entry {
-	q.advance(now)
+// link adds the item to the class, the heaps and all counts; the caller of link
+// inserts it into its flow.
+func (q *Queue) link(now time.Time, i Item, c caller, at listEnd) *queuedItem {
+	q.advanceDrains(now)
 	k := &q.classes[i.class]
-	e := &entry{item: i, arrived: now, lapse: i.lapse(), place: -1, yieldPlace: -1}
-	e.flow = k.enter(now, e, c, at)
+	e := &queuedItem{item: i, arrived: now, expiry: i.expiry(), expiryIndex: -1, deferredIndex: -1}
+	e.flow = k.addItem(now, e, c, at)
 	q.items[i.ID] = e
 	q.callers[c]++
-	q.waiting += i.Cost()
-	q.lanes[laneOf(i.PromptTokens)].cost += i.Cost()
-	if !e.lapse.IsZero() {
-		q.lapses.push(e)
+	q.waitingCost += i.Cost()
+	q.laneTotals[laneFor(i.PromptTokens)].cost += i.Cost()
+	if !e.expiry.IsZero() {
+		q.expiries.push(e)
 	}
-	if !i.yields.IsZero() {
-		q.yielding.push(e)
+	if !i.deferredUntil.IsZero() {
+		q.deferredItems.push(e)
 	}
 	return e
 }
 
-// unlink takes the item out of its flow and of every count.
-func (q *Queue) unlink(now time.Time, e *entry) {
-	q.advance(now)
-	q.classes[e.item.class].leave(now, e)
+// unlink removes the item from its flow, the class, the heaps and all counts.
+func (q *Queue) unlink(now time.Time, e *queuedItem) {
+	q.advanceDrains(now)
+	q.classes[e.item.class].removeItem(now, e)
 	delete(q.items, e.item.ID)
 	c := e.flow.caller
 	if q.callers[c]--; q.callers[c] == 0 {
 		delete(q.callers, c)
 	}
-	q.waiting -= e.item.Cost()
-	q.lanes[laneOf(e.item.PromptTokens)].cost -= e.item.Cost()
-	if e.place >= 0 {
-		q.lapses.remove(e.place)
+	q.waitingCost -= e.item.Cost()
+	q.laneTotals[laneFor(e.item.PromptTokens)].cost -= e.item.Cost()
+	if e.expiryIndex >= 0 {
+		q.expiries.remove(e.expiryIndex)
 	}
-	if e.yieldPlace >= 0 {
-		q.yielding.remove(e.yieldPlace)
+	if e.deferredIndex >= 0 {
+		q.deferredItems.remove(e.deferredIndex)
 	}
 }
 
-// serve takes the head of the lane's first flow and charges it.
+// serve removes the first item of the lane's first flow and charges the flow. An
+// item dequeued at the time at which it was enqueued, requeued or promoted is not
+// counted in the drain rate, because it did not wait.
 func (q *Queue) serve(now time.Time, l *lane) Item {
-	f := l.flows.list[0]
+	f := l.flows.elements[0]
 	e := f.items[0]
-	e.item.charged = f.caller
+	e.item.chargedTo = f.caller
 	cost := e.item.Cost()
 	q.unlink(now, e)
-	l.virtual = f.tag
+	l.virtualTime = f.startTag
 	l.charge(f, cost)
-	q.serveShares(now, e.item, cost)
-	e.item.waited = now.After(e.arrived)
-	if e.item.waited {
-		q.handed(now, l, cost)
+	q.recordService(now, e.item, cost)
+	e.item.countedInDrain = now.After(e.arrived)
+	if e.item.countedInDrain {
+		q.recordDequeue(now, l, cost)
 	}
 	return e.item
 }
 
-// serveShares remembers service for the item's account and its key.
-func (q *Queue) serveShares(now time.Time, i Item, cost int) {
-	q.shares.add(now, caller{account: i.Account}, cost)
+// recordService records service for the item's account and its key.
+func (q *Queue) recordService(now time.Time, i Item, cost int) {
+	q.history.add(now, caller{account: i.Account}, cost)
 	if i.Key != 0 {
-		q.shares.add(now, caller{key: i.Key}, cost)
+		q.history.add(now, caller{key: i.Key}, cost)
 	}
 }
 
-// handed tells the measurements of the drain what was handed over, or came back.
-func (q *Queue) handed(now time.Time, l *lane, cost int) {
-	l.drain.handed(now, cost)
-	q.lanes[l.number].drain.handed(now, cost)
+// recordDequeue adds the cost to the drain rates of the lane; a negative cost
+// undoes it.
+func (q *Queue) recordDequeue(now time.Time, l *lane, cost int) {
+	l.drain.add(now, cost)
+	q.laneTotals[l.number].drain.add(now, cost)
 }
 
-// advance tells the measurements the time, before anything changes.
-func (q *Queue) advance(now time.Time) {
-	for n := range q.lanes {
-		q.lanes[n].drain.advance(now, q.lanes[n].cost > 0)
+// advanceDrains updates the drain rates over all classes to the given time. It must
+// be called before the waiting cost changes.
+func (q *Queue) advanceDrains(now time.Time) {
+	for n := range q.laneTotals {
+		q.laneTotals[n].drain.advance(now, q.laneTotals[n].cost > 0)
 	}
 }
 
-// newestLowest gives the entry that a full queue sheds first.
-func (q *Queue) newestLowest() *entry {
-	var lowest *entry
+// shedCandidate returns the item that a full queue sheds first: the newest one of
+// the lowest priority.
+func (q *Queue) shedCandidate() *queuedItem {
+	var lowest *queuedItem
 	for p := range q.classes {
 		e := q.classes[p].newest
-		if e != nil && (lowest == nil || e.item.rank() < lowest.item.rank()) {
+		if e != nil && (lowest == nil || e.item.shedPriority() < lowest.item.shedPriority()) {
 			lowest = e
 		}
 	}
--- a/queue/queue_test.go
+++ b/queue/queue_test.go
@@ -14,7 +14,7 @@
 	"jacinthworks/domain"
 )
 
-// One seed, so that a run repeats.
+// A fixed seed makes runs reproducible.
 var _ = flag.Set("rapid.seed", "20261202")
 
 var start = time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC)
@@ -27,7 +27,8 @@
 	return Item{ID: domain.RequestID(fmt.Sprint(n)), Account: account, PromptTokens: prompt}
 }
 
-// maxMin is the naive fair share: the level up to which a budget fills demands.
+// maxMin returns the max-min fair shares of the budget: demands are filled up to a
+// common level.
 func maxMin(demands []int, budget int) []int {
 	out := make([]int, len(demands))
 	order := make([]int, len(demands))
@@ -42,7 +43,7 @@
 	return out
 }
 
-func TestFairQueueingAgreesWithMaxMin(t *testing.T) {
+func TestDequeueSharesServiceMaxMinFairly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const largest = 4000
 		var q Queue
@@ -72,14 +73,15 @@
 	})
 }
 
-// TestEachItemLeavesOnce compares every count with a plain map of the items.
-func TestEachItemLeavesOnce(t *testing.T) {
+// TestQueueCountsMatchReferenceModel checks that each item leaves the queue once,
+// and compares all counts with a map of the waiting items.
+func TestQueueCountsMatchReferenceModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := Queue{Limits: Limits{MaxItems: 12}}
-		naive := map[domain.RequestID]Item{}
-		leave := func(i Item) {
-			require.Contains(t, naive, i.ID)
-			delete(naive, i.ID)
+		model := map[domain.RequestID]Item{}
+		removeFromModel := func(i Item) {
+			require.Contains(t, model, i.ID)
+			delete(model, i.ID)
 		}
 		now := start
 		for n := range rapid.IntRange(1, 120).Draw(t, "steps") {
@@ -93,41 +95,41 @@
 				i.MayWait = rapid.Bool().Draw(t, "may wait")
 				v := q.Enqueue(now, i, random())
 				for _, r := range v.Shed {
-					require.Less(t, r.Item.rank(), v.Inputs.Class)
-					leave(r.Item)
+					require.Less(t, r.Item.shedPriority(), v.Inputs.Class)
+					removeFromModel(r.Item)
 				}
 				if v.Refusal == nil {
-					naive[i.ID] = i
+					model[i.ID] = i
 				}
 			case 2:
 				if i, ok := q.Dequeue(now, AnyPrompt); ok && rapid.Bool().Draw(t, "return") {
 					q.Requeue(now, i)
 				} else if ok {
-					leave(i)
+					removeFromModel(i)
 				}
 			case 3:
 				id := domain.RequestID(fmt.Sprint(rapid.IntRange(0, n).Draw(t, "id")))
-				_, ok := naive[id]
+				_, ok := model[id]
 				require.Equal(t, ok, q.Remove(now, id))
-				delete(naive, id)
+				delete(model, id)
 			case 4:
 				for _, r := range q.RemoveExpired(now, random()) {
-					leave(r.Item)
+					removeFromModel(r.Item)
 				}
 			}
-			requireSame(t, &q, naive)
+			requireMatchesModel(t, &q, model)
 		}
 	})
 }
 
-func requireSame(t *rapid.T, q *Queue, naive map[domain.RequestID]Item) {
+func requireMatchesModel(t *rapid.T, q *Queue, model map[domain.RequestID]Item) {
 	var cost int
-	for _, i := range naive {
+	for _, i := range model {
 		cost += i.Cost()
 	}
-	require.Equal(t, len(naive), q.Len())
+	require.Equal(t, len(model), q.Len())
 	require.Equal(t, cost, q.WaitingCost())
-	require.LessOrEqual(t, q.Len(), 13) // one returned beyond the limit
+	require.LessOrEqual(t, q.Len(), 13) // an item requeued beyond the limit
 	var lanesCost int
 	for p := range q.classes {
 		for n := range q.classes[p].lanes {
@@ -137,10 +139,10 @@
 	require.Equal(t, cost, lanesCost)
 }
 
-// A look-up at the hall desk takes as long as a wall's whole history. Forty
-// long histories arrived first and a single list serves them first. The short
-// one has to pass all but the one that is next.
-func TestShortPassesLong(t *testing.T) {
+// Forty long prompts are waiting when a short one arrives. In order of arrival it
+// would be served after all of them; here at most one long prompt is served before
+// it.
+func TestDequeueServesShortPromptAfterAtMostOneLong(t *testing.T) {
 	var q Queue
 	for n := range 40 {
 		q.Enqueue(start, item(n, "setter", 50_000), random())
@@ -151,8 +153,8 @@
 	require.Contains(t, []domain.RequestID{first.ID, second.ID}, domain.RequestID("99"))
 }
 
-// A long prompt that fits no engine now must not keep those that fit waiting.
-func TestNextPassesOverWhatDoesNotFit(t *testing.T) {
+// A long prompt that fits no engine at present must not block the prompts that fit.
+func TestDequeueSkipsPromptLongerThanLimit(t *testing.T) {
 	var q Queue
 	q.Enqueue(start, item(1, "setter", 50_000), random())
 	_, ok := q.Dequeue(start, LongPromptTokens)
@@ -163,30 +165,31 @@
 	require.Equal(t, domain.RequestID("2"), i.ID)
 }
 
-// An inspector's safety note is refused while blurbs wait. The queue was full
-// of blurbs when it came. The newest blurb has to give way, with a refusal that
-// tells its caller when to return.
-func TestFullQueueShedsLowestPriorityFirst(t *testing.T) {
+// An item of high priority arrives at a queue full of items of low priority. The
+// newest of these must be shed, with a Retry-After for its caller, rather than the
+// arrival be refused.
+func TestEnqueueOnFullQueueShedsNewestOfLowestPriority(t *testing.T) {
 	q := Queue{Limits: Limits{MaxItems: 3}}
 	for n := range 3 {
 		i := item(n, domain.Account(fmt.Sprint(n)), 100)
 		i.Priority = 2
 		require.Nil(t, q.Enqueue(start, i, random()).Refusal)
 	}
-	note := item(9, "inspector", 100)
-	note.Priority = 9
-	v := q.Enqueue(start, note, random())
+	highPriority := item(9, "inspector", 100)
+	highPriority.Priority = 9
+	v := q.Enqueue(start, highPriority, random())
 	require.Nil(t, v.Refusal)
 	require.Len(t, v.Shed, 1)
 	require.Equal(t, domain.RequestID("2"), v.Shed[0].Item.ID)
 	require.Equal(t, domain.ReasonNoRoom, v.Shed[0].Refusal.Reason)
 	require.GreaterOrEqual(t, v.Shed[0].Refusal.RetryAfter, minRetry)
-	blurb := item(10, "breeder", 100)
-	require.Equal(t, DetailQueueFull, q.Enqueue(start, blurb, random()).Refusal.Detail)
+	lowPriority := item(10, "breeder", 100)
+	require.Equal(t, DetailQueueFull, q.Enqueue(start, lowPriority, random()).Refusal.Detail)
 }
 
-// fill lets items of 1,000 tokens wait and drains one of them every 100 ms.
-func fill(q *Queue, account domain.Account, items, drained int) (now time.Time) {
+// fillAndDrain enqueues items of 1,000 tokens and dequeues one of them every 100
+// ms. It returns the time of the last one.
+func fillAndDrain(q *Queue, account domain.Account, items, drained int) (now time.Time) {
 	for n := range items {
 		q.Enqueue(start, item(n, account, 1000), random())
 	}
@@ -197,12 +200,12 @@
 	return now
 }
 
-// A buyer waits for seconds and is then refused. The queue drained 10,000
-// tokens a second with 40,000 waiting, and the target is 1 s. The wait was
-// known on arrival, so the refusal has to come then.
-func TestRefusedOnArrivalWhenTargetCannotBeMet(t *testing.T) {
+// The drain rate is 10,000 tokens per second, 40,000 tokens are waiting, and the
+// target is 1 s. The expected wait is known on arrival, so the item must be refused
+// then and not after seconds of waiting.
+func TestEnqueueRefusesWhenExpectedWaitExceedsTarget(t *testing.T) {
 	var q Queue
-	now := fill(&q, "breeder", 60, 20)
+	now := fillAndDrain(&q, "breeder", 60, 20)
 	i := item(100, "breeder", 1000)
 	i.FirstTokenDeadline, i.Deadline = now.Add(time.Second), now.Add(30*time.Second)
 	v := q.Enqueue(now, i, random())
@@ -212,12 +215,12 @@
 	require.GreaterOrEqual(t, v.Refusal.RetryAfter, 3*time.Second)
 	i.MayWait = true
 	require.Nil(t, q.Enqueue(now, i, random()).Refusal)
-	fresh := item(101, "buyer", 1000)
-	fresh.FirstTokenDeadline = now.Add(time.Second)
-	require.Nil(t, q.Enqueue(now, fresh, random()).Refusal)
+	fromNewCaller := item(101, "buyer", 1000)
+	fromNewCaller.FirstTokenDeadline = now.Add(time.Second)
+	require.Nil(t, q.Enqueue(now, fromNewCaller, random()).Refusal)
 }
 
-func TestLapsedIsRefusedAtItsTime(t *testing.T) {
+func TestRemoveExpiredRefusesItemAtItsExpiry(t *testing.T) {
 	var q Queue
 	i := item(1, "buyer", 100)
 	i.FirstTokenDeadline, i.FirstTokenLatency = at(time.Second), 300*time.Millisecond
@@ -232,8 +235,9 @@
 	require.Zero(t, q.Len())
 }
 
-// serve lets the queue serve all that waits, one item each 100 ms.
-func serve(q *Queue, now time.Time) time.Time {
+// drainAll dequeues all waiting items, one every 100 ms, and returns the time of
+// the last one.
+func drainAll(q *Queue, now time.Time) time.Time {
 	for q.Len() > 0 {
 		now = now.Add(100 * time.Millisecond)
 		q.Dequeue(now, AnyPrompt)
@@ -241,17 +245,17 @@
 	return now
 }
 
-// Every climber looks up the wall of the day and nobody gets anything else.
-// Each caller sends one request, so sharing between callers does not help. The
-// key has to count as one caller, after those that had less.
-func TestHotKeyCountsAsOneCaller(t *testing.T) {
+// Twenty callers each send one request with the same key, so sharing between
+// callers does not limit the key. It must be charged as one caller and lose its
+// priority, so that requests with other keys are served first.
+func TestEnqueueChargesHotKeyAsOneCaller(t *testing.T) {
 	var q Queue
 	for n := range 20 {
 		i := item(n, domain.Account(fmt.Sprint("climber", n)), 100)
 		i.Key = 7
 		q.Enqueue(start, i, random())
 	}
-	now := serve(&q, start)
+	now := drainAll(&q, start)
 	hot := Item{ID: "hot", Account: "new", Key: 7, PromptTokens: 100, Priority: 9}
 	v := q.Enqueue(now, hot, random())
 	require.True(t, v.Inputs.HotKey)
@@ -262,28 +266,28 @@
 	require.Equal(t, domain.RequestID("other"), i.ID)
 }
 
-// An inspector is refused though only one note waits, with an expected wait of
-// an hour. The note was tried at once and put back time and again because no
-// engine had room, and each return was taken off the measured drain.
-func TestReturnLeavesTheDrainAsItWas(t *testing.T) {
+// An item is dequeued on arrival and requeued again and again because no engine has
+// room. If each Requeue lowers the measured drain rate, the expected wait grows to
+// an hour, and requests are refused while only one waits.
+func TestRequeueLeavesDrainRateUnchanged(t *testing.T) {
 	var q Queue
-	now := fill(&q, "inspector", 60, 20)
-	before, _ := q.lanes[laneShort].drain.rate()
+	now := fillAndDrain(&q, "inspector", 60, 20)
+	before, _ := q.laneTotals[laneShort].drain.rate()
 	for n := range 50 {
-		fresh := Item{ID: domain.RequestID(fmt.Sprint("fresh", n)), Account: "other", PromptTokens: 1000}
-		q.Enqueue(now, fresh, random())
+		fromNewCaller := Item{ID: domain.RequestID(fmt.Sprint("fresh", n)), Account: "other", PromptTokens: 1000}
+		q.Enqueue(now, fromNewCaller, random())
 		i, ok := q.Dequeue(now, AnyPrompt)
 		require.True(t, ok)
 		q.Requeue(now, i)
 	}
-	after, _ := q.lanes[laneShort].drain.rate()
+	after, _ := q.laneTotals[laneShort].drain.rate()
 	require.InDelta(t, before, after, 1)
 }
 
-// A blurb is refused again and again while the engines idle. A pause in the
-// middle of a prefill left an estimate longer than the target; with all refused
-// on arrival nothing was measured anew. One a second has to get through.
-func TestWrongEstimateIsProbed(t *testing.T) {
+// A pause during a prefill left a latency estimate longer than the target. If all
+// requests are refused on arrival, the engines are idle and no new latency is
+// observed. One request per second must be admitted.
+func TestEnqueueAdmitsOneProbePerSecondDespiteEstimate(t *testing.T) {
 	var q Queue
 	served := 0
 	for n := range 30 {
@@ -299,10 +303,10 @@
 	require.Equal(t, 3, served)
 }
 
-// All buyers are refused while one inspector's safety notes are served. Notes
-// go before enquiries, and one account sends more of them than the engines can
-// take. Beyond its share the account loses its priority, until it has rested.
-func TestHotCallerLosesItsPriority(t *testing.T) {
+// One account sends more requests of high priority than the engines can serve, and
+// all other callers would be refused. Beyond its share the account loses its
+// priority, until its past service has decayed.
+func TestEnqueueGivesCallerOverItsShareLowestPriority(t *testing.T) {
 	var q Queue
 	for n := range 40 {
 		i := item(n, domain.Account(fmt.Sprint("caller", n%8)), 100)
@@ -311,27 +315,27 @@
 		}
 		q.Enqueue(start, i, random())
 	}
-	now := serve(&q, start)
-	note := Item{ID: "note", Account: "hot", PromptTokens: 100, Priority: 9}
-	require.Zero(t, q.Enqueue(now, note, random()).Inputs.Class)
-	note.ID, note.Account = "other", "caller1"
-	require.Equal(t, 9, q.Enqueue(now, note, random()).Inputs.Class)
-	rested := now.Add(10 * shareMemory)
-	q.shares.add(rested, caller{account: "caller1"}, 100)
-	q.shares.add(rested, caller{account: "caller2"}, 100)
-	note.ID, note.Account = "later", "hot"
-	require.Equal(t, 9, q.Enqueue(rested, note, random()).Inputs.Class)
+	now := drainAll(&q, start)
+	highPriority := Item{ID: "note", Account: "hot", PromptTokens: 100, Priority: 9}
+	require.Zero(t, q.Enqueue(now, highPriority, random()).Inputs.Class)
+	highPriority.ID, highPriority.Account = "other", "caller1"
+	require.Equal(t, 9, q.Enqueue(now, highPriority, random()).Inputs.Class)
+	afterDecay := now.Add(10 * shareTimeConstant)
+	q.history.add(afterDecay, caller{account: "caller1"}, 100)
+	q.history.add(afterDecay, caller{account: "caller2"}, 100)
+	highPriority.ID, highPriority.Account = "later", "hot"
+	require.Equal(t, 9, q.Enqueue(afterDecay, highPriority, random()).Inputs.Class)
 }
 
-// A thousand callers refused in one second return in one second. Their
-// Retry-After has to spread them over what the engines can take.
-func TestReturnsAreSpreadAtTheDrainRate(t *testing.T) {
-	var r returns
+// Callers refused in the same second would all retry in the same second. Their
+// Retry-After must spread the retries at the drain rate.
+func TestRetryDelaySpreadsRetriesAtDrainRate(t *testing.T) {
+	var r retrySchedule
 	source := random()
 	perSecond := map[time.Duration]int{}
 	for range 100 {
-		a := r.after(start, 0, 100*time.Millisecond, source)
-		require.LessOrEqual(t, a, maxRetry*(100+retryJitter)/100)
+		a := r.delay(start, 0, 100*time.Millisecond, source)
+		require.LessOrEqual(t, a, maxRetry*(100+retryJitterPercent)/100)
 		perSecond[a.Truncate(time.Second)]++
 	}
 	for second, n := range perSecond {
@@ -339,21 +343,21 @@
 	}
 }
 
-// Climbers' briefs are refused for ten seconds after a burst has ended. Long
-// summaries of a higher priority, which may wait, came in the burst and are all
-// served first. While they have time they have to yield, and no longer.
-func TestWorkThatMayWaitYieldsForHalfItsTime(t *testing.T) {
+// Long requests of a higher priority that may wait arrive in a burst. Served first,
+// they would cause short requests to be refused for ten seconds after the burst.
+// They must be deferred for half of their time to expiry, and no longer.
+func TestDequeueDefersItemThatMayWaitForHalfItsTime(t *testing.T) {
 	var q Queue
-	summary := item(1, "setter", 20_000)
-	summary.Priority, summary.MayWait, summary.Deadline = 4, true, at(20*time.Second)
-	require.True(t, q.Enqueue(start, summary, random()).Inputs.Deferred)
-	brief := item(2, "climber", 500)
-	brief.Priority = 3
-	q.Enqueue(start, brief, random())
+	deferrable := item(1, "setter", 20_000)
+	deferrable.Priority, deferrable.MayWait, deferrable.Deadline = 4, true, at(20*time.Second)
+	require.True(t, q.Enqueue(start, deferrable, random()).Inputs.Deferred)
+	immediate := item(2, "climber", 500)
+	immediate.Priority = 3
+	q.Enqueue(start, immediate, random())
 	i, _ := q.Dequeue(start, AnyPrompt)
-	require.Equal(t, brief.ID, i.ID)
-	brief.ID = "later"
-	q.Enqueue(at(9*time.Second), brief, random())
+	require.Equal(t, immediate.ID, i.ID)
+	immediate.ID = "later"
+	q.Enqueue(at(9*time.Second), immediate, random())
 	i, _ = q.Dequeue(at(10*time.Second), AnyPrompt)
-	require.Equal(t, summary.ID, i.ID)
+	require.Equal(t, deferrable.ID, i.ID)
 }
--- a/queue/returns.go
+++ b/queue/returns.go
@@ -5,37 +5,39 @@
 	"time"
 )
 
-// The bounds of Retry-After: a header in whole seconds cannot say less than
-// one, and a caller told more than half a minute gives up and asks elsewhere.
+// minRetry and maxRetry bound Retry-After: the header is in whole seconds, so that
+// one second is its minimum, and a caller told to wait for more than half a minute
+// gives up and asks elsewhere.
 const (
 	minRetry = time.Second
 	maxRetry = 30 * time.Second
 )
 
-// retryJitter spreads each Retry-After by up to this part of itself, in
-// percent, so that callers refused together do not return together.
-const retryJitter = 25
+// retryJitterPercent is the largest part by which a Retry-After is extended at
+// random, in percent, so that callers refused at the same time do not retry at the
+// same time.
+const retryJitterPercent = 25
 
-// returns spaces the returns of refused callers at the drain rate. Without it
-// all that are refused in a burst are told the same second, and their return is
-// the next burst.
-type returns struct {
-	// next is when the engines will have room for the next return.
-	next time.Time
+// retrySchedule spaces the retries of refused callers at the drain rate. Without
+// it, all callers refused in a burst get the same Retry-After, and their retries
+// are the next burst.
+type retrySchedule struct {
+	// nextRetry is when the engines will have capacity for the next retry.
+	nextRetry time.Time
 }
 
-// after gives the Retry-After of a request that is refused for want of the
-// given time and that will take the engines the given time.
-func (r *returns) after(now time.Time, excess, takes time.Duration, random *rand.Rand) time.Duration {
+// delay returns the Retry-After for a refused request whose expected wait is too
+// long by excess and whose service takes serviceTime, both at the drain rate.
+func (r *retrySchedule) delay(now time.Time, excess, serviceTime time.Duration, random *rand.Rand) time.Duration {
 	earliest := now.Add(max(excess, minRetry))
-	if r.next.Before(earliest) {
-		r.next = earliest
+	if r.nextRetry.Before(earliest) {
+		r.nextRetry = earliest
 	}
-	after := min(r.next.Sub(now), maxRetry)
-	r.next = r.next.Add(takes)
-	if latest := now.Add(maxRetry); r.next.After(latest) {
-		r.next = latest
+	after := min(r.nextRetry.Sub(now), maxRetry)
+	r.nextRetry = r.nextRetry.Add(serviceTime)
+	if latest := now.Add(maxRetry); r.nextRetry.After(latest) {
+		r.nextRetry = latest
 	}
-	spread := int64(after) * retryJitter / 100
+	spread := int64(after) * retryJitterPercent / 100
 	return after + time.Duration(random.Int64N(spread+1))
 }
--- a/queue/share.go
+++ b/queue/share.go
@@ -5,78 +5,81 @@
 	"time"
 )
 
-// shareMemory is the time constant over which a caller's service is remembered:
-// several of the longest requests of today, so that one pedigree does not make
-// its breeder a hot caller.
-const shareMemory = 10 * time.Second
+// shareTimeConstant is the time constant over which a caller's past service decays:
+// several times the service time of the longest requests, so that one long prompt
+// does not make its caller exceed its share.
+const shareTimeConstant = 10 * time.Second
 
-// overShare is how many times the mean share a caller may have had before its
-// work counts as of the lowest priority. Callers differ by a factor of two
-// from minute to minute; docs/decisions.md has the runs.
-const overShare = 3
+// maxShareFactor is the multiple of the mean share that a caller may have received
+// before its items get the lowest priority. Callers differ by a factor of two from
+// minute to minute; see docs/decisions.md.
+const maxShareFactor = 3
 
-// shareSweep is how often callers without recent service are forgotten.
-const shareSweep = time.Second
+// shareSweepInterval is the time between removals of callers without recent
+// service.
+const shareSweepInterval = time.Second
 
-// service is what a caller was served, decaying.
-type service struct {
+// decayingCost is an amount of cost that decays with shareTimeConstant; cost is its
+// amount at the time at.
+type decayingCost struct {
 	cost float64
 	at   time.Time
 }
 
-func (s service) now(now time.Time) float64 {
-	return s.cost * math.Exp(-now.Sub(s.at).Seconds()/shareMemory.Seconds())
+// decayedTo returns the amount left at the given time.
+func (s decayingCost) decayedTo(now time.Time) float64 {
+	return s.cost * math.Exp(-now.Sub(s.at).Seconds()/shareTimeConstant.Seconds())
 }
 
-// shares remembers what each caller and each key was served of late. The zero
-// value remembers nothing.
+// serviceHistory records the recent service of each account and each key. The zero
+// value is empty and ready to use.
 //
-// Priorities alone let one caller starve all others by sending work of high
-// priority only. So a caller, or a key that many callers send, which has had
-// more than overShare times the mean is served after those that have not. It
-// still gets whatever they leave.
-type shares struct {
-	served map[caller]service
-	total  service
-	// accounts counts the accounts among the callers served.
-	accounts int
-	swept    time.Time
+// With priorities alone, one caller could starve all others by sending only
+// requests of high priority. So a caller, or a key that many callers send, that
+// received more than maxShareFactor times the mean is served after all others. It
+// still gets the capacity that the others leave.
+type serviceHistory struct {
+	served map[caller]decayingCost
+	total  decayingCost
+	// accountCount is the number of accounts in served.
+	accountCount int
+	lastSweep    time.Time
 }
 
-// add remembers service; a negative cost takes it back.
-func (s *shares) add(now time.Time, c caller, cost int) {
+// add records service; a negative cost undoes it.
+func (s *serviceHistory) add(now time.Time, c caller, cost int) {
 	if s.served == nil {
-		s.served = make(map[caller]service)
+		s.served = make(map[caller]decayingCost)
 	}
 	s.sweep(now)
-	had, known := s.served[c]
-	s.served[c] = service{cost: max(0, had.now(now)+float64(cost)), at: now}
+	previous, known := s.served[c]
+	s.served[c] = decayingCost{cost: max(0, previous.decayedTo(now)+float64(cost)), at: now}
 	if c.key != 0 {
 		return
 	}
 	if !known {
-		s.accounts++
+		s.accountCount++
 	}
-	s.total = service{cost: max(0, s.total.now(now)+float64(cost)), at: now}
+	s.total = decayingCost{cost: max(0, s.total.decayedTo(now)+float64(cost)), at: now}
 }
 
-// over says whether the caller has had more than its share.
-func (s *shares) over(now time.Time, c caller) bool {
-	had, known := s.served[c]
-	return known && had.now(now)*float64(s.accounts) > overShare*s.total.now(now)
+// isOverShare reports whether the caller received more than its share.
+func (s *serviceHistory) isOverShare(now time.Time, c caller) bool {
+	previous, known := s.served[c]
+	return known && previous.decayedTo(now)*float64(s.accountCount) > maxShareFactor*s.total.decayedTo(now)
 }
 
-// sweep forgets callers of whose service less than a token is left.
-func (s *shares) sweep(now time.Time) {
-	if now.Sub(s.swept) < shareSweep {
+// sweep removes callers whose service has decayed to less than one token.
+func (s *serviceHistory) sweep(now time.Time) {
+	if now.Sub(s.lastSweep) < shareSweepInterval {
 		return
 	}
-	s.swept = now
-	for c, had := range s.served {
-		if had.now(now) < 1 {
+	s.lastSweep = now
+	for c, previous := range s.served {
+		if previous.decayedTo(now) < 1 {
 			delete(s.served, c)
 			if c.key == 0 {
-				s.accounts--
+				s.accountCount--
 			}
 		}
 	}
--- a/queue/verdict.go
+++ b/queue/verdict.go
@@ -8,10 +8,10 @@
 	"jacinthworks/domain"
 )
 
-// Detail says in a few words why an item was refused.
+// Detail describes in a few words why an item was refused.
 type Detail string
 
-// The details.
+// The details of refusals.
 const (
 	DetailExpectedWait Detail = "the expected wait passes the target"
 	DetailCallerShare  Detail = "the caller's own waiting work passes its share"
@@ -21,28 +21,32 @@
 	DetailExpired      Detail = "the target can no longer be met"
 )
 
-// DecisionInputs are the figures behind a verdict, for the decision's log line.
+// DecisionInputs are the figures that a decision was based on. They are logged with
+// the decision.
 type DecisionInputs struct {
 	// Wait is the expected time in the queue, and NewCallerWait that of a caller
-	// with nothing waiting.
+	// without waiting items.
 	Wait          time.Duration `json:"wait"`
 	NewCallerWait time.Duration `json:"fresh_wait"`
-	// Rate is the lane's drain rate in cost a second; zero while unknown.
+	// Rate is the drain rate of the item's lane, in cost per second; zero while
+	// unknown.
 	Rate float64 `json:"rate"`
-	// MaxItems counts what waits, CallerItems the caller's part of it, and
-	// CallerLimit what the caller may have.
+	// Items is the number of waiting items, CallerItems the number charged to the
+	// caller, and CallerLimit the most that may be charged to it.
 	Items       int `json:"items"`
 	CallerItems int `json:"caller_items"`
 	CallerLimit int `json:"caller_limit"`
-	// HotKey says that the item was charged to its key; Class is the priority
-	// that it is served by.
+	// HotKey reports whether the item is charged to its key. Class is the priority
+	// by which it is served.
 	HotKey bool `json:"hot_key"`
 	Class  int  `json:"class"`
-	// Deferred says that the item first goes after all that may not wait.
+	// Deferred reports whether the item is in a deferred class, which is served
+	// after the items of priorities 1 and above that may not wait, for a part of
+	// its time to expiry.
 	Deferred bool `json:"yields"`
 }
 
-// Refusal says why an item was refused and when to return.
+// Refusal says why an item was refused and when its caller may retry.
 type Refusal struct {
 	Reason     domain.Reason
 	Detail     Detail
@@ -50,45 +54,47 @@
 	Inputs     DecisionInputs
 }
 
-// Error gives the refusal in one line.
+// Error returns the refusal as one line.
 func (r *Refusal) Error() string {
 	return fmt.Sprintf("queue: %s: %s (expected wait %v)", r.Reason, r.Detail, r.Inputs.Wait)
 }
 
-// Refused is an item that waited and does not any more.
+// Refused is an item that was removed from the queue and refused after it had
+// waited.
 type Refused struct {
 	Item    Item
 	Refusal Refusal
 }
 
-// Decision is the outcome of an arrival.
+// Decision is the result of Enqueue.
 type Decision struct {
 	Inputs DecisionInputs
-	// Refusal is nil when the item was accepted.
+	// Refusal is nil if the item was admitted.
 	Refusal *Refusal
-	// Shed holds the waiting items whose place the arrival took.
+	// Shed holds the waiting items that were shed to make room for the arrival.
 	Shed []Refused
 }
 
-// callerOf says whom the item is charged to, and whether that one is over its
-// share. Most keys are sent once; one that is over a caller's share is hot.
-func (q *Queue) callerOf(now time.Time, i Item) (c caller, over bool) {
-	if key := (caller{key: i.Key}); i.Key != 0 && q.shares.over(now, key) {
+// chargedCaller returns whom the item is charged to, and whether that caller is
+// over its share. Most keys are sent only once; a key that received more than a
+// caller's share is hot, and the item is charged to the key.
+func (q *Queue) chargedCaller(now time.Time, i Item) (c caller, overShare bool) {
+	if key := (caller{key: i.Key}); i.Key != 0 && q.history.isOverShare(now, key) {
 		return key, true
 	}
 	c = caller{account: i.Account}
-	return c, q.shares.over(now, c)
+	return c, q.history.isOverShare(now, c)
 }
 
-// grounds works out the figures for an item of the caller.
-func (q *Queue) grounds(now time.Time, i Item, c caller) DecisionInputs {
-	q.advance(now)
+// decisionInputs computes the figures for an item that is charged to the caller.
+func (q *Queue) decisionInputs(now time.Time, i Item, c caller) DecisionInputs {
+	q.advanceDrains(now)
 	l := q.classes[i.class].lane(i)
 	l.drain.advance(now, l.count > 0)
-	rate, _ := q.lanes[l.number].drain.rate()
+	rate, _ := q.laneTotals[l.number].drain.rate()
 	return DecisionInputs{
-		Wait:          q.wait(i, l, l.ahead(c)),
-		NewCallerWait: q.wait(i, l, l.aheadOfFresh()),
+		Wait:          q.expectedWait(i, l, l.costAhead(c)),
+		NewCallerWait: q.expectedWait(i, l, l.costAheadOfNewCaller()),
 		Rate:          rate,
 		Items:         len(q.items),
 		CallerItems:   q.callers[c],
@@ -99,95 +105,102 @@
 	}
 }
 
-// higher is the cost of the waiting items in the same lane that are served
-// before those of the item's class. For an item that yields these are those of
-// its priority too, which it joins later.
-func (q *Queue) higher(i Item) int {
+// higherPriorityCost returns the cost of the waiting items in the item's lane with
+// a higher priority. For a deferred item it includes the items of the same priority
+// that are not deferred, because the item joins them later.
+func (q *Queue) higherPriorityCost(i Item) int {
 	var cost int
-	for p := i.rank() + 1; p < PriorityCount; p++ {
+	for p := i.shedPriority() + 1; p < PriorityCount; p++ {
 		cost += q.classes[p].lane(i).cost
 	}
 	if i.class >= PriorityCount {
-		cost += q.classes[i.rank()].lane(i).cost
+		cost += q.classes[i.shedPriority()].lane(i).cost
 	}
 	return cost
 }
 
-// wait is the longer of two estimates: the class's own drain rate, which knows
-// what higher classes have been taking; and that of the lane over all classes,
-// which sees a burst of higher priority at once. The class of an item that
-// yields says nothing of when it is served.
-func (q *Queue) wait(i Item, l *lane, ahead int) time.Duration {
-	wait := q.lanes[l.number].drain.wait(q.higher(i) + ahead)
+// expectedWait returns the longer of two estimates: by the drain rate of the item's
+// class, which reflects the capacity that higher classes have been using; and by
+// the drain rate of the lane over all classes, which reflects a burst of higher
+// priority at once. The class rate is left out for a deferred item, because the
+// deferred class does not determine when the item is served.
+func (q *Queue) expectedWait(i Item, l *lane, costAhead int) time.Duration {
+	wait := q.laneTotals[l.number].drain.timeToDrain(q.higherPriorityCost(i) + costAhead)
 	if i.class < PriorityCount {
-		wait = max(wait, l.drain.wait(ahead))
+		wait = max(wait, l.drain.timeToDrain(costAhead))
 	}
 	return wait
 }
 
-// ahead estimates the cost that fair queueing serves before a further item of
-// the caller: what the caller itself has waiting or has had beyond its share,
-// once for each active caller, and one item of each of them.
-func (l *lane) ahead(c caller) int {
+// costAhead estimates the cost that fair queueing serves before a further item of
+// the caller. Every active flow is served as much as the caller has waiting or has
+// received beyond its share, and one item of mean cost more.
+func (l *lane) costAhead(c caller) int {
 	if l.count == 0 {
 		return 0
 	}
 	lead := 0
-	if f, ok := l.byName[c]; ok {
-		lead = f.cost + max(0, int(f.tag-l.virtual))
+	if f, ok := l.byCaller[c]; ok {
+		lead = f.cost + max(0, int(f.startTag-l.virtualTime))
 	}
-	return min(l.cost, l.active*(lead+l.cost/l.count))
+	return min(l.cost, l.activeFlows*(lead+l.cost/l.count))
 }
 
-func (l *lane) aheadOfFresh() int {
+// costAheadOfNewCaller is costAhead for a caller without waiting items or recent
+// service.
+func (l *lane) costAheadOfNewCaller() int {
 	if l.count == 0 {
 		return 0
 	}
-	return min(l.cost, l.active*(l.cost/l.count))
+	return min(l.cost, l.activeFlows*(l.cost/l.count))
 }
 
-// callerLimit is the number of places one caller may have. With n callers
-// waiting, n parts in n+1 are taken at the most: a place is left for one who
-// comes with nothing waiting.
+// callerLimit returns the number of waiting items that may be charged to one
+// caller. With n callers waiting, they hold at most n of n+1 parts of the queue,
+// which leaves places for a new caller.
 func (q *Queue) callerLimit() int {
 	return max(1, q.Limits.items()/(len(q.callers)+1))
 }
 
-// refusal says why the item is refused on arrival, or gives nil.
-func (q *Queue) refusal(now time.Time, i Item, c caller, g DecisionInputs, random *rand.Rand) *Refusal {
+// admissionRefusal returns why the arriving item is refused, or nil if it is
+// admitted.
+func (q *Queue) admissionRefusal(now time.Time, i Item, c caller, inputs DecisionInputs, random *rand.Rand) *Refusal {
 	reason, detail := domain.ReasonCallerShare, DetailCallerShare
-	if g.HotKey {
+	if inputs.HotKey {
 		reason, detail = domain.ReasonNoRoom, DetailHotKey
 	}
-	if g.CallerItems >= g.CallerLimit {
-		return q.refuse(now, i, reason, detail, g, random)
+	if inputs.CallerItems >= inputs.CallerLimit {
+		return q.newRefusal(now, i, reason, detail, inputs, random)
 	}
-	lapse := i.lapse()
-	if lapse.IsZero() || !now.Add(g.Wait).After(lapse) {
+	expiry := i.expiry()
+	if expiry.IsZero() || !now.Add(inputs.Wait).After(expiry) {
 		return nil
 	}
-	if now.Add(g.NewCallerWait).After(lapse) {
+	if now.Add(inputs.NewCallerWait).After(expiry) {
 		reason, detail = domain.ReasonTooLate, DetailExpectedWait
 	}
-	return q.refuse(now, i, reason, detail, g, random)
+	return q.newRefusal(now, i, reason, detail, inputs, random)
 }
 
-func (q *Queue) refuse(now time.Time, i Item, reason domain.Reason, detail Detail, g DecisionInputs, random *rand.Rand) *Refusal {
-	excess := g.Wait
-	if lapse := i.lapse(); !lapse.IsZero() {
-		excess = now.Add(g.Wait).Sub(lapse)
+// newRefusal makes a refusal, with a Retry-After derived from the time by which the
+// expected wait passes the item's expiry.
+func (q *Queue) newRefusal(now time.Time, i Item, reason domain.Reason, detail Detail, inputs DecisionInputs, random *rand.Rand) *Refusal {
+	excess := inputs.Wait
+	if expiry := i.expiry(); !expiry.IsZero() {
+		excess = now.Add(inputs.Wait).Sub(expiry)
 	}
 	return &Refusal{
 		Reason:     reason,
 		Detail:     detail,
-		RetryAfter: q.returns.after(now, excess, q.lanes[laneOf(i.PromptTokens)].drain.wait(i.Cost()), random),
-		Inputs:     g,
+		RetryAfter: q.retries.delay(now, excess, q.laneTotals[laneFor(i.PromptTokens)].drain.timeToDrain(i.Cost()), random),
+		Inputs:     inputs,
 	}
 }
 
-// shed takes out an entry whose place goes to a higher priority.
-func (q *Queue) shed(now time.Time, e *entry, random *rand.Rand) Refused {
-	g := q.grounds(now, e.item, e.flow.caller)
+// shed removes the item from the queue to make room for an item of a higher
+// priority.
+func (q *Queue) shed(now time.Time, e *queuedItem, random *rand.Rand) Refused {
+	inputs := q.decisionInputs(now, e.item, e.flow.caller)
 	q.unlink(now, e)
-	return Refused{Item: e.item, Refusal: *q.refuse(now, e.item, domain.ReasonNoRoom, DetailShed, g, random)}
+	return Refused{Item: e.item, Refusal: *q.newRefusal(now, e.item, domain.ReasonNoRoom, DetailShed, inputs, random)}
 }
