--- a/route/bench_test.go
+++ b/route/bench_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// BenchmarkChoose measures one routing decision, with its bookkeeping, as a
-// quarter of the pool is draining.
+// BenchmarkChoose measures one routing decision and the records of its result,
+// while a quarter of the prefill engines is draining.
 func BenchmarkChoose(b *testing.B) {
 	for _, candidates := range []int{9, 290, 1000} {
 		b.Run(fmt.Sprintf("candidates=%d", candidates), func(b *testing.B) {
--- a/route/cache.go
+++ b/route/cache.go
@@ -8,23 +8,24 @@
 	"jacinthworks/domain"
 )
 
-// beliefHalfLife is the age at which a prefix is believed to be cached with
-// even odds. An engine's cache turns over within tens of seconds at the peak;
-// events of eviction come late or never.
-const beliefHalfLife = 15 * time.Second
+// cacheHalfLife is the age at which the probability that a prefix is still cached
+// is one half. An engine's cache turns over within tens of seconds at peak load;
+// eviction events arrive late or never.
+const cacheHalfLife = 15 * time.Second
 
-// missingFactor is what is left of the belief in each of a host's prefixes for
-// an event that is missing: it may have been this prefix's eviction. An engine
-// holds some thirty prefixes or more.
-const missingFactor = 0.97
+// missedEventFactor is the factor by which a missed event lowers the probability
+// for each of a host's prefixes: the event may have been the prefix's eviction. An
+// engine holds about thirty prefixes or more.
+const missedEventFactor = 0.97
 
-// Bounds of the memory that beliefs take: prefixes known, and hosts for each.
+// maxPrefixes and maxHostsPerPrefix bound the memory of a cacheIndex.
 const (
-	maxPrefixes = 4096
-	maxHolders  = 4
+	maxPrefixes       = 4096
+	maxHostsPerPrefix = 4
 )
 
-// CacheEvent says that a prefix entered or left a host's cache.
+// CacheEvent reports that a prefix was added to a host's cache or evicted from it.
+// Seq numbers the events of a host without gaps.
 type CacheEvent struct {
 	Seq     uint64
 	Prefix  uint64
@@ -32,101 +33,105 @@
 	Evicted bool
 }
 
-// holder is a host believed to hold a prefix.
+// holder is a host that is likely to have a prefix cached.
 type holder struct {
-	host   domain.Host
-	tokens int
-	seen   time.Time
-	// missing is the host's count of missing events when the prefix was seen.
-	missing int
+	host      domain.Host
+	tokens    int
+	updatedAt time.Time
+	// missedEvents is the host's count of missed events at updatedAt.
+	missedEvents int
 }
 
-// stream is how far a host's events have been read.
-type stream struct {
-	seq     uint64
-	missing int
+// eventStream is the position up to which a host's events have been received, and
+// the number of events missed so far.
+type eventStream struct {
+	lastSeq      uint64
+	missedEvents int
 }
 
-// beliefs is what is believed of caches. The zero value believes nothing.
-type beliefs struct {
+// cacheIndex estimates which hosts have which prefixes cached. The zero value is
+// empty and ready to use.
+type cacheIndex struct {
 	holders map[uint64][]holder
-	streams map[domain.Host]stream
-	// order is a ring of prefixes by entry, of which the oldest makes place.
-	order []uint64
-	next  int
+	streams map[domain.Host]eventStream
+	// ring lists the prefixes in order of their addition; once it is full, the
+	// oldest one is replaced.
+	ring     []uint64
+	ringNext int
 }
 
-func (b *beliefs) init() {
+func (b *cacheIndex) init() {
 	if b.holders == nil {
 		b.holders = make(map[uint64][]holder)
-		b.streams = make(map[domain.Host]stream)
+		b.streams = make(map[domain.Host]eventStream)
 	}
 }
 
-// event takes in an event of the host. Events already seen are ignored.
-func (b *beliefs) event(now time.Time, h domain.Host, e CacheEvent) {
+// applyEvent applies a cache event of the host. An event that was already received,
+// or is older than the last one, is ignored.
+func (b *cacheIndex) applyEvent(now time.Time, h domain.Host, e CacheEvent) {
 	b.init()
 	s := b.streams[h]
-	if e.Seq <= s.seq {
+	if e.Seq <= s.lastSeq {
 		return
 	}
-	if s.seq != 0 {
-		s.missing += int(e.Seq - s.seq - 1)
+	if s.lastSeq != 0 {
+		s.missedEvents += int(e.Seq - s.lastSeq - 1)
 	}
-	s.seq = e.Seq
+	s.lastSeq = e.Seq
 	b.streams[h] = s
 	if e.Evicted {
-		b.drop(e.Prefix, h)
+		b.remove(e.Prefix, h)
 		return
 	}
-	b.believe(now, h, e.Prefix, e.Tokens)
+	b.add(now, h, e.Prefix, e.Tokens)
 }
 
-// believe records that the host holds the prefix.
-func (b *beliefs) believe(now time.Time, h domain.Host, prefix uint64, tokens int) {
+// add records that the host has the prefix cached.
+func (b *cacheIndex) add(now time.Time, h domain.Host, prefix uint64, tokens int) {
 	if prefix == 0 || tokens <= 0 {
 		return
 	}
 	b.init()
 	if _, ok := b.holders[prefix]; !ok {
-		b.makePlace(prefix)
+		b.insertPrefix(prefix)
 	}
-	b.drop(prefix, h)
+	b.remove(prefix, h)
 	list := b.holders[prefix]
-	if len(list) == maxHolders {
+	if len(list) == maxHostsPerPrefix {
 		list = slices.Delete(list, 0, 1)
 	}
-	b.holders[prefix] = append(list, holder{host: h, tokens: tokens, seen: now, missing: b.streams[h].missing})
+	b.holders[prefix] = append(list, holder{host: h, tokens: tokens, updatedAt: now, missedEvents: b.streams[h].missedEvents})
 }
 
-func (b *beliefs) drop(prefix uint64, h domain.Host) {
+func (b *cacheIndex) remove(prefix uint64, h domain.Host) {
 	list, ok := b.holders[prefix]
 	if ok {
 		b.holders[prefix] = slices.DeleteFunc(list, func(o holder) bool { return o.host == h })
 	}
 }
 
-// makePlace enters the prefix in the ring and forgets the one it replaces.
-func (b *beliefs) makePlace(prefix uint64) {
-	if len(b.order) < maxPrefixes {
-		b.order = append(b.order, prefix)
+// insertPrefix adds the prefix to the ring and deletes the prefix that it replaces.
+func (b *cacheIndex) insertPrefix(prefix uint64) {
+	if len(b.ring) < maxPrefixes {
+		b.ring = append(b.ring, prefix)
 		return
 	}
-	delete(b.holders, b.order[b.next])
-	b.order[b.next] = prefix
-	b.next = (b.next + 1) % maxPrefixes
+	delete(b.holders, b.ring[b.ringNext])
+	b.ring[b.ringNext] = prefix
+	b.ringNext = (b.ringNext + 1) % maxPrefixes
 }
 
-// tokens gives the tokens of the prefix that the host is believed to hold,
-// weighed by how likely that still is.
-func (b *beliefs) tokens(now time.Time, h domain.Host, prefix uint64) int {
+// expectedTokens returns the tokens of the prefix that the host is expected to have
+// cached, multiplied by the probability that they still are.
+func (b *cacheIndex) expectedTokens(now time.Time, h domain.Host, prefix uint64) int {
 	for _, o := range b.holders[prefix] {
 		if o.host != h {
 			continue
 		}
-		odds := math.Exp2(-now.Sub(o.seen).Seconds() / beliefHalfLife.Seconds())
-		odds *= math.Pow(missingFactor, float64(b.streams[h].missing-o.missing))
-		return int(float64(o.tokens) * odds)
+		probability := math.Exp2(-now.Sub(o.updatedAt).Seconds() / cacheHalfLife.Seconds())
+		probability *= math.Pow(missedEventFactor, float64(b.streams[h].missedEvents-o.missedEvents))
+		return int(float64(o.tokens) * probability)
 	}
 	return 0
 }
--- a/route/estimate.go
+++ b/route/estimate.go
@@ -4,65 +4,66 @@
 	"time"
 )
 
-// weighPrefill works out the figures of a prefill candidate, and why it cannot
-// take the job.
-func (m *EngineSelector) weighPrefill(now time.Time, j Job, c *member[PrefillReport]) (PrefillCandidate, ExclusionReason) {
+// evaluatePrefill computes the figures of a prefill candidate, and the reason if it
+// cannot take the job.
+func (m *EngineSelector) evaluatePrefill(now time.Time, j Job, c *member[PrefillReport]) (PrefillCandidate, ExclusionReason) {
 	rate := c.report.Rate
 	if rate <= 0 {
-		rate = defaultRate
+		rate = defaultPrefillRate
 	}
-	g := PrefillCandidate{Host: c.host, Zone: c.zone, Weight: j.Weights.of(c.zone)}
-	filled := rate * now.Sub(c.at).Seconds()
-	queued := max(0, float64(c.report.QueuedTokens+c.total.tokens)-filled)
-	g.Queue = seconds(queued / rate)
-	g.Cached = m.cached(now, c.host, j)
-	left := j.PromptTokens - g.Cached
-	g.Prefill = seconds(float64(left) / rate)
+	candidate := PrefillCandidate{Host: c.host, Zone: c.zone, Weight: j.Weights.of(c.zone)}
+	processed := rate * now.Sub(c.reportedAt).Seconds()
+	queued := max(0, float64(c.report.QueuedTokens+c.unreportedTotal.tokens)-processed)
+	candidate.Queue = seconds(queued / rate)
+	candidate.Cached = m.cached(now, c.host, j)
+	uncached := j.PromptTokens - candidate.Cached
+	candidate.Prefill = seconds(float64(uncached) / rate)
 	switch {
-	case g.Weight == 0:
-		return g, ExcludedZone
-	case c.shortOnly && left >= longPrompt:
-		return g, ExcludedLong
-	case j.MaxQueueWait > 0 && g.Queue > j.MaxQueueWait:
-		return g, ExcludedQueue
+	case candidate.Weight == 0:
+		return candidate, ExcludedZone
+	case c.shortOnly && uncached >= longPromptTokens:
+		return candidate, ExcludedLong
+	case j.MaxQueueWait > 0 && candidate.Queue > j.MaxQueueWait:
+		return candidate, ExcludedQueue
 	}
-	return g, ""
+	return candidate, ""
 }
 
-// weighDecode works out the figures of a decode candidate, and why it cannot
-// take the job.
-func weighDecode(j Job, c *member[DecodeReport]) (DecodeCandidate, ExclusionReason) {
-	g := DecodeCandidate{
+// evaluateDecode computes the figures of a decode candidate, and the reason if it
+// cannot take the job.
+func evaluateDecode(j Job, c *member[DecodeReport]) (DecodeCandidate, ExclusionReason) {
+	candidate := DecodeCandidate{
 		Host:         c.host,
 		Zone:         c.zone,
-		FreeRequests: c.report.FreeRequests - c.total.requests,
-		FreeTokens:   c.report.FreeTokens - c.total.tokens,
+		FreeRequests: c.report.FreeRequests - c.unreportedTotal.requests,
+		FreeTokens:   c.report.FreeTokens - c.unreportedTotal.tokens,
 		Weight:       j.Weights.of(c.zone),
 	}
-	batch := max(0, c.report.Batch+c.total.requests) + 1
-	g.TokenGap = c.report.GapBase + time.Duration(batch)*c.report.GapStep
+	batch := max(0, c.report.Batch+c.unreportedTotal.requests) + 1
+	candidate.TokenGap = c.report.GapBase + time.Duration(batch)*c.report.GapStep
 	switch {
-	case g.Weight == 0:
-		return g, ExcludedZone
-	case g.FreeRequests < 1:
-		return g, ExcludedSlots
-	case g.FreeTokens < j.PromptTokens+j.MaxOutputTokens:
-		return g, ExcludedMemory
-	case j.TokenGap > 0 && g.TokenGap > j.TokenGap:
-		return g, ExcludedTokenGap
+	case candidate.Weight == 0:
+		return candidate, ExcludedZone
+	case candidate.FreeRequests < 1:
+		return candidate, ExcludedSlots
+	case candidate.FreeTokens < j.PromptTokens+j.MaxOutputTokens:
+		return candidate, ExcludedMemory
+	case j.TokenGap > 0 && candidate.TokenGap > j.TokenGap:
+		return candidate, ExcludedTokenGap
 	}
-	return g, ""
+	return candidate, ""
 }
 
-// estimate works out what a pair would give, or why it cannot take the job.
+// estimate computes the expected latency of a pair, and the reason if it cannot
+// take the job.
 func (m *EngineSelector) estimate(now time.Time, j Job, p *PrefillCandidate, d *DecodeCandidate) (Estimate, ExclusionReason) {
-	filled := p.Queue + p.Prefill
-	wait, takes := m.links.wait(now, ZonePair{From: p.Zone, To: d.Zone}, filled, j.KVBytes)
-	e := Estimate{Cached: p.Cached, KVWait: wait + takes, TokenGap: d.TokenGap}
-	e.FirstToken = filled + e.KVWait + d.TokenGap
+	prefillDone := p.Queue + p.Prefill
+	wait, transferTime := m.links.estimate(now, ZonePair{From: p.Zone, To: d.Zone}, prefillDone, j.KVBytes)
+	e := Estimate{Cached: p.Cached, KVWait: wait + transferTime, TokenGap: d.TokenGap}
+	e.FirstToken = prefillDone + e.KVWait + d.TokenGap
 	risk := 0.0
 	if j.KVLifetime > 0 {
-		if e.KVWait > kvLimit(j) {
+		if e.KVWait > maxKVWait(j) {
 			return e, ExcludedKVExpires
 		}
 		risk = e.KVWait.Seconds() / j.KVLifetime.Seconds() * float64(j.WastedPrefillWeight) / 100
@@ -71,15 +72,15 @@
 	return e, ""
 }
 
-// kvLimit is the longest that a KV cache may be expected to wait: its life,
-// less a margin for the lag of the link's report that grows with the weight of
-// wasted prefill: half of its life at 100 percent.
-func kvLimit(j Job) time.Duration {
+// maxKVWait returns the longest expected wait of a KV cache that is accepted: its
+// lifetime, less a margin for the delay of the link's report. The margin grows with
+// the weight of wasted prefill, to half of the lifetime at 100 percent.
+func maxKVWait(j Job) time.Duration {
 	return time.Duration(float64(j.KVLifetime) / (1 + float64(max(j.WastedPrefillWeight, 0))/100))
 }
 
-// score adds time to first token and time between tokens, each as a part of its
-// target, so that neither is bought with more of the other than it is worth.
+// score adds the time to the first token and the time between tokens, each divided
+// by its target, so that neither is improved at a greater cost to the other.
 func (j Job) score(e Estimate) float64 {
 	first, gap := j.FirstTokenTarget, j.TokenGap
 	if first <= 0 {
--- a/route/grounds.go
+++ b/route/grounds.go
@@ -6,10 +6,10 @@
 	"jacinthworks/domain"
 )
 
-// ExclusionReason says why a candidate or a pair cannot take a job now.
+// ExclusionReason says why a candidate or a pair cannot take a job at present.
 type ExclusionReason string
 
-// The exclusions.
+// The exclusion reasons.
 const (
 	ExcludedZone      ExclusionReason = "zone_weight_zero"
 	ExcludedLong      ExclusionReason = "short_prompts_only"
@@ -20,9 +20,11 @@
 	ExcludedKVExpires ExclusionReason = "kv_would_be_evicted"
 )
 
-// ExclusionCounts counts what was looked at and excluded, for each reason.
+// ExclusionCounts holds the number of candidates and pairs excluded for each
+// reason.
 type ExclusionCounts struct {
-	// Unusable are draining, ejected or have not reported lately.
+	// Unusable is the number of sampled candidates that were draining, ejected or
+	// had not reported lately.
 	Unusable  int `json:"unusable"`
 	Zone      int `json:"zone_weight_zero"`
 	Long      int `json:"short_prompts_only"`
@@ -33,8 +35,8 @@
 	KVExpires int `json:"kv_would_be_evicted"`
 }
 
-func (x *ExclusionCounts) add(why ExclusionReason) {
-	switch why {
+func (x *ExclusionCounts) add(exclusion ExclusionReason) {
+	switch exclusion {
 	case ExcludedZone:
 		x.Zone++
 	case ExcludedLong:
@@ -52,81 +54,85 @@
 	}
 }
 
-// Evaluation are the figures behind a choice, for the decision's log line.
+// Evaluation holds the figures that a choice was based on. They are logged with the
+// decision.
 type Evaluation struct {
-	// PrefillPool and DecodePool are the numbers of candidates known, and
-	// Pairs how many pairs were compared.
+	// PrefillPool and DecodePool are the numbers of known candidates, and Pairs is
+	// the number of pairs that were compared.
 	PrefillPool int `json:"prefill_pool"`
 	DecodePool  int `json:"decode_pool"`
 	Pairs       int `json:"pairs"`
-	// Prefills and Decodes are the candidates drawn, of which the first
-	// PrefillsDrawn and DecodesDrawn are filled.
-	Prefills      [prefillSample + cachedSample]PrefillCandidate `json:"-"`
-	Decodes       [decodeSample]DecodeCandidate                  `json:"-"`
-	PrefillsDrawn int                                            `json:"prefills_drawn"`
-	DecodesDrawn  int                                            `json:"decodes_drawn"`
-	// Excluded counts candidates that were looked at and not drawn, and pairs.
+	// Prefills and Decodes are the sampled candidates; the first PrefillsDrawn and
+	// DecodesDrawn elements are set.
+	Prefills      [prefillSampleSize + cachedSampleSize]PrefillCandidate `json:"-"`
+	Decodes       [decodeSampleSize]DecodeCandidate                      `json:"-"`
+	PrefillsDrawn int                                                    `json:"prefills_drawn"`
+	DecodesDrawn  int                                                    `json:"decodes_drawn"`
+	// Excluded counts the rejected candidates and pairs by reason.
 	Excluded ExclusionCounts `json:"excluded"`
-	// Chosen is the estimate of the pair that was chosen.
+	// Chosen is the estimate for the chosen pair.
 	Chosen Estimate `json:"chosen"`
 }
 
-// PrefillCandidate are the figures of a prefill candidate.
+// PrefillCandidate is a prefill engine with its figures.
 type PrefillCandidate struct {
 	Host domain.Host `json:"host"`
 	Zone domain.Zone `json:"zone"`
-	// Queue is the wait before the prefill, Prefill what it takes after the
-	// Cached tokens.
+	// Queue is the wait before the prefill. Prefill is the duration of the prefill,
+	// which skips the Cached tokens.
 	Queue   time.Duration `json:"queue"`
 	Cached  int           `json:"cached"`
 	Prefill time.Duration `json:"prefill"`
-	// Weight is that of the zone, in hundreds.
+	// Weight is the zone's weight divided by 100.
 	Weight float64 `json:"weight"`
 }
 
-// DecodeCandidate are the figures of a decode candidate.
+// DecodeCandidate is a decode engine with its figures.
 type DecodeCandidate struct {
 	Host domain.Host `json:"host"`
 	Zone domain.Zone `json:"zone"`
-	// FreeRequests and FreeTokens are its room, TokenGap the time between
-	// tokens once the job has joined its batch.
+	// FreeRequests and FreeTokens are the free capacity. TokenGap is the time
+	// between tokens once the job has joined the batch. Weight is as in
+	// PrefillCandidate.
 	FreeRequests int           `json:"free_requests"`
 	FreeTokens   int           `json:"free_tokens"`
 	TokenGap     time.Duration `json:"token_gap"`
 	Weight       float64       `json:"weight"`
 }
 
-// Estimate is what a pair is expected to give. The lowest score is chosen.
+// Estimate is the expected latency of a pair. The pair with the lowest score is
+// chosen.
 type Estimate struct {
-	// Cached is the part of the prompt, in tokens, that the prefill engine is
-	// believed to hold.
+	// Cached is the number of prompt tokens that the prefill engine is expected to
+	// have cached.
 	Cached     int           `json:"cached"`
 	FirstToken time.Duration `json:"first_token"`
 	TokenGap   time.Duration `json:"token_gap"`
-	// KVWait is how long the KV cache has to live after the prefill.
+	// KVWait is how long the KV cache must be kept after the prefill: until its
+	// transfer is complete.
 	KVWait time.Duration `json:"kv_wait"`
 	Score  float64       `json:"score"`
 }
 
-func (g *Evaluation) addPrefill(p PrefillCandidate) {
-	g.Prefills[g.PrefillsDrawn] = p
-	g.PrefillsDrawn++
+func (e *Evaluation) addPrefill(p PrefillCandidate) {
+	e.Prefills[e.PrefillsDrawn] = p
+	e.PrefillsDrawn++
 }
 
-func (g *Evaluation) addDecode(d DecodeCandidate) {
-	g.Decodes[g.DecodesDrawn] = d
-	g.DecodesDrawn++
+func (e *Evaluation) addDecode(d DecodeCandidate) {
+	e.Decodes[e.DecodesDrawn] = d
+	e.DecodesDrawn++
 }
 
-// hasPrefill says whether the host was drawn already.
-func (g *Evaluation) hasPrefill(h domain.Host) bool {
-	for n := range g.prefills() {
-		if g.Prefills[n].Host == h {
+// hasPrefill reports whether the host was already sampled.
+func (e *Evaluation) hasPrefill(h domain.Host) bool {
+	for n := range e.prefills() {
+		if e.Prefills[n].Host == h {
 			return true
 		}
 	}
 	return false
 }
 
-func (g *Evaluation) prefills() []PrefillCandidate { return g.Prefills[:g.PrefillsDrawn] }
-func (g *Evaluation) decodes() []DecodeCandidate   { return g.Decodes[:g.DecodesDrawn] }
+func (e *Evaluation) prefills() []PrefillCandidate { return e.Prefills[:e.PrefillsDrawn] }
+func (e *Evaluation) decodes() []DecodeCandidate   { return e.Decodes[:e.DecodesDrawn] }
--- a/route/link.go
+++ b/route/link.go
@@ -6,24 +6,24 @@
 	"jacinthworks/domain"
 )
 
-// ZonePair names the shared link that KV cache takes between two zones, or within
-// one.
+// ZonePair names the shared link over which KV caches are transferred between two
+// zones, or within one.
 type ZonePair struct{ From, To domain.Zone }
 
-// LinkReport is what was last measured of a link.
+// LinkReport is the last measurement of a link.
 type LinkReport struct {
-	// EstimateRate is in bytes a second; zero stands for a link that is no bottleneck.
+	// Rate is in bytes per second; zero means that the link is no bottleneck.
 	Rate float64
-	// QueuedBytes wait for the link or are on their way.
+	// QueuedBytes is the number of bytes that are waiting or in transfer.
 	QueuedBytes int64
 }
 
-// link is a shared link with the transfers that were planned since its report.
+// link is a shared link with the transfers that were planned since its last report.
 type link struct {
-	report LinkReport
-	at     time.Time
-	own    []transfer
-	total  int64
+	report          LinkReport
+	reportedAt      time.Time
+	unreported      []transfer
+	unreportedTotal int64
 }
 
 type transfer struct {
@@ -31,9 +31,11 @@
 	bytes int64
 }
 
-// links holds the links by path. The zero value knows none.
+// links holds the links by zone pair. The zero value is empty and ready to use.
 type links map[ZonePair]*link
 
+// update records a report and drops the planned transfers that the report includes.
+// A report older than the last one is ignored.
 func (s *links) update(p ZonePair, at time.Time, r LinkReport) {
 	if *s == nil {
 		*s = make(links)
@@ -43,37 +45,38 @@
 		l = &link{}
 		(*s)[p] = l
 	}
-	if at.Before(l.at) {
+	if at.Before(l.reportedAt) {
 		return
 	}
-	l.report, l.at = r, at
-	keep := l.own[:0]
-	l.total = 0
-	for _, t := range l.own {
+	l.report, l.reportedAt = r, at
+	kept := l.unreported[:0]
+	l.unreportedTotal = 0
+	for _, t := range l.unreported {
 		if t.at.After(at) {
-			keep = append(keep, t)
-			l.total += t.bytes
+			kept = append(kept, t)
+			l.unreportedTotal += t.bytes
 		}
 	}
-	l.own = keep
+	l.unreported = kept
 }
 
-// planned records a transfer that the report does not show yet.
-func (s links) planned(p ZonePair, at time.Time, bytes int64) {
+// addTransfer records a planned transfer that the link's report does not include
+// yet.
+func (s links) addTransfer(p ZonePair, at time.Time, bytes int64) {
 	if l, ok := s[p]; ok {
-		l.own = append(l.own, transfer{at: at, bytes: bytes})
-		l.total += bytes
+		l.unreported = append(l.unreported, transfer{at: at, bytes: bytes})
+		l.unreportedTotal += bytes
 	}
 }
 
-// wait gives the time that a transfer waits for the link and the time it takes,
-// if it begins at the given time from now.
-func (s links) wait(now time.Time, p ZonePair, begins time.Duration, bytes int64) (wait, takes time.Duration) {
+// estimate returns how long a transfer that is ready after the given delay waits
+// for the link, and how long the transfer itself takes.
+func (s links) estimate(now time.Time, p ZonePair, delay time.Duration, bytes int64) (wait, transferTime time.Duration) {
 	l, ok := s[p]
 	if !ok || l.report.Rate <= 0 {
 		return 0, 0
 	}
-	queue := time.Duration(float64(l.report.QueuedBytes+l.total) / l.report.Rate * float64(time.Second))
-	passed := now.Sub(l.at) + begins
-	return max(0, queue-passed), time.Duration(float64(bytes) / l.report.Rate * float64(time.Second))
+	queue := time.Duration(float64(l.report.QueuedBytes+l.unreportedTotal) / l.report.Rate * float64(time.Second))
+	elapsed := now.Sub(l.reportedAt) + delay
+	return max(0, queue-elapsed), time.Duration(float64(bytes) / l.report.Rate * float64(time.Second))
 }
--- a/route/offer.go
+++ b/route/offer.go
@@ -5,146 +5,158 @@
 	"time"
 )
 
-// Candidate is what is known of an upstream that is reached without a process of
-// ours beside it: by its own answers, and by what this process has there.
+// Candidate describes an upstream that has no side: what is known of it from its
+// responses and from the requests that this process has sent to it.
 type Candidate struct {
-	// Name is for the log.
+	// Name identifies the upstream in the log.
 	Name string `json:"name"`
-	// SameZone says that it is in this process's availability zone.
+	// SameZone reports whether it is in this process's availability zone.
 	SameZone bool `json:"near"`
-	// Slots is how many requests it serves at once, zero for unknown; Own how
-	// many this process has there, Others what others have, as far as known.
+	// Slots is the number of requests that it serves concurrently, zero if unknown.
+	// OwnRequests is the number in progress from this process, and OtherRequests an
+	// estimate of the number from other processes.
 	Slots         int     `json:"slots"`
 	OwnRequests   int     `json:"own"`
 	OtherRequests float64 `json:"others"`
-	// MemoryTokens is an engine's room in tokens, zero for unknown; Tokens what this
-	// process has there, Queued the prompt tokens that it has yet to read.
+	// MemoryTokens is an engine's memory in tokens, zero if unknown. OwnTokens is
+	// the memory used by the requests of this process, and QueuedTokens the number
+	// of their prompt tokens that are not yet processed.
 	MemoryTokens int `json:"memory,omitempty"`
 	OwnTokens    int `json:"tokens,omitempty"`
 	QueuedTokens int `json:"queued,omitempty"`
-	// FailureRate is the share of its answers that failed, 0 to 1, lately.
+	// FailureRate is the fraction of its recent responses that failed, 0 to 1.
 	FailureRate float64 `json:"fails"`
-	// Responsive says that it answered just lately and has not failed since.
+	// Responsive reports whether its recent requests succeeded, apart from few
+	// failures.
 	Responsive bool `json:"sure,omitempty"`
-	// UnitTime is the time of a unit of work, a call or a prompt token; zero for
+	// UnitTime is the time for a unit of work, a call or a prompt token; zero if
 	// unknown.
 	UnitTime time.Duration `json:"speed"`
-	// RecentlyFull says that it has just refused for want of room.
+	// RecentlyFull reports whether it recently refused a request for lack of
+	// capacity, or is held off for another reason.
 	RecentlyFull bool `json:"held"`
 }
 
 // Request is a request to place.
 type Request struct {
-	// Units are the units of work that Candidate.UnitTime counts.
+	// Units is its work, in the units of Candidate.UnitTime.
 	Units int
-	// OwnTokens is the memory it needs.
+	// Tokens is the memory that it needs, in tokens.
 	Tokens int
-	// Typical are the units and the memory of a request of others.
+	// Typical is the assumed size of a request of another process.
 	Typical RequestSize
-	// SkipRecentlyFull leaves out offers that have just refused for want of room; an
-	// estimate that one is full keeps none out then, since it will say so.
+	// SkipRecentlyFull leaves out the candidates that are RecentlyFull. All others
+	// are then treated as if they had capacity, even if the estimate says
+	// otherwise, because a full upstream refuses the request itself.
 	SkipRecentlyFull bool
-	// OnlyResponsive leaves out offers that are not sure to answer: where a failure
-	// could not be followed by another try.
+	// OnlyResponsive leaves out the candidates that are not Responsive. It is for
+	// requests that cannot be retried after a failure.
 	OnlyResponsive bool
-	// MemoryPressureCost is the time that a request takes longer at an engine whose
-	// memory is full of others, which it shares its steps with.
+	// MemoryPressureCost is by how much longer a request takes on an engine whose
+	// memory is full of other requests, with which it shares the batch steps.
 	MemoryPressureCost time.Duration
-	// FailureCost is the time that a failure costs: that of another try, or far
-	// more where there can be none.
+	// FailureCost is the time that a failure costs: the time of a retry, or far
+	// more if a retry is not possible.
 	FailureCost time.Duration
-	// CrossZoneCost is the time that the bytes to another zone are worth.
+	// CrossZoneCost is the penalty, as a time, for sending the request's bytes to
+	// another zone.
 	CrossZoneCost time.Duration
 }
 
-// RequestSize is what a request takes as a rule.
+// RequestSize is the work and the memory of a request.
 type RequestSize struct{ Units, Tokens int }
 
-// Figures for an offer that has answered nothing yet, or little.
+// The constants of Candidate.Score.
 const (
-	defaultCall = 30 * time.Millisecond
-	// spread keeps equal offers from being chosen in one order by all entries:
-	// their scores differ at random by this part.
-	spread = 0.1
-	// slowdown is how much longer a full upstream takes than an idle one.
-	slowdown = 1.0
-	// fullWait is the wait, in units of its own work, at a full upstream for
-	// each request before this one.
-	fullWait = 1.0
+	// defaultCallTime is the assumed time of a request if UnitTime is unknown.
+	defaultCallTime = 30 * time.Millisecond
+	// scoreJitter is the largest fraction that is added to a score at random, so
+	// that all entries do not choose equal candidates in the same order.
+	scoreJitter = 0.1
+	// fullSlowdown is the time that a request takes longer on a full upstream than
+	// on an idle one, as a fraction of its service time.
+	fullSlowdown = 1.0
+	// queueWaitFactor is the wait at a full upstream for each request ahead, in
+	// service times divided by Slots.
+	queueWaitFactor = 1.0
 )
 
-// running is how many requests it has, as far as known.
-func (o Candidate) running() float64 { return float64(o.OwnRequests) + o.OtherRequests }
+// inFlight returns the estimated number of requests in progress.
+func (c Candidate) inFlight() float64 { return float64(c.OwnRequests) + c.OtherRequests }
 
-// memory is how much of its memory is taken, as far as known.
-func (o Candidate) memory(l Request) float64 {
-	return float64(o.OwnTokens) + o.OtherRequests*float64(l.Typical.Tokens)
+// usedMemory returns the estimated number of tokens in use.
+func (c Candidate) usedMemory(r Request) float64 {
+	return float64(c.OwnTokens) + c.OtherRequests*float64(r.Typical.Tokens)
 }
 
-// EstimateWait estimates the time to an answer from what is there before it.
-func (o Candidate) EstimateWait(l Request) time.Duration {
-	return time.Duration(float64(o.UnitTime) * (float64(l.Units+o.QueuedTokens) + o.OtherRequests*float64(l.Typical.Units)))
+// EstimateWait returns the estimated time to a response, including the work ahead
+// of the request.
+func (c Candidate) EstimateWait(r Request) time.Duration {
+	return time.Duration(float64(c.UnitTime) * (float64(r.Units+c.QueuedTokens) + c.OtherRequests*float64(r.Typical.Units)))
 }
 
-// EstimateRate estimates how many calls it answers a second.
-func (o Candidate) EstimateRate() float64 {
-	speed := o.UnitTime
-	if speed == 0 {
-		speed = defaultCall
+// EstimateRate returns the estimated number of calls that it answers per second.
+func (c Candidate) EstimateRate() float64 {
+	unitTime := c.UnitTime
+	if unitTime == 0 {
+		unitTime = defaultCallTime
 	}
-	return float64(max(o.Slots, 1)) / speed.Seconds()
+	return float64(max(c.Slots, 1)) / unitTime.Seconds()
 }
 
-// Score estimates the time to an answer, failures counted by what they cost.
-func (o Candidate) Score(l Request) time.Duration {
-	speed := o.UnitTime
-	if speed == 0 {
-		speed = defaultCall / time.Duration(max(l.Units, 1))
+// Score returns the estimated time to a response, plus the penalties of the
+// request.
+func (c Candidate) Score(r Request) time.Duration {
+	unitTime := c.UnitTime
+	if unitTime == 0 {
+		unitTime = defaultCallTime / time.Duration(max(r.Units, 1))
 	}
-	own := float64(speed) * float64(max(l.Units, 1))
-	score := own + float64(speed)*(float64(o.QueuedTokens)+o.OtherRequests*float64(l.Typical.Units))
-	if o.Slots > 0 {
-		score += own * slowdown * min(o.running()/float64(o.Slots), 1)
-		if over := o.running() + 1 - float64(o.Slots); over > 0 {
-			score += own * fullWait * over / float64(o.Slots)
+	serviceTime := float64(unitTime) * float64(max(r.Units, 1))
+	score := serviceTime + float64(unitTime)*(float64(c.QueuedTokens)+c.OtherRequests*float64(r.Typical.Units))
+	if c.Slots > 0 {
+		score += serviceTime * fullSlowdown * min(c.inFlight()/float64(c.Slots), 1)
+		if excess := c.inFlight() + 1 - float64(c.Slots); excess > 0 {
+			score += serviceTime * queueWaitFactor * excess / float64(c.Slots)
 		}
 	}
-	if o.MemoryTokens > 0 {
-		score += o.memory(l) / float64(o.MemoryTokens) * float64(l.MemoryPressureCost)
+	if c.MemoryTokens > 0 {
+		score += c.usedMemory(r) / float64(c.MemoryTokens) * float64(r.MemoryPressureCost)
 	}
-	score += o.FailureRate * float64(l.FailureCost)
-	if !o.SameZone {
-		score += float64(l.CrossZoneCost)
+	score += c.FailureRate * float64(r.FailureCost)
+	if !c.SameZone {
+		score += float64(r.CrossZoneCost)
 	}
 	return time.Duration(score)
 }
 
-// room says whether the offer can take the request at all, as far as known.
-func (o Candidate) room(l Request) bool {
-	if o.RecentlyFull || o.Slots > 0 && o.running() >= float64(o.Slots) {
+// hasRoom reports whether the candidate is estimated to have capacity for the
+// request.
+func (c Candidate) hasRoom(r Request) bool {
+	if c.RecentlyFull || c.Slots > 0 && c.inFlight() >= float64(c.Slots) {
 		return false
 	}
-	return o.MemoryTokens == 0 || o.memory(l)+float64(l.Tokens) <= float64(o.MemoryTokens)
+	return c.MemoryTokens == 0 || c.usedMemory(r)+float64(r.Tokens) <= float64(c.MemoryTokens)
 }
 
-// SelectBest gives the index of the offer with the lowest score, those with room
-// first; -1 for none. full says that none has room, as far as known.
-func SelectBest(offers []Candidate, l Request, random *rand.Rand) (best int, full bool) {
+// SelectBest returns the index of the candidate with the lowest score; candidates
+// with capacity come first. It returns -1 if there is none. full reports that none
+// is estimated to have capacity.
+func SelectBest(candidates []Candidate, r Request, random *rand.Rand) (best int, full bool) {
 	best, full = -1, true
-	var least float64
-	for i, o := range offers {
-		if l.SkipRecentlyFull && o.RecentlyFull || l.OnlyResponsive && !o.Responsive {
+	var lowest float64
+	for i, c := range candidates {
+		if r.SkipRecentlyFull && c.RecentlyFull || r.OnlyResponsive && !c.Responsive {
 			continue
 		}
-		room := l.SkipRecentlyFull || o.room(l)
-		if !room && !full {
+		hasRoom := r.SkipRecentlyFull || c.hasRoom(r)
+		if !hasRoom && !full {
 			continue
 		}
-		score := float64(o.Score(l)) * (1 + spread*random.Float64())
-		if best < 0 || room && full || score < least {
-			best, least = i, score
+		score := float64(c.Score(r)) * (1 + scoreJitter*random.Float64())
+		if best < 0 || hasRoom && full || score < lowest {
+			best, lowest = i, score
 		}
-		if room {
+		if hasRoom {
 			full = false
 		}
 	}
--- a/route/route.go
+++ b/route/route.go
@@ -1,37 +1,35 @@
-// Package route chooses where work is sent: a prefill engine and a decode
-// engine for model work, an application server for a plain call.
+// Package route selects where requests are sent: a prefill engine and a decode
+// engine for model requests, an application server for a plain call.
 //
-// The load patterns it answers, and what happens without it:
+// It handles these conditions:
 //
-//   - Lagging reports: all requests between two reports go to the engine that
-//     looked best (herding), which is then the worst. Here a few candidates are
-//     drawn at random, and what this process itself sent since a report is
-//     added to it.
-//   - Cached prefixes: events come late and with gaps, so a belief in them
-//     decays. Without it a prefix that was evicted long ago draws its requests
-//     to a busy engine.
-//   - Shared links and KV cache that lives less than a second after a prefill:
-//     a prefill whose cache could not be transferred in time is not started.
-//   - Batches: each request in a decode batch makes the gap between tokens
-//     longer for all of them, so no request joins a batch whose gap would pass
-//     its target.
-//   - Long prompts: one engine in three takes none, so that a short prompt finds
-//     an engine whose queue is short.
+//   - Reports are delayed. All requests between two reports would go to the engine that
+//     looked best (herding) and overload it. Here a few candidates are drawn at random,
+//     and the load that this process sent since a report is added to it.
+//   - Prefixes are cached on engines, and cache events are delayed or lost. The
+//     probability that a prefix is still cached decays with time. Otherwise a prefix that
+//     was evicted long ago would attract its requests to a busy engine.
+//   - Links are shared, and a KV cache lives for less than a second after a prefill. A
+//     prefill whose cache could not be transferred in time is not started.
+//   - Engines batch. Each request in a decode batch makes the time between tokens longer
+//     for all of them, so no request joins a batch whose time would pass its target.
+//   - Prompts are long or short. One engine in three takes no long prompts, so that a
+//     short prompt finds an engine with a short queue.
 //
 // # Usage
 //
 //	var m route.EngineSelector
 //	m.Prefills.Update(host, zone, sent, route.PrefillReport{QueuedTokens: 9_000, Rate: 20_000})
 //	m.Decodes.Update(host, zone, sent, route.DecodeReport{FreeRequests: 4, FreeTokens: 100_000, Batch: 12, GapBase: base, GapStep: step})
-//	pair, grounds, ok := m.Choose(now, job, random)
-//	if !ok { ... } // grounds.Excluded says why; the request stays in its queue
+//	pair, evaluation, ok := m.Choose(now, job, random)
+//	if !ok { ... } // evaluation.Excluded says why; the request stays in its queue
 //	m.Started(now, pair, job)
 //	...
 //	m.Ended(now, pair, job)
 //
-// A choice costs the same at 9 and at 1,000 candidates. The package reads no
-// clock and draws no random numbers of its own. Its types are not safe for
-// concurrent use; their owner holds a lock.
+// A choice costs the same at 9 and at 1,000 candidates. The package reads no clock
+// and has no random source of its own. Its types are not safe for concurrent use;
+// their owner must hold a lock.
 package route
 
 import (
@@ -41,75 +39,80 @@
 	"jacinthworks/domain"
 )
 
-// The candidates that a choice compares. Two random ones of each pool are
-// enough against herding; four also tell a near engine from a far one.
+// The sample sizes of a choice. Two random candidates of each pool are enough
+// against herding; four also distinguish a near engine from a distant one.
 const (
-	prefillSample = 4
-	cachedSample  = 2
-	decodeSample  = 4
-	appSample     = 2
+	prefillSampleSize = 4
+	cachedSampleSize  = 2
+	decodeSampleSize  = 4
+	appSampleSize     = 2
 )
 
-// longPrompt is the prompt left to fill, in tokens, from which a short-only
-// engine is not used; as queue.LongPromptTokens.
-const longPrompt = 8000
+// longPromptTokens is the number of uncached prompt tokens from which a short-only
+// engine is not used; it equals queue.LongPromptTokens.
+const longPromptTokens = 8000
 
-// Figures that stand in where a report or a row gives none.
+// Defaults for figures that a report or a table row does not set.
 const (
-	defaultRate       = 20_000 // tokens a second
-	defaultFirstToken = time.Second
-	defaultTokenGap   = 48 * time.Millisecond
+	defaultPrefillRate = 20_000 // tokens per second
+	defaultFirstToken  = time.Second
+	defaultTokenGap    = 48 * time.Millisecond
 )
 
 // PrefillReport is what the side of a prefill engine reports.
 type PrefillReport struct {
-	// QueuedTokens are reserved and not yet filled; Rate is measured, in
-	// tokens a second.
+	// QueuedTokens are reserved and not yet processed. Rate is measured, in tokens
+	// per second.
 	QueuedTokens int
 	Rate         float64
 }
 
 // DecodeReport is what the side of a decode engine reports.
 type DecodeReport struct {
-	// FreeRequests and FreeTokens are not reserved.
+	// FreeRequests and FreeTokens are the unreserved capacity.
 	FreeRequests int
 	FreeTokens   int
-	// Batch counts reserved and running requests. The time between tokens is
-	// measured as GapBase and GapStep for each of them.
+	// Batch is the number of reserved and running requests. The time between tokens
+	// is modeled as GapBase plus GapStep for each request in the batch.
 	Batch   int
 	GapBase time.Duration
 	GapStep time.Duration
 }
 
-// Job is the work to place.
+// Job is the request to place.
 type Job struct {
 	PromptTokens    int
 	MaxOutputTokens int
-	// Prefix names the first PrefixTokens of the prompt in caches; zero for none.
+	// Prefix identifies the first PrefixTokens tokens of the prompt in caches; zero
+	// for none.
 	Prefix       uint64
 	PrefixTokens int
-	// KVBytes is the size of the KV cache; KVLife how long it stays after the
-	// prefill, zero for unknown.
+	// KVBytes is the size of the KV cache. KVLifetime is how long it is kept after
+	// the prefill, zero if unknown.
 	KVBytes    int64
 	KVLifetime time.Duration
-	// FirstTokenTarget and TokenGap are the row's targets, zero for none.
+	// FirstTokenTarget and TokenGap are the table row's targets for the time to the
+	// first token and between tokens, zero for none.
 	FirstTokenTarget time.Duration
 	TokenGap         time.Duration
-	// MaxQueueWait is the most that prefill may queue at the engine; zero is any.
+	// MaxQueueWait is the longest accepted wait in the prefill engine's queue; zero
+	// for no limit.
 	MaxQueueWait time.Duration
-	// WastedPrefillWeight is the row's, in percent.
+	// WastedPrefillWeight is the table row's weight of wasted prefill, in percent.
 	WastedPrefillWeight int
 	Weights             ZoneWeights
-	// MayPrefill and MayDecode say which hosts may take the job; nil is any.
+	// MayPrefill and MayDecode report whether a host may take the job; nil allows
+	// all hosts.
 	MayPrefill func(domain.Host) bool
 	MayDecode  func(domain.Host) bool
 }
 
-// ZoneWeights are the zones' shares from the table; nil weighs all alike. A zone
-// that is missing or has zero gets nothing.
+// ZoneWeights are the zones' weights from the table; nil weights all zones equally.
+// A zone with no weight, or a weight of zero, gets no requests.
 type ZoneWeights map[domain.Zone]int
 
-// of gives the weight of a zone; only its ratio to the others' counts.
+// of returns the weight of a zone, divided by 100; only its ratio to the other
+// weights matters.
 func (w ZoneWeights) of(z domain.Zone) float64 {
 	if w == nil {
 		return 1
@@ -117,136 +120,137 @@
 	return float64(max(w[z], 0)) / 100
 }
 
-// EnginePair is a choice.
+// EnginePair is the result of a choice.
 type EnginePair struct {
 	Prefill domain.Host `json:"prefill"`
 	Decode  domain.Host `json:"decode"`
 }
 
-// EngineSelector holds what is known of the engines of one model, and chooses among
-// them. The zero value knows none.
+// EngineSelector holds the reports of the engines of one model and selects among
+// them. The zero value knows no engines.
 type EngineSelector struct {
 	Prefills Pool[PrefillReport]
 	Decodes  Pool[DecodeReport]
 
-	links  links
-	caches beliefs
+	links links
+	cache cacheIndex
 }
 
-// UpdateLink records a measurement of a shared link; the time is as for
+// UpdateLink records a measurement of a shared link; for the time at, see
 // Pool.Update.
 func (m *EngineSelector) UpdateLink(p ZonePair, at time.Time, r LinkReport) { m.links.update(p, at, r) }
 
 // CacheEvent records an event of a prefill engine's cache.
 func (m *EngineSelector) CacheEvent(now time.Time, h domain.Host, e CacheEvent) {
-	m.caches.event(now, h, e)
+	m.cache.applyEvent(now, h, e)
 }
 
-// Choose gives the pair with the lowest score among those drawn; false when
-// none of them can take the job now, and then Grounds.Excluded says why.
+// Choose returns the pair with the lowest score among the sampled candidates; false
+// if no pair can take the job at present, and then Evaluation.Excluded says why.
 func (m *EngineSelector) Choose(now time.Time, j Job, random *rand.Rand) (EnginePair, Evaluation, bool) {
-	g := Evaluation{PrefillPool: m.Prefills.Len(), DecodePool: m.Decodes.Len()}
-	m.drawPrefills(now, j, random, &g)
-	m.drawDecodes(now, j, random, &g)
+	evaluation := Evaluation{PrefillPool: m.Prefills.Len(), DecodePool: m.Decodes.Len()}
+	m.samplePrefills(now, j, random, &evaluation)
+	m.sampleDecodes(now, j, random, &evaluation)
 	best := Estimate{}
 	var pair EnginePair
 	found := false
-	for p := range g.prefills() {
-		for d := range g.decodes() {
-			e, why := m.estimate(now, j, &g.Prefills[p], &g.Decodes[d])
-			g.Pairs++
-			if why != "" {
-				g.Excluded.add(why)
+	for p := range evaluation.prefills() {
+		for d := range evaluation.decodes() {
+			e, exclusion := m.estimate(now, j, &evaluation.Prefills[p], &evaluation.Decodes[d])
+			evaluation.Pairs++
+			if exclusion != "" {
+				evaluation.Excluded.add(exclusion)
 				continue
 			}
 			if !found || e.Score < best.Score {
 				found, best = true, e
-				pair = EnginePair{Prefill: g.Prefills[p].Host, Decode: g.Decodes[d].Host}
+				pair = EnginePair{Prefill: evaluation.Prefills[p].Host, Decode: evaluation.Decodes[d].Host}
 			}
 		}
 	}
-	g.Chosen = best
-	return pair, g, found
+	evaluation.Chosen = best
+	return pair, evaluation, found
 }
 
-// Started counts a job that was sent to a pair, until the reports show it.
+// Started records a job sent to a pair, until the engines' reports include it.
 func (m *EngineSelector) Started(now time.Time, p EnginePair, j Job) {
-	left := j.PromptTokens - m.cached(now, p.Prefill, j)
-	from, to := m.Prefills.find(p.Prefill), m.Decodes.find(p.Decode)
-	if from != nil {
-		from.took(load{at: now, tokens: left})
-		m.caches.believe(now, p.Prefill, j.Prefix, j.PrefixTokens)
+	uncached := j.PromptTokens - m.cached(now, p.Prefill, j)
+	prefill, decode := m.Prefills.find(p.Prefill), m.Decodes.find(p.Decode)
+	if prefill != nil {
+		prefill.addLoad(load{at: now, tokens: uncached})
+		m.cache.add(now, p.Prefill, j.Prefix, j.PrefixTokens)
 	}
-	if to != nil {
-		to.took(load{at: now, requests: 1, tokens: j.PromptTokens + j.MaxOutputTokens})
+	if decode != nil {
+		decode.addLoad(load{at: now, requests: 1, tokens: j.PromptTokens + j.MaxOutputTokens})
 	}
-	if from != nil && to != nil {
-		m.links.planned(ZonePair{From: from.zone, To: to.zone}, now, j.KVBytes)
+	if prefill != nil && decode != nil {
+		m.links.addTransfer(ZonePair{From: prefill.zone, To: decode.zone}, now, j.KVBytes)
 	}
 }
 
-// Ended counts a job whose decode room came free.
+// Ended records that a job has released its capacity on the decode engine.
 func (m *EngineSelector) Ended(now time.Time, p EnginePair, j Job) {
-	if to := m.Decodes.find(p.Decode); to != nil {
-		to.took(load{at: now, requests: -1, tokens: -j.PromptTokens - j.MaxOutputTokens})
+	if decode := m.Decodes.find(p.Decode); decode != nil {
+		decode.addLoad(load{at: now, requests: -1, tokens: -j.PromptTokens - j.MaxOutputTokens})
 	}
 }
 
-// Cached gives the most tokens of the prompt that any engine is believed to
-// hold: what the job's cost is less by.
+// Cached returns the most prompt tokens that any engine is expected to have cached.
+// The job's cost is reduced by them.
 func (m *EngineSelector) Cached(now time.Time, j Job) int {
-	most := 0
-	for _, h := range m.caches.holders[j.Prefix] {
-		most = max(most, m.cached(now, h.host, j))
+	maxTokens := 0
+	for _, h := range m.cache.holders[j.Prefix] {
+		maxTokens = max(maxTokens, m.cached(now, h.host, j))
 	}
-	return most
+	return maxTokens
 }
 
-// cached gives the prompt's tokens that the host is believed to hold.
+// cached returns the prompt tokens that the host is expected to have cached.
 func (m *EngineSelector) cached(now time.Time, h domain.Host, j Job) int {
 	if j.Prefix == 0 {
 		return 0
 	}
-	return min(m.caches.tokens(now, h, j.Prefix), j.PrefixTokens, j.PromptTokens)
+	return min(m.cache.expectedTokens(now, h, j.Prefix), j.PrefixTokens, j.PromptTokens)
 }
 
-// drawPrefills fills the grounds with prefill candidates: those believed to
-// hold the prefix, and a random sample.
-func (m *EngineSelector) drawPrefills(now time.Time, j Job, random *rand.Rand, g *Evaluation) {
-	take := func(c *member[PrefillReport]) bool {
-		if g.hasPrefill(c.host) || j.MayPrefill != nil && !j.MayPrefill(c.host) {
+// samplePrefills adds prefill candidates to the evaluation: engines that are
+// expected to have the prefix cached, and a random sample.
+func (m *EngineSelector) samplePrefills(now time.Time, j Job, random *rand.Rand, evaluation *Evaluation) {
+	accept := func(c *member[PrefillReport]) bool {
+		if evaluation.hasPrefill(c.host) || j.MayPrefill != nil && !j.MayPrefill(c.host) {
 			return false
 		}
-		p, why := m.weighPrefill(now, j, c)
-		if why != "" {
-			g.Excluded.add(why)
+		p, exclusion := m.evaluatePrefill(now, j, c)
+		if exclusion != "" {
+			evaluation.Excluded.add(exclusion)
 			return false
 		}
-		g.addPrefill(p)
+		evaluation.addPrefill(p)
 		return true
 	}
 	if j.Prefix != 0 {
-		holders := m.caches.holders[j.Prefix]
-		for _, h := range holders[max(0, len(holders)-cachedSample):] {
+		holders := m.cache.holders[j.Prefix]
+		for _, h := range holders[max(0, len(holders)-cachedSampleSize):] {
 			if c := m.Prefills.find(h.host); c != nil && c.usable(now, random) {
-				take(c)
+				accept(c)
 			}
 		}
 	}
-	g.Excluded.Unusable += m.Prefills.draw(now, random, prefillSample, take)
+	evaluation.Excluded.Unusable += m.Prefills.sample(now, random, prefillSampleSize, accept)
 }
 
-func (m *EngineSelector) drawDecodes(now time.Time, j Job, random *rand.Rand, g *Evaluation) {
-	g.Excluded.Unusable += m.Decodes.draw(now, random, decodeSample, func(c *member[DecodeReport]) bool {
+// sampleDecodes adds a random sample of decode candidates to the evaluation.
+func (m *EngineSelector) sampleDecodes(now time.Time, j Job, random *rand.Rand, evaluation *Evaluation) {
+	evaluation.Excluded.Unusable += m.Decodes.sample(now, random, decodeSampleSize, func(c *member[DecodeReport]) bool {
 		if j.MayDecode != nil && !j.MayDecode(c.host) {
 			return false
 		}
-		d, why := weighDecode(j, c)
-		if why != "" {
-			g.Excluded.add(why)
+		d, exclusion := evaluateDecode(j, c)
+		if exclusion != "" {
+			evaluation.Excluded.add(exclusion)
 			return false
 		}
-		g.addDecode(d)
+		evaluation.addDecode(d)
 		return true
 	})
 }
--- a/route/search.go
+++ b/route/search.go
@@ -2,39 +2,42 @@
 
 import "time"
 
-// CapacityBackoff bounds what one process asks of the engines of a pool when its requests
-// look for room: how many engines, and how soon the same one again.
+// CapacityBackoff limits how often one process asks the engines of a pool for
+// capacity: how many engines in one search, and after which interval the same
+// engine again.
 //
-// Load pattern: engines are full, and each of many processes asks one after the
-// other, as often as it can. An engine that refused is free for the same process
-// again before a round over a large pool is over, so that a request asks until its
-// caller leaves, and never learns that there is no room. With 86 engines and 68
-// processes a request asked 1,392 times in 3.6 s, and the processes' time and most
-// of their new connections went into asking.
+// When engines are full, many processes ask one engine after another. In a large
+// pool, an engine that refused becomes eligible again before the process has asked
+// the others, so a request asks until its caller cancels, and is never refused for
+// lack of capacity. With 86 engines and 68 processes, one request asked 1,392 times
+// in 3.6 s, and most of the processes' time and new connections were spent on
+// asking.
 //
-// The pool as a whole is asked at a steady rate, whatever the number of processes
-// and engines: each engine so many times a second by all of them together. The
-// zero value is one process that asks.
+// Here all processes together ask each engine at a constant rate, regardless of the
+// number of processes and engines. The zero value is for one process.
 type CapacityBackoff struct {
 	// Processes is the number of processes that ask.
 	Processes int
 }
 
 const (
-	// searchEvery is the time between two questions to a full engine, from all
-	// processes together. An engine gives back a place every 300 to 500 ms; asked
-	// more seldom, a place stays empty for long, and asked more often, most answers
-	// say what is known.
-	searchEvery = 20 * time.Millisecond
-	// searchLeast is the least time between two questions of one process.
-	searchLeast = 80 * time.Millisecond
-	// MaxEnginesPerSearch is how many engines one look asks. Where as many as that, drawn
-	// from the whole pool, have no room, fewer than one in ten has any, and the
-	// answer to the caller is worth more than a longer search.
+	// engineInterval is the time between two calls to a full engine from all
+	// processes together. An engine frees a slot every 300 to 500 ms: with a longer
+	// interval, slots stay empty for long; with a shorter one, most calls return
+	// what is already known.
+	engineInterval = 20 * time.Millisecond
+	// minBackoff is the shortest time between two calls of one process to a full
+	// engine.
+	minBackoff = 80 * time.Millisecond
+	// MaxEnginesPerSearch is the number of engines that one search asks. If that
+	// many, drawn from the whole pool, have no capacity, fewer than one in ten
+	// engines has any, and an early refusal serves the caller better than a longer
+	// search.
 	MaxEnginesPerSearch = 8
 )
 
-// Interval is how long an engine that has no room is not asked again.
+// Interval returns for how long the process does not ask an engine again that
+// refused for lack of capacity.
 func (s CapacityBackoff) Interval() time.Duration {
-	return max(searchLeast, time.Duration(s.Processes)*searchEvery)
+	return max(minBackoff, time.Duration(s.Processes)*engineInterval)
 }
--- a/route/search_test.go
+++ b/route/search_test.go
@@ -11,182 +11,187 @@
 	"jacinthworks/route"
 )
 
-// searching is a deployment in virtual time: engines with places, and processes
-// whose requests look for one, each process for one request at a time.
-type searching struct {
+// simulation simulates, in virtual time, engines with a number of slots and
+// processes whose requests search for a free slot. Each process searches for one
+// request at a time.
+type simulation struct {
 	processes, engines int
-	// load is the arrivals, as a part of what the engines can serve.
+	// load is the arrival rate, as a fraction of the rate that the engines can
+	// serve.
 	load float64
-	// rest and most are the policy.
-	rest time.Duration
-	most int
+	// backoff and maxEngines are the policy under test.
+	backoff    time.Duration
+	maxEngines int
 }
 
-// found is what the callers and the engines saw.
-type found struct {
+// simulationResult is what the callers and the engines observe.
+type simulationResult struct {
 	requests, served int
-	// served counts requests that found a place in time; asks all questions to
-	// engines, worst those of one request.
-	asks, worst int
-	// longest is the longest time to an answer, or to being told that there is none.
-	longest time.Duration
+	// served is the number of requests that found a slot in time, reserveCalls the
+	// number of calls to engines, and maxReserveCalls the most calls for one
+	// request.
+	reserveCalls, maxReserveCalls int
+	// maxLatency is the longest time until a request was served or refused.
+	maxLatency time.Duration
 }
 
-// The figures of the replayed load: an answer holds its place for 3.6 s, seven fit
-// in an engine, a question takes 2.6 ms, and a request has 700 ms to find a place.
+// The parameters of the simulated load: a request holds its slot for 3.6 s, an
+// engine has seven slots, a call to an engine takes 2.6 ms, and a request searches
+// for a slot for 700 ms.
 const (
-	searchRun    = 3600 * time.Millisecond
-	searchPlaces = 7
-	searchAsk    = 2600 * time.Microsecond
-	searchTarget = 700 * time.Millisecond
-	searchPause  = 40 * time.Millisecond
-	searchFor    = 20 * time.Second
+	serviceTime    = 3600 * time.Millisecond
+	slotsPerEngine = 7
+	reserveTime    = 2600 * time.Microsecond
+	searchTimeout  = 700 * time.Millisecond
+	searchInterval = 40 * time.Millisecond
+	arrivalPeriod  = 20 * time.Second
 )
 
-// seeker is a request that looks, and the process whose it is.
-type seeker struct {
-	process int
-	since   time.Duration
-	asks    int
+// pendingRequest is a request that searches for a slot, and the process that it
+// belongs to.
+type pendingRequest struct {
+	process      int
+	since        time.Duration
+	reserveCalls int
 }
 
-// moment is when something happens next.
-type moment struct {
+// event is a scheduled event.
+type event struct {
 	at time.Duration
 	do func()
 }
 
-type agenda []moment
+type eventQueue []event
 
-func (a agenda) Len() int           { return len(a) }
-func (a agenda) Less(i, j int) bool { return a[i].at < a[j].at }
-func (a agenda) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
-func (a *agenda) Push(x any)        { *a = append(*a, x.(moment)) }
-func (a *agenda) Pop() any {
+func (a eventQueue) Len() int           { return len(a) }
+func (a eventQueue) Less(i, j int) bool { return a[i].at < a[j].at }
+func (a eventQueue) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
+func (a *eventQueue) Push(x any)        { *a = append(*a, x.(event)) }
+func (a *eventQueue) Pop() any {
 	old := *a
 	last := old[len(old)-1]
 	*a = old[:len(old)-1]
 	return last
 }
 
-// play runs the deployment.
-func (s searching) play(seed uint64) found {
+// run runs the simulation.
+func (s simulation) run(seed uint64) simulationResult {
 	random := rand.New(rand.NewPCG(seed, 1))
 	var (
-		out     found
-		now     time.Duration
-		queue   agenda
-		places  = make([]int, s.engines)
-		resting = make([][]time.Duration, s.processes)
-		waiting = make([][]*seeker, s.processes)
-		look    func(q *seeker, asked int)
+		out          simulationResult
+		now          time.Duration
+		queue        eventQueue
+		inUse        = make([]int, s.engines)
+		backoffUntil = make([][]time.Duration, s.processes)
+		pending      = make([][]*pendingRequest, s.processes)
+		search       func(q *pendingRequest, attempts int)
 	)
-	for p := range resting {
-		resting[p] = make([]time.Duration, s.engines)
+	for p := range backoffUntil {
+		backoffUntil[p] = make([]time.Duration, s.engines)
 	}
-	after := func(d time.Duration, do func()) { heap.Push(&queue, moment{now + d, do}) }
-	done := func(q *seeker, served bool) {
-		if served && now-q.since <= searchTarget+searchPause {
+	after := func(d time.Duration, do func()) { heap.Push(&queue, event{now + d, do}) }
+	finish := func(q *pendingRequest, served bool) {
+		if served && now-q.since <= searchTimeout+searchInterval {
 			out.served++
 		}
-		out.worst, out.longest = max(out.worst, q.asks), max(out.longest, now-q.since)
-		w := waiting[q.process][1:]
-		waiting[q.process] = w
+		out.maxReserveCalls, out.maxLatency = max(out.maxReserveCalls, q.reserveCalls), max(out.maxLatency, now-q.since)
+		w := pending[q.process][1:]
+		pending[q.process] = w
 		if len(w) > 0 {
-			after(0, func() { look(w[0], 0) })
+			after(0, func() { search(w[0], 0) })
 		}
 	}
-	look = func(q *seeker, asked int) {
-		var may []int
-		for e, until := range resting[q.process] {
+	search = func(q *pendingRequest, attempts int) {
+		var eligible []int
+		for e, until := range backoffUntil[q.process] {
 			if until <= now {
-				may = append(may, e)
+				eligible = append(eligible, e)
 			}
 		}
 		switch {
-		case len(may) > 0 && asked < s.most:
-			e := may[random.IntN(len(may))]
-			q.asks++
-			out.asks++
-			after(searchAsk, func() {
-				if places[e] < searchPlaces {
-					places[e]++
-					after(searchRun, func() { places[e]-- })
-					done(q, true)
+		case len(eligible) > 0 && attempts < s.maxEngines:
+			e := eligible[random.IntN(len(eligible))]
+			q.reserveCalls++
+			out.reserveCalls++
+			after(reserveTime, func() {
+				if inUse[e] < slotsPerEngine {
+					inUse[e]++
+					after(serviceTime, func() { inUse[e]-- })
+					finish(q, true)
 					return
 				}
-				resting[q.process][e] = now + s.rest
-				look(q, asked+1)
+				backoffUntil[q.process][e] = now + s.backoff
+				search(q, attempts+1)
 			})
-		case now-q.since > searchTarget:
-			done(q, false)
+		case now-q.since > searchTimeout:
+			finish(q, false)
 		default:
-			after(searchPause, func() { look(q, 0) })
+			after(searchInterval, func() { search(q, 0) })
 		}
 	}
-	gap := time.Duration(float64(searchRun) / (s.load * float64(s.engines*searchPlaces)))
+	arrivalInterval := time.Duration(float64(serviceTime) / (s.load * float64(s.engines*slotsPerEngine)))
 	var arrive func()
 	arrive = func() {
-		q := &seeker{process: random.IntN(s.processes), since: now}
+		q := &pendingRequest{process: random.IntN(s.processes), since: now}
 		out.requests++
-		waiting[q.process] = append(waiting[q.process], q)
-		if len(waiting[q.process]) == 1 {
-			look(q, 0)
+		pending[q.process] = append(pending[q.process], q)
+		if len(pending[q.process]) == 1 {
+			search(q, 0)
 		}
-		if now < searchFor {
-			after(time.Duration(2*random.Float64()*float64(gap)), arrive)
+		if now < arrivalPeriod {
+			after(time.Duration(2*random.Float64()*float64(arrivalInterval)), arrive)
 		}
 	}
 	after(0, arrive)
 	for len(queue) > 0 {
-		next := heap.Pop(&queue).(moment)
+		next := heap.Pop(&queue).(event)
 		now = next.at
 		next.do()
 	}
 	return out
 }
 
-// Story: a burst of twice what the engines can serve, on 86 engines and 68
-// processes. A request asks one full engine after the other until its caller
-// leaves, since those that refused first may be asked again before all were; it is
-// never told that there is no room, and those behind it wait.
-func TestTheSearchForRoomEndsAtEverySize(t *testing.T) {
-	small := 0.0
+// Twice the load that the engines can serve arrives at up to 86 engines and 68
+// processes. Without bounds, an engine that refused is eligible again before all
+// others were asked, so that a request asks full engines until its caller cancels,
+// is never refused, and delays the requests behind it.
+func TestCapacityBackoffBoundsSearchTimeAtEverySize(t *testing.T) {
+	smallestPoolCalls := 0.0
 	for _, size := range []struct{ processes, engines int }{{4, 5}, {24, 28}, {68, 86}} {
-		bound := route.CapacityBackoff{Processes: size.processes}
-		s := searching{processes: size.processes, engines: size.engines, load: 2, rest: bound.Interval(), most: route.MaxEnginesPerSearch}
-		got := s.play(1)
-		s.rest, s.most = 80*time.Millisecond, 1<<30
-		naive := s.play(1)
-		t.Logf("%d processes, %d engines: %+v, without bounds %+v", size.processes, size.engines, got, naive)
-		require.Less(t, got.longest, 2*searchTarget, "told in time")
-		asks := float64(got.asks) / float64(got.requests)
-		if small == 0 {
-			small = asks
+		capacityBackoff := route.CapacityBackoff{Processes: size.processes}
+		s := simulation{processes: size.processes, engines: size.engines, load: 2, backoff: capacityBackoff.Interval(), maxEngines: route.MaxEnginesPerSearch}
+		bounded := s.run(1)
+		s.backoff, s.maxEngines = 80*time.Millisecond, 1<<30
+		unbounded := s.run(1)
+		t.Logf("%d processes, %d engines: %+v, without bounds %+v", size.processes, size.engines, bounded, unbounded)
+		require.Less(t, bounded.maxLatency, 2*searchTimeout, "a request is served or refused in time")
+		reserveCalls := float64(bounded.reserveCalls) / float64(bounded.requests)
+		if smallestPoolCalls == 0 {
+			smallestPoolCalls = reserveCalls
 		}
-		require.Less(t, asks, 2.5*small, "the pool grows by 17, the cost of a request does not")
-		require.Less(t, got.worst, 200)
-		require.GreaterOrEqual(t, float64(got.served), 0.95*float64(naive.served), "places are found as well")
+		require.Less(t, reserveCalls, 2.5*smallestPoolCalls, "the pool grows by a factor of 17, the calls per request must not")
+		require.Less(t, bounded.maxReserveCalls, 200)
+		require.GreaterOrEqual(t, float64(bounded.served), 0.95*float64(unbounded.served), "as many requests are served as without bounds")
 		if size.engines > 40 {
-			require.Greater(t, naive.longest, 3*time.Second, "the load that the bounds answer")
+			require.Greater(t, unbounded.maxLatency, 3*time.Second, "without bounds the search takes too long")
 		}
 	}
 }
 
-// Story: the same burst on more engines and more processes. What a request costs must
-// not grow with them: twelve questions, whatever the size.
-func TestTheSearchCostsAsLittleInALargePool(t *testing.T) {
+// The calls per request must not grow with the number of engines and processes: at
+// most twelve at every size.
+func TestCapacityBackoffBoundsReserveCallsAtEverySize(t *testing.T) {
 	for _, size := range []struct{ processes, engines int }{{4, 5}, {24, 28}, {68, 86}} {
-		s := searching{
+		s := simulation{
 			processes: size.processes, engines: size.engines, load: 2,
-			rest: route.CapacityBackoff{Processes: size.processes}.Interval(), most: route.MaxEnginesPerSearch,
+			backoff: route.CapacityBackoff{Processes: size.processes}.Interval(), maxEngines: route.MaxEnginesPerSearch,
 		}
-		got := s.play(1)
-		require.Less(t, got.asks, 12*got.requests, "%d processes, %d engines", size.processes, size.engines)
+		bounded := s.run(1)
+		require.Less(t, bounded.reserveCalls, 12*bounded.requests, "%d processes, %d engines", size.processes, size.engines)
 	}
 }
 
-func TestAFullEngineRestsLongerAmongMore(t *testing.T) {
+func TestCapacityBackoffIntervalGrowsWithProcesses(t *testing.T) {
 	require.Equal(t, 80*time.Millisecond, route.CapacityBackoff{}.Interval())
 	require.Equal(t, 80*time.Millisecond, route.CapacityBackoff{Processes: 4}.Interval())
 	require.Greater(t, route.CapacityBackoff{Processes: 68}.Interval(), 300*time.Millisecond)
