--- a/meter/meter.go
+++ b/meter/meter.go
@@ -1,11 +1,11 @@
-// Package meter holds a process's counters and latency histograms, and serves
-// them as text in the Prometheus format.
+// Package meter holds a process's counters and latency histograms, and serves them
+// as text in the Prometheus format.
 //
 // # Usage
 //
 //	var m meter.Registry
-//	m.Count("jacinthworks_requests_total", meter.Labels{"route", name, "outcome", outcome})
-//	m.Observe("jacinthworks_request_seconds", meter.Labels{"kind", kind}, took)
+//	m.Inc("jacinthworks_requests_total", meter.Labels{"route", name, "outcome", outcome})
+//	m.Observe("jacinthworks_request_seconds", meter.Labels{"kind", kind}, elapsed)
 //	err := m.Serve(ctx, addr) // GET /metrics
 package meter
 
@@ -22,21 +22,21 @@
 	"github.com/pkg/errors"
 )
 
-// Labels are names and values by turns.
+// Labels are alternating label names and values.
 type Labels []string
 
-// buckets are upper bounds in seconds: targets of callers lie between 100 ms
-// and some seconds.
-var buckets = []float64{0.005, 0.01, 0.025, 0.05, 0.1, 0.15, 0.25, 0.5, 0.9, 1.5, 3, 6, 15}
+// latencyBuckets are the upper bounds of histogram buckets, in seconds: the latency
+// targets of callers are between 100 ms and a few seconds.
+var latencyBuckets = []float64{0.005, 0.01, 0.025, 0.05, 0.1, 0.15, 0.25, 0.5, 0.9, 1.5, 3, 6, 15}
 
-// Registry holds counters and histograms. The zero value is empty and ready to use;
-// it must not be copied. It is safe for concurrent use.
+// Registry holds counters, gauges and histograms. The zero value is empty and ready
+// to use; it must not be copied. It is safe for concurrent use.
 type Registry struct {
 	once sync.Once
 	set  *metrics.Set
 }
 
-func (s *Registry) open() *metrics.Set {
+func (s *Registry) metricSet() *metrics.Set {
 	s.once.Do(func() { s.set = metrics.NewSet() })
 	return s.set
 }
@@ -46,20 +46,21 @@
 
 // Add adds n to a counter.
 func (s *Registry) Add(name string, l Labels, n int) {
-	s.open().GetOrCreateCounter(name + l.String()).Add(n)
+	s.metricSet().GetOrCreateCounter(name + l.String()).Add(n)
 }
 
-// Observe adds a time to a histogram.
-func (s *Registry) Observe(name string, l Labels, took time.Duration) {
-	s.open().GetOrCreatePrometheusHistogramExt(name+l.String(), buckets).Update(took.Seconds())
+// Observe adds a duration to a histogram, in seconds.
+func (s *Registry) Observe(name string, l Labels, elapsed time.Duration) {
+	s.metricSet().GetOrCreatePrometheusHistogramExt(name+l.String(), latencyBuckets).Update(elapsed.Seconds())
 }
 
-// Gauge shows what the function gives whenever the metrics are read.
+// Gauge registers a gauge whose value is computed by the function at each read of
+// the metrics.
 func (s *Registry) Gauge(name string, l Labels, value func() float64) {
-	s.open().GetOrCreateGauge(name+l.String(), value)
+	s.metricSet().GetOrCreateGauge(name+l.String(), value)
 }
 
-// String gives the labels as they stand behind a name.
+// String returns the labels in the form that follows a metric name.
 func (l Labels) String() string {
 	if len(l) < 2 {
 		return ""
@@ -75,25 +76,26 @@
 	return b.String()
 }
 
-// ServeHTTP writes everything as text.
+// ServeHTTP writes all metrics, and those of the process, as text.
 func (s *Registry) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "text/plain; version=0.0.4")
-	s.open().WritePrometheus(w)
+	s.metricSet().WritePrometheus(w)
 	metrics.WriteProcessMetrics(w)
 }
 
-// readTimeout bounds the reading of a request for metrics.
+// readTimeout bounds the time for reading the headers of a request.
 const readTimeout = 5 * time.Second
 
-// Serve answers GET /metrics until ctx ends.
+// Serve serves GET /metrics until ctx is done. It returns an error if it cannot
+// serve on the address.
 func (s *Registry) Serve(ctx context.Context, addr netip.AddrPort) error {
 	m := http.NewServeMux()
 	m.Handle("GET /metrics", s)
 	h := &http.Server{Addr: addr.String(), Handler: m, ReadHeaderTimeout: readTimeout}
-	stop := context.AfterFunc(ctx, func() { _ = h.Close() }) // readers of metrics ask again
+	stop := context.AfterFunc(ctx, func() { _ = h.Close() }) // a reader of metrics retries
 	defer stop()
 	if err := h.ListenAndServe(); !errors.Is(err, http.ErrServerClosed) {
-		return errors.Wrap(err, "meter: serve")
+		return errors.Wrap(err, "meter: serve metrics")
 	}
 	return nil
 }
--- a/meter/meter_test.go
+++ b/meter/meter_test.go
@@ -10,7 +10,7 @@
 	"jacinthworks/meter"
 )
 
-func TestText(t *testing.T) {
+func TestServeHTTPWritesAllMetricsAsText(t *testing.T) {
 	var m meter.Registry
 	m.Inc("requests_total", meter.Labels{"kind", "once", "outcome", "answered"})
 	m.Add("requests_total", meter.Labels{"kind", "once", "outcome", "answered"}, 2)
--- a/meter/names.go
+++ b/meter/names.go
@@ -5,21 +5,22 @@
 	"sync"
 )
 
-// namesMost bounds how many names are remembered.
-const namesMost = 64
+// maxNames bounds the number of names that are remembered.
+const maxNames = 64
 
-// SeenNames are those that came up, as the header fields of answers. The zero value is ready to
-// use; it must not be copied.
+// SeenNames is a bounded set of names, such as those of response header fields. The
+// zero value is ready to use; it must not be copied. It is safe for concurrent use.
 type SeenNames struct {
-	mu   sync.RWMutex // a leaf
+	mu   sync.RWMutex // leaf lock: no other lock is acquired while it is held
 	seen map[string]bool
 }
 
-// AddHeader gives the names in a header that did not come up before.
+// AddHeader adds the names in a header and returns those that are new. Once the set
+// is full, no name is new.
 func (n *SeenNames) AddHeader(h http.Header) (names []string) {
 	n.mu.RLock()
 	for name := range h {
-		if !n.seen[name] && len(n.seen) < namesMost {
+		if !n.seen[name] && len(n.seen) < maxNames {
 			names = append(names, name)
 		}
 	}
@@ -32,15 +33,15 @@
 	if n.seen == nil {
 		n.seen = make(map[string]bool)
 	}
-	var first []string
+	var added []string
 	for _, name := range names {
-		if !n.seen[name] && len(n.seen) < namesMost {
+		if !n.seen[name] && len(n.seen) < maxNames {
 			n.seen[name] = true
-			first = append(first, name)
+			added = append(added, name)
 		}
 	}
-	return first
+	return added
 }
 
-// Add says whether a name did not come up before.
+// Add adds a name and reports whether it is new, as AddHeader does.
 func (n *SeenNames) Add(name string) bool { return len(n.AddHeader(http.Header{name: nil})) > 0 }
