--- a/roster/access.go
+++ b/roster/access.go
@@ -2,55 +2,55 @@
 
 import "time"
 
-// ExclusionReason is why an upstream is to be sent nothing new.
+// ExclusionReason names why an upstream is sent no new requests.
 type ExclusionReason string
 
-// The bars.
+// The reasons for which an upstream is excluded.
 const (
-	// ExcludedRemoved is of one that has left the directory.
+	// ExcludedRemoved: the upstream has been removed from the directory.
 	ExcludedRemoved ExclusionReason = "gone"
-	// ExcludedDraining is of one that is on its way out as the registry has it, ExcludedLeaving of
-	// one that says so itself.
+	// ExcludedDraining: the registry marks the upstream as draining.
 	ExcludedDraining ExclusionReason = "draining"
-	ExcludedLeaving  ExclusionReason = "leaving"
-	// ExcludedBackoff is of one that wants nothing of this process for a time.
+	// ExcludedLeaving: the upstream announced its shutdown in a response.
+	ExcludedLeaving ExclusionReason = "leaving"
+	// ExcludedBackoff: the upstream asked this process to send nothing for a time that is not over.
 	ExcludedBackoff ExclusionReason = "backoff"
 )
 
-// Eligibility says whether an upstream may be sent something new.
+// Eligibility tells whether an upstream may be sent new requests.
 type Eligibility struct {
-	// Reason is why not; empty where it may.
+	// Reason is why the upstream is excluded; empty if it is eligible.
 	Reason ExclusionReason
-	// Remaining is how long the bar lasts yet; zero where no time ends it.
+	// Remaining is the time until the exclusion ends; zero if it does not end by itself.
 	Remaining time.Duration
 }
 
-// Eligible says that it may.
-func (a Eligibility) Eligible() bool { return a.Reason == "" }
+// Eligible reports whether the upstream may be sent new requests.
+func (e Eligibility) Eligible() bool { return e.Reason == "" }
 
-// Eligibility says whether the upstream may be sent something new, by the registry's word and
-// its own. Ask at the choice of an upstream, and again just before the send: an answer to
-// another request may have come between.
+// Eligibility returns whether the upstream may be sent new requests, from the state in the registry
+// and the upstream's own announcements. Callers check it when they select an upstream and again
+// just before they send, because the response to another request may have changed it in between.
 func (u *Upstream) Eligibility(now time.Time) Eligibility {
 	u.mu.Lock()
-	gone, draining := u.gone, u.server.Draining
+	removed, draining := u.removed, u.server.Draining
 	u.mu.Unlock()
 	switch {
-	case gone:
+	case removed:
 		return Eligibility{Reason: ExcludedRemoved}
 	case draining:
 		return Eligibility{Reason: ExcludedDraining}
 	}
-	return u.Stats.access(now)
+	return u.Stats.eligibility(now)
 }
 
-// access says whether one that has said so much may be sent something new.
-func (s *Announcement) access(now time.Time) Eligibility {
-	if !s.LeavingSince.IsZero() {
+// eligibility returns whether an upstream with these announcements may be sent new requests.
+func (a *Announcement) eligibility(now time.Time) Eligibility {
+	if !a.LeavingSince.IsZero() {
 		return Eligibility{Reason: ExcludedLeaving}
 	}
-	if left := s.BackoffLeft(now); left > 0 {
-		return Eligibility{Reason: ExcludedBackoff, Remaining: left}
+	if remaining := a.BackoffLeft(now); remaining > 0 {
+		return Eligibility{Reason: ExcludedBackoff, Remaining: remaining}
 	}
 	return Eligibility{}
 }
--- a/roster/copy.go
+++ b/roster/copy.go
@@ -6,96 +6,102 @@
 	"jacinthworks/feed"
 )
 
-// doubt is an entry of an older copy as it was listed, and until when it is not believed.
-type doubt struct {
+// overriddenEntry is an entry of a restored registry as it was listed, with the time until which
+// the directory treats it as draining.
+type overriddenEntry struct {
 	entry Server
 	until time.Time
 }
 
 const (
-	// leftFor is how long a start that is gone is not believed to be ready: a copy is some
-	// seconds old.
-	leftFor = time.Minute
-	// pastFor is how long what a start has said is remembered after it has gone: a registry
-	// that was away may have dropped it while it went on serving.
-	pastFor = 10 * time.Minute
-	// doubtedFor is how long an entry of an older copy is not believed: by then an
-	// upstream that lives has written its own again, and one that does not has lapsed.
-	doubtedFor = 5 * time.Second
+	// staleReadyWindow is how long after the removal of an instance a restored registry that lists
+	// it as ready is taken for stale. A restored snapshot is some seconds old.
+	staleReadyWindow = time.Minute
+	// removedInstanceTTL is how long the state of a removed instance is kept. A registry outage may
+	// drop the entry of an instance that goes on serving, and the instance registers again.
+	removedInstanceTTL = 10 * time.Minute
+	// overrideTTL is how long an entry of a restored registry is treated as draining. Within that
+	// time a running upstream writes its entry again, and the entry of a stopped one expires.
+	overrideTTL = 5 * time.Second
 )
 
-// RegistryRestored notes that the registry has come back from an older copy, of which a list
-// follows. What it lacks may have come since, as after an outage.
+// RegistryRestored records that the registry was restored from an older snapshot, which the next
+// call to SetAll carries. Members missing from it may have registered after the snapshot was taken,
+// so they are kept for ReregisterGrace, as after an outage.
 func (r *Roster) RegistryRestored(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.away, r.returned, r.rewound = false, now, true
+	r.registryDown, r.recoveredAt, r.restored = false, now, true
 }
 
-// corrected gives an entry of an older copy by what was known before.
+// overrideStale returns an entry of a restored registry, marked as draining if the directory knows
+// its instance as draining or as removed within staleReadyWindow.
 //
-// Failure: the copy names upstreams that have left since as ready. They get requests
-// again, until they are gone for the registry a second time. What an upstream has said
-// of its leaving holds until it writes its entry anew.
-func (r *Roster) corrected(now time.Time, i feed.Item[Server]) feed.Item[Server] {
+// The restored snapshot may list upstreams as ready that have shut down since. They would get
+// requests until the registry removes their entries a second time. The override ends when the
+// upstream writes its entry again, or after overrideTTL.
+func (r *Roster) overrideStale(now time.Time, i feed.Item[Server]) feed.Item[Server] {
 	if i.DecodeErr != nil || i.Value.Draining {
 		return i
 	}
 	u := r.members[i.Value.ID]
-	past, left := r.past[i.Value.Key()]
-	if left && now.Sub(past.at) < leftFor || u != nil && u.Server().Same(i.Value.Start) && u.Server().Draining {
-		if r.doubted == nil {
-			r.doubted = make(map[ID]doubt)
+	former, wasRemoved := r.removed[i.Value.Key()]
+	if wasRemoved && now.Sub(former.removedAt) < staleReadyWindow || u != nil && u.Server().Same(i.Value.Start) && u.Server().Draining {
+		if r.overridden == nil {
+			r.overridden = make(map[ID]overriddenEntry)
 		}
-		r.doubted[i.Value.ID] = doubt{i.Value, now.Add(doubtedFor)}
+		r.overridden[i.Value.ID] = overriddenEntry{i.Value, now.Add(overrideTTL)}
 		i.Value.Draining = true
-		r.Log.Info("entry of an older copy corrected", "upstream", i.Value.ID, "service", i.Value.Service, "left", left)
+		r.Log.Info("entry of a restored registry treated as draining", "upstream", i.Value.ID, "service", i.Value.Service, "left", wasRemoved)
 	}
 	return i
 }
 
-// departed is a start that has left the directory, and when.
-type departed struct {
-	upstream *Upstream
-	at       time.Time
+// removedInstance is an instance that was removed from the directory, with the time of the removal.
+type removedInstance struct {
+	upstream  *Upstream
+	removedAt time.Time
 }
 
-// gone remembers a start that has left.
-func (r *Roster) gone(now time.Time, u *Upstream) {
-	if r.past == nil {
-		r.past = make(map[InstanceKey]departed)
+// keepRemoved keeps the state of a removed instance for removedInstanceTTL.
+func (r *Roster) keepRemoved(now time.Time, u *Upstream) {
+	if r.removed == nil {
+		r.removed = make(map[InstanceKey]removedInstance)
 	}
-	for k, d := range r.past {
-		if now.Sub(d.at) >= pastFor {
-			delete(r.past, k)
+	for k, d := range r.removed {
+		if now.Sub(d.removedAt) >= removedInstanceTTL {
+			delete(r.removed, k)
 		}
 	}
-	r.past[u.Server().Key()] = departed{u, now}
+	r.removed[u.Server().Key()] = removedInstance{u, now}
 }
 
-// back gives the upstream of a start that had left and is there again; nil for none.
+// reinstate returns the kept upstream of a removed instance that is registered again at the same
+// address, or nil if there is none.
 //
-// Failure: the registry drops an upstream that it did not hear, and has it again. Taken for
-// a new one, it gets requests again although it has said that it leaves, or wants a pause.
-func (r *Roster) back(s Server) *Upstream {
-	d, known := r.past[s.Key()]
-	if !known || d.upstream.Server().Addr != s.Addr {
+// The registry may drop the entry of an upstream whose heartbeats it missed, and list it again. A
+// new Upstream would lose the announcements of the instance, so an upstream that is shutting down
+// or asked for backoff would get requests again.
+func (r *Roster) reinstate(s Server) *Upstream {
+	d, ok := r.removed[s.Key()]
+	if !ok || d.upstream.Server().Addr != s.Addr {
 		return nil
 	}
-	delete(r.past, s.Key())
+	delete(r.removed, s.Key())
 	u := d.upstream
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.gone, u.restarted = false, false
+	u.removed, u.restarted = false, false
 	return u
 }
 
-// believe takes entries of an older copy as they are that nobody has written anew.
-func (r *Roster) believe(now time.Time) {
-	for id, d := range r.doubted {
+// acceptOverridden applies the overridden entries that have not been written again within
+// overrideTTL, as they were listed.
+func (r *Roster) acceptOverridden(now time.Time) {
+	for id, d := range r.overridden {
 		if now.After(d.until) {
-			delete(r.doubted, id)
-			r.put(now, d.entry)
+			delete(r.overridden, id)
+			r.putEntry(now, d.entry)
 		}
 	}
 }
--- a/roster/copy_test.go
+++ b/roster/copy_test.go
@@ -14,7 +14,7 @@
 	return feed.Item[Server]{Name: string(id), Value: Server{Start: Start{ID: id}, Service: "cards", Draining: draining}}
 }
 
-func draining(r *Roster) map[ID]bool {
+func drainingByID(r *Roster) map[ID]bool {
 	all := make(map[ID]bool)
 	for _, u := range r.Upstreams("cards") {
 		all[u.Server().ID] = u.Server().Draining
@@ -22,33 +22,34 @@
 	return all
 }
 
-// Guards against requests for upstreams that have left, and against the loss of those that
-// came, where the registry comes back from an older copy.
-func TestAnOlderCopyOfTheRegistry(t *testing.T) {
+// Guards against requests to upstreams that have shut down, and against the removal of upstreams
+// that registered later, after the registry was restored from an older snapshot.
+func TestRestoredRegistryKeepsDrainingStateAndMissingMembers(t *testing.T) {
 	r := Roster{Log: hclog.NewNullLogger()}
-	now := time.Now().Add(-doubtedFor - time.Second)
+	now := time.Now().Add(-overrideTTL - time.Second)
 	r.SetAll(now, []feed.Item[Server]{entryOf("stays", false), entryOf("leaves", false), entryOf("left", false), entryOf("new", false)})
 	r.Apply(now, []feed.Change[Server]{{Item: entryOf("leaves", true)}, {Item: entryOf("left", true)}, {Item: entryOf("left", true), Deleted: true}})
 
-	copied := time.Now()
-	r.RegistryRestored(copied)
-	r.SetAll(copied, []feed.Item[Server]{entryOf("stays", false), entryOf("leaves", false), entryOf("left", false)})
-	require.Equal(t, map[ID]bool{"stays": false, "leaves": true, "left": true, "new": false}, draining(&r))
+	restored := time.Now()
+	r.RegistryRestored(restored)
+	r.SetAll(restored, []feed.Item[Server]{entryOf("stays", false), entryOf("leaves", false), entryOf("left", false)})
+	require.Equal(t, map[ID]bool{"stays": false, "leaves": true, "left": true, "new": false}, drainingByID(&r))
 
-	// What an upstream writes anew counts, and so does what has stood for long enough.
-	r.Apply(copied, []feed.Change[Server]{{Item: entryOf("leaves", false)}})
-	require.False(t, draining(&r)["leaves"])
+	// An entry that the upstream writes again ends the override, and so does the end of
+	// overrideTTL.
+	r.Apply(restored, []feed.Change[Server]{{Item: entryOf("leaves", false)}})
+	require.False(t, drainingByID(&r)["leaves"])
 	r.mu.Lock()
-	r.believe(copied.Add(doubtedFor + time.Second))
+	r.acceptOverridden(restored.Add(overrideTTL + time.Second))
 	r.rebuild()
 	r.mu.Unlock()
-	require.False(t, draining(&r)["left"])
+	require.False(t, drainingByID(&r)["left"])
 
-	// What is still missing after the grace is gone; later lists are believed as they are.
+	// A member still missing after the grace period is removed; later lists are applied unchanged.
 	r.mu.Lock()
-	r.expire(copied.Add(ReregisterGrace + time.Second))
+	r.removeExpired(restored.Add(ReregisterGrace + time.Second))
 	r.mu.Unlock()
-	require.NotContains(t, draining(&r), ID("new"))
+	require.NotContains(t, drainingByID(&r), ID("new"))
 	r.SetAll(time.Now(), []feed.Item[Server]{entryOf("new", false)})
-	require.False(t, draining(&r)["new"])
+	require.False(t, drainingByID(&r)["new"])
 }
--- a/roster/roster.go
+++ b/roster/roster.go
@@ -1,20 +1,20 @@
-// Package roster is the directory of upstreams as their registry tells of
-// them: each start of an upstream is a member of its own, with its state, and
-// with what this process has seen of it.
+// Package roster keeps the directory of upstreams listed in the registry. Each instance of an
+// upstream, from one start of its process to the next, is a member of its own, with its registry
+// entry and the statistics that this process collects about it.
 //
 // # Usage
 //
 //	r := roster.Roster{Log: log}
-//	r.Listed(now, items)                 // from a feed, as are the next three
-//	r.Changed(now, changes)
-//	r.Lost(now)
-//	r.Regained(now)
-//	for _, u := range r.Of("marketplace-app") { ... }
+//	r.SetAll(now, items) // this and the next three are the callbacks of a feed
+//	r.Apply(now, changes)
+//	r.RegistryLost(now)
+//	r.RegistryRecovered(now)
+//	for _, u := range r.Upstreams("marketplace-app") { ... }
 //
-// Belief while the registry is away: members stay as they were last heard of.
-// The registry drops members that it does not hear, also during an outage of
-// its own; those that live are back soon after it returns. So a member that is
-// dropped around an outage is kept for Grace after the return.
+// While the registry is unreachable, members keep their last known state. The registry removes
+// entries whose heartbeats it misses, also during its own outage, and the running upstreams
+// register again soon after it recovers. A member whose entry is missing just after an outage is
+// therefore kept for ReregisterGrace.
 package roster
 
 import (
@@ -31,145 +31,151 @@
 	"jacinthworks/send"
 )
 
-// ReregisterGrace is how long after the registry's return a member that it dropped is
-// kept. Members register anew within about two seconds of the return; one that
-// is still missing then is gone.
+// ReregisterGrace is how long after the recovery of the registry a member without an entry is kept.
+// Running upstreams register again within about two seconds of the recovery; one that is still
+// missing then has stopped.
 const ReregisterGrace = 2 * time.Second
 
-// The timeouts of connections to upstreams. A dial takes under 2 ms between
-// availability zones; 250 ms leave time for another upstream within a target
-// of 300 ms, and are shorter than the first repeat of a lost packet.
+// Timeouts of connections to upstreams. A dial takes under 2 ms between availability zones. A dial
+// timeout of 250 ms leaves time to try another upstream within a target latency of 300 ms, and is
+// shorter than the first retransmission of a lost packet.
 const (
 	dialTimeout = 250 * time.Millisecond
 	userTimeout = 3 * time.Second
-	// keepUnstated is how long a connection is kept where the upstream states
-	// no idle timeout in whole seconds: it may be shorter than one.
-	keepUnstated = 400 * time.Millisecond
+	// defaultIdleTimeout is how long an idle connection is kept if the upstream states no idle
+	// timeout in whole seconds: its timeout may be shorter than one second.
+	defaultIdleTimeout = 400 * time.Millisecond
 )
 
-// Server is what the registry says of an upstream.
+// Server is the registry entry of an upstream.
 type Server struct {
 	Start
 	Service domain.Service
 	Addr    netip.AddrPort
 	Zone    domain.Zone
-	// Slots is how many requests it serves at once.
+	// Slots is how many requests the upstream serves concurrently.
 	Slots int
-	// Draining members end what they have and get nothing new.
+	// Draining is set while the upstream finishes its requests and takes no new ones.
 	Draining bool
-	// Role is that of a model engine; empty for a plain server.
+	// Role is the role of a model engine; empty for a plain server.
 	Role domain.Role
 }
 
-// Upstream is a member of the directory.
+// Upstream is a member of the directory: one instance of an upstream.
 type Upstream struct {
-	// Client sends to it.
+	// Client sends requests to the upstream.
 	Client *send.Client
-	// Stats is what this process knows of it by its answers.
+	// Stats holds what this process observed in the upstream's responses.
 	Stats Stats
 
-	mu     sync.Mutex // a leaf
-	server Server
-	heard  time.Time
-	gone   bool
-	// next is the role that it is changing to, and from when it should have it; empty for
-	// none.
-	next   domain.Role
-	nextAt time.Time
-	// restarted says that a later start has taken its place.
+	mu         sync.Mutex // a leaf
+	server     Server
+	receivedAt time.Time
+	removed    bool
+	// pendingRole is the role that the engine is changing to, and pendingRoleAt when the change
+	// should be complete; pendingRole is empty if there is no change.
+	pendingRole   domain.Role
+	pendingRoleAt time.Time
+	// restarted is set once a later instance of the upstream has replaced this one.
 	restarted bool
 }
 
-// Server is what the registry last said, in the role that it has by now.
+// Server returns the last registry entry of the upstream. If a role change recorded by ExpectRole
+// is due, the entry has the new role.
 func (u *Upstream) Server() Server {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.next != "" && !time.Now().Before(u.nextAt) {
-		u.server.Role, u.next = u.next, ""
+	if u.pendingRole != "" && !time.Now().Before(u.pendingRoleAt) {
+		u.server.Role, u.pendingRole = u.pendingRole, ""
 		u.Stats.RoleChanged()
 	}
 	return u.server
 }
 
-// ExpectRole notes that it has taken an order to change its role, which is done by a time.
+// ExpectRole records that the engine accepted an order to change its role, which is complete at the
+// given time.
 //
-// Failure: an engine changes its role while the registry is away, which does not tell. Each
-// process takes it for one of its former role, and is turned away by each of them.
+// An engine may change its role while the registry is unreachable. Without this record each process
+// would go on sending it requests for its former role, all of which it refuses.
 func (u *Upstream) ExpectRole(role domain.Role, at time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.next, u.nextAt = role, at
+	u.pendingRole, u.pendingRoleAt = role, at
 }
 
-// EntryAge is how long ago the registry last spoke of it.
+// EntryAge returns the time since the registry last reported the upstream.
 func (u *Upstream) EntryAge(now time.Time) time.Duration {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return now.Sub(u.heard)
+	return now.Sub(u.receivedAt)
 }
 
-// Removed says that it has left the directory; what it does is of no interest.
+// Removed reports whether the upstream has been removed from the directory. Later observations of
+// it need not be recorded.
 func (u *Upstream) Removed() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.gone
+	return u.removed
 }
 
-// Restarted says that it has ended, and started anew as another Upstream.
+// Restarted reports whether the instance was replaced by a later one, which is an Upstream of its
+// own.
 func (u *Upstream) Restarted() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.restarted
 }
 
-// Roster is the directory. Set Log first; it must not be copied. It is safe
-// for concurrent use. Lock order: Roster, then Upstream.
+// Roster is the directory of upstreams. Set Log before first use. A Roster must not be copied. It
+// is safe for concurrent use. Lock order: Roster, then Upstream.
 type Roster struct {
 	Log hclog.Logger
 
 	mu      sync.Mutex
 	members map[ID]*Upstream
-	// pools is made anew on each change and never written to.
-	pools map[domain.Service][]*Upstream
-	// lapsed are members that the registry dropped around an outage, and when
-	// they are gone unless it speaks of them again.
-	lapsed   map[ID]time.Time
-	away     bool
-	returned time.Time
-	known    bool
-	// rewound says that the next list is of an older copy of the registry.
-	rewound bool
-	// past are starts that are gone.
-	past map[InstanceKey]departed
-	// doubted are entries of an older copy that were corrected, until they are written
-	// anew or have stood long enough.
-	doubted map[ID]doubt
+	// byService holds the members of each service sorted by ID. Each change builds a new map; the
+	// map and its slices are never modified, so that callers may keep a slice.
+	byService map[domain.Service][]*Upstream
+	// unconfirmed holds the members whose entries the registry dropped around an outage, with the
+	// time at which each is removed unless it has registered again.
+	unconfirmed  map[ID]time.Time
+	registryDown bool
+	recoveredAt  time.Time
+	loaded       bool
+	// restored is set until the next list, which is that of a registry restored from an older
+	// snapshot.
+	restored bool
+	// removed holds recently removed instances with their state.
+	removed map[InstanceKey]removedInstance
+	// overridden holds the entries of a restored registry that are treated as draining, until they
+	// are written again or overrideTTL has passed.
+	overridden map[ID]overriddenEntry
 }
 
-// Loaded says whether the registry was ever read.
+// Loaded reports whether the registry has been listed at least once.
 func (r *Roster) Loaded() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.known
+	return r.loaded
 }
 
-// Upstreams gives the members of a service, those on their way out included. The
-// caller must not change the slice.
+// Upstreams returns the members of a service, including draining ones. The caller must not modify
+// the slice.
 func (r *Roster) Upstreams(s domain.Service) []*Upstream {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.expire(time.Now())
-	return r.pools[s]
+	r.removeExpired(time.Now())
+	return r.byService[s]
 }
 
-// Upstream gives the upstream of an id; nil for none.
+// Upstream returns the upstream with an ID; nil if it is not a member.
 func (r *Roster) Upstream(id ID) *Upstream {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.members[id]
 }
 
-// ByInstance gives the upstream of a start; nil where it has ended.
+// ByInstance returns the upstream of an instance; nil if that instance is not a member.
 func (r *Roster) ByInstance(s Start) *Upstream {
 	if u := r.Upstream(s.ID); u != nil && u.Server().Same(s) {
 		return u
@@ -177,177 +183,177 @@
 	return nil
 }
 
-// SetAll takes the whole registry.
+// SetAll replaces the directory by a complete list of registry entries.
 func (r *Roster) SetAll(now time.Time, all []feed.Item[Server]) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.known = true
+	r.loaded = true
 	listed := make(map[ID]bool, len(all))
 	for _, i := range all {
 		listed[ID(i.Name)] = true
-		if r.rewound {
-			i = r.corrected(now, i)
+		if r.restored {
+			i = r.overrideStale(now, i)
 		}
-		r.take(now, i)
+		r.applyEntry(now, i)
 	}
-	r.rewound = false
+	r.restored = false
 	for id := range r.members {
 		if !listed[id] {
-			r.dropped(now, id)
+			r.handleMissing(now, id)
 		}
 	}
 	r.rebuild()
 }
 
-// Apply takes changes of the registry.
+// Apply applies changes of registry entries.
 func (r *Roster) Apply(now time.Time, changes []feed.Change[Server]) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, c := range changes {
 		if c.Deleted {
-			r.dropped(now, ID(c.Name))
+			r.handleMissing(now, ID(c.Name))
 			continue
 		}
-		delete(r.doubted, ID(c.Name))
-		r.take(now, c.Item)
+		delete(r.overridden, ID(c.Name))
+		r.applyEntry(now, c.Item)
 	}
 	r.rebuild()
 }
 
-// take takes an entry of the registry.
+// applyEntry applies one registry entry.
 //
-// Failure: an entry is written over by something that is no upstream. It shows as
-// work that is sent by a part of an entry, or by an old one. An entry that can't
-// be read names no upstream to use; one that lives writes its own again within a
-// heartbeat.
-func (r *Roster) take(now time.Time, i feed.Item[Server]) {
+// An entry may be overwritten by a process other than the upstream. Requests would then be sent by
+// a partial or an outdated entry. An upstream whose entry cannot be decoded is therefore removed; a
+// running one writes its entry again within one heartbeat interval.
+func (r *Roster) applyEntry(now time.Time, i feed.Item[Server]) {
 	if i.DecodeErr == nil {
-		r.put(now, i.Value)
+		r.putEntry(now, i.Value)
 		return
 	}
 	if r.members[ID(i.Name)] != nil {
-		r.remove(ID(i.Name), "its entry can't be read")
+		r.remove(ID(i.Name), "registry entry cannot be decoded")
 	}
 }
 
-// RegistryLost notes that the registry does not answer.
+// RegistryLost records that the registry is unreachable.
 func (r *Roster) RegistryLost(time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.away = true
+	r.registryDown = true
 }
 
-// RegistryRecovered notes that it answers again.
+// RegistryRecovered records that the registry is reachable again.
 func (r *Roster) RegistryRecovered(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.away, r.returned = false, now
+	r.registryDown, r.recoveredAt = false, now
 }
 
-func (r *Roster) put(now time.Time, s Server) {
+func (r *Roster) putEntry(now time.Time, s Server) {
 	if r.members == nil {
 		r.members = make(map[ID]*Upstream)
-		r.lapsed = make(map[ID]time.Time)
+		r.unconfirmed = make(map[ID]time.Time)
 	}
 	u := r.members[s.ID]
 	if u != nil && s.Before(u.Server().Start) {
-		r.Log.Info("entry of an earlier start passed over", "upstream", s.ID, "born", s.Born, "known", u.Server().Born)
+		r.Log.Info("registry entry of an earlier instance ignored", "upstream", s.ID, "born", s.Born, "known", u.Server().Born)
 		return
 	}
 	if u != nil && u.Server().Before(s.Start) {
-		r.restart(u)
+		r.replaceInstance(u)
 		u = nil
 	}
-	delete(r.lapsed, s.ID)
+	delete(r.unconfirmed, s.ID)
 	if u == nil {
-		back := r.back(s)
-		if u = back; u == nil {
-			u = &Upstream{Client: &send.Client{Base: s.Addr, DialTimeout: dialTimeout, UserTimeout: userTimeout, IdleTimeout: keepUnstated}}
+		reinstated := r.reinstate(s)
+		if u = reinstated; u == nil {
+			u = &Upstream{Client: &send.Client{Base: s.Addr, DialTimeout: dialTimeout, UserTimeout: userTimeout, IdleTimeout: defaultIdleTimeout}}
 		}
 		r.members[s.ID] = u
-		r.Log.Info("upstream known", "again", back != nil, "upstream", s.ID, "service", s.Service, "addr", s.Addr, "zone", s.Zone, "role", s.Role, "slots", s.Slots, "draining", s.Draining, "born", s.Born)
+		r.Log.Info("upstream added", "again", reinstated != nil, "upstream", s.ID, "service", s.Service, "addr", s.Addr, "zone", s.Zone, "role", s.Role, "slots", s.Slots, "draining", s.Draining, "born", s.Born)
 	}
 	u.mu.Lock()
-	old := u.server
-	u.server, u.heard = s, now
-	if s.Role == u.next {
-		u.next = ""
+	previous := u.server
+	u.server, u.receivedAt = s, now
+	if s.Role == u.pendingRole {
+		u.pendingRole = ""
 	}
 	u.mu.Unlock()
-	if old.ID != "" && old.Role != s.Role {
+	if previous.ID != "" && previous.Role != s.Role {
 		u.Stats.RoleChanged()
 	}
-	if old.ID != "" && (old.Draining != s.Draining || old.Role != s.Role) {
+	if previous.ID != "" && (previous.Draining != s.Draining || previous.Role != s.Role) {
 		r.Log.Info("upstream changed", "upstream", s.ID, "service", s.Service, "draining", s.Draining, "role", s.Role)
 	}
 }
 
-// restart ends an upstream that has started anew.
+// replaceInstance removes an upstream of which a later instance has registered.
 //
-// Failure: an upstream crashes and is back under its id before anything broke.
-// It shows as requests that wait for answers of the earlier start until their
-// time is over, and as work kept away, or sent, by what was known of it. All that
-// is of the earlier start ends here: its connections, and what was seen of it.
-func (r *Roster) restart(u *Upstream) {
+// An upstream may crash and restart under the same ID before any of its connections breaks.
+// Requests to the earlier instance would wait for responses until they time out, and the statistics
+// of the earlier instance would wrongly exclude or favour the new one. So the connections of the
+// earlier instance are closed, and the new instance starts with empty statistics.
+func (r *Roster) replaceInstance(u *Upstream) {
 	u.mu.Lock()
 	u.restarted = true
 	u.mu.Unlock()
-	r.remove(u.Server().ID, "started anew")
+	r.remove(u.Server().ID, "restarted")
 	u.Client.CloseAll()
 }
 
-// dropped handles a member that the registry does not name any more.
-func (r *Roster) dropped(now time.Time, id ID) {
+// handleMissing handles a member that the registry no longer lists. For ReregisterGrace after a
+// recovery of the registry the member is kept, unless it was draining.
+func (r *Roster) handleMissing(now time.Time, id ID) {
 	if r.members[id] == nil {
 		return
 	}
-	until := r.returned.Add(ReregisterGrace)
-	if !r.returned.IsZero() && now.Before(until) && !r.members[id].Server().Draining {
-		if _, lapsed := r.lapsed[id]; !lapsed {
-			r.lapsed[id] = until
-			r.Log.Info("upstream lapsed", "upstream", id, "until", until.Sub(now))
+	until := r.recoveredAt.Add(ReregisterGrace)
+	if !r.recoveredAt.IsZero() && now.Before(until) && !r.members[id].Server().Draining {
+		if _, marked := r.unconfirmed[id]; !marked {
+			r.unconfirmed[id] = until
+			r.Log.Info("upstream entry expired", "upstream", id, "until", until.Sub(now))
 		}
 		return
 	}
-	r.remove(id, "dropped by the registry")
+	r.remove(id, "removed from the registry")
 }
 
-func (r *Roster) remove(id ID, why string) {
+func (r *Roster) remove(id ID, reason string) {
 	u := r.members[id]
 	u.mu.Lock()
-	u.gone = true
+	u.removed = true
 	s := u.server
 	u.mu.Unlock()
 	u.Client.CloseIdleConnections()
-	r.gone(time.Now(), u)
+	r.keepRemoved(time.Now(), u)
 	delete(r.members, id)
-	delete(r.lapsed, id)
-	delete(r.doubted, id)
-	r.Log.Info("upstream gone", "upstream", id, "service", s.Service, "addr", s.Addr, "why", why)
+	delete(r.unconfirmed, id)
+	delete(r.overridden, id)
+	r.Log.Info("upstream removed", "upstream", id, "service", s.Service, "addr", s.Addr, "why", reason)
 }
 
-// InstanceReplaced notes that another start answers at the member's address: this
-// one has ended, whatever the registry says.
+// InstanceReplaced records that another instance answers at the upstream's address. The upstream
+// has stopped and is removed, even if the registry still lists it.
 func (r *Roster) InstanceReplaced(u *Upstream) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	id := u.Server().ID
 	if r.members[id] == u {
-		r.remove(id, "another start answers at its address")
+		r.remove(id, "another instance answers at its address")
 		r.rebuild()
 	}
 }
 
-// expire removes lapsed members whose grace has passed.
-func (r *Roster) expire(now time.Time) {
-	r.believe(now)
-	if len(r.lapsed) == 0 || r.away {
+// removeExpired removes the unconfirmed members whose grace period has passed.
+func (r *Roster) removeExpired(now time.Time) {
+	r.acceptOverridden(now)
+	if len(r.unconfirmed) == 0 || r.registryDown {
 		return
 	}
 	before := len(r.members)
-	for id, until := range r.lapsed {
+	for id, until := range r.unconfirmed {
 		if now.After(until) {
-			r.remove(id, "not back after the registry's outage")
+			r.remove(id, "not registered again after the registry outage")
 		}
 	}
 	if len(r.members) != before {
@@ -356,12 +362,12 @@
 }
 
 func (r *Roster) rebuild() {
-	r.pools = make(map[domain.Service][]*Upstream)
+	r.byService = make(map[domain.Service][]*Upstream)
 	for _, u := range r.members {
 		s := u.Server().Service
-		r.pools[s] = append(r.pools[s], u)
+		r.byService[s] = append(r.byService[s], u)
 	}
-	for _, pool := range r.pools {
+	for _, pool := range r.byService {
 		slices.SortFunc(pool, func(a, b *Upstream) int { return cmp.Compare(a.Server().ID, b.Server().ID) })
 	}
 }
--- a/roster/roster_test.go
+++ b/roster/roster_test.go
@@ -27,44 +27,44 @@
 	return all
 }
 
-func gone(id string) []feed.Change[Server] {
+func deletion(id string) []feed.Change[Server] {
 	return []feed.Change[Server]{{Item: feed.Item[Server]{Name: id}, Deleted: true}}
 }
 
-// Story: the registry is away for longer than its entries live, and drops them
-// all. When it is back, its list is empty for a moment. The servers live, and
-// register anew within two seconds; until then they go on being used. One that
-// does not is gone.
-func TestEntriesThatLapsedInAnOutage(t *testing.T) {
+// Guards against the loss of running servers after a registry outage. An outage longer than the
+// lifetime of the entries removes all of them, and the first list after the recovery is empty.
+// Running servers register again within two seconds and stay in use until then; a server that does
+// not register again is removed.
+func TestExpiredEntriesAreKeptForGraceAfterOutage(t *testing.T) {
 	r := &Roster{Log: hclog.NewNullLogger()}
 	now := time.Now()
 	r.SetAll(now, []feed.Item[Server]{item("a", false), item("b", false), item("leaving", true)})
 	r.RegistryLost(now)
-	back := now.Add(time.Minute)
-	r.RegistryRecovered(back)
-	r.SetAll(back, nil)
-	require.Equal(t, []ID{"a", "b"}, ids(r), "one that was leaving has left")
-	r.Apply(back.Add(time.Second), []feed.Change[Server]{{Item: item("a", false)}})
+	recovered := now.Add(time.Minute)
+	r.RegistryRecovered(recovered)
+	r.SetAll(recovered, nil)
+	require.Equal(t, []ID{"a", "b"}, ids(r), "a draining member is removed at once")
+	r.Apply(recovered.Add(time.Second), []feed.Change[Server]{{Item: item("a", false)}})
 	r.mu.Lock()
-	r.expire(back.Add(ReregisterGrace + time.Millisecond))
+	r.removeExpired(recovered.Add(ReregisterGrace + time.Millisecond))
 	r.mu.Unlock()
 	require.Equal(t, []ID{"a"}, ids(r))
 }
 
-func TestAnEntryThatGoesOtherwiseIsGone(t *testing.T) {
+func TestDeletedOrReplacedUpstreamIsRemovedAtOnce(t *testing.T) {
 	r := &Roster{Log: hclog.NewNullLogger()}
 	now := time.Now()
 	r.SetAll(now, []feed.Item[Server]{item("a", false), item("b", false)})
 	u := r.Upstreams("cards")[0]
-	r.Apply(now, gone("a"))
+	r.Apply(now, deletion("a"))
 	require.Equal(t, []ID{"b"}, ids(r))
 	require.True(t, u.Removed())
-	r.Apply(now, gone("never known"))
+	r.Apply(now, deletion("never known"))
 	r.InstanceReplaced(r.Upstreams("cards")[0])
 	require.Empty(t, ids(r))
 }
 
-func TestAStartIsAMemberOfItsOwn(t *testing.T) {
+func TestChangedEntryKeepsUpstreamAndItsClient(t *testing.T) {
 	r := &Roster{Log: hclog.NewNullLogger()}
 	now := time.Now()
 	r.SetAll(now, []feed.Item[Server]{item("a", false)})
@@ -77,9 +77,9 @@
 	require.Empty(t, r.Upstreams(domain.Service("other")))
 }
 
-// Story: an engine changes its role. It holds room and refuses what comes for
-// it, for six seconds; each refusal costs a prompt that was read.
-func TestRefusalsAfterAHoldKeepWorkAwayForLonger(t *testing.T) {
+// Guards against a row of wasted prefills: for about six seconds an engine that changes its role
+// grants reservations and refuses the requests for them, each after its prompt was prefilled.
+func TestConsecutiveRefusalsDoubleExclusionTime(t *testing.T) {
 	var s Stats
 	now := time.Now()
 	for _, away := range []time.Duration{time.Second, 2 * time.Second, 4 * time.Second, 8 * time.Second, 8 * time.Second} {
@@ -90,12 +90,12 @@
 	}
 	s.RecordSuccess(now, time.Millisecond, 1)
 	s.RecordRefusal(now)
-	require.False(t, s.Candidate(now.Add(time.Second)).RecentlyFull, "an answer ends the row")
+	require.False(t, s.Candidate(now.Add(time.Second)).RecentlyFull, "a success resets the backoff")
 	s.HoldOff(now.Add(10 * time.Millisecond))
-	require.True(t, s.Candidate(now.Add(20*time.Millisecond)).RecentlyFull, "a shorter time does not end a longer one")
+	require.True(t, s.Candidate(now.Add(20*time.Millisecond)).RecentlyFull, "a shorter exclusion does not end a longer one")
 }
 
-func TestFailuresAndLoadFade(t *testing.T) {
+func TestFailureRateAndReportedLoadDecay(t *testing.T) {
 	var s Stats
 	now := time.Now()
 	s.Candidate(now)
@@ -105,39 +105,38 @@
 	require.Less(t, s.Candidate(now.Add(10*time.Second)).FailureRate, 0.1)
 	s.RequestStarted(Cost{MemoryTokens: 10, PromptTokens: 5})
 	s.RecordLoad(now, 5)
-	o := s.Candidate(now)
-	require.Equal(t, 1, o.OwnRequests)
-	require.InDelta(t, 4, o.OtherRequests, 0.01)
-	require.InDelta(t, 2, s.Candidate(now.Add(loadHalf)).OtherRequests, 0.01)
+	c := s.Candidate(now)
+	require.Equal(t, 1, c.OwnRequests)
+	require.InDelta(t, 4, c.OtherRequests, 0.01)
+	require.InDelta(t, 2, s.Candidate(now.Add(loadHalfLife)).OtherRequests, 0.01)
 	s.RequestEnded(Cost{MemoryTokens: 10, PromptTokens: 5})
 	require.Zero(t, s.Candidate(now).OwnTokens)
 }
 
-// Story: a record of orders is written again and again, and read late. An order
-// that was heeded once would keep work away from its engine anew each time, also
-// after the engine is back.
-func TestAnOrderIsNewsOnce(t *testing.T) {
+// Guards against an engine that is suspended again and again by one order: the record of orders is
+// written repeatedly and read late, possibly after the role change is complete.
+func TestAcceptOrderRejectsKnownOrders(t *testing.T) {
 	var s Stats
 	require.True(t, s.AcceptOrder(7))
 	require.False(t, s.AcceptOrder(7))
-	require.False(t, s.AcceptOrder(6), "an older one")
+	require.False(t, s.AcceptOrder(6), "an older order")
 	require.True(t, s.AcceptOrder(8))
 }
 
-func TestAnEngineIsAwayUntilItIsBack(t *testing.T) {
+func TestSuspensionEndsAtDeadlineOrOnRoleChange(t *testing.T) {
 	var s Stats
 	now := time.Now()
 	s.SuspendUntil(now.Add(8 * time.Second))
 	require.True(t, s.Candidate(now).RecentlyFull)
-	require.False(t, s.Candidate(now.Add(8*time.Second)).RecentlyFull, "it should be back, whatever the registry says")
+	require.False(t, s.Candidate(now.Add(8*time.Second)).RecentlyFull, "the role change should be complete, whatever the registry says")
 	s.SuspendUntil(now.Add(8 * time.Second))
 	s.RoleChanged()
 	require.False(t, s.Candidate(now).RecentlyFull)
 }
 
-// Guards against an engine that is taken for one of its former role while the registry, which
-// is away, does not tell of the change.
-func TestAnEngineHasItsNextRoleWithoutTheRegistry(t *testing.T) {
+// Guards against an engine that is used for its former role because the registry is unreachable and
+// does not report the change.
+func TestExpectedRoleAppliesWithoutRegistryUpdate(t *testing.T) {
 	r := &Roster{Log: hclog.NewNullLogger()}
 	entry := func(role domain.Role) feed.Item[Server] {
 		i := item("a", false)
@@ -148,33 +147,33 @@
 	r.SetAll(now, []feed.Item[Server]{entry(domain.RolePrefill)})
 	u := r.Upstreams("cards")[0]
 	u.ExpectRole(domain.RoleDecode, now.Add(time.Hour))
-	require.Equal(t, domain.RolePrefill, u.Server().Role, "not yet")
+	require.Equal(t, domain.RolePrefill, u.Server().Role, "the change is not due yet")
 	r.Apply(now, []feed.Change[Server]{{Item: entry(domain.RolePrefill)}})
 	u.ExpectRole(domain.RoleDecode, now)
 	require.Equal(t, domain.RoleDecode, u.Server().Role)
 	r.Apply(now, []feed.Change[Server]{{Item: entry(domain.RolePrefill)}})
-	require.Equal(t, domain.RolePrefill, u.Server().Role, "the registry's word")
+	require.Equal(t, domain.RolePrefill, u.Server().Role, "the registry entry wins")
 	u.ExpectRole(domain.RoleDecode, now.Add(time.Hour))
 	r.Apply(now, []feed.Change[Server]{{Item: entry(domain.RoleDecode)}})
 	r.Apply(now, []feed.Change[Server]{{Item: entry(domain.RolePrefill)}})
-	require.Equal(t, domain.RolePrefill, u.Server().Role, "the change was over")
+	require.Equal(t, domain.RolePrefill, u.Server().Role, "the expected change was already complete")
 }
 
-func TestSureIsWhoAnsweredLately(t *testing.T) {
+func TestResponsiveRequiresRecentSuccessWithoutFailure(t *testing.T) {
 	var s Stats
 	now := time.Now()
-	require.False(t, s.Candidate(now).Responsive, "nothing is known")
+	require.False(t, s.Candidate(now).Responsive, "no answers yet")
 	s.RecordSuccess(now, time.Millisecond, 1)
 	require.True(t, s.Candidate(now).Responsive)
-	require.False(t, s.Candidate(now.Add(2*failHalf)).Responsive, "that was long ago")
-	s.RecordSuccess(now.Add(2*failHalf), time.Millisecond, 1)
-	s.RecordFailure(now.Add(2 * failHalf))
-	require.False(t, s.Candidate(now.Add(2*failHalf)).Responsive, "it has failed since")
+	require.False(t, s.Candidate(now.Add(2*failureHalfLife)).Responsive, "the success is too old")
+	s.RecordSuccess(now.Add(2*failureHalfLife), time.Millisecond, 1)
+	s.RecordFailure(now.Add(2 * failureHalfLife))
+	require.False(t, s.Candidate(now.Add(2*failureHalfLife)).Responsive, "a failure followed the success")
 }
 
-// Guards against an upstream that refuses every other request and counts as sure after each
-// that it answers.
-func TestOneThatRefusesNowAndThenIsNotSure(t *testing.T) {
+// Guards against an upstream that refuses every other request and counts as responsive after each
+// request it serves.
+func TestIntermittentRefusalsAreNotResponsive(t *testing.T) {
 	var s Stats
 	now := time.Now()
 	for range 5 {
@@ -183,43 +182,44 @@
 	}
 	s.RecordSuccess(now, time.Millisecond, 1)
 	require.False(t, s.Candidate(now).Responsive)
-	s.RoleChanged() // the refusals were those of its other role
+	s.RoleChanged() // the refusals belong to the former role
 	s.RecordSuccess(now, time.Millisecond, 1)
 	require.True(t, s.Candidate(now).Responsive)
 }
 
-// Story: an engine crashes, and its entry lives on for seconds. Each request in
-// turn dials it, and loses one of its tries by that.
-func TestAnUpstreamThatTakesNoConnectionIsLeftAlone(t *testing.T) {
+// Guards against requests that each lose an attempt to a crashed engine, whose registry entry lasts
+// for some seconds after the crash.
+func TestConsecutiveDialFailuresDoubleExclusionTime(t *testing.T) {
 	var s Stats
 	now := time.Now()
 	for _, away := range []time.Duration{100, 200, 400, 800, 1000, 1000} {
 		s.RecordDialFailure(now)
 		require.True(t, s.Candidate(now.Add(away*time.Millisecond-1)).RecentlyFull)
-		require.False(t, s.Candidate(now.Add(away*time.Millisecond)).RecentlyFull, "it is tried again")
+		require.False(t, s.Candidate(now.Add(away*time.Millisecond)).RecentlyFull, "eligible again after the backoff")
 		now = now.Add(away * time.Millisecond)
 	}
 	s.RecordSuccess(now, time.Millisecond, 1)
 	s.RecordDialFailure(now)
-	require.False(t, s.Candidate(now.Add(100*time.Millisecond)).RecentlyFull, "an answer ends the row")
+	require.False(t, s.Candidate(now.Add(100*time.Millisecond)).RecentlyFull, "a success resets the backoff")
 }
 
-// Story: all prefill engines are lost, and two prompts come to one decode engine at
-// once. Read together they pause its dozen answers for twice as long as one.
-func TestPromptsReadAtOnePlaceFollowEachOther(t *testing.T) {
+// Guards against concurrent prefills at one decode engine, which happen when all prefill engines
+// are unavailable: two prompts read together pause the engine's dozen responses for twice as long
+// as one.
+func TestQueuePrefillDelaysUntilEarlierPrefillsEnd(t *testing.T) {
 	var s Stats
 	now := time.Now()
 	const took, longest = 200 * time.Millisecond, 500 * time.Millisecond
 	require.Zero(t, s.QueuePrefill(now, took, longest))
 	require.Equal(t, took, s.QueuePrefill(now, took, longest))
 	require.Equal(t, 2*took, s.QueuePrefill(now, took, longest))
-	require.Equal(t, longest, s.QueuePrefill(now, took, longest), "none waits for longer")
+	require.Equal(t, longest, s.QueuePrefill(now, took, longest), "the wait is bounded")
 	require.Zero(t, s.QueuePrefill(now.Add(time.Second), took, longest))
 }
 
-// Guards against what an upstream has said of itself being forgotten when the registry
-// drops its entry and has it again, and against it being held against a later start.
-func TestWhatAStartStatedOutlivesItsEntry(t *testing.T) {
+// Guards against the loss of an upstream's announcements when the registry drops its entry and
+// lists it again, and against their use for a later instance.
+func TestAnnouncementsSurviveReregistrationOfSameInstance(t *testing.T) {
 	r := &Roster{Log: hclog.NewNullLogger()}
 	now := time.Now()
 	r.SetAll(now, []feed.Item[Server]{item("a", false), item("b", false), item("c", false)})
@@ -228,7 +228,7 @@
 	u[1].Stats.BackOff(now, 10*time.Second)
 	u[2].Stats.ObserveRateLimit(pacer.Observation{Rate: 2, Sent: now, Received: now})
 	for _, id := range []string{"a", "b", "c"} {
-		r.Apply(now, gone(id))
+		r.Apply(now, deletion(id))
 		r.Apply(now.Add(time.Second), []feed.Change[Server]{{Item: item(id, false)}})
 	}
 	again := r.Upstreams("cards")
@@ -240,8 +240,8 @@
 	later := item("a", false)
 	later.Value.Born = now
 	r.Apply(now, []feed.Change[Server]{{Item: later}})
-	r.Apply(now, gone("a"))
+	r.Apply(now, deletion("a"))
 	later.Value.Born = now.Add(time.Minute)
 	r.Apply(now, []feed.Change[Server]{{Item: later}})
-	require.True(t, r.Upstream("a").Eligibility(now).Eligible(), "another start")
+	require.True(t, r.Upstream("a").Eligibility(now).Eligible(), "a later instance")
 }
--- a/roster/seen.go
+++ b/roster/seen.go
@@ -9,313 +9,320 @@
 	"jacinthworks/route"
 )
 
-// The half-lives of what is remembered of an upstream.
+// Half-lives and weights of the decaying statistics.
 const (
-	// failHalf is that of failures: after three half-lives an upstream that
-	// failed once is tried as if it had not. Upstreams restart within seconds.
-	failHalf = 3 * time.Second
-	// loadHalf is that of the load that other processes put on it, as its last
-	// answer told: requests end within a second.
-	loadHalf = 500 * time.Millisecond
-	// speedKeep is the weight of what was known in each new measurement of its
-	// speed: some ten answers tell.
-	speedKeep = 0.8
-	// sureAnswers is the weight of recent answers, and sureFails the part of
-	// failures and refusals beside them, by which an upstream counts as sure to answer:
-	// one answer within the last half-life, and neither since.
-	sureAnswers = 0.5
-	sureFails   = 0.1
-	// failPrior is the weight, in answers, of the belief that it does not fail.
-	failPrior = 1.5
+	// failureHalfLife is the half-life of failures, refusals and successes. After three half-lives
+	// an upstream that failed once is selected as if it had not: upstreams restart within seconds.
+	failureHalfLife = 3 * time.Second
+	// loadHalfLife is the half-life of the load that other processes put on the upstream, as its
+	// last response reported it: requests end within a second.
+	loadHalfLife = 500 * time.Millisecond
+	// unitTimeSmoothing is the weight of the previous average in the moving average of the time per
+	// unit of work; it averages over about ten responses.
+	unitTimeSmoothing = 0.8
+	// An upstream counts as responsive if its decayed count of successes is at least
+	// responsiveMinSuccesses, and its failures and refusals are below responsiveMaxFailures times
+	// the successes: one success within the last half-life, and no failure or refusal since.
+	responsiveMinSuccesses    = 0.5
+	responsiveMaxFailureRatio = 0.1
+	// failureRatePrior is added to the number of responses that the failure rate is computed from,
+	// so that one failure among few responses does not count as a rate near 1.
+	failureRatePrior = 1.5
 )
 
-// Stats is what this process knows of an upstream by its answers. The zero
-// value knows nothing. It is safe for concurrent use; its lock is a leaf.
+// Stats holds what this process observed in the responses of one upstream. The zero value holds no
+// observations. It is safe for concurrent use; its lock is a leaf lock: no other lock is acquired
+// while it is held.
 type Stats struct {
 	mu sync.Mutex
-	// running counts what this process has there, tokens its memory, queued
-	// the prompt tokens that it has yet to read.
-	running int
-	tokens  int
-	queued  int
-	// others is what other processes had there at the time of the report.
-	others     float64
-	reportedAt time.Time
-	// fails, refusals and answers are counts that decay.
-	fails, refusals, answers float64
-	decayedAt                time.Time
-	// speed is the time of one unit of work: a call, or a prompt token.
-	speed time.Duration
-	// holdUntil keeps work away for a moment after it said that it is full.
-	holdUntil time.Time
-	// away keeps work away while it changes its role.
-	away time.Time
-	// order is the number of the last order that is known of.
-	order uint64
-	// refused counts refusals in a row of requests that it held room for, and
-	// untaken connections in a row that it did not take.
-	refused, untaken int
-	// reads is when the prompts that it was given to read here will be read.
-	reads time.Time
-	// limit is the rate limit that it states.
-	limit pacer.LimitState
-	// paused keeps work away until its rate limit allows some.
-	paused time.Time
-	// stated is what it has said of itself beside.
-	stated Announcement
+	// inFlight counts the requests that this process has in flight at the upstream. memoryTokens is
+	// the KV memory they use, and promptTokens their prompt tokens still to be prefilled.
+	inFlight     int
+	memoryTokens int
+	promptTokens int
+	// otherRequests is the number of requests of other processes at the time of the last load
+	// report.
+	otherRequests float64
+	reportedAt    time.Time
+	// failures, refusals and successes are counts that decay.
+	failures, refusals, successes float64
+	decayedAt                     time.Time
+	// unitTime is the time per unit of work: a call, or a prompt token.
+	unitTime time.Duration
+	// skipUntil excludes the upstream for a short time after it refused a request for lack of
+	// capacity or accepted no connection.
+	skipUntil time.Time
+	// suspendedUntil excludes the upstream while it changes its role.
+	suspendedUntil time.Time
+	// lastOrder is the fencing token of the newest order accepted.
+	lastOrder uint64
+	// refusalsInRow counts consecutive refusals of requests that the upstream had reserved capacity
+	// for or that need none, and dialFailuresInRow consecutive failures to connect.
+	refusalsInRow, dialFailuresInRow int
+	// prefillsDone is when the prefills queued at the upstream by QueuePrefill will be done.
+	prefillsDone time.Time
+	// rateLimit is the rate limit that the upstream states.
+	rateLimit pacer.LimitState
+	// rateLimitUntil excludes the upstream until its rate limit allows another request.
+	rateLimitUntil time.Time
+	// announcement is what the upstream announced about itself otherwise.
+	announcement Announcement
 }
 
-// Cost is what one request takes of an upstream.
+// Cost is what one request uses of an upstream.
 type Cost struct {
-	// MemoryTokens is the memory it needs, Prompt the tokens to be read.
+	// MemoryTokens is the KV memory the request needs, PromptTokens the tokens to prefill.
 	MemoryTokens, PromptTokens int
 }
 
-// RequestStarted counts a request that is sent.
-func (s *Stats) RequestStarted(w Cost) {
+// RequestStarted counts a request that is being sent.
+func (s *Stats) RequestStarted(c Cost) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.running++
-	s.tokens += w.MemoryTokens
-	s.queued += w.PromptTokens
+	s.inFlight++
+	s.memoryTokens += c.MemoryTokens
+	s.promptTokens += c.PromptTokens
 }
 
-// RequestEnded counts one that is over.
-func (s *Stats) RequestEnded(w Cost) {
+// RequestEnded ends a request counted by RequestStarted, with the same cost.
+func (s *Stats) RequestEnded(c Cost) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.running--
-	s.tokens -= w.MemoryTokens
-	s.queued -= w.PromptTokens
+	s.inFlight--
+	s.memoryTokens -= c.MemoryTokens
+	s.promptTokens -= c.PromptTokens
 }
 
-// RecordSuccess notes an answer that came after the given time for so many units.
+// RecordSuccess records a response that took the given time for the given number of units of work.
 func (s *Stats) RecordSuccess(now time.Time, took time.Duration, units int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.decay(now)
-	s.answers++
-	s.refused, s.untaken = 0, 0
-	each := took / time.Duration(max(units, 1))
-	if s.speed == 0 {
-		s.speed = each
+	s.successes++
+	s.refusalsInRow, s.dialFailuresInRow = 0, 0
+	perUnit := took / time.Duration(max(units, 1))
+	if s.unitTime == 0 {
+		s.unitTime = perUnit
 		return
 	}
-	s.speed = time.Duration(speedKeep*float64(s.speed) + (1-speedKeep)*float64(each))
+	s.unitTime = time.Duration(unitTimeSmoothing*float64(s.unitTime) + (1-unitTimeSmoothing)*float64(perUnit))
 }
 
-// RecordFailure notes a request that it failed.
+// RecordFailure records a request that the upstream failed.
 func (s *Stats) RecordFailure(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.decay(now)
-	s.fails++
+	s.failures++
 }
 
-// HoldOff notes that it said that it has no room, and keeps work away until then.
+// HoldOff records that the upstream has no capacity left, and excludes it until the given time.
 func (s *Stats) HoldOff(until time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if until.After(s.holdUntil) {
-		s.holdUntil = until
+	if until.After(s.skipUntil) {
+		s.skipUntil = until
 	}
 }
 
-// The time for which work is kept away doubles from the first to the longest
-// with each refusal in a row.
+// After a refusal the upstream is excluded for refusalBackoffMin. The time doubles with each
+// consecutive refusal, up to refusalBackoffMax.
 const (
-	refusedFirst   = time.Second
-	refusedLongest = 8 * time.Second
+	refusalBackoffMin = time.Second
+	refusalBackoffMax = 8 * time.Second
 )
 
-// RecordRefusal notes that it refused a request for which it had held room, or one
-// that needs none, as a prefill.
+// RecordRefusal records that the upstream refused a request for which it had reserved capacity, or
+// one that needs no reservation, such as a prefill.
 //
-// Failure: an engine changes its role, which takes seconds; it holds room
-// meanwhile, and refuses what comes for it, and the registry tells of the
-// change when it is done. It shows as prompts read in vain, one after the
-// other. Keeping away longer each time costs little where the refusal was a
-// single one.
+// An engine that changes its role, which takes seconds, still grants reservations but refuses the
+// requests for them, and the registry reports the change only when it is complete. Each such
+// refusal wastes a prefill. Doubling the exclusion costs little if the refusal was a single one.
 func (s *Stats) RecordRefusal(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.decay(now)
 	s.refusals++
-	s.holdUntil = now.Add(min(refusedFirst<<min(s.refused, 10), refusedLongest))
-	s.refused++
+	s.skipUntil = now.Add(min(refusalBackoffMin<<min(s.refusalsInRow, 10), refusalBackoffMax))
+	s.refusalsInRow++
 }
 
-// The time for which work is kept away from an upstream that took no connection
-// doubles from the first to the longest: a crashed one is back after some seconds,
-// and one that was busy after some milliseconds.
+// After a failure to connect the upstream is excluded for dialBackoffMin. The time doubles with
+// each consecutive failure, up to dialBackoffMax: a crashed upstream restarts within seconds, and
+// one that was only busy accepts connections again within milliseconds.
 const (
-	untakenFirst   = 100 * time.Millisecond
-	untakenLongest = time.Second
+	dialBackoffMin = 100 * time.Millisecond
+	dialBackoffMax = time.Second
 )
 
-// RecordDialFailure notes that it took no connection.
+// RecordDialFailure records that the upstream accepted no connection.
 //
-// Failure: an upstream crashed, and its entry lives on for seconds. It shows as
-// one refused connection for each request, and as prompts of which both tries met
-// the same dead engines. It is tried again soon, by one request.
+// The registry entry of a crashed upstream lasts for some seconds. Without the exclusion each
+// request would fail to connect once, and both attempts of a prompt could go to crashed engines.
 func (s *Stats) RecordDialFailure(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	until := now.Add(min(untakenFirst<<min(s.untaken, 10), untakenLongest))
-	if until.After(s.holdUntil) {
-		s.holdUntil = until
+	until := now.Add(min(dialBackoffMin<<min(s.dialFailuresInRow, 10), dialBackoffMax))
+	if until.After(s.skipUntil) {
+		s.skipUntil = until
 	}
-	s.untaken++
+	s.dialFailuresInRow++
 }
 
-// QueuePrefill notes that it is given a prompt to read that takes so long, and gives the
-// wait, up to the longest, until those before are read.
+// QueuePrefill adds a prefill of the given duration to the queue of this upstream. It returns how
+// long the caller should wait, up to longest, until the prefills queued before are done.
 func (s *Stats) QueuePrefill(now time.Time, took, longest time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	wait := min(max(0, s.reads.Sub(now)), longest)
-	s.reads = now.Add(wait + took)
+	wait := min(max(0, s.prefillsDone.Sub(now)), longest)
+	s.prefillsDone = now.Add(wait + took)
 	return wait
 }
 
-// SuspendUntil keeps work away until then: it is known to take none.
+// SuspendUntil excludes the upstream until the given time, for which it is known to accept no
+// requests.
 func (s *Stats) SuspendUntil(until time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.away = until
+	s.suspendedUntil = until
 }
 
-// AcceptOrder says whether an order to change the role, by its fencing number, is newer
-// than all that were known of.
-func (s *Stats) AcceptOrder(number uint64) bool {
+// AcceptOrder reports whether an order to change the role has a newer fencing token than all orders
+// accepted before, and records the token if so.
+func (s *Stats) AcceptOrder(token uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if number <= s.order {
+	if token <= s.lastOrder {
 		return false
 	}
-	s.order = number
+	s.lastOrder = token
 	return true
 }
 
-// RoleChanged notes that it has changed its role: what was known of its speed and of
-// its refusals was that of the other one.
+// RoleChanged records that the upstream has changed its role. It drops what belongs to the former
+// role: the unit time, the refusals, the suspension and the exclusion after refusals or failures to
+// connect.
 func (s *Stats) RoleChanged() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.away, s.holdUntil, s.refused, s.refusals, s.speed = time.Time{}, time.Time{}, 0, 0, 0
+	s.suspendedUntil, s.skipUntil, s.refusalsInRow, s.refusals, s.unitTime = time.Time{}, time.Time{}, 0, 0, 0
 }
 
-// RecordLoad notes the load that an answer told of: all requests there, running
-// or waiting, of which this process knows its own.
-func (s *Stats) RecordLoad(now time.Time, all int) {
+// RecordLoad records the load reported in a response: the number of all requests at the upstream,
+// running or queued, including those of this process.
+func (s *Stats) RecordLoad(now time.Time, total int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.others = max(0, float64(all-s.running))
+	s.otherRequests = max(0, float64(total-s.inFlight))
 	s.reportedAt = now
 }
 
-// ObserveRateLimit takes what an answer said of its rate limit, and gives the rate that was
-// believed before and the one that is now.
-func (s *Stats) ObserveRateLimit(st pacer.Observation) (before, now pacer.Rate) {
+// ObserveRateLimit updates the rate limit by what a response stated, and returns the rates in force
+// before and after.
+func (s *Stats) ObserveRateLimit(o pacer.Observation) (before, after pacer.Rate) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	before = s.limit.Rate()
-	if s.limit.Observe(st) {
-		s.paused = time.Time{}
+	before = s.rateLimit.Rate()
+	if s.rateLimit.Observe(o) {
+		s.rateLimitUntil = time.Time{}
 	}
-	return before, s.limit.Rate()
+	return before, s.rateLimit.Rate()
 }
 
-// RateLimitObservation gives what the belief of its rate limit rests on.
+// RateLimitObservation returns the observation that the current rate limit is based on.
 func (s *Stats) RateLimitObservation() pacer.Observation {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.limit.Observation()
+	return s.rateLimit.Observation()
 }
 
-// SetRateLimitWait keeps work away until then, since its rate limit allows none before.
+// SetRateLimitWait excludes the upstream until the given time, before which its rate limit allows
+// no request.
 func (s *Stats) SetRateLimitWait(until time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.paused = until
+	s.rateLimitUntil = until
 }
 
-// RateLimitWait gives for how long its rate limit allows no work.
+// RateLimitWait returns the time until the rate limit allows a request; zero if it does now.
 func (s *Stats) RateLimitWait(now time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return max(0, s.paused.Sub(now))
+	return max(0, s.rateLimitUntil.Sub(now))
 }
 
-// RateLimit gives its rate limit, and how long ago an answer spoke of it.
+// RateLimit returns the rate limit and the time since a response last stated it.
 func (s *Stats) RateLimit(now time.Time) (pacer.Rate, time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.limit.Rate().Limited() {
+	if !s.rateLimit.Rate().Limited() {
 		return pacer.Unlimited, 0
 	}
-	return s.limit.Rate(), s.limit.Age(now)
+	return s.rateLimit.Rate(), s.rateLimit.Age(now)
 }
 
-// MarkLeaving takes an answer that says that it leaves, and says whether it is the first.
-func (s *Stats) MarkLeaving(now time.Time) (news bool) {
+// MarkLeaving records a response that announces the shutdown of the upstream, and reports whether
+// it is the first one.
+func (s *Stats) MarkLeaving(now time.Time) (first bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.stated.MarkLeaving(now)
+	return s.announcement.MarkLeaving(now)
 }
 
-// BackOff takes an answer that asks for a pause, and says whether it lasts longer by it.
-func (s *Stats) BackOff(now time.Time, pause time.Duration) (longer bool) {
+// BackOff records a response that requests backoff for the given time, and reports whether it
+// extends the backoff.
+func (s *Stats) BackOff(now time.Time, delay time.Duration) (extended bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.stated.BackOff(now, pause)
+	return s.announcement.BackOff(now, delay)
 }
 
-func (s *Stats) access(now time.Time) Eligibility {
+func (s *Stats) eligibility(now time.Time) Eligibility {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.stated.access(now)
+	return s.announcement.eligibility(now)
 }
 
-// Announcement gives what it has said of itself.
+// Announcement returns what the upstream announced about itself.
 func (s *Stats) Announcement() Announcement {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.stated
+	return s.announcement
 }
 
-// Candidate gives the figures that a choice goes by.
+// Candidate returns the statistics in the form that upstream selection compares. The exclusions by
+// SuspendUntil and SetRateLimitWait appear as RecentlyFull too.
 func (s *Stats) Candidate(now time.Time) route.Candidate {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.decay(now)
-	others := s.others * fade(now.Sub(s.reportedAt), loadHalf)
+	otherRequests := s.otherRequests * decayFactor(now.Sub(s.reportedAt), loadHalfLife)
 	return route.Candidate{
-		OwnRequests:   s.running,
-		OtherRequests: others,
-		OwnTokens:     s.tokens,
-		QueuedTokens:  s.queued,
-		FailureRate:   s.fails / (s.fails + s.answers + failPrior),
-		Responsive:    s.answers >= sureAnswers && s.fails+s.refusals < s.answers*sureFails,
-		UnitTime:      s.speed,
-		RecentlyFull:  now.Before(s.holdUntil) || now.Before(s.away) || now.Before(s.paused),
+		OwnRequests:   s.inFlight,
+		OtherRequests: otherRequests,
+		OwnTokens:     s.memoryTokens,
+		QueuedTokens:  s.promptTokens,
+		FailureRate:   s.failures / (s.failures + s.successes + failureRatePrior),
+		Responsive:    s.successes >= responsiveMinSuccesses && s.failures+s.refusals < s.successes*responsiveMaxFailureRatio,
+		UnitTime:      s.unitTime,
+		RecentlyFull:  now.Before(s.skipUntil) || now.Before(s.suspendedUntil) || now.Before(s.rateLimitUntil),
 	}
 }
 
 func (s *Stats) decay(now time.Time) {
 	if !s.decayedAt.IsZero() {
-		by := fade(now.Sub(s.decayedAt), failHalf)
-		s.fails *= by
-		s.refusals *= by
-		s.answers *= by
+		factor := decayFactor(now.Sub(s.decayedAt), failureHalfLife)
+		s.failures *= factor
+		s.refusals *= factor
+		s.successes *= factor
 	}
 	s.decayedAt = now
 }
 
-// fade gives what is left after a time, given the half-life.
-func fade(age, half time.Duration) float64 {
+// decayFactor returns the part that is left of a decaying value after the given time.
+func decayFactor(age, halfLife time.Duration) float64 {
 	if age <= 0 {
 		return 1
 	}
-	return math.Exp2(-float64(age) / float64(half))
+	return math.Exp2(-float64(age) / float64(halfLife))
 }
--- a/roster/start_test.go
+++ b/roster/start_test.go
@@ -11,54 +11,53 @@
 	"jacinthworks/feed"
 )
 
-func born(id string, ms int64) feed.Item[Server] {
+func itemStartedAt(id string, ms int64) feed.Item[Server] {
 	i := item(id, false)
 	i.Value.Born = time.UnixMilli(ms)
 	return i
 }
 
-func changed(i feed.Item[Server]) []feed.Change[Server] { return []feed.Change[Server]{{Item: i}} }
+func update(i feed.Item[Server]) []feed.Change[Server] { return []feed.Change[Server]{{Item: i}} }
 
-// Story: an upstream crashes and is back under its id and address before its
-// entry lapses. It was being kept away from, and failures were counted against it;
-// nothing of that is the new start's. A list that is behind then tells of the
-// earlier start once more.
-func TestAnUpstreamThatStartsAnewIsAnother(t *testing.T) {
+// Guards against state of an earlier instance that is applied to a later one: an upstream crashes
+// and restarts under the same ID and address before its entry expires. Its suspension and its
+// failures do not carry over, and a stale list with the earlier instance is ignored.
+func TestRestartedUpstreamIsNewMemberWithoutOldState(t *testing.T) {
 	r := &Roster{Log: hclog.NewNullLogger()}
 	now := time.Now()
-	r.SetAll(now, []feed.Item[Server]{born("a", 1000)})
+	r.SetAll(now, []feed.Item[Server]{itemStartedAt("a", 1000)})
 	first := r.Upstream("a")
 	first.Stats.SuspendUntil(now.Add(time.Hour))
 	first.Stats.RecordFailure(now)
-	r.Apply(now, changed(born("a", 1000)))
-	require.Same(t, first, r.Upstream("a"), "a heartbeat is no start")
+	r.Apply(now, update(itemStartedAt("a", 1000)))
+	require.Same(t, first, r.Upstream("a"), "a heartbeat is not a restart")
 
-	r.Apply(now, changed(born("a", 2000)))
+	r.Apply(now, update(itemStartedAt("a", 2000)))
 	second := r.Upstream("a")
 	require.NotSame(t, first, second)
 	require.True(t, first.Removed())
 	require.True(t, first.Restarted())
 	require.False(t, second.Stats.Candidate(now).RecentlyFull)
 	require.Zero(t, second.Stats.Candidate(now).FailureRate)
-	require.Nil(t, r.ByInstance(Start{ID: "a", Born: time.UnixMilli(1000)}), "an order to the earlier start")
+	require.Nil(t, r.ByInstance(Start{ID: "a", Born: time.UnixMilli(1000)}), "the earlier instance is not a member")
 	require.Same(t, second, r.ByInstance(Start{ID: "a", Born: time.UnixMilli(2000)}))
 
-	r.SetAll(now, []feed.Item[Server]{born("a", 1000)})
-	require.Same(t, second, r.Upstream("a"), "a late word of the earlier start")
+	r.SetAll(now, []feed.Item[Server]{itemStartedAt("a", 1000)})
+	require.Same(t, second, r.Upstream("a"), "a stale entry of the earlier instance")
 	require.Equal(t, int64(2000), second.Server().Born.UnixMilli())
 }
 
-// Story: something else writes over the entry of an upstream. Work would go on
-// being sent by what the entry was before, though it names nobody any more.
-func TestAnEntryThatCannotBeReadNamesNoUpstream(t *testing.T) {
+// Guards against requests sent by the former content of an entry that another process has
+// overwritten.
+func TestUndecodableEntryRemovesUpstream(t *testing.T) {
 	r := &Roster{Log: hclog.NewNullLogger()}
 	now := time.Now()
 	r.SetAll(now, []feed.Item[Server]{item("a", false), item("b", false)})
 	bad := feed.Item[Server]{Name: "a", DecodeErr: errors.New("no object")}
-	r.Apply(now, changed(bad))
+	r.Apply(now, update(bad))
 	require.Equal(t, []ID{"b"}, ids(r))
-	r.Apply(now, changed(item("a", false)))
-	require.Equal(t, []ID{"a", "b"}, ids(r), "its own writing is read again")
+	r.Apply(now, update(item("a", false)))
+	require.Equal(t, []ID{"a", "b"}, ids(r), "the upstream has written its entry again")
 	r.SetAll(now, []feed.Item[Server]{bad, item("b", false)})
 	require.Equal(t, []ID{"b"}, ids(r))
 }
--- a/roster/stated.go
+++ b/roster/stated.go
@@ -2,38 +2,40 @@
 
 import "time"
 
-// Announcement is what one start of an upstream has said of itself in its answers. It holds
-// for that start alone, and no word of the registry ends it. The zero value is of one that
-// has said nothing.
+// Announcement is what one instance of an upstream announced about itself in its responses. It
+// applies to that instance only, and no registry entry revokes it. The zero value is that of an
+// instance that has announced nothing.
 type Announcement struct {
-	// LeavingSince is when an answer first said that it leaves; zero for none.
+	// LeavingSince is when a response first announced the shutdown; zero if none has.
 	LeavingSince time.Time
-	// BackoffUntil is until when it wants nothing of this process, and Asked when it said so.
+	// BackoffUntil is the end of the requested backoff, and BackoffSince the time of the response
+	// that requested it.
 	BackoffUntil time.Time
 	BackoffSince time.Time
 }
 
-// MarkLeaving notes an answer that says that the upstream leaves, and says whether it is the first.
-func (s *Announcement) MarkLeaving(now time.Time) (news bool) {
-	if !s.LeavingSince.IsZero() {
+// MarkLeaving records a response that announces the shutdown of the upstream, and reports whether
+// it is the first one.
+func (a *Announcement) MarkLeaving(now time.Time) (first bool) {
+	if !a.LeavingSince.IsZero() {
 		return false
 	}
-	s.LeavingSince = now
+	a.LeavingSince = now
 	return true
 }
 
-// BackOff notes an answer that asks for a pause, and says whether it lasts longer by it.
-// Of two pauses the one that ends later holds, in whatever order their answers come.
-func (s *Announcement) BackOff(now time.Time, pause time.Duration) (longer bool) {
-	until := now.Add(pause)
-	if pause <= 0 || !until.After(s.BackoffUntil) {
+// BackOff records a response that requests backoff for the given time, and reports whether it
+// extends the backoff. The later end wins, in whatever order the responses arrive.
+func (a *Announcement) BackOff(now time.Time, delay time.Duration) (extended bool) {
+	until := now.Add(delay)
+	if delay <= 0 || !until.After(a.BackoffUntil) {
 		return false
 	}
-	s.BackoffUntil, s.BackoffSince = until, now
+	a.BackoffUntil, a.BackoffSince = until, now
 	return true
 }
 
-// BackoffLeft gives how long the upstream wants nothing yet.
-func (s *Announcement) BackoffLeft(now time.Time) time.Duration {
-	return max(0, s.BackoffUntil.Sub(now))
+// BackoffLeft returns the remaining time of the requested backoff; zero if there is none.
+func (a *Announcement) BackoffLeft(now time.Time) time.Duration {
+	return max(0, a.BackoffUntil.Sub(now))
 }
