--- a/send/conn.go
+++ b/send/conn.go
@@ -15,77 +15,79 @@
 	"github.com/pkg/errors"
 )
 
-// TCPUserTimeout is TCP_USER_TIMEOUT of tcp(7), in milliseconds.
+// TCPUserTimeout is the number of the socket option TCP_USER_TIMEOUT of tcp(7), which is set in
+// milliseconds.
 const TCPUserTimeout = 18
 
-// probes is how many probes may go unanswered: one can be lost on its way.
-const probes = 2
+// keepAliveProbes is how many keep-alive probes may go unanswered: a single one may be lost in the
+// network.
+const keepAliveProbes = 2
 
-// keepPart is the part of the other end's stated idle timeout for which a
-// connection is used: the rest covers the way there and a late timer.
-const keepPart = 0.7
+// idleTimeoutFraction is the part of the idle timeout stated by the server for which a connection
+// is used. The rest covers the network latency and a late timer.
+const idleTimeoutFraction = 0.7
 
-// conn is one connection. It carries one request at a time.
+// conn is one connection. It carries one exchange, a request and its response, at a time.
 type conn struct {
 	net.Conn
-	in *bufio.Reader
-	// since is when it became idle, keep how long it may be.
-	since time.Time
-	keep  time.Duration
-	uses  int
-	// sent counts the bytes of the present request that the system took.
-	sent atomic.Int64
-	// got counts the bytes read, over all requests.
-	got atomic.Int64
+	reader *bufio.Reader
+	// idleSince is when the connection became idle, and idleTimeout how long it may stay idle.
+	idleSince   time.Time
+	idleTimeout time.Duration
+	exchanges   int
+	// bytesWritten counts the bytes of the current request that the kernel accepted.
+	bytesWritten atomic.Int64
+	// bytesRead counts the bytes read over all exchanges.
+	bytesRead atomic.Int64
 }
 
-func dial(ctx context.Context, to netip.AddrPort, timeout, user, probe time.Duration) (*conn, error) {
+func dial(ctx context.Context, addr netip.AddrPort, timeout, userTimeout, probeInterval time.Duration) (*conn, error) {
 	d := net.Dialer{Timeout: timeout, KeepAlive: -1}
-	if probe > 0 {
-		d.KeepAliveConfig = net.KeepAliveConfig{Enable: true, Idle: probe, Interval: probe, Count: probes}
+	if probeInterval > 0 {
+		d.KeepAliveConfig = net.KeepAliveConfig{Enable: true, Idle: probeInterval, Interval: probeInterval, Count: keepAliveProbes}
 	}
-	if user > 0 {
-		d.Control = ControlUserTimeout(user)
+	if userTimeout > 0 {
+		d.Control = ControlUserTimeout(userTimeout)
 	}
-	c, err := d.DialContext(ctx, "tcp", to.String())
+	c, err := d.DialContext(ctx, "tcp", addr.String())
 	if err != nil {
 		return nil, errors.Wrap(err, "send: dial")
 	}
 	k := &conn{Conn: c}
-	k.in = bufio.NewReaderSize(k, 8<<10)
+	k.reader = bufio.NewReaderSize(k, 8<<10)
 	return k, nil
 }
 
-// ControlUserTimeout gives a Control function of a dialer or a listener that bounds how
-// long sent data may stay unacknowledged.
-func ControlUserTimeout(after time.Duration) func(network, address string, raw syscall.RawConn) error {
+// ControlUserTimeout returns a Control function for a net.Dialer or net.ListenConfig. It sets how
+// long sent data may stay unacknowledged before the kernel closes the connection.
+func ControlUserTimeout(timeout time.Duration) func(network, address string, raw syscall.RawConn) error {
 	return func(_, _ string, raw syscall.RawConn) error {
-		var failed error
+		var sockoptErr error
 		err := raw.Control(func(fd uintptr) {
-			failed = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, TCPUserTimeout, int(after.Milliseconds()))
+			sockoptErr = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, TCPUserTimeout, int(timeout.Milliseconds()))
 		})
 		if err != nil {
 			return err
 		}
-		return failed
+		return sockoptErr
 	}
 }
 
-func (k *conn) begin() { k.sent.Store(0) }
+func (k *conn) beginRequest() { k.bytesWritten.Store(0) }
 
-func (k *conn) wrote() bool { return k.sent.Load() > 0 }
+func (k *conn) hasWritten() bool { return k.bytesWritten.Load() > 0 }
 
-// Read counts what was read.
+// Read reads from the connection and counts the bytes.
 func (k *conn) Read(b []byte) (int, error) {
 	n, err := k.Conn.Read(b)
-	k.got.Add(int64(n))
+	k.bytesRead.Add(int64(n))
 	return n, err
 }
 
-// Write counts what the system took.
+// Write writes to the connection and counts the bytes that the kernel accepted.
 func (k *conn) Write(b []byte) (int, error) {
 	n, err := k.Conn.Write(b)
-	k.sent.Add(int64(n))
+	k.bytesWritten.Add(int64(n))
 	return n, err
 }
 
@@ -97,16 +99,15 @@
 	return errors.Wrap(out.Flush(), "send: writing request")
 }
 
-func (k *conn) expired(now time.Time) bool { return now.Sub(k.since) > k.keep }
+func (k *conn) expired(now time.Time) bool { return now.Sub(k.idleSince) > k.idleTimeout }
 
-// usable says whether an idle connection can take a request.
+// usable reports whether an idle connection can carry a request.
 //
-// Failure: the other end has closed the connection, or sent something that no
-// request asked for. It shows as a request that breaks, or gets that answer.
-// One read without waiting holds for all that has come until now; what comes
-// later is told by the answer's id.
+// The server may have closed an idle connection, or have sent data that belongs to no request. A
+// request on such a connection would fail, or receive that data as its response. One non-blocking
+// read detects what has arrived so far; what arrives later is detected by Request.Match.
 func (k *conn) usable(now time.Time) bool {
-	if k.expired(now) || k.in.Buffered() > 0 {
+	if k.expired(now) || k.reader.Buffered() > 0 {
 		return false
 	}
 	s, ok := k.Conn.(syscall.Conn)
@@ -117,23 +118,23 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	noData := false
 	err = raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		_, err := syscall.Read(int(fd), b[:])
-		quiet = errors.Is(err, syscall.EAGAIN)
+		noData = errors.Is(err, syscall.EAGAIN)
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && noData
 }
 
-// keepOf reads how long the other end keeps an idle connection; zero where it
-// does not say.
-func keepOf(h http.Header) time.Duration {
+// statedIdleTimeout returns how long an idle connection may be used according to the Keep-Alive
+// header of a response; zero if the header states no timeout.
+func statedIdleTimeout(h http.Header) time.Duration {
 	for _, part := range strings.Split(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if seconds, err := strconv.Atoi(value); strings.EqualFold(name, "timeout") && err == nil && seconds > 0 {
-			return time.Duration(keepPart * float64(seconds) * float64(time.Second))
+			return time.Duration(idleTimeoutFraction * float64(seconds) * float64(time.Second))
 		}
 	}
 	return 0
--- a/send/failure.go
+++ b/send/failure.go
@@ -6,40 +6,39 @@
 	"github.com/pkg/errors"
 )
 
-// FailureStage says how far a request got that has no whole answer.
+// FailureStage tells how far a request without a complete response got.
 type FailureStage string
 
-// The stages.
+// The stages at which a request can fail.
 const (
-	// NotSent is a request for which no connection was had: no byte of it
-	// left this process.
+	// NotSent: no connection was established, or none of the request was written to it.
 	NotSent FailureStage = "not_sent"
-	// Broken is a connection that broke after it was given the request.
+	// Broken: the connection failed after part of the request was written.
 	Broken FailureStage = "broken"
-	// TimedOut is a connection on which nothing came for the silence allowed.
+	// TimedOut: no data arrived within the read timeout.
 	TimedOut FailureStage = "silent"
-	// Canceled is a request whose context ended first.
+	// Canceled: the context of the request ended first.
 	Canceled FailureStage = "given_up"
 )
 
 var (
-	errSilent    = errors.New("send: nothing came in time")
-	errAbandoned = errors.New("send: the other end has started anew")
+	errReadTimeout   = errors.New("send: no data received within the read timeout")
+	errPeerRestarted = errors.New("send: upstream restarted")
 )
 
-// Failure is the error of a request without a whole answer.
+// Failure is the error of a request without a complete response.
 type Failure struct {
 	Stage FailureStage
 	Cause error
 }
 
-// Error gives stage and cause.
+// Error returns the stage and the cause.
 func (f *Failure) Error() string { return "send: " + string(f.Stage) + ": " + f.Cause.Error() }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (f *Failure) Unwrap() error { return f.Cause }
 
-// StageOf gives the stage of a Failure behind err, or "" where there is none.
+// StageOf returns the stage of the Failure in the chain of err, or "" if there is none.
 func StageOf(err error) FailureStage {
 	var f *Failure
 	if errors.As(err, &f) {
@@ -48,25 +47,24 @@
 	return ""
 }
 
-// fail sorts an error. A request of which no byte was taken is NotSent whatever
-// ended it.
+// failure classifies an error. A request of which no byte was written is NotSent, whatever the
+// cause.
 //
-// Failure: something between the two ends loses track of open connections;
-// they stay silent for good while new ones work. It shows as one request after
-// another that times out. The guard holds because a silence closes all idle
-// connections too, so that the next request dials.
-func (c *Client) fail(ctx context.Context, err error, sent bool) *Failure {
+// A device between the two ends may lose its state of open connections, which then never deliver
+// data again while new connections work. One request after another would time out on them. A
+// timeout therefore closes all idle connections, and the next request dials a new one.
+func (c *Client) failure(ctx context.Context, err error, written bool) *Failure {
 	cause := context.Cause(ctx)
 	if cause == nil {
 		cause = err
 	}
 	switch {
-	case !sent:
+	case !written:
 		return &Failure{Stage: NotSent, Cause: cause}
-	case errors.Is(cause, errSilent):
+	case errors.Is(cause, errReadTimeout):
 		c.CloseIdleConnections()
 		return &Failure{Stage: TimedOut, Cause: cause}
-	case errors.Is(cause, errAbandoned):
+	case errors.Is(cause, errPeerRestarted):
 		return &Failure{Stage: Broken, Cause: cause}
 	case ctx.Err() != nil:
 		return &Failure{Stage: Canceled, Cause: cause}
--- a/send/header.go
+++ b/send/header.go
@@ -5,14 +5,15 @@
 	"strings"
 )
 
-// oneConnection are the fields that concern a single connection (RFC 9110,
-// 7.6.1), and the length, which is written anew.
-var oneConnection = []string{
+// hopByHopFields are the header fields that apply to a single connection (RFC 9110, section 7.6.1),
+// and Content-Length, which is written for each message.
+var hopByHopFields = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length",
 }
 
-// EndToEnd copies a header without what concerns one connection only.
+// EndToEnd returns a copy of a header without the fields that apply to a single connection,
+// including those that the Connection field names.
 func EndToEnd(header http.Header) http.Header {
 	h := header.Clone()
 	if h == nil {
@@ -23,7 +24,7 @@
 			h.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range oneConnection {
+	for _, name := range hopByHopFields {
 		h.Del(name)
 	}
 	return h
--- a/send/reply.go
+++ b/send/reply.go
@@ -9,119 +9,120 @@
 	"github.com/pkg/errors"
 )
 
-// Response is an answer whose header has come; Read gives its body.
+// Response is a response of which the header has arrived; Read returns its body.
 type Response struct {
 	Status int
 	Header http.Header
-	// NewConn says that the connection was made for this request.
+	// NewConn reports whether the connection was dialed for this request.
 	NewConn bool
 
-	body     io.ReadCloser
-	client   *Client
-	conn     *conn
-	ctx      context.Context
-	cancel   context.CancelCauseFunc
-	unhook   func() bool
-	watchdog *watchdog
-	silence  time.Duration
-	// written gives the end of a body that is written beside the answer.
-	written chan error
-	// reusable says that the answer's end leaves the connection open.
+	body          io.ReadCloser
+	client        *Client
+	conn          *conn
+	ctx           context.Context
+	cancel        context.CancelCauseFunc
+	stopAfterFunc func() bool
+	watchdog      *watchdog
+	readTimeout   time.Duration
+	// writeDone receives the result of writing a body concurrently with reading the response; nil
+	// if the request was written before.
+	writeDone chan error
+	// reusable reports whether the connection stays open after the end of the response.
 	reusable bool
-	ended    bool
+	done     bool
 }
 
-// Read reads the body. Its error is io.EOF at the end of a whole body, else a
-// *Failure: a body cut short never looks whole.
+// Read reads the body. It returns io.EOF at the end of a complete body and a *Failure on any other
+// error, so that a truncated body is never taken for a complete one.
 func (p *Response) Read(b []byte) (int, error) {
 	n, err := p.body.Read(b)
 	if n > 0 {
-		p.watchdog.reset(p.silence)
+		p.watchdog.reset(p.readTimeout)
 	}
 	switch {
 	case errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF):
-		p.finish()
+		p.complete()
 	case err != nil:
-		return n, p.client.fail(p.ctx, err, true)
+		return n, p.client.failure(p.ctx, err, true)
 	}
 	return n, err
 }
 
-// SetReadTimeout changes how long the other end may send nothing from now on.
+// SetReadTimeout changes how long the upstream may send no data, from now on.
 func (p *Response) SetReadTimeout(d time.Duration) {
-	p.silence = d
-	if !p.ended {
+	p.readTimeout = d
+	if !p.done {
 		p.watchdog.reset(d)
 	}
 }
 
-// Abort gives the answer up as silent, from another goroutine than the reader's.
-func (p *Response) Abort() { p.cancel(errSilent) }
+// Abort ends the exchange as timed out. Unlike the other methods it may be called from any
+// goroutine.
+func (p *Response) Abort() { p.cancel(errReadTimeout) }
 
-// finish keeps the connection after a whole answer, where nothing of this
+// complete returns the connection to the client after a complete response, if nothing of this
 // exchange is left on it.
-func (p *Response) finish() {
-	if p.ended {
+func (p *Response) complete() {
+	if p.done {
 		return
 	}
-	if !p.reusable || !p.settled() || p.conn.in.Buffered() > 0 || !p.unhook() {
-		p.drop()
+	if !p.reusable || !p.requestWritten() || p.conn.reader.Buffered() > 0 || !p.stopAfterFunc() {
+		p.discard()
 		return
 	}
-	p.ended = true
+	p.done = true
 	p.watchdog.stop()
-	p.conn.uses++
-	if keep := keepOf(p.Header); keep > 0 {
-		p.conn.keep = keep
+	p.conn.exchanges++
+	if idleTimeout := statedIdleTimeout(p.Header); idleTimeout > 0 {
+		p.conn.idleTimeout = idleTimeout
 	}
-	p.client.keep(p.conn)
+	p.client.release(p.conn)
 	p.cancel(nil)
 }
 
-// settled says whether the request was written whole. An upstream may answer
-// before it has read the body; the next request would stand where the rest is
-// due.
-func (p *Response) settled() bool {
-	if p.written == nil {
+// requestWritten reports whether the request was written completely. An upstream may respond before
+// it has read the whole body; the next request would then follow an incomplete body on the
+// connection.
+func (p *Response) requestWritten() bool {
+	if p.writeDone == nil {
 		return true
 	}
 	select {
-	case err := <-p.written:
+	case err := <-p.writeDone:
 		return err == nil
 	default:
 		return false
 	}
 }
 
-// drop ends the exchange and its connection.
-func (p *Response) drop() {
-	p.ended = true
+// discard ends the exchange and closes its connection.
+func (p *Response) discard() {
+	p.done = true
 	p.watchdog.stop()
-	p.unhook()
-	_ = p.conn.Close() // nothing is left to lose: what was read, was read
+	p.stopAfterFunc()
+	_ = p.conn.Close() // data already read is not affected by an error
 	p.cancel(nil)
 }
 
-// Close ends the reply. A body that was not read to its end costs the
-// connection.
+// Close ends the response. If the body was not read to its end, the connection is closed.
 func (p *Response) Close() {
-	if !p.ended {
-		p.drop()
+	if !p.done {
+		p.discard()
 	}
 }
 
-// ErrBodyTooLarge says that a body is over the limit given to All.
-var ErrBodyTooLarge = errors.New("send: answer too large")
+// ErrBodyTooLarge is the error of ReadAll for a body above the limit.
+var ErrBodyTooLarge = errors.New("send: response body exceeds the limit")
 
-// ReadAll reads the whole body, of at most limit bytes, and closes the reply.
+// ReadAll reads the whole body, of at most limit bytes, and closes the response.
 func (p *Response) ReadAll(limit int64) ([]byte, error) {
 	defer p.Close()
-	value, err := io.ReadAll(io.LimitReader(p, limit+1))
+	body, err := io.ReadAll(io.LimitReader(p, limit+1))
 	if err != nil {
 		return nil, err
 	}
-	if int64(len(value)) > limit {
+	if int64(len(body)) > limit {
 		return nil, ErrBodyTooLarge
 	}
-	return value, nil
+	return body, nil
 }
--- a/send/send.go
+++ b/send/send.go
@@ -1,22 +1,21 @@
-// Package send sends HTTP requests to one address, each at most once, and says
-// how far a request got that has no answer. The adapters to the platform, the
-// engines and the application servers are built on it.
+// Package send sends HTTP requests to one address, each at most once, and reports how far a request
+// without a response got. The adapters to the platform, the model engines and the application
+// servers use it.
 //
 // # Usage
 //
 //	c := send.Client{Base: netip.MustParseAddrPort("127.0.0.1:9001")}
-//	reply, err := c.Do(ctx, send.Request{Method: http.MethodPost, Target: "/prefill", Body: body})
+//	response, err := c.Do(ctx, send.Request{Method: http.MethodPost, Target: "/prefill", Body: body})
 //	if send.StageOf(err) == send.NotSent {
-//		// no byte of it left this process
+//		// no byte of the request left this process
 //	}
-//	defer reply.Close()
-//	value, err := io.ReadAll(reply)
+//	defer response.Close()
+//	body, err := io.ReadAll(response)
 //
-// A Client keeps connections open between requests. It follows no redirect,
-// changes no header and never sends a request a second time. net/http reads
-// and writes the messages; the connections are kept here and not by its
-// Transport, which repeats a GET by itself when a kept connection breaks, and
-// cannot tell an answer that belongs to an earlier request.
+// A Client keeps connections open between requests. It follows no redirect, changes no header and
+// never sends a request twice. It uses net/http to read and write messages, but not http.Transport,
+// which retries a GET by itself when a kept connection breaks, and cannot detect a response that
+// belongs to an earlier request.
 package send
 
 import (
@@ -32,8 +31,8 @@
 	"github.com/pkg/errors"
 )
 
-// The timeouts of a Client that sets none. A dial within a deployment takes
-// less than a millisecond, so a second is an upstream that is gone.
+// Defaults of a Client. A dial within a deployment takes less than a millisecond, so an upstream
+// that accepts no connection for a second is down.
 const (
 	DefaultDialTimeout  = time.Second
 	DefaultReadTimeout  = 10 * time.Second
@@ -41,152 +40,149 @@
 	DefaultMaxIdleConns = 256
 )
 
-// inlineBody is the longest body, in bytes, that is written before the answer
-// is read. A longer one is written beside it: an upstream may answer early and
-// read on later, and would block the writer, and the reader behind it.
-const inlineBody = 16 << 10
+// maxInlineBody is the longest body, in bytes, that is written before the response is read. A
+// longer one is written concurrently: an upstream may respond early and read the rest of the body
+// later. Writing the whole body first would block, and the response would not be read.
+const maxInlineBody = 16 << 10
 
-// maxForeign bounds the answers to other requests that are passed over before
-// a connection is given up.
-const maxForeign = 4
+// maxSkippedResponses is how many responses to other requests, or interim responses, are skipped
+// before the connection is closed.
+const maxSkippedResponses = 4
 
-// Client sends requests to one address. The zero value with a Base is ready to
-// use. A Client must not be copied after its first use.
+// Client sends requests to one address. The zero value with a Base is ready to use. A Client must
+// not be copied after first use.
 type Client struct {
-	// Base is where requests go.
+	// Base is the address that requests are sent to.
 	Base netip.AddrPort
-	// DialTimeout limits connecting; zero is DefaultDialTimeout.
+	// DialTimeout bounds the time to connect; zero is DefaultDialTimeout.
 	DialTimeout time.Duration
-	// ReadTimeout is how long the other end may send nothing, before the header
-	// and between two reads of the body; zero is DefaultReadTimeout.
+	// ReadTimeout is how long the upstream may send no data, before the response header and between
+	// two reads of the body; zero is DefaultReadTimeout.
 	ReadTimeout time.Duration
-	// IdleTimeout is how long a connection is kept without a request where the other
-	// end says nothing of it; zero is DefaultIdleTimeout.
+	// IdleTimeout is how long an idle connection is kept if the upstream states no timeout; zero is
+	// DefaultIdleTimeout.
 	IdleTimeout time.Duration
-	// ControlUserTimeout is how long sent data may stay unacknowledged before the
-	// connection is given up; zero leaves it to the system.
+	// UserTimeout is how long sent data may stay unacknowledged before the kernel closes the
+	// connection; zero leaves it to the system.
 	UserTimeout time.Duration
-	// KeepAliveInterval, if not zero, is how soon an open connection on which nothing comes
-	// is probed, and how long the answer to a probe may take; after two probes
-	// without an answer the connection is given up. It finds a connection that
-	// went silent for good while this side waits.
+	// KeepAliveInterval, if not zero, is both the idle time before a keep-alive probe and the time
+	// allowed for its acknowledgement. After two unacknowledged probes the kernel closes the
+	// connection. The probes detect a connection that died while this process waits for a response.
 	KeepAliveInterval time.Duration
 
-	mu   sync.Mutex // a leaf
-	idle []*conn    // the newest last
-	// open are the exchanges in progress.
-	open    map[*watchdog]struct{}
-	maxIdle int // zero is DefaultMaxIdleConns
+	mu   sync.Mutex // leaf lock: no other lock is acquired while it is held
+	idle []*conn    // in order of release; the newest is reused first
+	// inProgress holds the watchdogs of the exchanges in progress.
+	inProgress   map[*watchdog]struct{}
+	maxIdleConns int // zero is DefaultMaxIdleConns
 }
 
-// SetMaxIdleConns bounds the connections that are kept without a request; zero is
-// DefaultMaxIdleConns. It may be called at any time.
+// SetMaxIdleConns bounds the number of idle connections; zero is DefaultMaxIdleConns. It may be
+// called at any time.
 //
-// Failure: an upstream takes so many connections from all its callers together,
-// and resets the next one. Connections that each of many callers keeps for
-// later use it up, and a request that came on the reset one, and may not be
-// repeated, is lost.
+// An upstream accepts a limited number of connections from all its clients together and resets
+// further ones. Idle connections of many clients may use up that number, and a request on a
+// connection that is reset is lost if it must not be retried.
 func (c *Client) SetMaxIdleConns(n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.maxIdle = n
+	c.maxIdleConns = n
 }
 
 // Request is one request to send.
 type Request struct {
 	Method string
-	// Target is the escaped path with its query, sent as it is.
+	// Target is the escaped path with its query, sent unchanged.
 	Target string
-	// Host is the Host header; empty is the address.
+	// Host is the value of the Host header; empty for the address.
 	Host   string
 	Header http.Header
 	Body   []byte
-	// ReadTimeout takes the place of the client's for this request if not zero.
+	// ReadTimeout overrides the ReadTimeout of the client if not zero.
 	ReadTimeout time.Duration
-	// NewConn sends the request on a connection made for it.
+	// NewConn sends the request on a new connection.
 	NewConn bool
-	// Match, if set, says whether an answer belongs to this request. Others are
-	// read and dropped.
+	// Match, if set, reports whether a response belongs to this request. Other responses are read
+	// and discarded.
 	Match func(http.Header) bool
 }
 
-// Do sends the request and waits for the header of its answer. The error is a
-// *Failure. The caller closes the reply.
+// Do sends the request and waits for the response header. The error is a *Failure. The caller
+// closes the response.
 func (c *Client) Do(ctx context.Context, r Request) (*Response, error) {
-	silence := firstOf(r.ReadTimeout, c.ReadTimeout, DefaultReadTimeout)
+	readTimeout := firstPositive(r.ReadTimeout, c.ReadTimeout, DefaultReadTimeout)
 	ctx, cancel := context.WithCancelCause(ctx)
-	watchdog := newWatchdog(cancel, silence)
-	c.begin(watchdog)
-	watchdog.ended = func() { c.end(watchdog) }
-	k, err := c.take(ctx, r.NewConn)
+	watchdog := newWatchdog(cancel, readTimeout)
+	c.track(watchdog)
+	watchdog.onStop = func() { c.untrack(watchdog) }
+	k, err := c.acquire(ctx, r.NewConn)
 	if err != nil {
 		watchdog.stop()
-		failure := c.fail(ctx, err, false)
+		failure := c.failure(ctx, err, false)
 		cancel(nil)
 		return nil, failure
 	}
-	watchdog.of(k)
+	watchdog.watch(k)
 	p := &Response{
-		NewConn: k.uses == 0,
-		body:    nil, client: c, ctx: ctx, cancel: cancel, watchdog: watchdog, silence: silence, conn: k,
-		unhook: context.AfterFunc(ctx, func() { _ = k.Close() }),
+		NewConn: k.exchanges == 0,
+		body:    nil, client: c, ctx: ctx, cancel: cancel, watchdog: watchdog, readTimeout: readTimeout, conn: k,
+		stopAfterFunc: context.AfterFunc(ctx, func() { _ = k.Close() }),
 	}
-	answer, err := p.exchange(r)
+	response, err := p.exchange(r)
 	if err != nil {
-		failure := c.fail(ctx, err, k.wrote())
-		p.drop()
+		failure := c.failure(ctx, err, k.hasWritten())
+		p.discard()
 		return nil, failure
 	}
-	watchdog.reset(silence)
-	p.Status, p.Header, p.body = answer.StatusCode, answer.Header, answer.Body
-	p.reusable = !answer.Close && !(answer.ContentLength < 0 && len(answer.TransferEncoding) == 0)
+	watchdog.reset(readTimeout)
+	p.Status, p.Header, p.body = response.StatusCode, response.Header, response.Body
+	p.reusable = !response.Close && !(response.ContentLength < 0 && len(response.TransferEncoding) == 0)
 	return p, nil
 }
 
-// exchange writes the request and reads the header of its answer.
+// exchange writes the request and reads the header of its response.
 func (p *Response) exchange(r Request) (*http.Response, error) {
-	q, err := build(r, p.client.Base)
+	q, err := buildRequest(r, p.client.Base)
 	if err != nil {
 		return nil, err
 	}
-	p.conn.begin()
-	if len(r.Body) <= inlineBody {
+	p.conn.beginRequest()
+	if len(r.Body) <= maxInlineBody {
 		if err := p.conn.write(q); err != nil {
 			return nil, err
 		}
 	} else {
-		p.written = make(chan error, 1)
-		go func() { p.written <- p.conn.write(q) }() // its end is read by settled
+		p.writeDone = make(chan error, 1)
+		go func() { p.writeDone <- p.conn.write(q) }() // requestWritten reads the result
 	}
-	for n := 0; n <= maxForeign; n++ {
-		answer, err := http.ReadResponse(p.conn.in, q)
+	for n := 0; n <= maxSkippedResponses; n++ {
+		response, err := http.ReadResponse(p.conn.reader, q)
 		if err != nil {
-			return nil, errors.Wrap(err, "send: reading answer")
+			return nil, errors.Wrap(err, "send: reading response header")
 		}
-		interim := answer.StatusCode < http.StatusOK
-		if !interim && (r.Match == nil || r.Match(answer.Header)) {
-			return answer, nil
+		interim := response.StatusCode < http.StatusOK
+		if !interim && (r.Match == nil || r.Match(response.Header)) {
+			return response, nil
 		}
-		// Failure: an upstream answers an earlier request a second time, and
-		// the extra answer stands where this one's is due. It shows as a
-		// caller that gets another caller's answer. Reading on holds because
-		// the upstream answers the requests of a connection in order.
-		if _, err := io.Copy(io.Discard, answer.Body); err != nil || answer.Close {
-			return nil, errors.New("send: a foreign answer ends the connection")
+		// An upstream may answer an earlier request a second time. The extra response would be
+		// passed on as the response to this request, to another caller. Reading on finds the right
+		// response because the upstream answers the requests of a connection in order.
+		if _, err := io.Copy(io.Discard, response.Body); err != nil || response.Close {
+			return nil, errors.New("send: connection ended after a response to another request")
 		}
 	}
-	return nil, errors.New("send: too many foreign answers")
+	return nil, errors.New("send: too many responses to other requests")
 }
 
-// build makes the request in the form that net/http writes. An empty body has
-// the length 0, on the wire too where the method has a body.
-func build(r Request, base netip.AddrPort) (*http.Request, error) {
+// buildRequest returns the request in the form that net/http writes. An empty body has the length
+// 0, which is written too if the method has a body.
+func buildRequest(r Request, base netip.AddrPort) (*http.Request, error) {
 	if r.Target == "" || r.Target[0] != '/' {
-		return nil, errors.Errorf("send: target %q is no path", r.Target)
+		return nil, errors.Errorf("send: building request: target %q is not an absolute path", r.Target)
 	}
 	q := &http.Request{
 		Method: r.Method,
-		// An opaque URL is written as it is.
+		// net/http writes an opaque URL unchanged.
 		URL:        &url.URL{Scheme: "http", Host: base.String(), Opaque: r.Target},
 		Host:       r.Host,
 		Header:     r.Header,
@@ -199,8 +195,8 @@
 	if q.Header == nil {
 		q.Header = make(http.Header)
 	}
-	if _, given := q.Header["User-Agent"]; !given {
-		q.Header["User-Agent"] = []string{""} // else net/http writes its own
+	if _, ok := q.Header["User-Agent"]; !ok {
+		q.Header["User-Agent"] = []string{""} // net/http would write its own otherwise
 	}
 	if len(r.Body) > 0 {
 		q.Body = io.NopCloser(bytes.NewReader(r.Body))
@@ -208,11 +204,11 @@
 	return q, nil
 }
 
-// take gives a kept connection that is still good, or a new one.
-func (c *Client) take(ctx context.Context, fresh bool) (*conn, error) {
+// acquire returns an idle connection that is still usable, or dials one.
+func (c *Client) acquire(ctx context.Context, newConn bool) (*conn, error) {
 	now := time.Now()
-	for !fresh {
-		k := c.pop()
+	for !newConn {
+		k := c.popIdle()
 		if k == nil {
 			break
 		}
@@ -221,10 +217,10 @@
 		}
 		_ = k.Close()
 	}
-	return dial(ctx, c.Base, firstOf(c.DialTimeout, DefaultDialTimeout), c.UserTimeout, c.KeepAliveInterval)
+	return dial(ctx, c.Base, firstPositive(c.DialTimeout, DefaultDialTimeout), c.UserTimeout, c.KeepAliveInterval)
 }
 
-func (c *Client) pop() *conn {
+func (c *Client) popIdle() *conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := len(c.idle)
@@ -236,54 +232,55 @@
 	return k
 }
 
-// keep puts a connection back, and closes those that have waited too long.
-func (c *Client) keep(k *conn) {
+// release makes a connection idle, and closes idle connections that have expired or exceed the
+// limit.
+func (c *Client) release(k *conn) {
 	now := time.Now()
-	k.since = now
-	if k.keep == 0 {
-		k.keep = firstOf(c.IdleTimeout, DefaultIdleTimeout)
+	k.idleSince = now
+	if k.idleTimeout == 0 {
+		k.idleTimeout = firstPositive(c.IdleTimeout, DefaultIdleTimeout)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	most := c.maxIdle
-	if most == 0 {
-		most = DefaultMaxIdleConns
+	limit := c.maxIdleConns
+	if limit == 0 {
+		limit = DefaultMaxIdleConns
 	}
 	n := 0
-	for n < len(c.idle) && (c.idle[n].expired(now) || len(c.idle)-n >= most) {
+	for n < len(c.idle) && (c.idle[n].expired(now) || len(c.idle)-n >= limit) {
 		_ = c.idle[n].Close()
 		n++
 	}
 	c.idle = append(c.idle[n:], k)
 }
 
-func (c *Client) begin(w *watchdog) {
+func (c *Client) track(w *watchdog) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.open == nil {
-		c.open = make(map[*watchdog]struct{})
+	if c.inProgress == nil {
+		c.inProgress = make(map[*watchdog]struct{})
 	}
-	c.open[w] = struct{}{}
+	c.inProgress[w] = struct{}{}
 }
 
-func (c *Client) end(w *watchdog) {
+func (c *Client) untrack(w *watchdog) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.open, w)
+	delete(c.inProgress, w)
 }
 
-// CloseAll closes the idle connections and ends the exchanges in progress as
-// broken: the other end is known to know nothing of them any more.
+// CloseAll closes the idle connections and fails the exchanges in progress as broken. It is used
+// when the upstream is known to have restarted, so that it has no memory of them.
 func (c *Client) CloseAll() {
 	c.CloseIdleConnections()
 	c.mu.Lock()
-	var open []*watchdog
-	for w := range c.open {
-		open = append(open, w)
+	var watchdogs []*watchdog
+	for w := range c.inProgress {
+		watchdogs = append(watchdogs, w)
 	}
 	c.mu.Unlock()
-	for _, w := range open {
-		w.cancel(errAbandoned)
+	for _, w := range watchdogs {
+		w.cancel(errPeerRestarted)
 	}
 }
 
@@ -298,7 +295,7 @@
 	}
 }
 
-func firstOf(durations ...time.Duration) time.Duration {
+func firstPositive(durations ...time.Duration) time.Duration {
 	for _, d := range durations {
 		if d > 0 {
 			return d
--- a/send/send_test.go
+++ b/send/send_test.go
@@ -17,10 +17,10 @@
 	"jacinthworks/send"
 )
 
-// server answers the first request on its first connection, then reads each
-// further one whole and closes its connection without an answer. It gives the
-// requests it read.
-func server(t *testing.T) (netip.AddrPort, <-chan *http.Request) {
+// closingServer answers the first request on its first connection. It then reads each further
+// request completely and closes the connection without a response. The channel returns the requests
+// that it read.
+func closingServer(t *testing.T) (netip.AddrPort, <-chan *http.Request) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -51,11 +51,10 @@
 	return l.Addr().(*net.TCPAddr).AddrPort(), read
 }
 
-// Story: a climber logs an ascent. The entry has a kept-alive connection to the
-// server; the server runs the call and dies before it answers. Left alone,
-// net/http takes a GET, or a POST with an Idempotency-Key, for repeatable and
-// sends it again on a new connection: the ascent is logged twice.
-func TestABrokenConnectionRepeatsNothing(t *testing.T) {
+// Guards against a request sent twice. The server executes a request on a kept connection and dies
+// before it responds. http.Transport takes a GET, and a POST with an Idempotency-Key, for
+// repeatable and sends it again on a new connection, so that it is executed twice.
+func TestBrokenConnectionDoesNotRetryRequest(t *testing.T) {
 	for _, r := range []send.Request{
 		{Method: http.MethodGet, Target: "/ascents"},
 		{Method: http.MethodDelete, Target: "/ascents", Header: http.Header{"Idempotency-Key": {"k"}}},
@@ -63,7 +62,7 @@
 		{Method: http.MethodPost, Target: "/ascents", Header: http.Header{"Idempotency-Key": {"k"}}},
 	} {
 		t.Run(r.Method, func(t *testing.T) {
-			addr, read := server(t)
+			addr, read := closingServer(t)
 			c := send.Client{Base: addr}
 			reply, err := c.Do(t.Context(), send.Request{Method: http.MethodGet, Target: "/first"})
 			require.NoError(t, err)
@@ -75,14 +74,14 @@
 			_, err = c.Do(t.Context(), r)
 			require.Equal(t, send.Broken, send.StageOf(err), "%v", err)
 			require.Equal(t, "/ascents", (<-read).URL.Path)
-			require.Empty(t, read, "the call was sent a second time")
+			require.Empty(t, read, "the request was sent a second time")
 		})
 	}
 }
 
-// Story: something between entry and upstream has lost track of an open
-// connection. A request on it gets no answer; the next one must dial.
-func TestSilenceClosesIdleConnections(t *testing.T) {
+// Guards against further requests on idle connections that a device on the way has dropped from its
+// state: after a timeout the next request must dial.
+func TestReadTimeoutClosesIdleConnections(t *testing.T) {
 	release := make(chan struct{})
 	var dials atomic.Int32
 	s := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -102,14 +101,14 @@
 	defer s.Close()
 	defer close(release)
 	c := send.Client{Base: netip.MustParseAddrPort(s.Listener.Addr().String())}
-	ask := func(target string, silence time.Duration) error {
-		reply, err := c.Do(t.Context(), send.Request{Method: http.MethodGet, Target: target, ReadTimeout: silence})
+	get := func(target string, timeout time.Duration) error {
+		reply, err := c.Do(t.Context(), send.Request{Method: http.MethodGet, Target: target, ReadTimeout: timeout})
 		if err == nil {
 			_, err = reply.ReadAll(10)
 		}
 		return err
 	}
-	// Two at once leave an idle connection beside the one that goes silent.
+	// Two concurrent requests leave a second idle connection beside the one that times out.
 	reply, err := c.Do(t.Context(), send.Request{Method: http.MethodGet, Target: "/"})
 	require.NoError(t, err)
 	other, err := c.Do(t.Context(), send.Request{Method: http.MethodGet, Target: "/hold"})
@@ -118,21 +117,21 @@
 		_, err = p.ReadAll(10)
 		require.NoError(t, err)
 	}
-	require.Equal(t, send.TimedOut, send.StageOf(ask("/silent", 10*time.Millisecond)))
-	require.NoError(t, ask("/", 0))
-	require.EqualValues(t, 3, dials.Load(), "the silent one, the idle one, a fresh one")
+	require.Equal(t, send.TimedOut, send.StageOf(get("/silent", 10*time.Millisecond)))
+	require.NoError(t, get("/", 0))
+	require.EqualValues(t, 3, dials.Load(), "the connection that timed out, the idle one, a new one")
 }
 
-func TestStages(t *testing.T) {
+func TestFailureStageByCause(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	addr := l.Addr().(*net.TCPAddr).AddrPort()
 	require.NoError(t, l.Close())
-	refused := send.Client{Base: addr}
-	_, err = refused.Do(t.Context(), send.Request{Method: http.MethodGet, Target: "/"})
-	require.Equal(t, send.NotSent, send.StageOf(err), "nobody listens")
+	client := send.Client{Base: addr}
+	_, err = client.Do(t.Context(), send.Request{Method: http.MethodGet, Target: "/"})
+	require.Equal(t, send.NotSent, send.StageOf(err), "the connection is refused")
 
-	gone, cancel := context.WithCancel(t.Context())
+	ctx, cancel := context.WithCancel(t.Context())
 	began := make(chan struct{})
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/short" {
@@ -148,16 +147,16 @@
 	reply, err := c.Do(t.Context(), send.Request{Method: http.MethodGet, Target: "/short"})
 	require.NoError(t, err)
 	_, err = reply.ReadAll(100)
-	require.Equal(t, send.Broken, send.StageOf(err), "a body cut short is no body")
+	require.Equal(t, send.Broken, send.StageOf(err), "a truncated body is an error")
 
 	go func() { <-began; cancel() }()
-	_, err = c.Do(gone, send.Request{Method: http.MethodGet, Target: "/wait"})
+	_, err = c.Do(ctx, send.Request{Method: http.MethodGet, Target: "/wait"})
 	require.Equal(t, send.Canceled, send.StageOf(err))
 	require.ErrorIs(t, err, context.Canceled)
 }
 
-// inTwo answers in two parts, the second when it is told to.
-func inTwo(t *testing.T) (c *send.Client, second chan struct{}) {
+// twoPartServer responds with a body in two parts, the second after second is closed.
+func twoPartServer(t *testing.T) (c *send.Client, second chan struct{}) {
 	second = make(chan struct{})
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = io.WriteString(w, "first ")
@@ -169,16 +168,15 @@
 	return &send.Client{Base: netip.MustParseAddrPort(s.Listener.Addr().String())}, second
 }
 
-// Story: a host is held up for 100 ms while an answer arrives. When it goes on,
-// the time that the answer had is over, although it came in it. Taken for silent,
-// the connection is closed under an answer that has been passed on in part, and
-// the caller sees a stream that ends in its middle.
-func TestAnAnswerThatCameInTimeIsNotSilent(t *testing.T) {
-	c, second := inTwo(t)
-	const silence = 50 * time.Millisecond
+// Guards against a timeout of a response that arrived in time but is read late, because the host
+// has no processor time left for 100 ms. The caller would see a stream truncated after its first
+// part.
+func TestResponseReadLateDoesNotTimeOut(t *testing.T) {
+	c, second := twoPartServer(t)
+	const timeout = 50 * time.Millisecond
 	reply, err := c.Do(t.Context(), send.Request{
-		Method: http.MethodGet, Target: "/", ReadTimeout: silence,
-		Match: func(http.Header) bool { <-time.After(silence * 3 / 2); return true }, // the host is held up
+		Method: http.MethodGet, Target: "/", ReadTimeout: timeout,
+		Match: func(http.Header) bool { <-time.After(timeout * 3 / 2); return true }, // the process is delayed
 	})
 	require.NoError(t, err)
 	reply.SetReadTimeout(time.Second)
@@ -188,22 +186,23 @@
 	require.Equal(t, "first second", string(body))
 }
 
-// The same, while part of the answer lies unread.
-func TestAnUnreadAnswerIsNotSilent(t *testing.T) {
-	c, second := inTwo(t)
+// Guards against the timeout of a response that arrived in time, while part of the body is still
+// unread.
+func TestUnreadBodyDoesNotTimeOut(t *testing.T) {
+	c, second := twoPartServer(t)
 	reply, err := c.Do(t.Context(), send.Request{Method: http.MethodGet, Target: "/"})
 	require.NoError(t, err)
-	const silence = 20 * time.Millisecond
-	reply.SetReadTimeout(silence)
+	const timeout = 20 * time.Millisecond
+	reply.SetReadTimeout(timeout)
 	close(second)
-	<-time.After(5 * silence) // the host is held up
+	<-time.After(5 * timeout) // the process is delayed
 	body, err := reply.ReadAll(100)
 	require.NoError(t, err)
 	require.Equal(t, "first second", string(body))
 }
 
-func TestSilenceAfterAPartIsSilence(t *testing.T) {
-	c, second := inTwo(t)
+func TestStalledBodyTimesOut(t *testing.T) {
+	c, second := twoPartServer(t)
 	defer close(second)
 	reply, err := c.Do(t.Context(), send.Request{Method: http.MethodGet, Target: "/"})
 	require.NoError(t, err)
@@ -212,9 +211,9 @@
 	require.Equal(t, send.TimedOut, send.StageOf(err))
 }
 
-// Story: an upstream starts anew without closing its connections. What waits for
-// an answer of the earlier start would wait until its time is over.
-func TestAnAbandonedExchangeEndsAtOnce(t *testing.T) {
+// Guards against requests that wait for their full timeout for a response of an upstream that
+// restarted without closing its connections.
+func TestCloseAllFailsExchangesAtOnce(t *testing.T) {
 	began := make(chan struct{}, 2)
 	h := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/stream" {
--- a/send/watchdog.go
+++ b/send/watchdog.go
@@ -7,84 +7,83 @@
 	"time"
 )
 
-// watchdog gives an exchange up when the other end has sent nothing for a time.
+// watchdog cancels an exchange if the upstream has sent no data for the timeout.
 //
-// Failure: this process is held up, as its host's processor is used up, while an
-// answer arrives. When it goes on, the timer fires before the answer is read. It
-// shows as an answer that is cut after its beginning was passed on, though the
-// other end was in time. Looking for what has come since, read or unread, holds
-// because that is what silence is.
+// If the host has no processor time left, the timer may fire before a response that arrived in time
+// is read, and a response that was passed on in part would be truncated. When the timer fires, the
+// watchdog therefore checks for data that arrived since the last reset, whether it was read or is
+// still in the kernel's receive buffer, and extends the timeout if there is any.
 type watchdog struct {
 	cancel context.CancelCauseFunc
-	// ended, if set, is told once that the exchange is over. It takes the client's
-	// lock, so that it is called without the watchdog's.
-	ended func()
+	// onStop, if set, is called by stop. It acquires the client's lock and is therefore called
+	// without the watchdog's lock.
+	onStop func()
 
-	mu      sync.Mutex // a leaf
-	timer   *time.Timer
-	silence time.Duration
-	conn    *conn
-	heard   int64 // bytes read of conn when the time began
-	over    bool
+	mu           sync.Mutex // leaf lock: no other lock is acquired while it is held
+	timer        *time.Timer
+	timeout      time.Duration
+	conn         *conn
+	bytesAtReset int64 // bytes read from conn at the last reset
+	stopped      bool
 }
 
-// newWatchdog begins one. Until it has a connection, the time is that of dialling.
-func newWatchdog(cancel context.CancelCauseFunc, silence time.Duration) *watchdog {
-	w := &watchdog{cancel: cancel, silence: silence}
+// newWatchdog starts a watchdog. Until watch is called, the timeout covers dialing.
+func newWatchdog(cancel context.CancelCauseFunc, timeout time.Duration) *watchdog {
+	w := &watchdog{cancel: cancel, timeout: timeout}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.timer = time.AfterFunc(silence, w.fire)
+	w.timer = time.AfterFunc(timeout, w.expire)
 	return w
 }
 
-// of has it watch a connection.
-func (w *watchdog) of(k *conn) {
+// watch sets the connection on which data is expected.
+func (w *watchdog) watch(k *conn) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.conn, w.heard = k, k.got.Load()
+	w.conn, w.bytesAtReset = k, k.bytesRead.Load()
 }
 
-// reset begins the time anew.
-func (w *watchdog) reset(silence time.Duration) {
+// reset restarts the timeout.
+func (w *watchdog) reset(timeout time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.over {
+	if w.stopped {
 		return
 	}
-	w.silence, w.heard = silence, w.conn.got.Load()
-	w.timer.Reset(silence)
+	w.timeout, w.bytesAtReset = timeout, w.conn.bytesRead.Load()
+	w.timer.Reset(timeout)
 }
 
-// stop ends it.
+// stop ends the watchdog.
 func (w *watchdog) stop() {
 	w.mu.Lock()
-	w.over = true
+	w.stopped = true
 	w.timer.Stop()
 	w.mu.Unlock()
-	if w.ended != nil {
-		w.ended()
+	if w.onStop != nil {
+		w.onStop()
 	}
 }
 
-func (w *watchdog) fire() {
+func (w *watchdog) expire() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.over {
+	if w.stopped {
 		return
 	}
 	if w.conn != nil {
-		if got := w.conn.got.Load(); got != w.heard || w.conn.unread() {
-			w.heard = got
-			w.timer.Reset(w.silence)
+		if bytesRead := w.conn.bytesRead.Load(); bytesRead != w.bytesAtReset || w.conn.hasUnreadData() {
+			w.bytesAtReset = bytesRead
+			w.timer.Reset(w.timeout)
 			return
 		}
 	}
-	w.over = true
-	w.cancel(errSilent)
+	w.stopped = true
+	w.cancel(errReadTimeout)
 }
 
-// unread says whether bytes have come that were not read yet.
-func (k *conn) unread() bool {
+// hasUnreadData reports whether the kernel has received data that was not read yet.
+func (k *conn) hasUnreadData() bool {
 	s, ok := k.Conn.(syscall.Conn)
 	if !ok {
 		return false
@@ -93,12 +92,12 @@
 	if err != nil {
 		return false
 	}
-	found := false
-	// Control and not Read, which would wait for the reader of the answer.
+	hasData := false
+	// Control, unlike Read, does not wait for the goroutine that reads the response.
 	err = raw.Control(func(fd uintptr) {
 		var b [1]byte
 		n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		found = err == nil && n > 0
+		hasData = err == nil && n > 0
 	})
-	return err == nil && found
+	return err == nil && hasData
 }
