--- a/conns/idle.go
+++ b/conns/idle.go
@@ -1,13 +1,13 @@
-// Package conns bounds what callers' connections cost a server: how long one is kept without
-// a request, and how long a write to one may block.
+// Package conns bounds the resources that caller connections hold on a server: how long an idle
+// connection is kept, and how long a write to a caller may block.
 //
 // # Usage
 //
 //	idle := &conns.IdleCloser{Limit: limit}
-//	server := &http.Server{ConnState: idle.State}
+//	server := &http.Server{ConnState: idle.ConnState}
 //	go idle.Run(ctx)
 //
-//	w = conns.NewDeadlineWriter(w, within) // in a handler
+//	w = conns.NewDeadlineWriter(w, timeout) // in a handler
 package conns
 
 import (
@@ -19,45 +19,44 @@
 )
 
 const (
-	// idleTimes is how many times the stated limit a connection is kept.
+	// limitFactor is how many times the stated limit an idle connection is kept.
 	//
-	// Failure: a caller uses its connection again near the limit, and the
-	// request lies unread for 100 ms, since the host's processor is used up,
-	// while the connection is closed for being idle. It shows as a request
-	// that gets neither an answer nor a refusal. An idle connection costs some
-	// KB, a lost request its caller.
-	idleTimes = 2
-	idleSweep = time.Second
+	// A caller may send a request shortly before the limit. If the host has no processor time left,
+	// the request may lie unread for 100 ms, while the connection is closed as idle, and the caller
+	// gets neither a response nor a refusal. An idle connection costs some KB, a lost request its
+	// caller.
+	limitFactor   = 2
+	sweepInterval = time.Second
 )
 
-// IdleCloser closes callers' connections that have no request for longer than the
-// limit. The limit is a configuration's and changes while they are open, which
-// http.Server's own IdleTimeout does not follow. Set Limit first; it must not be copied.
+// IdleCloser closes caller connections that have been idle for longer than twice the limit. The
+// limit is part of a configuration that may change while connections are open, which IdleTimeout of
+// http.Server does not follow. Set Limit before first use. An IdleCloser must not be copied.
 type IdleCloser struct {
-	// Limit gives how long one is kept.
+	// Limit returns the stated idle timeout.
 	Limit func() time.Duration
 
-	mu    sync.Mutex // a leaf
-	since map[net.Conn]time.Time
+	mu        sync.Mutex // leaf lock: no other lock is acquired while it is held
+	idleSince map[net.Conn]time.Time
 }
 
-// ConnState takes a change of a connection; it is for http.Server.ConnState.
+// ConnState records a state change of a connection; set it as the ConnState of an http.Server.
 func (i *IdleCloser) ConnState(c net.Conn, s http.ConnState) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if s == http.StateIdle {
-		if i.since == nil {
-			i.since = make(map[net.Conn]time.Time)
+		if i.idleSince == nil {
+			i.idleSince = make(map[net.Conn]time.Time)
 		}
-		i.since[c] = time.Now()
+		i.idleSince[c] = time.Now()
 		return
 	}
-	delete(i.since, c)
+	delete(i.idleSince, c)
 }
 
-// Run looks at the connections until ctx ends.
+// Run closes idle connections until ctx ends. It returns nil.
 func (i *IdleCloser) Run(ctx context.Context) error {
-	t := time.NewTicker(idleSweep)
+	t := time.NewTicker(sweepInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -70,13 +69,13 @@
 }
 
 func (i *IdleCloser) sweep(now time.Time) {
-	limit := idleTimes * i.Limit()
+	limit := limitFactor * i.Limit()
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	for c, at := range i.since {
-		if now.Sub(at) > limit {
+	for c, idleSince := range i.idleSince {
+		if now.Sub(idleSince) > limit {
 			_ = c.Close()
-			delete(i.since, c)
+			delete(i.idleSince, c)
 		}
 	}
 }
--- a/conns/writer.go
+++ b/conns/writer.go
@@ -5,35 +5,36 @@
 	"time"
 )
 
-// DeadlineWriter bounds the time that one write to a caller may block.
+// DeadlineWriter bounds how long one write to a caller may block.
 //
-// Failure: a caller reads slowly, or not at all, and keeps its connection. Its answer is
-// held for it until its host runs out of memory.
+// A caller may read slowly or not at all and keep its connection open. Without a deadline its
+// response would stay in memory, until the host runs out of memory.
 type DeadlineWriter struct {
 	http.ResponseWriter
 	control *http.ResponseController
-	within  time.Duration
+	timeout time.Duration
 }
 
-// NewDeadlineWriter gives a writer whose writes each end within a time.
-func NewDeadlineWriter(w http.ResponseWriter, within time.Duration) *DeadlineWriter {
-	return &DeadlineWriter{ResponseWriter: w, control: http.NewResponseController(w), within: within}
+// NewDeadlineWriter returns a DeadlineWriter that allows each write the given timeout.
+func NewDeadlineWriter(w http.ResponseWriter, timeout time.Duration) *DeadlineWriter {
+	return &DeadlineWriter{ResponseWriter: w, control: http.NewResponseController(w), timeout: timeout}
 }
 
-// Unwrap gives the writer that flushes.
+// Unwrap returns the underlying writer, through which http.ResponseController flushes.
 func (w *DeadlineWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-// WriteHeader sets a deadline as well: an answer may have no body.
+// WriteHeader writes the header. It sets a deadline as well, because a response may have no body.
 func (w *DeadlineWriter) WriteHeader(status int) {
-	w.extend()
+	w.extendDeadline()
 	w.ResponseWriter.WriteHeader(status)
 }
 
-// Write writes within the time.
+// Write writes b with a new deadline.
 func (w *DeadlineWriter) Write(b []byte) (int, error) {
-	w.extend()
+	w.extendDeadline()
 	return w.ResponseWriter.Write(b)
 }
 
-// extend begins the time anew. A connection without deadlines, as in tests, has none.
-func (w *DeadlineWriter) extend() { _ = w.control.SetWriteDeadline(time.Now().Add(w.within)) }
+// extendDeadline sets the write deadline. The error of a connection that supports no deadlines, as
+// in tests, is ignored.
+func (w *DeadlineWriter) extendDeadline() { _ = w.control.SetWriteDeadline(time.Now().Add(w.timeout)) }
