--- a/events/events.go
+++ b/events/events.go
@@ -1,14 +1,15 @@
-// Package events cuts a stream of server-sent events into whole ones.
+// Package events splits a stream of server-sent events into complete events.
 //
-// An upstream that is lost may stop in the middle of an event, which another can't go on
-// with, and one that takes over may begin with events that were given out before.
+// The stream of a failed upstream may stop in the middle of an event, which another upstream cannot
+// continue, and the upstream that resumes the stream may begin with events that were already passed
+// on.
 //
 // # Usage
 //
-//	c := events.Splitter{Last: lastEventID}
-//	whole := c.Add(read)    // to be passed on
-//	if len(c.Rest()) > 0 {} // the stream stopped in the middle of an event
-//	c.Restart()             // another upstream goes on after c.Last
+//	s := events.Splitter{LastEventID: lastEventID}
+//	complete := s.Add(read)    // to be passed on
+//	if len(s.Partial()) > 0 {} // the stream stopped in the middle of an event
+//	s.DiscardPartial()         // another upstream resumes after s.LastEventID
 package events
 
 import (
@@ -16,57 +17,58 @@
 	"strconv"
 )
 
-// Splitter cuts one stream. The zero value begins with its first event. It belongs to one
-// goroutine.
+// Splitter splits one stream. The zero value starts at the first event. It is not safe for
+// concurrent use.
 type Splitter struct {
-	// LastEventID is the id of the last event given out; empty for none.
+	// LastEventID is the ID of the last event with an ID that Add returned; empty if there is none.
 	LastEventID string
 
-	rest []byte
+	partial []byte
 }
 
-// Partial gives the part of an event that is not complete.
-func (c *Splitter) Partial() []byte { return c.rest }
+// Partial returns the incomplete event at the end of the data added so far.
+func (s *Splitter) Partial() []byte { return s.partial }
 
-// Add takes what has come and gives the whole events in it, without those that
-// were given out before.
-func (c *Splitter) Add(b []byte) []byte {
-	c.rest = append(c.rest, b...)
+// Add appends data read from the stream and returns the events that are complete, without those
+// that were returned before.
+func (s *Splitter) Add(b []byte) []byte {
+	s.partial = append(s.partial, b...)
 	var out []byte
 	for {
-		n := endOfEvent(c.rest)
+		n := eventLength(s.partial)
 		if n == 0 {
 			return out
 		}
-		event := c.rest[:n]
-		c.rest = c.rest[n:]
-		id, has := eventID(event)
-		if has && !follows(id, c.LastEventID) {
+		event := s.partial[:n]
+		s.partial = s.partial[n:]
+		id, ok := eventID(event)
+		if ok && !isNewer(id, s.LastEventID) {
 			continue
 		}
-		if has {
-			c.LastEventID = id
+		if ok {
+			s.LastEventID = id
 		}
 		out = append(out, event...)
 	}
 }
 
-// DiscardPartial drops the part of an event that will not be completed.
-func (c *Splitter) DiscardPartial() { c.rest = nil }
+// DiscardPartial discards the incomplete event at the end. The next upstream sends that event again
+// from its beginning.
+func (s *Splitter) DiscardPartial() { s.partial = nil }
 
-// endOfEvent gives the length of the first event with the empty line that ends
-// it; zero for none.
-func endOfEvent(b []byte) int {
+// eventLength returns the length of the first event, including the blank line that ends it; zero if
+// no event is complete.
+func eventLength(b []byte) int {
 	end := 0
-	for _, mark := range []string{"\n\n", "\r\n\r\n"} {
-		if n := bytes.Index(b, []byte(mark)); n >= 0 && (end == 0 || n+len(mark) < end) {
-			end = n + len(mark)
+	for _, blankLine := range []string{"\n\n", "\r\n\r\n"} {
+		if n := bytes.Index(b, []byte(blankLine)); n >= 0 && (end == 0 || n+len(blankLine) < end) {
+			end = n + len(blankLine)
 		}
 	}
 	return end
 }
 
-// eventID gives the id that an event carries.
+// eventID returns the ID of an event and reports whether it has one.
 func eventID(event []byte) (string, bool) {
 	for _, line := range bytes.Split(event, []byte("\n")) {
 		if value, ok := bytes.CutPrefix(line, []byte("id:")); ok {
@@ -76,9 +78,9 @@
 	return "", false
 }
 
-// follows says whether an event is a later one. Ids are numbers that increase;
-// others are taken for later ones.
-func follows(id, last string) bool {
+// isNewer reports whether an event comes after the event with the ID last. IDs are increasing
+// numbers. An event counts as newer if last is empty or one of the IDs is not a number.
+func isNewer(id, last string) bool {
 	if last == "" {
 		return true
 	}
--- a/events/events_test.go
+++ b/events/events_test.go
@@ -7,19 +7,19 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestWholeEventsOnly(t *testing.T) {
+func TestAddReturnsCompleteNewEvents(t *testing.T) {
 	var c Splitter
 	require.Empty(t, c.Add([]byte("id: 1\nda")))
 	require.Equal(t, "id: 1\ndata: a\n\n", string(c.Add([]byte("ta: a\n\nid: 2\ndata"))))
 	require.Equal(t, "1", c.LastEventID)
 	c.DiscardPartial()
-	require.Equal(t, "id: 2\ndata: b\n\n", string(c.Add([]byte("id: 1\ndata: a\n\nid: 2\ndata: b\n\n"))), "what was given out is not given again")
+	require.Equal(t, "id: 2\ndata: b\n\n", string(c.Add([]byte("id: 1\ndata: a\n\nid: 2\ndata: b\n\n"))), "events returned before are skipped")
 	require.Equal(t, ": note\r\n\r\n", string(c.Add([]byte(": note\r\n\r\n"))))
 }
 
-// FuzzEvents cuts a stream at any place: what is given out is the same as for
-// the stream at once, and with what is left it is the whole stream.
-func FuzzEvents(f *testing.F) {
+// FuzzSplitterAtAnyCut adds a stream in two parts, cut at any place. The events are the same as
+// those of the whole stream, and the rest is a suffix of the stream.
+func FuzzSplitterAtAnyCut(f *testing.F) {
 	f.Add("id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3", 7)
 	f.Add("id:1\r\n\r\nid:2\r\n\r\n", 6)
 	f.Add(": x\n\n\n\nid: 5\n\nid: 4\n\n", 3)
