--- a/roster/roster.go
+++ b/roster/roster.go
@@ -249,6 +249,8 @@
 	r.registryDown, r.recoveredAt = false, now
 }
 
+// putEntry adds or updates the member of a decoded entry. An entry of an earlier instance is
+// ignored; one of a later instance replaces the member.
 func (r *Roster) putEntry(now time.Time, s Server) {
 	if r.members == nil {
 		r.members = make(map[ID]*Upstream)
@@ -318,6 +320,7 @@
 	r.remove(id, "removed from the registry")
 }
 
+// remove removes a member and logs the reason. Requests in flight at it go on.
 func (r *Roster) remove(id ID, reason string) {
 	u := r.members[id]
 	u.mu.Lock()
@@ -361,6 +364,7 @@
 	}
 }
 
+// rebuild builds byService from the members.
 func (r *Roster) rebuild() {
 	r.byService = make(map[domain.Service][]*Upstream)
 	for _, u := range r.members {
