--- a/admin/admin.go
+++ b/admin/admin.go
@@ -37,8 +37,8 @@
 	"jacinthworks/check"
 	"jacinthworks/domain"
 	"jacinthworks/editor"
-	"jacinthworks/story"
 	"jacinthworks/table"
+	"jacinthworks/trace"
 )
 
 // The paths of the interface.
@@ -61,14 +61,14 @@
 
 // The errors of sources.
 var (
-	// ErrNoStory says that nothing is known of a request.
-	ErrNoStory = errors.New("admin: no story of this request")
-	// ErrNoHost says that no such host is known.
-	ErrNoHost = errors.New("admin: no such host")
+	// ErrNoTrace says that nothing is known of a request.
+	ErrNoTrace = errors.New("admin: no story of this request")
+	// ErrUnknownHost says that no such host is known.
+	ErrUnknownHost = errors.New("admin: no such host")
 )
 
-// Tables gives the table in force on this host; *table.Holder does.
-type Tables interface {
+// TableSource gives the table in force on this host; *table.Holder does.
+type TableSource interface {
 	Table() table.Table
 }
 
@@ -82,12 +82,12 @@
 	Status(ctx context.Context) (Status, error)
 }
 
-// StorySource finds the story of a request; ErrNoStory when there is none.
-type StorySource interface {
-	Story(ctx context.Context, id domain.RequestID) (story.Account, error)
+// TraceSource finds the story of a request; ErrNoTrace when there is none.
+type TraceSource interface {
+	Trace(ctx context.Context, id domain.RequestID) (trace.Trace, error)
 }
 
-// Drainer makes a host take no new work; ErrNoHost when there is no such host.
+// Drainer makes a host take no new work; ErrUnknownHost when there is no such host.
 type Drainer interface {
 	Drain(ctx context.Context, host domain.Host, by string) error
 }
@@ -114,8 +114,8 @@
 	Since   time.Time     `json:"in_force_since,omitzero"`
 	// InFlight counts requests in progress.
 	InFlight int `json:"in_flight"`
-	// Heard is when the host was last heard, on the answering host's clock.
-	Heard time.Time `json:"heard,omitzero"`
+	// LastSeen is when the host was last heard, on the answering host's clock.
+	LastSeen time.Time `json:"heard,omitzero"`
 }
 
 // HostState says whether a host takes work.
@@ -127,8 +127,8 @@
 	HostDraining HostState = "draining"
 	// HostStale hears of the table from nobody and takes no new work.
 	HostStale HostState = "stale"
-	// HostSilent is not heard from.
-	HostSilent HostState = "silent"
+	// HostUnreachable is not heard from.
+	HostUnreachable HostState = "silent"
 )
 
 // Problem is the body of an error (RFC 9457).
@@ -156,8 +156,8 @@
 	return text
 }
 
-// Accepted is the answer to an edit that is in force.
-type Accepted struct {
+// EditReply is the answer to an edit that is in force.
+type EditReply struct {
 	EditID  table.EditID  `json:"edit_id"`
 	State   editor.State  `json:"state"`
 	Version table.Version `json:"table_version"`
--- a/admin/client.go
+++ b/admin/client.go
@@ -18,8 +18,8 @@
 	"jacinthworks/conf"
 	"jacinthworks/domain"
 	"jacinthworks/editor"
-	"jacinthworks/story"
 	"jacinthworks/table"
+	"jacinthworks/trace"
 )
 
 // ErrUnreachable says that no answer came. Anything sent may have arrived.
@@ -40,8 +40,8 @@
 	TLS *tls.Config
 	// Transport, if set, takes the place of one made for TLS.
 	Transport http.RoundTripper
-	// Pause is the time before an edit is sent again; default 1s.
-	Pause time.Duration
+	// RetryInterval is the time before an edit is sent again; default 1s.
+	RetryInterval time.Duration
 }
 
 // EditRequest is an edit to send.
@@ -96,7 +96,7 @@
 	if sentBefore {
 		path += "?sent_before=true"
 	}
-	var a Accepted
+	var a EditReply
 	err := c.call(ctx, http.MethodPatch, path, header, e.Edit, &a)
 	var p *Problem
 	switch {
@@ -108,9 +108,9 @@
 	return editor.Outcome{State: a.State, Version: a.Version}, nil
 }
 
-// Story gives the account of a request.
-func (c *Client) Story(ctx context.Context, id domain.RequestID) (story.Account, error) {
-	var a story.Account
+// Trace gives the account of a request.
+func (c *Client) Trace(ctx context.Context, id domain.RequestID) (trace.Trace, error) {
+	var a trace.Trace
 	err := c.call(ctx, http.MethodGet, pathRequests+url.PathEscape(string(id)), nil, nil, &a)
 	return a, err
 }
@@ -194,7 +194,7 @@
 }
 
 func (c *Client) pause(ctx context.Context) bool {
-	d := c.Pause
+	d := c.RetryInterval
 	if d == 0 {
 		d = time.Second
 	}
--- a/admin/client_test.go
+++ b/admin/client_test.go
@@ -21,12 +21,12 @@
 
 	s, err := b.client.Status(t.Context())
 	require.NoError(t, err)
-	require.Equal(t, HostSilent, s.Hosts[1].State)
+	require.Equal(t, HostUnreachable, s.Hosts[1].State)
 
-	a, err := b.client.Story(t.Context(), "entry-1.1.7")
+	a, err := b.client.Trace(t.Context(), "entry-1.1.7")
 	require.NoError(t, err)
 	require.Equal(t, domain.DidRun, a.Ran)
-	_, err = b.client.Story(t.Context(), "entry/1?x")
+	_, err = b.client.Trace(t.Context(), "entry/1?x")
 	var p *Problem
 	require.ErrorAs(t, err, &p)
 	require.Equal(t, 404, p.Status)
--- a/admin/edits.go
+++ b/admin/edits.go
@@ -68,7 +68,7 @@
 		writeProblem(w, p)
 		return
 	}
-	sub.By = by
+	sub.Operator = by
 	o := s.Editor.Submit(r.Context(), sub)
 	s.log().Info("edit", "operator", by.Name, "edit", sub.Edit.ID, "changes", len(sub.Edit.Changes),
 		"state", o.State, "reason", o.Reason, "table_version", o.Version)
@@ -76,7 +76,7 @@
 		w.Header().Set("ETag", etag(o.Version))
 	}
 	if o.State == editor.Accepted {
-		writeJSON(w, typeJSON, http.StatusOK, Accepted{EditID: sub.Edit.ID, State: o.State, Version: o.Version})
+		writeJSON(w, typeJSON, http.StatusOK, EditReply{EditID: sub.Edit.ID, State: o.State, Version: o.Version})
 		return
 	}
 	if o.Reason == editor.ReasonUnavailable || o.State == editor.Unsettled {
@@ -146,7 +146,7 @@
 		if p != nil {
 			return e, p
 		}
-		e.Changes, err = table.ChangesCSV(text)
+		e.Changes, err = table.DecodeChangesCSV(text)
 		var rejected *table.Rejection
 		if errors.As(err, &rejected) {
 			return e, findingsProblem(rejected.Findings)
--- a/admin/fake_test.go
+++ b/admin/fake_test.go
@@ -15,8 +15,8 @@
 	"jacinthworks/domain"
 	"jacinthworks/editor"
 	"jacinthworks/infra"
-	"jacinthworks/story"
 	"jacinthworks/table"
+	"jacinthworks/trace"
 )
 
 const (
@@ -62,19 +62,19 @@
 
 func (h *host) Status(context.Context) (Status, error) {
 	return Status{Host: "entry-1", Version: 1, Hosts: []HostStatus{{Host: "entry-1", Zone: "salt-lake", State: HostServing, Version: 1,
-		Since: time.Date(2026, 12, 2, 9, 0, 0, 0, time.UTC)}, {Host: "side-1", Zone: "salt-lake", Role: domain.RoleDecode, Service: "appraiser-lm", State: HostSilent}}}, nil
+		Since: time.Date(2026, 12, 2, 9, 0, 0, 0, time.UTC)}, {Host: "side-1", Zone: "salt-lake", Role: domain.RoleDecode, Service: "appraiser-lm", State: HostUnreachable}}}, nil
 }
 
-func (h *host) Story(_ context.Context, id domain.RequestID) (story.Account, error) {
+func (h *host) Trace(_ context.Context, id domain.RequestID) (trace.Trace, error) {
 	if id != "entry-1.1.7" {
-		return story.Account{}, ErrNoStory
+		return trace.Trace{}, ErrNoTrace
 	}
-	return story.Account{Request: id, State: story.StateAnswered, Ran: domain.DidRun}, nil
+	return trace.Trace{Request: id, State: trace.StateAnswered, Ran: domain.DidRun}, nil
 }
 
 func (h *host) Drain(_ context.Context, target domain.Host, _ string) error {
 	if target != "side-1" {
-		return ErrNoHost
+		return ErrUnknownHost
 	}
 	h.drained = target
 	return nil
@@ -99,16 +99,16 @@
 	text, err := first.Encode()
 	require.NoError(t, err)
 	b := &bench{objects: &objects{version: 1, value: text}, host: new(host), holder: new(table.Holder)}
-	b.holder.Offer(first, time.Now())
+	b.holder.Update(first, time.Now())
 	s := Server{
 		Operators: []conf.Operator{{Name: "asha", Token: ashaToken, Teams: []string{"appraisal"}},
 			{Name: "ravi", Token: raviToken, Teams: []string{"listing"}}, {Name: "nobody"}},
-		Tables: b.holder, Editor: &editor.Editor{Objects: b.objects, Holder: b.holder, Within: 20 * time.Millisecond, Pause: time.Millisecond},
-		Status: b.host, Stories: b.host, Drains: b.host, MaxBody: 2000,
+		Tables: b.holder, Editor: &editor.Editor{Objects: b.objects, Holder: b.holder, Timeout: 20 * time.Millisecond, RetryInterval: time.Millisecond},
+		Status: b.host, Traces: b.host, Drainer: b.host, MaxBody: 2000,
 	}
 	b.http = httptest.NewServer(s.Handler())
 	t.Cleanup(b.http.Close)
-	b.client = Client{Address: netip.MustParseAddrPort(strings.TrimPrefix(b.http.URL, "http://")), Token: ashaToken, Pause: time.Nanosecond}
+	b.client = Client{Address: netip.MustParseAddrPort(strings.TrimPrefix(b.http.URL, "http://")), Token: ashaToken, RetryInterval: time.Nanosecond}
 	return b
 }
 
--- a/admin/orders.go
+++ b/admin/orders.go
@@ -12,13 +12,13 @@
 	"jacinthworks/table"
 )
 
-// ErrNotYours says that none of the operator's teams owns a row of the service.
-var ErrNotYours = errors.New("admin: no row of the service belongs to your teams")
+// ErrNotTeamMember says that none of the operator's teams owns a row of the service.
+var ErrNotTeamMember = errors.New("admin: no row of the service belongs to your teams")
 
-// DefaultOrderWithin is how long an order may wait for the order lease of its
+// DefaultOrderTimeout is how long an order may wait for the order lease of its
 // engine, below the time that clients wait. The lease of a side that died lasts
 // longer: an order then has to be given again.
-const DefaultOrderWithin = 8 * time.Second
+const DefaultOrderTimeout = 8 * time.Second
 
 // OrderRequest is an order to the engine beside a side.
 type OrderRequest struct {
@@ -29,16 +29,16 @@
 	Value string           `json:"value"`
 }
 
-// OrderGiven says that the engine took the order.
-type OrderGiven struct {
+// OrderReply says that the engine took the order.
+type OrderReply struct {
 	OrderRequest
 	// Fence is the fencing number that went with it.
 	Fence uint64 `json:"fence"`
 }
 
-// Orderer passes an order on; ErrNoHost when there is no such side.
+// Orderer passes an order on; ErrUnknownHost when there is no such side.
 type Orderer interface {
-	SendOrder(ctx context.Context, o OrderRequest, by table.Operator) (OrderGiven, error)
+	SendOrder(ctx context.Context, o OrderRequest, by table.Operator) (OrderReply, error)
 }
 
 func (s *Server) order(w http.ResponseWriter, r *http.Request, by table.Operator) {
@@ -51,12 +51,12 @@
 		writeProblem(w, problem(http.StatusBadRequest, "needs host, kind (load or adapter) and value"))
 		return
 	}
-	given, err := s.Orders.SendOrder(r.Context(), o, by)
+	given, err := s.Orderer.SendOrder(r.Context(), o, by)
 	s.log().Info("order", "operator", by.Name, "target", o.Host, "kind", o.Kind, "value", o.Value, "fence", given.Fence, "err", err)
 	switch {
-	case errors.Is(err, ErrNoHost):
+	case errors.Is(err, ErrUnknownHost):
 		writeProblem(w, problem(http.StatusNotFound, "no side "+string(o.Host)+" is known"))
-	case errors.Is(err, ErrNotYours):
+	case errors.Is(err, ErrNotTeamMember):
 		writeProblem(w, problem(http.StatusForbidden, err.Error()))
 	case err != nil:
 		writeProblem(w, problem(http.StatusServiceUnavailable, err.Error()))
@@ -66,8 +66,8 @@
 }
 
 // SendOrder gives an order to the engine beside a side.
-func (c *Client) SendOrder(ctx context.Context, o OrderRequest) (OrderGiven, error) {
-	var given OrderGiven
+func (c *Client) SendOrder(ctx context.Context, o OrderRequest) (OrderReply, error) {
+	var given OrderReply
 	err := c.call(ctx, http.MethodPost, pathOrders, nil, o, &given)
 	return given, err
 }
--- a/admin/server.go
+++ b/admin/server.go
@@ -23,13 +23,13 @@
 // Server answers operators. All fields but MaxBody and Log must be set.
 type Server struct {
 	Operators []conf.Operator
-	Tables    Tables
+	Tables    TableSource
 	Editor    Editor
 	Status    StatusSource
-	Stories   StorySource
-	Drains    Drainer
-	// Orders may be nil; orders are then not served.
-	Orders Orderer
+	Traces    TraceSource
+	Drainer   Drainer
+	// Orderer may be nil; orders are then not served.
+	Orderer Orderer
 	// MaxBody bounds the body of a request in bytes; default 4 MiB.
 	MaxBody int64
 	// Log gets a line for each edit and each drain.
@@ -44,7 +44,7 @@
 	m.Handle("GET "+pathStatus, s.operator(s.status))
 	m.Handle("GET "+pathRequests+"{id}", s.operator(s.story))
 	m.Handle("POST "+pathDrain, s.operator(s.drain))
-	if s.Orders != nil {
+	if s.Orderer != nil {
 		m.Handle("POST "+pathOrders, s.operator(s.order))
 	}
 	m.Handle("/admin/", s.operator(func(w http.ResponseWriter, r *http.Request, _ table.Operator) {
@@ -98,9 +98,9 @@
 }
 
 func (s *Server) story(w http.ResponseWriter, r *http.Request, _ table.Operator) {
-	a, err := s.Stories.Story(r.Context(), domain.RequestID(r.PathValue("id")))
+	a, err := s.Traces.Trace(r.Context(), domain.RequestID(r.PathValue("id")))
 	switch {
-	case errors.Is(err, ErrNoStory):
+	case errors.Is(err, ErrNoTrace):
 		writeProblem(w, problem(http.StatusNotFound, "no story of this request was found"))
 	case err != nil:
 		writeProblem(w, problem(http.StatusServiceUnavailable, err.Error()))
@@ -124,10 +124,10 @@
 		writeProblem(w, problem(http.StatusBadRequest, "host is missing"))
 		return
 	}
-	err := s.Drains.Drain(r.Context(), d.Host, by.Name)
+	err := s.Drainer.Drain(r.Context(), d.Host, by.Name)
 	s.log().Info("drain", "operator", by.Name, "target", d.Host, "err", err)
 	switch {
-	case errors.Is(err, ErrNoHost):
+	case errors.Is(err, ErrUnknownHost):
 		writeProblem(w, problem(http.StatusNotFound, "no host "+string(d.Host)+" is known"))
 	case err != nil:
 		writeProblem(w, problem(http.StatusServiceUnavailable, err.Error()))
--- a/admit/admit.go
+++ b/admit/admit.go
@@ -89,9 +89,9 @@
 	// lowered below what is reserved.
 	FreeRequests int `json:"free_requests"`
 	FreeTokens   int `json:"free_tokens"`
-	// Held is the number of unconfirmed reservations, Confirmed that of confirmed ones.
-	Held      int `json:"held"`
-	Confirmed int `json:"confirmed"`
+	// Unconfirmed is the number of unconfirmed reservations, Confirmed that of confirmed ones.
+	Unconfirmed int `json:"held"`
+	Confirmed   int `json:"confirmed"`
 }
 
 // Shortage is the kind of capacity that was insufficient.
@@ -229,7 +229,7 @@
 		if r.confirmed {
 			c.Confirmed++
 		} else {
-			c.Held++
+			c.Unconfirmed++
 		}
 	}
 	return c
--- a/admit/admit_test.go
+++ b/admit/admit_test.go
@@ -91,7 +91,7 @@
 			u, r := naive.used(now), l.Capacity(now)
 			require.Equal(t, limits.Requests-u.Requests, r.FreeRequests)
 			require.Equal(t, limits.Tokens-u.Tokens, r.FreeTokens)
-			require.Equal(t, len(naive.reservations), r.Held+r.Confirmed)
+			require.Equal(t, len(naive.reservations), r.Unconfirmed+r.Confirmed)
 		}
 	})
 }
--- a/bench/entry.go
+++ b/bench/entry.go
@@ -45,7 +45,7 @@
 		KVBytes:             int64(r.prompt) * kvBytes,
 		KVLifetime:          kvLife,
 		FirstTokenTarget:    time.Duration(r.kind.row.FirstToken),
-		TokenGap:            time.Duration(r.kind.row.TokenGap),
+		TokenGapTarget:      time.Duration(r.kind.row.TokenGap),
 		MaxQueueWait:        admit.MaxPrefillQueueTime,
 		WastedPrefillWeight: r.kind.row.WastedPrefillWeight,
 	}
@@ -55,7 +55,7 @@
 	case "kv_life":
 		j.KVLifetime = 0
 	case "token_gap":
-		j.TokenGap = 0
+		j.TokenGapTarget = 0
 	case "prefill_bound":
 		j.MaxQueueWait = 0
 	}
--- a/check/check.go
+++ b/check/check.go
@@ -19,14 +19,14 @@
 
 // Finding is one problem and where it stands.
 type Finding struct {
-	// Place says where: file, line and key; row and column; JSON pointer.
-	Place string `json:"place"`
+	// Location says where: file, line and key; row and column; JSON pointer.
+	Location string `json:"place"`
 	// Problem says what is wrong, in words a person can act on.
 	Problem string `json:"problem"`
 }
 
 // String gives the place, a colon and the problem.
-func (f Finding) String() string { return f.Place + ": " + f.Problem }
+func (f Finding) String() string { return f.Location + ": " + f.Problem }
 
 // Findings is a list of findings in the order they were made. The zero value
 // is empty and ready to use.
@@ -34,7 +34,7 @@
 
 // Add appends a finding. The problem is formatted as by fmt.Sprintf.
 func (f *Findings) Add(place, problem string, args ...any) {
-	*f = append(*f, Finding{Place: place, Problem: fmt.Sprintf(problem, args...)})
+	*f = append(*f, Finding{Location: place, Problem: fmt.Sprintf(problem, args...)})
 }
 
 // Err gives the findings as one error, or nil when there are none.
--- a/cmd_admin_test.go
+++ b/cmd_admin_test.go
@@ -21,8 +21,8 @@
 	"jacinthworks/domain"
 	"jacinthworks/editor"
 	"jacinthworks/infra"
-	"jacinthworks/story"
 	"jacinthworks/table"
+	"jacinthworks/trace"
 )
 
 const operatorToken = "operator-token-asha"
@@ -55,16 +55,16 @@
 		{Host: "side-1", Zone: "howrah", Role: domain.RoleApp, Service: "marketplace-app", State: admin.HostDraining, InFlight: 2}}}, nil
 }
 
-func (entryHost) Story(_ context.Context, id domain.RequestID) (story.Account, error) {
+func (entryHost) Trace(_ context.Context, id domain.RequestID) (trace.Trace, error) {
 	if id != "entry-1.1.7" {
-		return story.Account{}, admin.ErrNoStory
+		return trace.Trace{}, admin.ErrNoTrace
 	}
-	return story.Account{Request: id, State: story.StateRefused, Ran: domain.NotRun, Reason: domain.ReasonNoRoom}, nil
+	return trace.Trace{Request: id, State: trace.StateRefused, Ran: domain.NotRun, Reason: domain.ReasonNoRoom}, nil
 }
 
 func (entryHost) Drain(_ context.Context, host domain.Host, _ string) error {
 	if host != "side-1" {
-		return admin.ErrNoHost
+		return admin.ErrUnknownHost
 	}
 	return nil
 }
@@ -83,11 +83,11 @@
 	text, err := first.Encode()
 	require.NoError(t, err)
 	var h table.Holder
-	h.Offer(first, time.Now())
+	h.Update(first, time.Now())
 	s := admin.Server{
 		Operators: []conf.Operator{{Name: "asha", Token: operatorToken, Teams: []string{"appraisal"}}},
 		Tables:    &h, Editor: &editor.Editor{Objects: &oneObject{version: 1, value: text}, Holder: &h},
-		Status: entryHost{}, Stories: entryHost{}, Drains: entryHost{},
+		Status: entryHost{}, Traces: entryHost{}, Drainer: entryHost{},
 	}
 	return s.Handler()
 }
--- a/cmd_direct.go
+++ b/cmd_direct.go
@@ -22,7 +22,7 @@
 	if done {
 		return code
 	}
-	lines := &spool.Writer{To: out}
+	lines := &spool.Writer{Output: out}
 	go lines.Run()
 	defer lines.Close()
 	store := &platform.Store{Base: d.Platform}
--- a/cmd_load.go
+++ b/cmd_load.go
@@ -71,9 +71,9 @@
 func (a loadArgs) plan() (load.Plan, error) {
 	p := load.Plan{
 		Entries: a.Entry, Rate: a.Rate, Count: a.Count, Duration: a.Duration, Grace: a.Grace,
-		InFlight: a.InFlight, Seed: a.Seed, Honour: a.Honour, Work: a.mix(),
+		MaxInFlight: a.InFlight, Seed: a.Seed, RetryShare: a.Honour, Classes: a.mix(),
 	}
-	if len(p.Work) == 0 {
+	if len(p.Classes) == 0 {
 		return p, errors.New("nothing to send: give --service, --plain or both")
 	}
 	p.Token = os.Getenv("JACINTHWORKS_CALLER_TOKEN")
@@ -91,13 +91,13 @@
 }
 
 // mix gives the sorts of work asked for; one alone has the whole share.
-func (a loadArgs) mix() []load.Work {
-	completions := load.Work{
-		Share: 1 - a.PlainShare, Service: a.Service, Kind: a.Kind, PromptTokens: a.PromptTokens,
+func (a loadArgs) mix() []load.RequestClass {
+	completions := load.RequestClass{
+		Weight: 1 - a.PlainShare, Service: a.Service, Kind: a.Kind, PromptTokens: a.PromptTokens,
 		MaxTokens: max(a.MaxTokens, 1), FirstToken: a.FirstToken, TokenGap: a.TokenGap,
 	}
-	plain := load.Work{
-		Share: a.PlainShare, Service: a.Plain, Kind: a.PlainKind, Method: strings.ToUpper(a.PlainMethod),
+	plain := load.RequestClass{
+		Weight: a.PlainShare, Service: a.Plain, Kind: a.PlainKind, Method: strings.ToUpper(a.PlainMethod),
 		Path: a.PlainPath, FirstToken: a.PlainTarget,
 	}
 	if plain.Method == "" {
@@ -107,11 +107,11 @@
 	case a.Service == "" && a.Plain == "":
 		return nil
 	case a.Plain == "":
-		completions.Share = 1
-		return []load.Work{completions}
+		completions.Weight = 1
+		return []load.RequestClass{completions}
 	case a.Service == "":
-		plain.Share = 1
-		return []load.Work{plain}
+		plain.Weight = 1
+		return []load.RequestClass{plain}
 	}
-	return []load.Work{completions, plain}
+	return []load.RequestClass{completions, plain}
 }
--- a/cmd_status.go
+++ b/cmd_status.go
@@ -39,7 +39,7 @@
 	fmt.Fprintln(w, "HOST\tZONE\tROLE\tSERVICE\tSTATE\tTABLE\tIN FORCE SINCE\tIN FLIGHT\tHEARD")
 	for _, h := range s.Hosts {
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%d\t%s\n", h.Host, h.Zone, h.Role, orDash(string(h.Service)),
-			h.State, versionText(h), timeText(h.Since), h.InFlight, timeText(h.Heard))
+			h.State, versionText(h), timeText(h.Since), h.InFlight, timeText(h.LastSeen))
 	}
 	return w.Flush()
 }
--- a/cmd_story.go
+++ b/cmd_story.go
@@ -22,7 +22,7 @@
 	if done {
 		return code
 	}
-	account, err := c.Story(ctx, a.Request)
+	account, err := c.Trace(ctx, a.Request)
 	if err != nil {
 		return report(err, errs)
 	}
--- a/conf/conf.go
+++ b/conf/conf.go
@@ -142,8 +142,8 @@
 	MaxConnections int
 }
 
-// OrDefaults gives the limits with each zero replaced by its default.
-func (l Limits) OrDefaults() Limits {
+// WithDefaults gives the limits with each zero replaced by its default.
+func (l Limits) WithDefaults() Limits {
 	orDefault(&l.MaxBody, 4<<20)
 	orDefault(&l.HeaderTimeout, 5*time.Second)
 	orDefault(&l.ReadTimeout, 30*time.Second)
@@ -157,23 +157,23 @@
 type Timings struct {
 	// Heartbeat is the time between heartbeats on a connection; default 200ms.
 	Heartbeat time.Duration
-	// SilenceAfter gives up a connection that has been silent; default 800ms,
+	// HeartbeatTimeout gives up a connection that has been silent; default 800ms,
 	// four heartbeats, so that a single lost one blames nobody. It is the
 	// first part of the two seconds in which an engine's memory is freed.
-	SilenceAfter time.Duration
+	HeartbeatTimeout time.Duration
 	// StaleAfter bounds the age of the newest word about the table before a
 	// host takes no new work; default 3s.
 	StaleAfter time.Duration
-	// StopWithin bounds a planned stop; default 30s.
-	StopWithin time.Duration
+	// StopTimeout bounds a planned stop; default 30s.
+	StopTimeout time.Duration
 }
 
-// OrDefaults gives the timings with each zero replaced by its default.
-func (t Timings) OrDefaults() Timings {
+// WithDefaults gives the timings with each zero replaced by its default.
+func (t Timings) WithDefaults() Timings {
 	orDefault(&t.Heartbeat, 200*time.Millisecond)
-	orDefault(&t.SilenceAfter, 800*time.Millisecond)
+	orDefault(&t.HeartbeatTimeout, 800*time.Millisecond)
 	orDefault(&t.StaleAfter, 3*time.Second)
-	orDefault(&t.StopWithin, 30*time.Second)
+	orDefault(&t.StopTimeout, 30*time.Second)
 	return t
 }
 
--- a/conf/conf_test.go
+++ b/conf/conf_test.go
@@ -36,7 +36,7 @@
 	require.Equal(t, domain.Zone("salt-lake"), e.Zone)
 	require.Equal(t, netip.MustParseAddrPort("127.0.0.1:8000"), e.Listen)
 	require.Equal(t, conf.Log{Level: "info", Format: "json"}, e.Log)
-	require.Equal(t, conf.Limits{}.OrDefaults(), e.Limits)
+	require.Equal(t, conf.Limits{}.WithDefaults(), e.Limits)
 	require.Equal(t, 200*time.Millisecond, e.Timings.Heartbeat)
 }
 
@@ -67,7 +67,7 @@
 	require.Equal(t, conf.TLS{CertFile: "c", KeyFile: "k"}, e.TLS)
 	require.Equal(t, int64(100), e.Limits.MaxBody)
 	require.Equal(t, time.Second, e.Limits.WriteTimeout)
-	require.Equal(t, time.Minute, e.Timings.StopWithin)
+	require.Equal(t, time.Minute, e.Timings.StopTimeout)
 	require.Equal(t, []conf.Caller{{Account: "stud", Token: "caller-token-0123"}}, e.Callers)
 	require.Equal(t, []string{"appraisal", "listing"}, e.Operators[0].Teams)
 }
--- a/conf/direct.go
+++ b/conf/direct.go
@@ -49,19 +49,19 @@
 	// Cores is the host's share of a processor: the largest hosts watch the
 	// platform for the others. Default 1.
 	Cores float64
-	// RelayFrom is the number of entries from which few watch the platform for all;
+	// RelayMinEntries is the number of entries from which few watch the platform for all;
 	// default 12.
-	RelayFrom int
+	RelayMinEntries int
 	// Platform is the address of the platform's store.
 	Platform netip.AddrPort
-	// StopWithin bounds a planned stop; default 8s.
-	StopWithin time.Duration
-	// WatchWait is how long a watch at the store waits; default 10s.
-	WatchWait time.Duration
+	// StopTimeout bounds a planned stop; default 8s.
+	StopTimeout time.Duration
+	// WatchTimeout is how long a watch at the store waits; default 10s.
+	WatchTimeout time.Duration
 	// FirstStart says that the whole system starts for the first time, on a store that was
 	// just set up; default false.
-	FirstStart bool
-	Repeats    Repeats
+	FirstStart  bool
+	RetryBudget RetryBudget
 	// Quotas is how far client accounts may go over their quotas: an overage, which is a
 	// part of them, and a slack, in whatever quotas count, in any window. By default
 	// not at all.
@@ -70,16 +70,16 @@
 	Limits Limits
 }
 
-// Repeats bound the sends beyond the first of each request, for all entries
+// RetryBudget bound the sends beyond the first of each request, for all entries
 // together: a part of a service's requests and a fixed number, in every span.
-type Repeats struct {
+type RetryBudget struct {
 	// Ratio is the part; default 0.2.
 	Ratio float64
 	// Fixed is the number, whole or not: it is shared out among the entries;
 	// default 50.
 	Fixed float64
-	// Span is the sliding window; default 10s.
-	Span time.Duration
+	// Window is the sliding window; default 10s.
+	Window time.Duration
 }
 
 // ParseDirect reads the settings of `direct`; file is the name given in
@@ -98,36 +98,36 @@
 // readDirect reads every setting.
 func readDirect(r *reader) Direct {
 	d := Direct{
-		Name:          domain.Host(r.name("name")),
-		Zone:          domain.Zone(r.name("zone")),
-		Listen:        r.listenAddr("listen", true),
-		ReadyListen:   r.listenAddr("ready_listen", true),
-		MetricsListen: r.listenAddr("metrics_listen", false),
-		PeerListen:    r.listenAddr("peer_listen", false),
-		Seeds:         r.addrPorts("seeds"),
-		Cores:         r.number("cores"),
-		RelayFrom:     int(r.integer("relay_from")),
-		Platform:      r.dialAddr("platform"),
-		StopWithin:    r.duration("stop_within"),
-		WatchWait:     r.duration("watch_wait"),
-		FirstStart:    r.boolean("first_start"),
-		Repeats:       r.repeats(),
-		Quotas:        r.quotas(),
-		Log:           r.log(),
-		Limits:        r.limits(),
+		Name:            domain.Host(r.name("name")),
+		Zone:            domain.Zone(r.name("zone")),
+		Listen:          r.listenAddr("listen", true),
+		ReadyListen:     r.listenAddr("ready_listen", true),
+		MetricsListen:   r.listenAddr("metrics_listen", false),
+		PeerListen:      r.listenAddr("peer_listen", false),
+		Seeds:           r.addrPorts("seeds"),
+		Cores:           r.number("cores"),
+		RelayMinEntries: int(r.integer("relay_from")),
+		Platform:        r.dialAddr("platform"),
+		StopTimeout:     r.duration("stop_within"),
+		WatchTimeout:    r.duration("watch_wait"),
+		FirstStart:      r.boolean("first_start"),
+		RetryBudget:     r.repeats(),
+		Quotas:          r.quotas(),
+		Log:             r.log(),
+		Limits:          r.limits(),
 	}
 	orDefault(&d.Cores, 1)
-	orDefault(&d.StopWithin, 8*time.Second)
-	orDefault(&d.WatchWait, 10*time.Second)
+	orDefault(&d.StopTimeout, 8*time.Second)
+	orDefault(&d.WatchTimeout, 10*time.Second)
 	return d
 }
 
-func (r *reader) repeats() Repeats {
+func (r *reader) repeats() RetryBudget {
 	r.table("repeats")
-	p := Repeats{Ratio: r.number("repeats.ratio"), Fixed: r.number("repeats.fixed"), Span: r.duration("repeats.span")}
+	p := RetryBudget{Ratio: r.number("repeats.ratio"), Fixed: r.number("repeats.fixed"), Window: r.duration("repeats.span")}
 	orDefault(&p.Ratio, 0.2)
 	orDefault(&p.Fixed, 50)
-	orDefault(&p.Span, 10*time.Second)
+	orDefault(&p.Window, 10*time.Second)
 	return p
 }
 
--- a/conf/parse.go
+++ b/conf/parse.go
@@ -110,20 +110,20 @@
 		WriteTimeout:   r.duration("limits.write_timeout"),
 		IdleTimeout:    r.duration("limits.idle_timeout"),
 		MaxConnections: int(r.integer("limits.max_connections")),
-	}.OrDefaults()
+	}.WithDefaults()
 }
 
 func (r *reader) timings() Timings {
 	r.table("timings")
 	t := Timings{
-		Heartbeat:    r.duration("timings.heartbeat"),
-		SilenceAfter: r.duration("timings.silence_after"),
-		StaleAfter:   r.duration("timings.stale_after"),
-		StopWithin:   r.duration("timings.stop_within"),
-	}.OrDefaults()
-	if t.SilenceAfter < 2*t.Heartbeat {
+		Heartbeat:        r.duration("timings.heartbeat"),
+		HeartbeatTimeout: r.duration("timings.silence_after"),
+		StaleAfter:       r.duration("timings.stale_after"),
+		StopTimeout:      r.duration("timings.stop_within"),
+	}.WithDefaults()
+	if t.HeartbeatTimeout < 2*t.Heartbeat {
 		r.add("timings.silence_after", "%s is under two heartbeats of %s: one lost heartbeat would end a connection",
-			t.SilenceAfter, t.Heartbeat)
+			t.HeartbeatTimeout, t.Heartbeat)
 	}
 	if t.StaleAfter < 2*t.Heartbeat {
 		r.add("timings.stale_after", "%s is under two heartbeats of %s: one lost heartbeat would stop new work",
--- a/direct/room.go
+++ b/direct/allocation.go
@@ -122,7 +122,7 @@
 // reports whether there is an engine at all.
 func (s *Server) tryEngines(ctx context.Context, r *request, role domain.Role, late bool) (found *allocation, any bool) {
 	load := route.Request{
-		SkipRecentlyFull: true, Units: 1, Tokens: r.expectedTokens(), Typical: route.RequestSize{Tokens: r.expectedTokens()},
+		SkipExcluded: true, Units: 1, Tokens: r.expectedTokens(), Typical: route.RequestSize{Tokens: r.expectedTokens()},
 		MemoryPressureCost: fullEngineCost, FailureCost: r.failCost(), CrossZoneCost: crossZoneStageCost,
 	}
 	for n := 0; n < route.MaxEnginesPerSearch && ctx.Err() == nil; n++ {
@@ -201,7 +201,7 @@
 		s.Log.Info("reservation failed", "request", r.id, "upstream", u.Server().ID, "err", err, "took", time.Since(started))
 		return ""
 	case reservation == "":
-		u.Stats.HoldOff(time.Now().Add(s.fullBackoff()))
+		u.Stats.ExcludeUntil(time.Now().Add(s.fullBackoff()))
 		s.queues.For(r.service.Name).RecordFull(time.Now())
 		s.Log.Debug("engine has no memory to reserve", "request", r.id, "upstream", u.Server().ID, "took", time.Since(started))
 	}
--- a/direct/stated.go
+++ b/direct/announcement.go
@@ -22,7 +22,7 @@
 	}
 	stated := u.Stats.Announcement()
 	before := stated.BackoffLeft(now)
-	if u.Stats.BackOff(now, n.Backoff) {
+	if u.Stats.RequestBackoff(now, n.Backoff) {
 		s.Log.Info("upstream requested a backoff", "request", id, "upstream", m.ID, "service", m.Service, "pause", n.Backoff, "before", before)
 		s.Meter.Inc("jacinthworks_upstream_stated_total", meter.Labels{"service", string(m.Service), "what", "backoff"})
 	}
--- a/direct/attempt.go
+++ b/direct/attempt.go
@@ -84,7 +84,7 @@
 		if a.info.Reservation != "" || a.info.Stage == StagePrefill {
 			a.upstream.Stats.RecordRefusal(time.Now())
 		} else {
-			a.upstream.Stats.HoldOff(time.Now().Add(s.fullBackoff()))
+			a.upstream.Stats.ExcludeUntil(time.Now().Add(s.fullBackoff()))
 		}
 		return nil, s.finishFailed(r, a, &failure{ran: domain.NotRun, reason: domain.ReasonNoRoom, detail: "the upstream refused unrun"})
 	}
--- a/direct/budget.go
+++ b/direct/budget.go
@@ -29,8 +29,8 @@
 // retryTerms returns the bounds on retries in this process: the ratio and the time span of
 // the whole fleet, and this entry's share of the fixed number.
 func (s *Server) retryTerms() retry.WindowConfig {
-	p := s.liveSettings.Load().Repeats
-	return retry.WindowConfig{Ratio: p.Ratio, Fixed: p.Fixed / float64(s.members.count(time.Now())) * fixedRetryPart, Span: p.Span}
+	p := s.liveSettings.Load().RetryBudget
+	return retry.WindowConfig{Ratio: p.Ratio, Fixed: p.Fixed / float64(s.members.count(time.Now())) * fixedRetryPart, Span: p.Window}
 }
 
 // fixedRetryPart is the part of the fixed number of retries that is shared out among the
--- a/direct/direct.go
+++ b/direct/direct.go
@@ -77,7 +77,7 @@
 	// liveSettings are the settings that may change while the process runs.
 	liveSettings  atomic.Pointer[conf.Direct]
 	config        paths.Holder
-	roster        roster.Roster
+	roster        roster.Directory
 	crashes       retry.Crashes[roster.InstanceKey, *request]
 	retryBudgets  retryBudgets
 	queues        search.Queues
@@ -208,14 +208,14 @@
 	if s.Meter == nil {
 		s.Meter = &meter.Registry{}
 	}
-	s.Settings.Limits = s.Settings.Limits.OrDefaults()
+	s.Settings.Limits = s.Settings.Limits.WithDefaults()
 	s.roster.Log = s.Log
-	s.peers.fleet.Self, s.peers.fleet.MinMembers = s.Settings.Name, s.Settings.RelayFrom
+	s.peers.fleet.Self, s.peers.fleet.MinMembers = s.Settings.Name, s.Settings.RelayMinEntries
 	s.peers.fleet.Bootstrap = s.Settings.FirstStart
 	s.drainStarted, s.rolesLeaseFreed, s.configured = make(chan struct{}), make(chan struct{}, 1), make(chan struct{})
 	s.recordLost, s.discovered = make(chan struct{}, 1), make(chan struct{})
-	s.quotas.shared.Since = time.Now()
-	s.quotas.isolated.Since = s.quotas.shared.Since.Add(-isolatedQuotaAccrual)
+	s.quotas.shared.Start = time.Now()
+	s.quotas.isolated.Start = s.quotas.shared.Start.Add(-isolatedQuotaAccrual)
 	live := s.Settings
 	s.liveSettings.Store(&live)
 }
@@ -250,7 +250,7 @@
 // configFeed returns the feed of the configuration.
 func (s *Server) configFeed() *feed.Feed[*paths.Config] {
 	return &feed.Feed[*paths.Config]{
-		Name: feedConfigs, Source: relaySource(s, feedConfigs, s.Configs, &s.peers.configs), Log: s.Log, Wait: s.Settings.WatchWait,
+		Name: feedConfigs, Source: relaySource(s, feedConfigs, s.Configs, &s.peers.configs), Log: s.Log, Wait: s.Settings.WatchTimeout,
 		BatchDelay: s.batchDelay, OnRestore: s.onStoreRestored,
 		OnList: func(now time.Time, all []feed.Item[*paths.Config]) {
 			for _, c := range feed.Values(all) {
@@ -284,7 +284,7 @@
 // serverFeed returns the feed of the registry of upstreams.
 func (s *Server) serverFeed() *feed.Feed[roster.Server] {
 	return &feed.Feed[roster.Server]{
-		Name: feedUpstreams, Source: relaySource(s, feedUpstreams, s.Upstreams, &s.peers.upstreams), Log: s.Log, Wait: s.Settings.WatchWait,
+		Name: feedUpstreams, Source: relaySource(s, feedUpstreams, s.Upstreams, &s.peers.upstreams), Log: s.Log, Wait: s.Settings.WatchTimeout,
 		StaleStart: true, BatchDelay: s.batchDelay,
 		OnList: s.roster.SetAll, OnChange: s.roster.Apply, OnDisconnect: s.roster.RegistryLost, OnReconnect: s.roster.RegistryRecovered, OnRestore: s.roster.RegistryRestored,
 	}
--- a/direct/limit.go
+++ b/direct/limit.go
@@ -193,9 +193,9 @@
 		return a, k.name()
 	}
 	now := time.Now()
-	reachability := pacer.Reachability{Members: 1, Reached: 1}
+	reachability := pacer.Reachability{Probed: 1, Reached: 1}
 	if s.Members != nil {
-		reachability.Members = s.members.count(now)
+		reachability.Probed = s.members.count(now)
 	}
 	return applyLimitRequest(&s.limits.isolated, now, call, reachability), "alone"
 }
@@ -206,7 +206,7 @@
 // serveLimit answers a call for an upstream whose rate limit this entry owns.
 func (s *Server) serveLimit(call limitRequest) limitResponse {
 	now, key := time.Now(), call.Start.Key()
-	s.ownerProber.Use(now, limitKey(key))
+	s.ownerProber.MarkUsed(now, limitKey(key))
 	a := applyLimitRequest(&s.limits.shared, now, call, s.reachability(now, limitKey(key)))
 	if observation, due := s.limits.shared.NextBroadcast(now, key); due {
 		update := limitUpdate{Start: call.Start, Stated: observation.Age(now), Sender: s.Settings.Name}
@@ -280,7 +280,7 @@
 	now := time.Now()
 	for _, other := range s.roster.Upstreams(r.service.Name) {
 		m := other.Server()
-		if other != u && other.Eligibility(now).Eligible() && !r.excluded[m.Key()] && !other.Stats.Candidate(now).RecentlyFull {
+		if other != u && other.Eligibility(now).Eligible() && !r.excluded[m.Key()] && !other.Stats.Candidate(now).Excluded {
 			return 0
 		}
 	}
--- a/direct/fleet_test.go
+++ b/direct/members_test.go
@@ -17,7 +17,7 @@
 // allowed retries under faults.
 func TestRetryTermsShareTheFixedNumberAmongAllEntries(t *testing.T) {
 	var s Server
-	s.liveSettings.Store(&conf.Direct{Repeats: conf.Repeats{Ratio: 0.2, Fixed: 88, Span: 10 * time.Second}})
+	s.liveSettings.Store(&conf.Direct{RetryBudget: conf.RetryBudget{Ratio: 0.2, Fixed: 88, Window: 10 * time.Second}})
 	require.LessOrEqual(t, s.retryTerms().Fixed, 88.0/minMembersAssumed, "before the records are read")
 	now := time.Now()
 	var all []feed.Item[Member]
--- a/direct/notice.go
+++ b/direct/notice.go
@@ -36,7 +36,7 @@
 // noticeFeed returns the feed of the notices of all entries.
 func (s *Server) noticeFeed() *feed.Feed[Notice] {
 	return &feed.Feed[Notice]{
-		Name: feedNotices, Source: relaySource(s, feedNotices, s.Notices, &s.peers.notices), Log: s.Log, Wait: s.Settings.WatchWait,
+		Name: feedNotices, Source: relaySource(s, feedNotices, s.Notices, &s.peers.notices), Log: s.Log, Wait: s.Settings.WatchTimeout,
 		OnList: func(now time.Time, all []feed.Item[Notice]) {
 			for _, n := range feed.Values(all) {
 				s.recordOrders(n)
@@ -73,7 +73,7 @@
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	old, err := s.Records.Get(ctx, name)
-	if err != nil && !errors.Is(err, infra.ErrMissing) {
+	if err != nil && !errors.Is(err, infra.ErrNotFound) {
 		return err
 	}
 	_, err = s.Records.Put(ctx, name, value, old.Version)
--- a/direct/peers.go
+++ b/direct/peers.go
@@ -37,7 +37,7 @@
 	if !s.Settings.PeerListen.IsValid() {
 		return direct
 	}
-	return relay.Source[T]{Name: name, Direct: direct, Hub: replica, Fleet: &s.peers.fleet, Log: s.Log}
+	return relay.Source[T]{Name: name, Origin: direct, Replica: replica, Fleet: &s.peers.fleet, Log: s.Log}
 }
 
 // listenPeers opens the listener for the other entries; nil if the settings have none.
--- a/direct/prefill.go
+++ b/direct/prefill.go
@@ -63,7 +63,7 @@
 		charged = true
 		load := route.Request{
 			Units: r.info.PromptTokens, Tokens: r.info.PromptTokens, Typical: route.RequestSize{Units: r.info.PromptTokens, Tokens: r.info.PromptTokens},
-			FailureCost: r.targetLatency(), CrossZoneCost: crossZoneStageCost, SkipRecentlyFull: true,
+			FailureCost: r.targetLatency(), CrossZoneCost: crossZoneStageCost, SkipExcluded: true,
 			// A failed prefill in effect costs a retry: without a retry left, the prompt
 			// goes only to an engine that answered lately.
 			OnlyResponsive: !s.retryBudgets.window(r.service.Name).Available(time.Now(), s.retryTerms()),
@@ -109,7 +109,7 @@
 		}
 		n++
 		if r.prefills == 1 {
-			s.retryBudgets.window(r.service.Name).Record(time.Now(), s.retryTerms())
+			s.retryBudgets.window(r.service.Name).RecordRetry(time.Now(), s.retryTerms())
 		}
 	}
 	return nil
--- a/direct/item.go
+++ b/direct/queue_item.go
@@ -20,7 +20,7 @@
 // retries would take the places of new requests, which would then be late as well, and the
 // lateness would outlast the burst.
 func queueItem(l *search.Queue, r *request) (i queue.Item, until time.Time, late bool) {
-	firstEventLatency := l.TimeToFirstEvent()
+	firstEventLatency := l.FirstEventLatency()
 	i = queue.Item{
 		ID: r.id, Account: r.account, Priority: queue.PriorityCount - 1 - r.priority(),
 		PromptTokens: r.info.PromptTokens, MaxOutputTokens: r.expectedTokens() - r.info.PromptTokens,
--- a/direct/quota_test.go
+++ b/direct/quota_test.go
@@ -22,7 +22,7 @@
 		s := &Server{}
 		s.liveSettings.Store(&conf.Direct{Quotas: quota.Tolerance{Window: 8 * time.Second, Fraction: 0.1, FixedExcess: 140_000}})
 		now := time.Now()
-		s.quotas.shared.Since = now.Add(-time.Hour)
+		s.quotas.shared.Start = now.Add(-time.Hour)
 		for range 200 {
 			if s.applyQuota(now, a, quotaRequest{Account: a.Name, Cost: 5600}, first).Granted {
 				granted += 5600
--- a/direct/register.go
+++ b/direct/register.go
@@ -132,11 +132,11 @@
 	}
 	// The version is known from the last write. At the start there is usually no record.
 	err := s.putMember(ctx, heartbeat)
-	if !errors.Is(err, infra.ErrConflict) && !errors.Is(err, infra.ErrMissing) {
+	if !errors.Is(err, infra.ErrConflict) && !errors.Is(err, infra.ErrNotFound) {
 		return err
 	}
 	old, err := s.Records.Get(ctx, memberPrefix+string(s.Settings.Name))
-	if err != nil && !errors.Is(err, infra.ErrMissing) {
+	if err != nil && !errors.Is(err, infra.ErrNotFound) {
 		return err
 	}
 	var before Member
--- a/direct/reload.go
+++ b/direct/reload.go
@@ -40,7 +40,7 @@
 		s.Log.Warn("settings not reloaded, the previous ones stay in force", "err", err)
 		return
 	}
-	d.Limits = d.Limits.OrDefaults()
+	d.Limits = d.Limits.WithDefaults()
 	old := s.liveSettings.Load()
 	changed := !reflect.DeepEqual(d, *old)
 	if !asked && !changed {
@@ -52,7 +52,7 @@
 
 // needsRestart reports whether settings changed that are read only at the start.
 func needsRestart(old, fresh conf.Direct) bool {
-	fresh.Repeats, fresh.Quotas, fresh.StopWithin, fresh.FirstStart = old.Repeats, old.Quotas, old.StopWithin, old.FirstStart
+	fresh.RetryBudget, fresh.Quotas, fresh.StopTimeout, fresh.FirstStart = old.RetryBudget, old.Quotas, old.StopTimeout, old.FirstStart
 	fresh.Seeds = old.Seeds // only asked at a start
 	return !reflect.DeepEqual(old, fresh)
 }
--- a/direct/reload_test.go
+++ b/direct/reload_test.go
@@ -19,7 +19,7 @@
 // nothing.
 func TestReloadAppliesValidSettingsOnSIGHUP(t *testing.T) {
 	reloads := make(chan os.Signal, 1)
-	next := conf.Direct{Repeats: conf.Repeats{Ratio: 0.2, Fixed: 10}}
+	next := conf.Direct{RetryBudget: conf.RetryBudget{Ratio: 0.2, Fixed: 10}}
 	var failure error
 	read := make(chan struct{}, 1)
 	s := &Server{
@@ -34,22 +34,22 @@
 	ended := make(chan error, 1)
 	go func() { ended <- s.reload(ctx) }()
 
-	next.Repeats.Fixed = 20
+	next.RetryBudget.Fixed = 20
 	reloads <- syscall.SIGHUP
 	<-read
-	require.Eventually(t, func() bool { return s.liveSettings.Load().Repeats.Fixed == 20 }, 5*time.Second, time.Millisecond)
-	next.Repeats.Fixed, failure = 30, errors.New("not TOML")
+	require.Eventually(t, func() bool { return s.liveSettings.Load().RetryBudget.Fixed == 20 }, 5*time.Second, time.Millisecond)
+	next.RetryBudget.Fixed, failure = 30, errors.New("not TOML")
 	reloads <- syscall.SIGHUP
 	<-read
 	cancel()
 	require.NoError(t, <-ended)
-	require.EqualValues(t, 20, s.liveSettings.Load().Repeats.Fixed)
+	require.EqualValues(t, 20, s.liveSettings.Load().RetryBudget.Fixed)
 }
 
 func TestNeedsRestartIgnoresLiveSettings(t *testing.T) {
-	old := conf.Direct{Name: "a", StopWithin: time.Second}
+	old := conf.Direct{Name: "a", StopTimeout: time.Second}
 	fresh := old
-	fresh.StopWithin = 2 * time.Second
+	fresh.StopTimeout = 2 * time.Second
 	require.False(t, needsRestart(old, fresh))
 	fresh.Name = "b"
 	require.True(t, needsRestart(old, fresh))
--- a/direct/stop.go
+++ b/direct/stop.go
@@ -24,7 +24,7 @@
 	began := time.Now()
 	s.draining.Store(true)
 	close(s.drainStarted)
-	within := s.liveSettings.Load().StopWithin - stopMargin
+	within := s.liveSettings.Load().StopTimeout - stopMargin
 	s.Log.Info("leaving", "within", within)
 	ctx, cancel := context.WithDeadline(context.Background(), began.Add(within))
 	defer cancel()
--- a/editor/attempt.go
+++ b/editor/attempt.go
@@ -41,9 +41,9 @@
 		return Outcome{}, false
 	}
 	a.floor, a.seen = t.Version(), t.Version()
-	if applied, ok := t.Lookup(a.Edit.ID); ok {
-		if applied.Sum != a.Edit.Sum() || applied.Operator != a.By.Name {
-			return a.refused(ReasonFindings, check.Findings{{Place: "id", Problem: "is that of another edit"}}), true
+	if applied, ok := t.FindEdit(a.Edit.ID); ok {
+		if applied.Checksum != a.Edit.Checksum() || applied.Operator != a.Operator.Name {
+			return a.refused(ReasonFindings, check.Findings{{Location: "id", Problem: "is that of another edit"}}), true
 		}
 		return a.confirmed(ctx, t, asked), true
 	}
@@ -65,7 +65,7 @@
 // it for good. Only a table that remembers all edits since base shows that it
 // wasn't the one that took base's place.
 func (a *attempt) settle(t table.Table) bool {
-	if t.Version() <= a.base || !t.Remembers(a.base) {
+	if t.Version() <= a.base || !t.HistoryCovers(a.base) {
 		return false
 	}
 	a.waiting = false
@@ -74,7 +74,7 @@
 
 // forgotten ends an attempt that no read can settle any more.
 func (a *attempt) forgotten(t table.Table) (Outcome, bool) {
-	if t.Remembers(a.base) {
+	if t.HistoryCovers(a.base) {
 		return Outcome{}, false
 	}
 	return Outcome{State: Unsettled, Version: t.Version(), Detail: fmt.Sprintf(
@@ -86,7 +86,7 @@
 	if a.IfMatch == nil || t.Version() <= *a.IfMatch {
 		return Outcome{}, false
 	}
-	if a.SentBefore && !t.Remembers(*a.IfMatch) {
+	if a.SentBefore && !t.HistoryCovers(*a.IfMatch) {
 		a.base = *a.IfMatch
 		return a.forgotten(t)
 	}
@@ -102,19 +102,19 @@
 
 // write makes the conditional update and reads its answer.
 func (a *attempt) write(ctx context.Context, t table.Table, asked time.Time) (Outcome, bool) {
-	next, err := t.Apply(a.Edit, a.By)
+	next, err := t.Apply(a.Edit, a.Operator)
 	var r *table.Rejection
 	if errors.As(err, &r) {
 		return a.refused(Reason(r.Cause), r.Findings), true
 	}
 	text, err := next.Encode()
 	if err != nil {
-		return a.refused(ReasonFindings, check.Findings{{Place: "table", Problem: err.Error()}}), true
+		return a.refused(ReasonFindings, check.Findings{{Location: "table", Problem: err.Error()}}), true
 	}
 	v, err := a.Objects.Put(ctx, a.object(), text, infra.Version(t.Version()))
 	switch {
 	case err == nil:
-		return a.confirmed(ctx, next.At(table.Version(v)), asked), true
+		return a.confirmed(ctx, next.WithVersion(table.Version(v)), asked), true
 	case errors.Is(err, infra.ErrConflict):
 		a.floor = t.Version() + 1
 	case errors.Is(err, infra.ErrRefused):
--- a/editor/editor.go
+++ b/editor/editor.go
@@ -29,8 +29,8 @@
 	"jacinthworks/table"
 )
 
-// DefaultObject is the name of the platform's object that holds the table.
-const DefaultObject = "table"
+// DefaultObjectName is the name of the platform's object that holds the table.
+const DefaultObjectName = "table"
 
 // The defaults of Editor's times. A read or write takes milliseconds, so the
 // pause makes some tens of tries in the time an operator waits for an answer;
@@ -70,8 +70,8 @@
 
 // Submission is an edit with who sends it.
 type Submission struct {
-	Edit table.Edit
-	By   table.Operator
+	Edit     table.Edit
+	Operator table.Operator
 	// IfMatch is the version that the edit was made for; nil for any. An edit
 	// for any version is applied anew after another operator's was faster.
 	IfMatch *table.Version
@@ -96,39 +96,39 @@
 // Editor writes edits. Objects must be set; the zero value of all else works.
 type Editor struct {
 	Objects infra.Objects
-	// Object is the name of the table's object; default DefaultObject.
-	Object string
+	// ObjectName is the name of the table's object; default DefaultObjectName.
+	ObjectName string
 	// Holder is this host's table; it is offered each table that the platform
 	// confirmed. A read below the version it holds is an old one.
 	Holder *table.Holder
-	// Spread returns once another host holds the table, or with an error. An
+	// Replicate returns once another host holds the table, or with an error. An
 	// edit is accepted only then, so that it outlives this host while the
 	// platform is down. Nil asks no other host.
-	Spread func(ctx context.Context, t table.Table) error
-	// Within bounds the time until an outcome; default 3s.
-	Within time.Duration
-	// Pause is the time between tries; default 100ms.
-	Pause time.Duration
+	Replicate func(ctx context.Context, t table.Table) error
+	// Timeout bounds the time until an outcome; default 3s.
+	Timeout time.Duration
+	// RetryInterval is the time between tries; default 100ms.
+	RetryInterval time.Duration
 }
 
 // Read gives the platform's table at its version; the empty table at version
 // zero when there is none.
 func (e *Editor) Read(ctx context.Context) (table.Table, error) {
 	o, err := e.Objects.Get(ctx, e.object())
-	if errors.Is(err, infra.ErrMissing) {
+	if errors.Is(err, infra.ErrNotFound) {
 		return table.Table{}, nil
 	}
 	if err != nil {
 		return table.Table{}, errors.Wrap(err, "editor: reading the table")
 	}
 	t, err := table.Decode(o.Value)
-	return t.At(table.Version(o.Version)), err
+	return t.WithVersion(table.Version(o.Version)), err
 }
 
 // Submit applies the edit and gives its outcome. It returns within the time
 // set, however the platform fails.
 func (e *Editor) Submit(ctx context.Context, s Submission) Outcome {
-	ctx, cancel := context.WithTimeout(ctx, orDefault(e.Within, defaultWithin))
+	ctx, cancel := context.WithTimeout(ctx, orDefault(e.Timeout, defaultWithin))
 	defer cancel()
 	a := attempt{Editor: e, Submission: s}
 	if e.Holder != nil {
@@ -138,17 +138,17 @@
 		if o, done := a.try(ctx); done {
 			return o
 		}
-		if err := sleep(ctx, orDefault(e.Pause, defaultPause)); err != nil {
+		if err := sleep(ctx, orDefault(e.RetryInterval, defaultPause)); err != nil {
 			return a.outOfTime()
 		}
 	}
 }
 
 func (e *Editor) object() string {
-	if e.Object == "" {
-		return DefaultObject
+	if e.ObjectName == "" {
+		return DefaultObjectName
 	}
-	return e.Object
+	return e.ObjectName
 }
 
 // confirmed takes the table over on this host and on another, and then only
@@ -160,10 +160,10 @@
 // refused any more: without another host it is not settled.
 func (e *Editor) confirmed(ctx context.Context, t table.Table, asked time.Time) Outcome {
 	if e.Holder != nil {
-		e.Holder.Offer(t, asked)
+		e.Holder.Update(t, asked)
 	}
-	if e.Spread != nil {
-		if err := e.Spread(ctx, t); err != nil {
+	if e.Replicate != nil {
+		if err := e.Replicate(ctx, t); err != nil {
 			return Outcome{State: Unsettled, Version: t.Version(),
 				Detail: "the platform holds the edit and no other host has confirmed it, so it comes into force late: " + err.Error()}
 		}
--- a/editor/editor_test.go
+++ b/editor/editor_test.go
@@ -27,8 +27,8 @@
 func (p *platform) times(id table.EditID) int {
 	n := 0
 	for i := 1; i < len(p.history); i++ {
-		_, before := p.history[i-1].Lookup(id)
-		_, after := p.history[i].Lookup(id)
+		_, before := p.history[i-1].FindEdit(id)
+		_, after := p.history[i].FindEdit(id)
 		if after && !before {
 			n++
 		}
@@ -87,9 +87,9 @@
 			synctest.Test(t, func(t *testing.T) {
 				p := newPlatform(c.faults...)
 				// Not a multiple of the pause: nothing ends at the instant of a try.
-				e := Editor{Objects: p, Within: 2950 * time.Millisecond}
+				e := Editor{Objects: p, Timeout: 2950 * time.Millisecond}
 				begin := time.Now()
-				o := e.Submit(t.Context(), Submission{Edit: weightEdit("e-1", "appraisal", "5"), By: asha, IfMatch: c.ifMatch})
+				o := e.Submit(t.Context(), Submission{Edit: weightEdit("e-1", "appraisal", "5"), Operator: asha, IfMatch: c.ifMatch})
 				require.LessOrEqual(t, time.Since(begin), 2950*time.Millisecond)
 				p.pending.Wait()
 				require.Equal(t, c.state, o.State, o.Detail)
@@ -110,8 +110,8 @@
 func TestAnEditSentAgainEntersTheTableOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPlatform(none, late)
-		e := Editor{Objects: p, Within: 500 * time.Millisecond}
-		s := Submission{Edit: weightEdit("e-1", "appraisal", "5"), By: asha}
+		e := Editor{Objects: p, Timeout: 500 * time.Millisecond}
+		s := Submission{Edit: weightEdit("e-1", "appraisal", "5"), Operator: asha}
 		require.Equal(t, Unsettled, e.Submit(t.Context(), s).State)
 		p.pending.Wait()
 		o := e.Submit(t.Context(), s)
@@ -128,7 +128,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		p := newPlatform(repeat(down, none, answerLost)...)
 		e := Editor{Objects: p}
-		s := Submission{Edit: weightEdit("e-1", "appraisal", "5"), By: asha}
+		s := Submission{Edit: weightEdit("e-1", "appraisal", "5"), Operator: asha}
 		require.Equal(t, Unsettled, e.Submit(t.Context(), s).State)
 		s.SentBefore = true
 		require.Equal(t, Unsettled, e.Submit(t.Context(), s).State)
@@ -139,12 +139,12 @@
 func TestAnotherEditUnderTheSameIDIsRefused(t *testing.T) {
 	p := newPlatform()
 	e := Editor{Objects: p}
-	require.Equal(t, Accepted, e.Submit(t.Context(), Submission{Edit: weightEdit("e-1", "appraisal", "5"), By: asha}).State)
-	o := e.Submit(t.Context(), Submission{Edit: weightEdit("e-1", "appraisal", "6"), By: asha})
+	require.Equal(t, Accepted, e.Submit(t.Context(), Submission{Edit: weightEdit("e-1", "appraisal", "5"), Operator: asha}).State)
+	o := e.Submit(t.Context(), Submission{Edit: weightEdit("e-1", "appraisal", "6"), Operator: asha})
 	require.Equal(t, Refused, o.State)
 	require.Equal(t, "id: is that of another edit", o.Findings.Error())
 	ravi := table.Operator{Name: "ravi", Teams: []string{"appraisal"}}
-	o = e.Submit(t.Context(), Submission{Edit: weightEdit("e-1", "appraisal", "5"), By: ravi})
+	o = e.Submit(t.Context(), Submission{Edit: weightEdit("e-1", "appraisal", "5"), Operator: ravi})
 	require.Equal(t, Refused, o.State)
 }
 
@@ -153,7 +153,7 @@
 // nothing; the operator is told so instead of "refused".
 func TestAnEditThatTheTableForgotIsNotCalledRefused(t *testing.T) {
 	p := newPlatform()
-	a := attempt{Editor: &Editor{Objects: p}, Submission: Submission{Edit: weightEdit("e-1", "appraisal", "5"), By: asha},
+	a := attempt{Editor: &Editor{Objects: p}, Submission: Submission{Edit: weightEdit("e-1", "appraisal", "5"), Operator: asha},
 		waiting: true, base: 1}
 	p.otherOperator()
 	for range table.HistoryLimit {
@@ -164,7 +164,7 @@
 	require.Equal(t, Unsettled, o.State)
 	require.Zero(t, p.puts)
 
-	again := Submission{Edit: weightEdit("e-1", "appraisal", "5"), By: asha, IfMatch: version(1), SentBefore: true}
+	again := Submission{Edit: weightEdit("e-1", "appraisal", "5"), Operator: asha, IfMatch: version(1), SentBefore: true}
 	require.Equal(t, Unsettled, (&Editor{Objects: p}).Submit(t.Context(), again).State)
 	again.SentBefore = false
 	require.Equal(t, ReasonStale, (&Editor{Objects: p}).Submit(t.Context(), again).Reason)
@@ -177,14 +177,14 @@
 	p := newPlatform()
 	var here, there table.Holder
 	reachable := false
-	e := Editor{Objects: p, Holder: &here, Spread: func(_ context.Context, tb table.Table) error {
+	e := Editor{Objects: p, Holder: &here, Replicate: func(_ context.Context, tb table.Table) error {
 		if !reachable {
 			return errors.New("no peer answered")
 		}
-		there.Offer(tb, time.Now())
+		there.Update(tb, time.Now())
 		return nil
 	}}
-	s := Submission{Edit: weightEdit("e-1", "appraisal", "5"), By: asha}
+	s := Submission{Edit: weightEdit("e-1", "appraisal", "5"), Operator: asha}
 	o := e.Submit(t.Context(), s)
 	require.Equal(t, Unsettled, o.State)
 	require.Contains(t, o.Detail, "no peer answered")
@@ -199,7 +199,7 @@
 func TestTheFirstEditMakesTheTable(t *testing.T) {
 	p := &platform{history: []table.Table{{}}}
 	e := Editor{Objects: p}
-	o := e.Submit(t.Context(), Submission{By: asha, IfMatch: version(0),
+	o := e.Submit(t.Context(), Submission{Operator: asha, IfMatch: version(0),
 		Edit: table.Edit{ID: "e-1", Changes: []table.Change{table.Add(row("appraisal", "appraisal"))}}})
 	require.Equal(t, Outcome{State: Accepted, Version: 1}, o)
 	now, err := e.Read(t.Context())
@@ -209,10 +209,10 @@
 
 func TestRejectionsBecomeRefusals(t *testing.T) {
 	e := Editor{Objects: newPlatform()}
-	o := e.Submit(t.Context(), Submission{Edit: weightEdit("e-1", "enquiry", "5"), By: asha})
+	o := e.Submit(t.Context(), Submission{Edit: weightEdit("e-1", "enquiry", "5"), Operator: asha})
 	require.Equal(t, ReasonForbidden, o.Reason)
 	require.Len(t, o.Findings, 1)
-	o = e.Submit(t.Context(), Submission{Edit: weightEdit("e-1", "appraisal", "-5"), By: asha})
+	o = e.Submit(t.Context(), Submission{Edit: weightEdit("e-1", "appraisal", "-5"), Operator: asha})
 	require.Equal(t, ReasonFindings, o.Reason)
 }
 
@@ -225,9 +225,9 @@
 		var h table.Holder
 		e := Editor{Objects: p, Holder: &h}
 		add := table.Edit{ID: "e-1", Changes: []table.Change{table.Add(row("blurb", "appraisal"))}}
-		require.Equal(t, Accepted, e.Submit(t.Context(), Submission{Edit: add, By: asha}).State)
+		require.Equal(t, Accepted, e.Submit(t.Context(), Submission{Edit: add, Operator: asha}).State)
 		p.faults = []fault{oldRead}
-		o := e.Submit(t.Context(), Submission{Edit: weightEdit("e-2", "blurb", "3"), By: asha})
+		o := e.Submit(t.Context(), Submission{Edit: weightEdit("e-2", "blurb", "3"), Operator: asha})
 		require.Equal(t, Accepted, o.State, o.Findings)
 	})
 }
--- a/editor/fake_test.go
+++ b/editor/fake_test.go
@@ -78,10 +78,10 @@
 		t = p.history[max(0, len(p.history)-2)]
 	}
 	if t.Version() == 0 {
-		return infra.Object{}, infra.ErrMissing
+		return infra.Object{}, infra.ErrNotFound
 	}
 	text, err := t.Encode()
-	return infra.Object{Name: DefaultObject, Version: infra.Version(t.Version()), Value: text}, err
+	return infra.Object{Name: DefaultObjectName, Version: infra.Version(t.Version()), Value: text}, err
 }
 
 func (p *platform) Put(_ context.Context, _ string, value []byte, at infra.Version) (infra.Version, error) {
@@ -119,7 +119,7 @@
 	if err != nil {
 		return 0, err
 	}
-	p.history = append(p.history, t.At(table.Version(at)+1))
+	p.history = append(p.history, t.WithVersion(table.Version(at)+1))
 	return at + 1, nil
 }
 
@@ -129,6 +129,6 @@
 	id := table.EditID(fmt.Sprintf("other-%d", now.Version()))
 	t, err := now.Apply(weightEdit(id, "enquiry", "2"), table.Operator{Name: "ravi", Teams: []string{"listing"}})
 	if err == nil {
-		p.history = append(p.history, t.At(now.Version()+1))
+		p.history = append(p.history, t.WithVersion(now.Version()+1))
 	}
 }
--- a/editor/race_test.go
+++ b/editor/race_test.go
@@ -72,7 +72,7 @@
 	for i := range s.edits {
 		weight := 100*len(s.name) + i
 		id := table.EditID(fmt.Sprintf("%s-%d", s.name, i))
-		sub := Submission{Edit: weightEdit(id, "appraisal", table.Value(fmt.Sprint(weight))), By: by}
+		sub := Submission{Edit: weightEdit(id, "appraisal", table.Value(fmt.Sprint(weight))), Operator: by}
 		o := e.Submit(context.Background(), sub)
 		if o.State == Unsettled {
 			sub.SentBefore = true
--- a/engine/http_test.go
+++ b/engine/http_test.go
@@ -20,7 +20,7 @@
 	"jacinthworks/fakes/serve"
 )
 
-var fast = model.Settings{PrefillRate: 1e6, TokenGap: time.Millisecond, LinkRate: 1e7, ReportLag: -1, Life: time.Minute}
+var fast = model.Settings{PrefillRate: 1e6, TokenGap: time.Millisecond, LinkRate: 1e7, ReportLag: -1, KVLifetime: time.Minute}
 
 const silence = 100 * time.Millisecond
 
@@ -36,7 +36,7 @@
 func startEngine(t *testing.T, e *model.Engine) *engine.HTTPModel {
 	t.Helper()
 	s := serveHTTP(t, e)
-	e.Crashed = s.Crash
+	e.OnCrash = s.Crash
 	return &engine.HTTPModel{Base: s.Addr(), PrefillTimeout: 10 * time.Second, TokenTimeout: 10 * time.Second}
 }
 
@@ -65,7 +65,7 @@
 		return nil
 	})
 	require.NoError(t, err)
-	require.Equal(t, model.Answer("pedigree", 6), text.String())
+	require.Equal(t, model.Completion("pedigree", 6), text.String())
 	state, err := m.State(t.Context())
 	require.NoError(t, err)
 	require.Zero(t, state.UsedTokens)
@@ -78,10 +78,10 @@
 	nothing := func(engine.Token) error { return nil }
 	ctx := t.Context()
 
-	e.Misbehave(model.Fault{Refuse: true})
+	e.SetFault(model.Fault{Refuse: true})
 	_, err := m.Prefill(ctx, prefill("x"))
 	require.ErrorIs(t, err, engine.ErrNotStarted, "its own word")
-	e.Misbehave(model.Fault{})
+	e.SetFault(model.Fault{})
 
 	err = m.Decode(ctx, decode(engine.KV{Engine: m.Base, Handle: "none", Tokens: 400}), nothing)
 	require.ErrorIs(t, err, engine.ErrEvicted)
@@ -91,7 +91,7 @@
 	require.ErrorIs(t, err, engine.ErrFenced)
 	require.NoError(t, m.Cancel(ctx, "never-seen"))
 
-	e.Misbehave(model.Fault{LoseAnswers: 1})
+	e.SetFault(model.Fault{LoseAnswers: 1})
 	_, err = m.Prefill(ctx, prefill("x"))
 	require.ErrorIs(t, err, engine.ErrCrashed)
 	require.Len(t, e.Runs(), 2, "the prefill ran, once, beside the decode that found no cache")
@@ -107,7 +107,7 @@
 		return last.Outcome == model.Done && last.Tokens == 6
 	}, 10*time.Second, time.Millisecond, "a reader that has gone cancels nothing")
 
-	e.Misbehave(model.Fault{Frozen: true})
+	e.SetFault(model.Fault{Frozen: true})
 	frozen := &engine.HTTPModel{Base: m.Base, PrefillTimeout: silence, TokenTimeout: silence}
 	_, err = frozen.Prefill(ctx, prefill("x"))
 	require.ErrorIs(t, err, engine.ErrTimeout, "it may run yet")
@@ -117,7 +117,7 @@
 	_, err = m.State(short)
 	require.ErrorIs(t, err, context.DeadlineExceeded)
 	require.NotErrorIs(t, err, engine.ErrCrashed, "a caller that gives up is no death")
-	e.Misbehave(model.Fault{})
+	e.SetFault(model.Fault{})
 }
 
 // Story: a request crashes each engine that runs it. Whoever sent it must see
@@ -130,9 +130,9 @@
 			e := &model.Engine{Settings: fast}
 			e.DownTime = time.Hour // until it is started again below
 			s := serveHTTP(t, e)
-			e.Crashed = s.Crash
+			e.OnCrash = s.Crash
 			m := &engine.HTTPModel{Base: s.Addr()}
-			before := e.Now().Incarnation
+			before := e.CurrentState().Incarnation
 			tokens := 0
 			kv, err := m.Prefill(t.Context(), prefill(marker))
 			if err == nil {
@@ -176,7 +176,7 @@
 func TestAppPassesACallOnce(t *testing.T) {
 	a := &apps.App{DownTime: time.Hour}
 	s := serveHTTP(t, a)
-	a.Crashed = s.Crash
+	a.OnCrash = s.Crash
 	m := &engine.HTTPAppServer{Base: s.Addr(), ReadTimeout: 10 * time.Second}
 	call := func(key, body string) (engine.Response, error) {
 		return m.Do(t.Context(), engine.Call{
@@ -190,28 +190,28 @@
 	require.Contains(t, string(answer.Body), apps.Echo(http.MethodPost, "/enquiries?lot=17", []byte("hello")))
 	require.Equal(t, domain.RequestID("entry-1.1.7"), a.Report().Runs[0].Request)
 
-	a.Misbehave(apps.Fault{LoseAnswers: 1})
+	a.SetFault(apps.Fault{LoseAnswers: 1})
 	_, err = call("lost", "hello")
 	require.ErrorIs(t, err, engine.ErrCrashed)
 	require.Equal(t, 1, a.Report().Keys["lost"], "it ran, and only once")
 
-	a.Misbehave(apps.Fault{Refuse: true})
+	a.SetFault(apps.Fault{Refuse: true})
 	_, err = call("refused", "hello")
 	require.ErrorIs(t, err, engine.ErrNotStarted)
 	require.Zero(t, a.Report().Keys["refused"])
 
-	a.Misbehave(apps.Fault{Fail: true})
+	a.SetFault(apps.Fault{Fail: true})
 	answer, err = call("failed", "hello")
 	require.NoError(t, err, "a server's own 500 is an answer")
 	require.Equal(t, http.StatusInternalServerError, answer.Status)
 
-	a.Misbehave(apps.Fault{Frozen: true})
+	a.SetFault(apps.Fault{Frozen: true})
 	frozen := &engine.HTTPAppServer{Base: s.Addr(), ReadTimeout: silence}
 	_, err = frozen.Do(t.Context(), engine.Call{Method: http.MethodGet, Path: "/cards/1"})
 	require.ErrorIs(t, err, engine.ErrTimeout)
 
-	a.Misbehave(apps.Fault{})
-	_, err = call("crash", apps.Crash)
+	a.SetFault(apps.Fault{})
+	_, err = call("crash", apps.CrashMarker)
 	require.ErrorIs(t, err, engine.ErrCrashed)
 	require.Equal(t, 1, a.Report().Keys["crash"])
 	_, err = call("down", "hello")
--- a/entry/admin.go
+++ b/entry/admin.go
@@ -25,8 +25,8 @@
 // adminHandler serves operators, and metrics.
 func (e *Entry) adminHandler() http.Handler {
 	s := admin.Server{
-		Operators: e.Settings.Operators, Tables: &e.tables, Status: e, Stories: e, Drains: e, Orders: e, Log: e.Log,
-		Editor:  &editor.Editor{Objects: e.Objects, Holder: &e.tables, Spread: e.spread},
+		Operators: e.Settings.Operators, Tables: &e.tables, Status: e, Traces: e, Drainer: e, Orderer: e, Log: e.Log,
+		Editor:  &editor.Editor{Objects: e.Objects, Holder: &e.tables, Replicate: e.spread},
 		MaxBody: e.Settings.Limits.MaxBody,
 	}
 	m := http.NewServeMux()
@@ -82,7 +82,7 @@
 func hostStatus(s wire.State, heard time.Time) admin.HostStatus {
 	h := admin.HostStatus{
 		Host: s.Host, Zone: s.Zone, Role: "entry", State: admin.HostServing,
-		Version: table.Version(s.Version), Since: s.Since, InFlight: s.InFlight, Heard: heard,
+		Version: table.Version(s.Version), Since: s.Since, InFlight: s.InFlight, LastSeen: heard,
 	}
 	switch {
 	case s.Draining:
@@ -103,7 +103,7 @@
 		e.work.Go(ctx, "status", func(ctx context.Context) error {
 			var s wire.State
 			if err := l.Call(ctx, wire.MethodState, struct{}{}, &s); err != nil {
-				answers <- admin.HostStatus{Host: l.Member.Host, Zone: l.Member.Zone, Role: "entry", State: admin.HostSilent}
+				answers <- admin.HostStatus{Host: l.Member.Host, Zone: l.Member.Zone, Role: "entry", State: admin.HostUnreachable}
 				return err
 			}
 			answers <- hostStatus(s, time.Now())
@@ -119,7 +119,7 @@
 
 func sideStatus(l *peers.Link) admin.HostStatus {
 	h := admin.HostStatus{
-		Host: l.Member.Host, Zone: l.Member.Zone, Role: l.Member.Role, Service: l.Member.Service, State: admin.HostSilent,
+		Host: l.Member.Host, Zone: l.Member.Zone, Role: l.Member.Role, Service: l.Member.Service, State: admin.HostUnreachable,
 	}
 	p := l.Peer()
 	if p == nil {
@@ -129,7 +129,7 @@
 	if !heard {
 		return h
 	}
-	h.State, h.Heard = admin.HostServing, b.NotBefore
+	h.State, h.LastSeen = admin.HostServing, b.NotBefore
 	if b.Draining || l.Leaving.Load() {
 		h.State = admin.HostDraining
 	}
@@ -151,25 +151,25 @@
 		l = e.entries.Find(host)
 	}
 	if l == nil {
-		return admin.ErrNoHost
+		return admin.ErrUnknownHost
 	}
 	return errors.Wrapf(l.Call(ctx, wire.MethodDrain, struct{}{}, nil), "entry: drain %s", host)
 }
 
 // SendOrder passes an order to the side of an engine whose service the operator's
 // teams have rows of.
-func (e *Entry) SendOrder(ctx context.Context, o admin.OrderRequest, by table.Operator) (admin.OrderGiven, error) {
+func (e *Entry) SendOrder(ctx context.Context, o admin.OrderRequest, by table.Operator) (admin.OrderReply, error) {
 	l := e.sides.Find(o.Host)
 	if l == nil {
-		return admin.OrderGiven{}, admin.ErrNoHost
+		return admin.OrderReply{}, admin.ErrUnknownHost
 	}
 	owns := func(r table.Row) bool { return r.Service == l.Member.Service && slices.Contains(by.Teams, r.Team) }
 	if !slices.ContainsFunc(e.tables.Table().Rows(), owns) {
-		return admin.OrderGiven{}, admin.ErrNotYours
+		return admin.OrderReply{}, admin.ErrNotTeamMember
 	}
 	var given wire.OrderReply
-	err := l.Call(ctx, wire.MethodOrder, wire.Order{Kind: o.Kind, Value: o.Value, By: by.Name, Within: admin.DefaultOrderWithin}, &given)
-	return admin.OrderGiven{OrderRequest: o, Fence: given.Fence}, errors.Wrapf(err, "entry: order to %s", o.Host)
+	err := l.Call(ctx, wire.MethodOrder, wire.Order{Kind: o.Kind, Value: o.Value, By: by.Name, Within: admin.DefaultOrderTimeout}, &given)
+	return admin.OrderReply{OrderRequest: o, Fence: given.Fence}, errors.Wrapf(err, "entry: order to %s", o.Host)
 }
 
 // secure wraps a listener in TLS where the settings give a certificate.
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -28,8 +28,8 @@
 	"jacinthworks/member"
 	"jacinthworks/peers"
 	"jacinthworks/retry"
-	"jacinthworks/story"
 	"jacinthworks/table"
+	"jacinthworks/trace"
 	"jacinthworks/wire"
 )
 
@@ -48,7 +48,7 @@
 	incarnation domain.Incarnation
 	accounts    accounts
 	numbers     atomic.Uint64
-	recorder    story.Recorder
+	recorder    trace.Recorder
 	streams     streams
 	sides       peers.Directory
 	entries     peers.Directory
@@ -148,8 +148,8 @@
 	if e.Log == nil {
 		e.Log = hclog.NewNullLogger()
 	}
-	e.Settings.Limits = e.Settings.Limits.OrDefaults()
-	e.Settings.Timings = e.Settings.Timings.OrDefaults()
+	e.Settings.Limits = e.Settings.Limits.WithDefaults()
+	e.Settings.Timings = e.Settings.Timings.WithDefaults()
 	e.started = time.Now()
 	e.rates.begin(e.started)
 	e.incarnation = domain.NewIncarnation()
@@ -160,7 +160,7 @@
 		HandleNotification: e.notice,
 		OnClose:            func(p *wire.Peer) { e.schedulers.of(p.RemoteHello().Service).shut(p.RemoteHello().Host) },
 		HeartbeatInterval:  e.Settings.Timings.Heartbeat,
-		HeartbeatTimeout:   e.Settings.Timings.SilenceAfter,
+		HeartbeatTimeout:   e.Settings.Timings.HeartbeatTimeout,
 	}
 	e.entries.Local = e.entryLocal()
 	e.sides.OnRemoved = func(m member.Member) { e.schedulers.of(m.Service).remove(m.Host) }
@@ -217,7 +217,7 @@
 // ends what is in progress, bounded by stop_within.
 func (e *Entry) drain(s *http.Server) {
 	e.leaving.Store(true)
-	within := e.Settings.Timings.StopWithin
+	within := e.Settings.Timings.StopTimeout
 	e.Log.Info("leaving", "within", within)
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
--- a/entry/http.go
+++ b/entry/http.go
@@ -10,7 +10,7 @@
 	"jacinthworks/domain"
 	"jacinthworks/inject"
 	"jacinthworks/retry"
-	"jacinthworks/story"
+	"jacinthworks/trace"
 )
 
 // The headers of the callers' interface.
@@ -194,7 +194,7 @@
 	deadline(w, e.Settings.Limits.WriteTimeout)
 	w.WriteHeader(r.answer.Status)
 	if _, err := w.Write(r.answer.Body); err != nil {
-		e.tell(r, story.Event{Kind: story.CallerGone, Detail: err.Error()})
+		e.tell(r, trace.Event{Kind: trace.CallerGone, Detail: err.Error()})
 	}
 	e.FaultHook.Reach(inject.EntryAnswered)
 	e.answered(r)
--- a/entry/keys.go
+++ b/entry/keys.go
@@ -9,7 +9,7 @@
 	"jacinthworks/group"
 	"jacinthworks/infra"
 	"jacinthworks/peers"
-	"jacinthworks/story"
+	"jacinthworks/trace"
 	"jacinthworks/wire"
 )
 
@@ -66,7 +66,7 @@
 			// dispatched under it, and nothing will be: the next try is
 			// another one, and this one is settled below when it shows.
 		case got.Grant != nil:
-			e.tell(r, story.Event{Kind: story.Claimed, Upstream: runner.Member.Host, Detail: "granted at epoch " + got.Grant.Token.Epoch.String()})
+			e.tell(r, trace.Event{Kind: trace.Claimed, Upstream: runner.Member.Host, Detail: "granted at epoch " + got.Grant.Token.Epoch.String()})
 			return &claim.Dispatch{Token: got.Grant.Token, Try: got.Grant.Try, Body: claim.Body(r.body), To: got.Grant.Runner}, nil
 		case got.Refusal != nil:
 			f, again := e.claimRefused(ctx, r, got.Refusal)
@@ -77,7 +77,7 @@
 		}
 		group.Sleep(ctx, claimPoll)
 	}
-	e.tell(r, story.Event{Kind: story.Claimed, Detail: "not granted: " + last.detail})
+	e.tell(r, trace.Event{Kind: trace.Claimed, Detail: "not granted: " + last.detail})
 	return nil, last
 }
 
@@ -136,7 +136,7 @@
 	if found.State == claim.StateGranted || found.State == 0 {
 		return false
 	}
-	e.tell(r, story.Event{Kind: story.Claimed, Upstream: runner.Member.Host, Detail: "earlier send " + string(refused.Try.Request) + " is settled: " + found.State.String()})
+	e.tell(r, trace.Event{Kind: trace.Claimed, Upstream: runner.Member.Host, Detail: "earlier send " + string(refused.Try.Request) + " is settled: " + found.State.String()})
 	owner := e.ownerOf(r)
 	if owner == nil || owner.Call(try, wire.MethodResolve, found, nil) != nil {
 		return false
@@ -149,7 +149,7 @@
 	if own, found := e.recorder.Get(id); found {
 		return own.Open
 	}
-	parts, err := story.ParseID(id)
+	parts, err := trace.ParseID(id)
 	if err != nil {
 		return false
 	}
@@ -160,8 +160,8 @@
 		}
 		try, cancel := context.WithTimeout(ctx, callWithin)
 		defer cancel()
-		var s story.Story
-		if l.Call(try, wire.MethodStory, wire.StoryAsk{Request: id}, &s) != nil {
+		var s trace.Span
+		if l.Call(try, wire.MethodTrace, wire.TraceRequest{Request: id}, &s) != nil {
 			return true // it lives and does not say: its request may be open
 		}
 		return s.Open
--- a/entry/model.go
+++ b/entry/model.go
@@ -13,7 +13,7 @@
 	"jacinthworks/group"
 	"jacinthworks/inject"
 	"jacinthworks/peers"
-	"jacinthworks/story"
+	"jacinthworks/trace"
 	"jacinthworks/wire"
 )
 
@@ -109,7 +109,7 @@
 	if out.Reason != "" || out.KV == nil {
 		return engine.KV{}, failed(out)
 	}
-	e.tell(r, story.Event{Kind: story.PrefillDone, Upstream: p.prefill.Member.Host, Tokens: r.promptTokens})
+	e.tell(r, trace.Event{Kind: trace.PrefillDone, Upstream: p.prefill.Member.Host, Tokens: r.promptTokens})
 	return *out.KV, nil
 }
 
@@ -174,7 +174,7 @@
 	}
 	if r.tokens == 0 {
 		r.firstToken = time.Now()
-		e.tell(r, story.Event{Kind: story.FirstToken})
+		e.tell(r, trace.Event{Kind: trace.FirstToken})
 	}
 	r.tokens += len(fresh)
 	return errors.Wrap(to.put(fresh), "entry: caller")
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -44,7 +44,7 @@
 	case wire.MethodDrain:
 		e.leaving.Store(true)
 		return struct{}{}, nil
-	case wire.MethodStory:
+	case wire.MethodTrace:
 		return wire.Decode(params, e.giveStory)
 	case wire.MethodRate:
 		return wire.Decode(params, e.giveRate)
@@ -53,7 +53,7 @@
 }
 
 // giveStory gives the stories that this entry itself has in memory.
-func (e *Entry) giveStory(a wire.StoryAsk) (any, error) {
+func (e *Entry) giveStory(a wire.TraceRequest) (any, error) {
 	s, found := e.recorder.Get(a.Request)
 	if !found {
 		return nil, &wire.RefusalError{Reason: domain.ReasonBadInput, Ran: domain.Unknown, Detail: "nothing is known here of the request"}
--- a/entry/rates.go
+++ b/entry/rates.go
@@ -33,7 +33,7 @@
 func (r *rates) begin(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.all.Since = now
+	r.all.Start = now
 }
 
 // count counts a request for all entries.
--- a/entry/request.go
+++ b/entry/request.go
@@ -13,8 +13,8 @@
 	"jacinthworks/group"
 	"jacinthworks/peers"
 	"jacinthworks/retry"
-	"jacinthworks/story"
 	"jacinthworks/table"
+	"jacinthworks/trace"
 	"jacinthworks/wire"
 )
 
@@ -71,7 +71,7 @@
 }
 
 func (e *Entry) nextID() domain.RequestID {
-	return story.ID{Entry: e.Settings.Name, Incarnation: e.incarnation, Number: e.numbers.Add(1)}.RequestID()
+	return trace.ID{Entry: e.Settings.Name, Incarnation: e.incarnation, Number: e.numbers.Add(1)}.RequestID()
 }
 
 // hashOf identifies a body.
@@ -88,16 +88,16 @@
 // accept opens the request's story.
 func (e *Entry) accept(r *request) {
 	e.retries.Budget.Accepted()
-	e.recorder.Record(story.Event{
-		Kind: story.Accepted, Time: r.accepted, Host: e.Settings.Name, Request: r.id,
+	e.recorder.Record(trace.Event{
+		Kind: trace.Accepted, Time: r.accepted, Host: e.Settings.Name, Request: r.id,
 		Service: r.service, RequestKind: r.kind, Caller: r.account, Idempotent: r.row.Idempotent, Tokens: r.promptTokens,
 	})
 }
 
 // tell adds an event to the request's story.
-func (e *Entry) tell(r *request, v story.Event) {
+func (e *Entry) tell(r *request, v trace.Event) {
 	v.Time, v.Host, v.Request = time.Now(), e.Settings.Name, r.id
-	if v.Attempt == 0 && v.Kind != story.Queued {
+	if v.Attempt == 0 && v.Kind != trace.Queued {
 		v.Attempt = r.attempt
 	}
 	e.recorder.Record(v)
@@ -105,14 +105,14 @@
 
 // answered ends the request's story with its answer.
 func (e *Entry) answered(r *request) {
-	e.tell(r, story.Event{Kind: story.Answered, Ran: domain.DidRun, Tokens: r.tokens})
+	e.tell(r, trace.Event{Kind: trace.Answered, Ran: domain.DidRun, Tokens: r.tokens})
 	e.Log.Info("answered", "request", r.id, "kind", r.kind, "account", r.account,
 		"attempts", r.attempt, "tokens", r.tokens, "took", time.Since(r.accepted))
 }
 
 // refusal ends the request's story with a refusal, and gives it.
 func (e *Entry) refusal(r *request, f *failure) *domain.Refusal {
-	e.tell(r, story.Event{Kind: story.Refused, Ran: f.ran, Reason: f.reason, Detail: f.detail, Tokens: r.tokens})
+	e.tell(r, trace.Event{Kind: trace.Refused, Ran: f.ran, Reason: f.reason, Detail: f.detail, Tokens: r.tokens})
 	e.Log.Info("refused", "request", r.id, "kind", r.kind, "account", r.account,
 		"attempts", r.attempt, "reason", f.reason, "ran", f.ran, "took", time.Since(r.accepted))
 	return &domain.Refusal{RequestID: r.id, Reason: f.reason, Ran: f.ran, Detail: f.detail, RetryAfter: f.retryAfter, Findings: f.findings}
@@ -144,7 +144,7 @@
 		if f == nil {
 			return nil
 		}
-		e.tell(r, story.Event{Kind: story.AttemptEnded, Ran: f.ran, Reason: f.reason, Detail: f.detail})
+		e.tell(r, trace.Event{Kind: trace.AttemptEnded, Ran: f.ran, Reason: f.reason, Detail: f.detail})
 		// An earlier attempt may have run although the last one did not.
 		worst = worst.Merge(f.ran)
 		if r.prefilled {
--- a/entry/stories.go
+++ b/entry/stories.go
@@ -10,7 +10,7 @@
 	"jacinthworks/domain"
 	"jacinthworks/group"
 	"jacinthworks/infra"
-	"jacinthworks/story"
+	"jacinthworks/trace"
 	"jacinthworks/wire"
 )
 
@@ -33,8 +33,8 @@
 // writeStories packs closed stories and writes them to the platform, through
 // its outages, until the context ends; then it writes what is left.
 func (e *Entry) writeStories(ctx context.Context) error {
-	p := story.Packer{Host: e.Settings.Name, Incarnation: e.incarnation}
-	var o story.Outbox
+	p := trace.Packer{Host: e.Settings.Name, Incarnation: e.incarnation}
+	var o trace.Outbox
 	var last time.Time
 	for ctx.Err() == nil {
 		group.Sleep(ctx, flushPoll)
@@ -60,11 +60,11 @@
 		if ctx.Err() != nil {
 			return nil
 		}
-		names, err := e.Objects.List(ctx, story.Prefix+string(e.Settings.Name)+".")
+		names, err := e.Objects.List(ctx, trace.Prefix+string(e.Settings.Name)+".")
 		if err != nil {
 			continue
 		}
-		for _, name := range story.Expired(names, time.Now(), storiesKept) {
+		for _, name := range trace.ExpiredSegments(names, time.Now(), storiesKept) {
 			if o, err := e.Objects.Get(ctx, name); err == nil {
 				_ = e.Objects.Delete(ctx, name, o.Version) // the next round finds it again
 			}
@@ -73,8 +73,8 @@
 	}
 }
 
-func (e *Entry) pack(p *story.Packer, o *story.Outbox, now time.Time) {
-	segments, err := p.Pack(now, e.recorder.Take())
+func (e *Entry) pack(p *trace.Packer, o *trace.Outbox, now time.Time) {
+	segments, err := p.Pack(now, e.recorder.TakePending())
 	if err != nil {
 		e.Log.Error("stories left out", "err", err)
 	}
@@ -84,9 +84,9 @@
 // flush writes what waits, oldest first. A segment's name is used once, so a
 // write whose answer was lost is simply made again, and a conflict says that
 // it took effect.
-func (e *Entry) flush(ctx context.Context, o *story.Outbox) {
+func (e *Entry) flush(ctx context.Context, o *trace.Outbox) {
 	for ctx.Err() == nil {
-		s, found := o.Next()
+		s, found := o.Oldest()
 		if !found {
 			return
 		}
@@ -96,41 +96,41 @@
 		if err != nil && !errors.Is(err, infra.ErrConflict) {
 			return
 		}
-		o.Done(s.Name)
+		o.Remove(s.Name)
 	}
 }
 
-// Story gathers the halves of a request's story from this entry, the one that
+// Trace gathers the halves of a request's story from this entry, the one that
 // accepted it, the sides, and the platform.
-func (e *Entry) Story(ctx context.Context, id domain.RequestID) (story.Account, error) {
-	parts, err := story.ParseID(id)
+func (e *Entry) Trace(ctx context.Context, id domain.RequestID) (trace.Trace, error) {
+	parts, err := trace.ParseID(id)
 	if err != nil {
-		return story.Account{}, admin.ErrNoStory
+		return trace.Trace{}, admin.ErrNoTrace
 	}
 	ctx, cancel := context.WithTimeout(ctx, storyWithin)
 	defer cancel()
 	halves := e.askStories(ctx, id)
 	halves = append(halves, e.readStories(ctx, parts)...)
 	if len(halves) == 0 {
-		return story.Account{}, admin.ErrNoStory
+		return trace.Trace{}, admin.ErrNoTrace
 	}
-	return story.Merge(id, halves...), nil
+	return trace.Merge(id, halves...), nil
 }
 
 // askStories asks every process that is connected for what it has in memory.
-func (e *Entry) askStories(ctx context.Context, id domain.RequestID) []story.Story {
-	var halves []story.Story
+func (e *Entry) askStories(ctx context.Context, id domain.RequestID) []trace.Span {
+	var halves []trace.Span
 	if own, found := e.recorder.Get(id); found {
 		halves = append(halves, own)
 	}
 	ctx, cancel := context.WithTimeout(ctx, callWithin)
 	defer cancel()
 	asked := append(e.sides.Connected(), e.entries.Connected()...)
-	answers := make(chan *story.Story, len(asked))
+	answers := make(chan *trace.Span, len(asked))
 	for _, l := range asked {
 		e.work.Go(ctx, "story", func(ctx context.Context) error {
-			var s story.Story
-			if l.Call(ctx, wire.MethodStory, wire.StoryAsk{Request: id}, &s) != nil {
+			var s trace.Span
+			if l.Call(ctx, wire.MethodTrace, wire.TraceRequest{Request: id}, &s) != nil {
 				answers <- nil
 				return nil
 			}
@@ -147,20 +147,20 @@
 }
 
 // readStories reads the segments that may hold the request.
-func (e *Entry) readStories(ctx context.Context, id story.ID) []story.Story {
-	var halves []story.Story
-	for _, prefix := range []string{story.EntryPrefix(id), story.Prefix} {
+func (e *Entry) readStories(ctx context.Context, id trace.ID) []trace.Span {
+	var halves []trace.Span
+	for _, prefix := range []string{trace.EntryPrefix(id), trace.Prefix} {
 		names, err := e.Objects.List(ctx, prefix)
 		if err != nil {
 			e.Log.Warn("stories cannot be listed", "err", err)
 			return halves
 		}
-		for _, name := range story.Find(names, id) {
+		for _, name := range trace.FindSegments(names, id) {
 			o, err := e.Objects.Get(ctx, name)
 			if err != nil {
 				continue
 			}
-			all, damage := story.Unpack(o.Value)
+			all, damage := trace.Unpack(o.Value)
 			if len(damage) > 0 {
 				e.Log.Warn("segment is damaged", "name", name, "findings", damage)
 			}
@@ -170,7 +170,7 @@
 				}
 			}
 		}
-		if len(halves) > 0 && prefix != story.Prefix {
+		if len(halves) > 0 && prefix != trace.Prefix {
 			return halves // the entry's own half: the sides that matter answered
 		}
 	}
--- a/entry/tables.go
+++ b/entry/tables.go
@@ -54,7 +54,7 @@
 func (e *Entry) watchTable(ctx context.Context) error {
 	for ctx.Err() == nil {
 		asked := time.Now()
-		o, err := e.Objects.Watch(ctx, editor.DefaultObject, infra.Version(e.tables.Version()), watchWait)
+		o, err := e.Objects.Watch(ctx, editor.DefaultObjectName, infra.Version(e.tables.Version()), watchWait)
 		if err == nil {
 			err = e.takeObject(o, asked)
 		}
@@ -70,12 +70,12 @@
 	if err != nil {
 		return errors.Wrap(err, "entry: table")
 	}
-	e.offer(t.At(table.Version(o.Version)), asked, "platform")
+	e.offer(t.WithVersion(table.Version(o.Version)), asked, "platform")
 	return nil
 }
 
 func (e *Entry) offer(t table.Table, asked time.Time, from domain.Host) {
-	if e.tables.Offer(t, asked) {
+	if e.tables.Update(t, asked) {
 		e.Log.Info("table in force", "version", t.Version(), "rows", t.Len(), "from", from)
 	}
 }
@@ -115,9 +115,9 @@
 		if err != nil {
 			return false
 		}
-		e.offer(t.At(table.Version(got.Version)), asked, s.Member.Host)
+		e.offer(t.WithVersion(table.Version(got.Version)), asked, s.Member.Host)
 	}
-	e.tables.Hear(table.Version(got.Version), asked)
+	e.tables.Confirm(table.Version(got.Version), asked)
 	return true
 }
 
@@ -127,10 +127,10 @@
 	defer cancel()
 	asked := time.Now()
 	have := infra.Version(e.tables.Version())
-	o, err := e.Objects.Watch(ctx, editor.DefaultObject, have, 0)
+	o, err := e.Objects.Watch(ctx, editor.DefaultObjectName, have, 0)
 	switch {
 	case errors.Is(err, infra.ErrUnchanged):
-		e.tables.Hear(table.Version(have), asked)
+		e.tables.Confirm(table.Version(have), asked)
 	case err == nil:
 		_ = e.takeObject(o, asked)
 	}
@@ -157,7 +157,7 @@
 	if err != nil {
 		return nil, &wire.RefusalError{Reason: domain.ReasonBadInput, Ran: domain.NotRun, Detail: err.Error()}
 	}
-	if e.tables.Push(t.At(table.Version(got.Version))) {
+	if e.tables.UpdatePushed(t.WithVersion(table.Version(got.Version))) {
 		e.Log.Info("table in force", "version", got.Version, "rows", t.Len(), "from", from)
 	}
 	return wire.Table{Version: uint64(e.tables.Version())}, nil
--- a/entry/turn.go
+++ b/entry/turn.go
@@ -12,7 +12,7 @@
 	"jacinthworks/peers"
 	"jacinthworks/queue"
 	"jacinthworks/route"
-	"jacinthworks/story"
+	"jacinthworks/trace"
 	"jacinthworks/wire"
 )
 
@@ -57,7 +57,7 @@
 	t.job.PromptTokens, t.job.MaxOutputTokens = r.promptTokens, r.maxTokens
 	t.job.Prefix, t.job.PrefixTokens = prefixOf(r.prompt), min(r.promptTokens, prefixBytes/bytesPerToken)
 	t.job.KVBytes, t.job.KVLifetime = int64(r.promptTokens)*bytesPerKV, life
-	t.job.FirstTokenTarget, t.job.TokenGap = time.Duration(r.row.FirstToken), time.Duration(r.row.TokenGap)
+	t.job.FirstTokenTarget, t.job.TokenGapTarget = time.Duration(r.row.FirstToken), time.Duration(r.row.TokenGap)
 	t.job.MaxQueueWait, t.job.WastedPrefillWeight = admit.MaxPrefillQueueTime, r.row.WastedPrefillWeight
 	return t
 }
@@ -113,7 +113,7 @@
 	began := time.Now()
 	got := e.schedulers.of(r.service).wait(ctx, t, r.row)
 	if took := time.Since(began); took > tickEvery || got.refused != nil {
-		e.tell(r, story.Event{Kind: story.Queued, Detail: "waited " + took.Round(time.Millisecond).String()})
+		e.tell(r, trace.Event{Kind: trace.Queued, Detail: "waited " + took.Round(time.Millisecond).String()})
 	}
 	if got.refused == nil {
 		return got, nil
@@ -147,7 +147,7 @@
 			last = e.reserve(ctx, r, p.decode)
 		}
 		if last == nil {
-			e.tell(r, story.Event{Kind: story.Reserved, Upstream: p.decode.Member.Host, Tokens: r.promptTokens + r.maxTokens})
+			e.tell(r, trace.Event{Kind: trace.Reserved, Upstream: p.decode.Member.Host, Tokens: r.promptTokens + r.maxTokens})
 			return p, got, nil
 		}
 		s.bounced(t)
@@ -187,14 +187,14 @@
 		"prefills", g.Prefills[:g.PrefillsDrawn], "decodes", g.Decodes[:g.DecodesDrawn],
 		"first_token", g.Chosen.FirstToken, "token_gap", g.Chosen.TokenGap, "kv_wait", g.Chosen.KVWait,
 		"score", g.Chosen.Score, "table", e.tables.Version())
-	grounds := &story.Grounds{Policy: "lowest score of pairs", Considered: g.Pairs, TableVersion: uint64(e.tables.Version())}
+	grounds := &trace.Evaluation{Policy: "lowest score of pairs", Considered: g.Pairs, TableVersion: uint64(e.tables.Version())}
 	for _, p := range g.Prefills[:g.PrefillsDrawn] {
-		grounds.Candidates = append(grounds.Candidates, story.Candidate{Host: p.Host, Cost: p.Queue + p.Prefill, Note: "prefill"})
+		grounds.Candidates = append(grounds.Candidates, trace.Candidate{Host: p.Host, Cost: p.Queue + p.Prefill, Note: "prefill"})
 	}
 	for _, d := range g.Decodes[:g.DecodesDrawn] {
-		grounds.Candidates = append(grounds.Candidates, story.Candidate{Host: d.Host, Cost: d.TokenGap, Note: "decode"})
+		grounds.Candidates = append(grounds.Candidates, trace.Candidate{Host: d.Host, Cost: d.TokenGap, Note: "decode"})
 	}
-	e.tell(r, story.Event{Kind: story.Decided, Upstream: got.pair.Prefill, Decode: got.pair.Decode, Grounds: grounds})
+	e.tell(r, trace.Event{Kind: trace.Decided, Upstream: got.pair.Prefill, Decode: got.pair.Decode, Evaluation: grounds})
 }
 
 // logApp writes the decision's line and its event.
@@ -202,9 +202,9 @@
 	g := got.apps
 	e.Log.Info("decision", "request", r.id, "attempt", r.attempt, "side", got.app, "pool", g.Pool,
 		"unusable", g.Unusable, "considered", g.Considered, "table", e.tables.Version())
-	grounds := &story.Grounds{Policy: "least in flight of two", Considered: len(g.Considered), TableVersion: uint64(e.tables.Version())}
+	grounds := &trace.Evaluation{Policy: "least in flight of two", Considered: len(g.Considered), TableVersion: uint64(e.tables.Version())}
 	for _, c := range g.Considered {
-		grounds.Candidates = append(grounds.Candidates, story.Candidate{Host: c.Host, Note: "in flight"})
+		grounds.Candidates = append(grounds.Candidates, trace.Candidate{Host: c.Host, Note: "in flight"})
 	}
-	e.tell(r, story.Event{Kind: story.Decided, Upstream: got.app, Grounds: grounds})
+	e.tell(r, trace.Event{Kind: trace.Decided, Upstream: got.app, Evaluation: grounds})
 }
--- a/fakes/app.go
+++ b/fakes/app.go
@@ -16,6 +16,6 @@
 }
 
 func (c *appCommand) run(ctx context.Context) int {
-	a := &apps.App{Took: c.Took, DownTime: c.DownTime}
-	return serveUntil(ctx, c.Listen, a, func(s *serve.Server) { a.Crashed = crashed(s, c.ExitOnCrash) })
+	a := &apps.App{CallTime: c.Took, DownTime: c.DownTime}
+	return serveUntil(ctx, c.Listen, a, func(s *serve.Server) { a.OnCrash = crashed(s, c.ExitOnCrash) })
 }
--- a/fakes/apps/apps.go
+++ b/fakes/apps/apps.go
@@ -23,9 +23,9 @@
 	"jacinthworks/fakes/serve"
 )
 
-// Crash is the marker: a call whose path or body contains it crashes the
+// CrashMarker is the marker: a call whose path or body contains it crashes the
 // server, after it was recorded as run.
-const Crash = "[crash]"
+const CrashMarker = "[crash]"
 
 // DefaultDownTime is how long a server refuses connections after a crash.
 const DefaultDownTime = 500 * time.Millisecond
@@ -49,14 +49,14 @@
 // App is the stand-in. The zero value is ready to use; it must not be copied
 // after its first use.
 type App struct {
-	// Took is how long a call runs.
-	Took time.Duration
+	// CallTime is how long a call runs.
+	CallTime time.Duration
 	// DownTime is how long the server refuses connections after a crash; zero
 	// is DefaultDownTime.
 	DownTime time.Duration
-	// Crashed is called after a crash and takes the server off the network
+	// OnCrash is called after a crash and takes the server off the network
 	// for the time given. It may be nil.
-	Crashed func(down time.Duration)
+	OnCrash func(down time.Duration)
 
 	gate serve.Gate
 	once sync.Once
@@ -80,13 +80,13 @@
 	a.life, a.end = context.WithCancel(context.Background())
 	a.mux.HandleFunc("GET /fault", func(w http.ResponseWriter, _ *http.Request) { serve.Write(w, http.StatusOK, a.Fault()) })
 	a.mux.HandleFunc("POST /fault", a.postFault)
-	a.mux.HandleFunc("POST /crash", func(http.ResponseWriter, *http.Request) { a.crash(); serve.Drop() })
+	a.mux.HandleFunc("POST /crash", func(http.ResponseWriter, *http.Request) { a.crash(); serve.AbortConn() })
 	a.mux.HandleFunc("GET /runs", func(w http.ResponseWriter, _ *http.Request) { serve.Write(w, http.StatusOK, a.Report()) })
 	a.mux.HandleFunc("/", a.call)
 }
 
-// Misbehave sets the fault in the place of the one before.
-func (a *App) Misbehave(f Fault) {
+// SetFault sets the fault in the place of the one before.
+func (a *App) SetFault(f Fault) {
 	a.mu.Lock()
 	a.fault = f
 	a.mu.Unlock()
@@ -103,7 +103,7 @@
 func (a *App) postFault(w http.ResponseWriter, r *http.Request) {
 	var f Fault
 	if serve.Read(w, r, &f) {
-		a.Misbehave(f)
+		a.SetFault(f)
 		serve.Write(w, http.StatusOK, f)
 	}
 }
@@ -118,7 +118,7 @@
 	if down <= 0 {
 		down = DefaultDownTime
 	}
-	if a.Crashed != nil {
-		a.Crashed(down)
+	if a.OnCrash != nil {
+		a.OnCrash(down)
 	}
 }
--- a/fakes/apps/calls.go
+++ b/fakes/apps/calls.go
@@ -70,11 +70,11 @@
 func (a *App) call(w http.ResponseWriter, r *http.Request) {
 	life := a.now()
 	if a.gate.Pass(life) != nil {
-		serve.Drop()
+		serve.AbortConn()
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
 	if err != nil {
-		serve.Drop()
+		serve.AbortConn()
 	}
 	f := a.Fault()
 	if f.Refuse {
@@ -83,12 +83,12 @@
 		return
 	}
 	run, count := a.begin(r)
-	if strings.Contains(r.URL.Path, Crash) || strings.Contains(string(body), Crash) {
+	if strings.Contains(r.URL.Path, CrashMarker) || strings.Contains(string(body), CrashMarker) {
 		a.crash()
-		serve.Drop()
+		serve.AbortConn()
 	}
-	if serve.Sleep(life, a.Took+f.Delay) != nil || a.gate.Pass(life) != nil || a.finish(run) {
-		serve.Drop()
+	if serve.Sleep(life, a.CallTime+f.Delay) != nil || a.gate.Pass(life) != nil || a.finish(run) {
+		serve.AbortConn()
 	}
 	if f.Fail {
 		http.Error(w, "told to fail", http.StatusInternalServerError)
--- a/fakes/engine.go
+++ b/fakes/engine.go
@@ -35,10 +35,10 @@
 	e := &model.Engine{Settings: model.Settings{
 		Role: c.Role, Model: c.Model, PrefillRate: c.PrefillRate, PrefixTokens: c.PrefixTokens,
 		Slots: c.Slots, MemoryTokens: c.MemoryTokens, TokenGap: c.TokenGap, BatchCost: c.BatchCost,
-		Life: c.Life, LinkRate: c.LinkRate, EventDelay: c.EventDelay, EventGap: c.EventGap,
+		KVLifetime: c.Life, LinkRate: c.LinkRate, EventDelay: c.EventDelay, EventGap: c.EventGap,
 		ReportLag: c.ReportLag, LoadTime: c.LoadTime, DownTime: c.DownTime, IgnoresFencing: c.IgnoresFencing,
 	}}
-	return serveUntil(ctx, c.Listen, e, func(s *serve.Server) { e.Crashed = crashed(s, c.ExitOnCrash) })
+	return serveUntil(ctx, c.Listen, e, func(s *serve.Server) { e.OnCrash = crashed(s, c.ExitOnCrash) })
 }
 
 // crashed gives what a crash does to the process.
--- a/fakes/main.go
+++ b/fakes/main.go
@@ -71,7 +71,7 @@
 func serveUntil(ctx context.Context, listen netip.AddrPort, h http.Handler, prepare func(*serve.Server)) int {
 	log := hclog.New(&hclog.LoggerOptions{Name: "fakes", Output: os.Stderr})
 	failed := make(chan error, 1)
-	s := serve.Server{Handler: h, Failed: func(err error) { failed <- err }}
+	s := serve.Server{Handler: h, OnListenError: func(err error) { failed <- err }}
 	prepare(&s)
 	addr, err := s.Start(ctx, listen)
 	if err != nil {
--- a/fakes/model/cache.go
+++ b/fakes/model/cache.go
@@ -33,10 +33,10 @@
 	handle := strconv.FormatUint(uint64(m.incarnation), 36) + "-" + strconv.FormatUint(e.handles, 36)
 	m.caches[handle] = &cache{
 		request: o.Request, tokens: o.PromptTokens, seed: Seed(o.Prompt),
-		crash: strings.Contains(o.Prompt, CrashInDecode), until: time.Now().Add(e.Life),
+		crash: strings.Contains(o.Prompt, CrashInDecode), until: time.Now().Add(e.KVLifetime),
 	}
 	e.note()
-	return engine.KV{Handle: handle, Tokens: o.PromptTokens, Life: e.Life}, true
+	return engine.KV{Handle: handle, Tokens: o.PromptTokens, Life: e.KVLifetime}, true
 }
 
 // find gives KV cache that has not been evicted.
@@ -69,7 +69,7 @@
 		n += c.tokens
 	}
 	for r := range e.memory.running {
-		n += r.Held
+		n += r.ReservedTokens
 	}
 	return n
 }
--- a/fakes/model/decode.go
+++ b/fakes/model/decode.go
@@ -30,7 +30,7 @@
 	}
 	m := e.now()
 	ctx, run, problem := e.begin(m, Run{
-		Request: o.Request, Attempt: o.Attempt, Work: domain.RoleDecode, Held: o.KV.Tokens + o.MaxTokens,
+		Request: o.Request, Attempt: o.Attempt, Work: domain.RoleDecode, ReservedTokens: o.KV.Tokens + o.MaxTokens,
 	})
 	if problem != "" {
 		notTaken(w, problem)
@@ -51,7 +51,7 @@
 	s.flush()
 	if err := e.tokens(ctx, m, run, t, o.MaxTokens, &s); err != nil {
 		e.finish(m, run, Cancelled)
-		serve.Drop()
+		serve.AbortConn()
 	}
 }
 
@@ -70,7 +70,7 @@
 		if last && !e.finish(m, run, Done) {
 			return errCancelled
 		}
-		s.write(engine.Token{Offset: i, Text: Word(t.Seed, i), Last: last})
+		s.write(engine.Token{Offset: i, Text: TokenAt(t.Seed, i), Last: last})
 	}
 	return nil
 }
--- a/fakes/model/link.go
+++ b/fakes/model/link.go
@@ -67,10 +67,10 @@
 	for left := c.tokens; left > 0; left -= pieceTokens {
 		tokens := min(left, pieceTokens)
 		if e.pace(r.Context(), e.link.book(tokens, e.LinkRate)) != nil {
-			serve.Drop()
+			serve.AbortConn()
 		}
 		if _, ok := e.find(handle); !ok {
-			serve.Drop()
+			serve.AbortConn()
 		}
 		if _, err := w.Write(make([]byte, tokens*bytesPerToken)); err != nil {
 			return
--- a/fakes/model/model.go
+++ b/fakes/model/model.go
@@ -61,9 +61,9 @@
 // it must not be copied after its first use.
 type Engine struct {
 	Settings
-	// Crashed is called after a crash and takes the engine off the network
+	// OnCrash is called after a crash and takes the engine off the network
 	// for the time given. It may be nil.
-	Crashed func(down time.Duration)
+	OnCrash func(down time.Duration)
 
 	gate serve.Gate
 	once sync.Once
@@ -74,7 +74,7 @@
 	fault  Fault
 	memory *memory
 	runs   []*Run
-	orders []GivenOrder
+	orders []ReceivedOrder
 	fence  uint64
 	// seq counts cache events, handles KV caches, through crashes too.
 	seq     uint64
@@ -91,7 +91,7 @@
 	caches      map[string]*cache
 	prefixes    map[uint64]*prefix
 	events      []event
-	report      serve.Late[engine.State]
+	report      serve.Delayed[engine.State]
 }
 
 // ServeHTTP answers a call.
@@ -108,12 +108,12 @@
 	e.mux.HandleFunc("POST /cancel", e.gated(e.cancel))
 	e.mux.HandleFunc("POST /order", e.gated(e.order))
 	e.mux.HandleFunc("GET /state", e.gated(e.state))
-	e.mux.HandleFunc("GET /now", func(w http.ResponseWriter, _ *http.Request) { serve.Write(w, http.StatusOK, e.Now()) })
+	e.mux.HandleFunc("GET /now", func(w http.ResponseWriter, _ *http.Request) { serve.Write(w, http.StatusOK, e.CurrentState()) })
 	e.mux.HandleFunc("GET /events", e.gated(e.cacheEvents))
 	e.mux.HandleFunc("GET /kv/{handle}", e.gated(e.export))
 	e.mux.HandleFunc("GET /fault", func(w http.ResponseWriter, _ *http.Request) { serve.Write(w, http.StatusOK, e.Fault()) })
 	e.mux.HandleFunc("POST /fault", e.postFault)
-	e.mux.HandleFunc("POST /crash", func(w http.ResponseWriter, _ *http.Request) { e.Crash(); serve.Drop() })
+	e.mux.HandleFunc("POST /crash", func(w http.ResponseWriter, _ *http.Request) { e.Crash(); serve.AbortConn() })
 	e.mux.HandleFunc("GET /runs", func(w http.ResponseWriter, _ *http.Request) { serve.Write(w, http.StatusOK, e.Runs()) })
 	e.mux.HandleFunc("GET /orders", func(w http.ResponseWriter, _ *http.Request) { serve.Write(w, http.StatusOK, e.Orders()) })
 }
@@ -123,14 +123,14 @@
 func (e *Engine) gated(handle http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if e.gate.Pass(e.now().ctx) != nil {
-			serve.Drop()
+			serve.AbortConn()
 		}
 		handle(w, r)
 	}
 }
 
-// Misbehave sets the fault in the place of the one before.
-func (e *Engine) Misbehave(f Fault) {
+// SetFault sets the fault in the place of the one before.
+func (e *Engine) SetFault(f Fault) {
 	e.mu.Lock()
 	e.fault = f
 	e.mu.Unlock()
@@ -147,7 +147,7 @@
 func (e *Engine) postFault(w http.ResponseWriter, r *http.Request) {
 	var f Fault
 	if serve.Read(w, r, &f) {
-		e.Misbehave(f)
+		e.SetFault(f)
 		serve.Write(w, http.StatusOK, f)
 	}
 }
@@ -164,8 +164,8 @@
 	e.forget()
 	e.mu.Unlock()
 	old.end(errCrashed)
-	if e.Crashed != nil {
-		e.Crashed(e.DownTime)
+	if e.OnCrash != nil {
+		e.OnCrash(e.DownTime)
 	}
 }
 
--- a/fakes/model/model_test.go
+++ b/fakes/model/model_test.go
@@ -54,7 +54,7 @@
 		o.Prompt = head + strings.Repeat("b", 250)
 		_, took = prefill(t, e, o)
 		require.Equal(t, 250*time.Millisecond, took, "three quarters are cached")
-		e.Misbehave(Fault{Slow: 4})
+		e.SetFault(Fault{Slow: 4})
 		o.Prefix = 0
 		_, took = prefill(t, e, o)
 		require.Equal(t, 4*time.Second, took)
@@ -69,9 +69,9 @@
 		e := &Engine{Settings: Settings{LinkRate: 1000}}
 		late := engine.PrefillOrder{Request: "late", Prompt: "p", PromptTokens: 10}
 		kv, _ := prefill(t, e, late)
-		require.Equal(t, 10, e.Now().UsedTokens)
+		require.Equal(t, 10, e.CurrentState().UsedTokens)
 		time.Sleep(kv.Life + time.Millisecond)
-		require.Zero(t, e.Now().UsedTokens, "its memory is free again")
+		require.Zero(t, e.CurrentState().UsedTokens, "its memory is free again")
 		w := ask(t, e, http.MethodPost, "/decode", engine.DecodeOrder{Request: "late", KV: kv, MaxTokens: 2})
 		require.Equal(t, http.StatusGone, w.Code)
 
@@ -128,15 +128,15 @@
 		time.Sleep(100 * time.Millisecond)
 		hangUp()
 		time.Sleep(time.Second)
-		require.Equal(t, 300, e.Now().UsedTokens, "100 imported and 200 to come; the prefill's own are evicted")
+		require.Equal(t, 300, e.CurrentState().UsedTokens, "100 imported and 200 to come; the prefill's own are evicted")
 		w := ask(t, e, http.MethodPost, "/prefill", engine.PrefillOrder{Request: "2", Prompt: "p", PromptTokens: 201})
 		require.Equal(t, http.StatusServiceUnavailable, w.Code, "there is no room")
 
-		e.Misbehave(Fault{DropCancels: 1})
+		e.SetFault(Fault{DropCancels: 1})
 		require.Equal(t, http.StatusOK, ask(t, e, http.MethodPost, "/cancel", engine.CancelOrder{Request: "1"}).Code)
-		require.Equal(t, 300, e.Now().UsedTokens, "the cancel was answered and ignored")
+		require.Equal(t, 300, e.CurrentState().UsedTokens, "the cancel was answered and ignored")
 		require.Equal(t, http.StatusOK, ask(t, e, http.MethodPost, "/cancel", engine.CancelOrder{Request: "1"}).Code)
-		require.Zero(t, e.Now().UsedTokens)
+		require.Zero(t, e.CurrentState().UsedTokens)
 		<-ended
 		run := e.Runs()[1]
 		require.Equal(t, Cancelled, run.Outcome)
@@ -196,21 +196,21 @@
 func TestFencingIsHonouredOrIgnored(t *testing.T) {
 	for _, ignores := range []bool{false, true} {
 		e := &Engine{Settings: Settings{IgnoresFencing: ignores}}
-		require.Equal(t, !ignores, e.Now().HonoursFencing)
+		require.Equal(t, !ignores, e.CurrentState().HonoursFencing)
 		ask(t, e, http.MethodPost, "/order", engine.Order{Kind: engine.OrderLoad, Value: "new", Fence: 5})
 		ask(t, e, http.MethodPost, "/order", engine.Order{Kind: engine.OrderLoad, Value: "old", Fence: 4})
 		want := domain.Service("new")
 		if ignores {
 			want = "old"
 		}
-		require.Equal(t, want, e.Now().Model)
+		require.Equal(t, want, e.CurrentState().Model)
 		require.Len(t, e.Orders(), 2, "both are recorded")
-		require.Equal(t, ignores, e.Orders()[1].Obeyed)
+		require.Equal(t, ignores, e.Orders()[1].Executed)
 	}
 }
 
 func TestAnswersDependOnThePrompt(t *testing.T) {
-	require.Equal(t, Answer("a", 4), Answer("a", 4))
-	require.NotEqual(t, Answer("a", 4), Answer("b", 4))
-	require.NotEqual(t, Word(1, 0), Word(1, 1))
+	require.Equal(t, Completion("a", 4), Completion("a", 4))
+	require.NotEqual(t, Completion("a", 4), Completion("b", 4))
+	require.NotEqual(t, TokenAt(1, 0), TokenAt(1, 1))
 }
--- a/fakes/model/orders.go
+++ b/fakes/model/orders.go
@@ -9,18 +9,18 @@
 	"jacinthworks/fakes/serve"
 )
 
-// GivenOrder is an order that the engine was given.
-type GivenOrder struct {
+// ReceivedOrder is an order that the engine was given.
+type ReceivedOrder struct {
 	engine.Order
-	At     time.Time `json:"at"`
-	Obeyed bool      `json:"obeyed"`
+	At       time.Time `json:"at"`
+	Executed bool      `json:"obeyed"`
 }
 
 // Orders gives a copy of all orders so far.
-func (e *Engine) Orders() []GivenOrder {
+func (e *Engine) Orders() []ReceivedOrder {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return append([]GivenOrder{}, e.orders...)
+	return append([]ReceivedOrder{}, e.orders...)
 }
 
 // order obeys unless the fencing number is old. The same number again is
@@ -37,7 +37,7 @@
 		return
 	}
 	if o.Kind == engine.OrderLoad && e.pace(m.ctx, e.LoadTime) != nil {
-		serve.Drop()
+		serve.AbortConn()
 	}
 	serve.Write(w, http.StatusOK, o)
 }
@@ -46,7 +46,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	obeyed := e.IgnoresFencing || o.Fence >= e.fence
-	e.orders = append(e.orders, GivenOrder{Order: o, At: time.Now(), Obeyed: obeyed})
+	e.orders = append(e.orders, ReceivedOrder{Order: o, At: time.Now(), Executed: obeyed})
 	if !obeyed {
 		return false
 	}
--- a/fakes/model/prefill.go
+++ b/fakes/model/prefill.go
@@ -26,7 +26,7 @@
 	}
 	m := e.now()
 	ctx, run, problem := e.begin(m, Run{
-		Request: o.Request, Attempt: o.Attempt, Work: domain.RolePrefill, Held: o.PromptTokens,
+		Request: o.Request, Attempt: o.Attempt, Work: domain.RolePrefill, ReservedTokens: o.PromptTokens,
 	})
 	if problem != "" {
 		notTaken(w, problem)
@@ -39,7 +39,7 @@
 	}
 	kv, ok := e.keep(m, run, o)
 	if !ok || e.losesAnswer() {
-		serve.Drop()
+		serve.AbortConn()
 	}
 	kv.Engine = localAddr(r)
 	serve.Write(w, http.StatusOK, kv)
@@ -85,7 +85,7 @@
 // stopped answers a run that was cancelled, and drops one that crashed.
 func stopped(w http.ResponseWriter, err error) {
 	if errors.Is(err, errCrashed) {
-		serve.Drop()
+		serve.AbortConn()
 	}
 	serve.Write(w, http.StatusConflict, engine.Problem{Code: "cancelled", Detail: err.Error()})
 }
--- a/fakes/model/runs.go
+++ b/fakes/model/runs.go
@@ -29,9 +29,9 @@
 	End   time.Time   `json:"end,omitzero"`
 	// Tokens were computed so far, cached ones left out.
 	Tokens int `json:"tokens"`
-	// Held is the KV memory reserved, in tokens.
-	Held    int     `json:"held"`
-	Outcome Outcome `json:"outcome,omitempty"`
+	// ReservedTokens is the KV memory reserved, in tokens.
+	ReservedTokens int     `json:"held"`
+	Outcome        Outcome `json:"outcome,omitempty"`
 }
 
 func (r *Run) end(o Outcome) {
@@ -65,7 +65,7 @@
 		return nil, nil, "the engine has role " + string(e.Role)
 	case r.Work == domain.RoleDecode && m.decodes() >= e.Slots:
 		return nil, nil, "no slot is free"
-	case e.used()+r.Held > e.MemoryTokens:
+	case e.used()+r.ReservedTokens > e.MemoryTokens:
 		return nil, nil, "KV memory is full"
 	}
 	r.Start = time.Now()
--- a/fakes/model/settings.go
+++ b/fakes/model/settings.go
@@ -25,8 +25,8 @@
 	// BatchCost is what each further decode adds to the gap, as a share of
 	// TokenGap (0.08).
 	BatchCost float64
-	// Life is how long a prefill's KV cache is kept (800 ms).
-	Life time.Duration
+	// KVLifetime is how long a prefill's KV cache is kept (800 ms).
+	KVLifetime time.Duration
 	// LinkRate is what all exports share, in tokens a second (200,000).
 	LinkRate int
 	// EventDelay is how late cache events come (300 ms); every EventGap-th is
@@ -51,7 +51,7 @@
 	fill(&s.MemoryTokens, 120_000)
 	fill(&s.TokenGap, 20*time.Millisecond)
 	fill(&s.BatchCost, 0.08)
-	fill(&s.Life, 800*time.Millisecond)
+	fill(&s.KVLifetime, 800*time.Millisecond)
 	fill(&s.LinkRate, 200_000)
 	fill(&s.EventDelay, 300*time.Millisecond)
 	fill(&s.EventGap, 10)
--- a/fakes/model/state.go
+++ b/fakes/model/state.go
@@ -10,8 +10,8 @@
 	"jacinthworks/fakes/serve"
 )
 
-// Now gives the engine's state without the lag of its report.
-func (e *Engine) Now() engine.State {
+// CurrentState gives the engine's state without the lag of its report.
+func (e *Engine) CurrentState() engine.State {
 	e.once.Do(e.open)
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/fakes/serve/gate.go
+++ b/fakes/serve/gate.go
@@ -59,5 +59,5 @@
 	}
 }
 
-// Drop ends a handler and closes its connection without an answer.
-func Drop() { panic(http.ErrAbortHandler) }
+// AbortConn ends a handler and closes its connection without an answer.
+func AbortConn() { panic(http.ErrAbortHandler) }
--- a/fakes/serve/late.go
+++ b/fakes/serve/late.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Late gives a value as it was some time ago. The zero value gives the zero
+// Delayed gives a value as it was some time ago. The zero value gives the zero
 // value of T until a set is old enough. It does no locking.
-type Late[T any] struct {
+type Delayed[T any] struct {
 	past []dated[T]
 }
 
@@ -14,13 +14,13 @@
 }
 
 // Set records the value from now on.
-func (l *Late[T]) Set(now time.Time, value T) {
+func (l *Delayed[T]) Set(now time.Time, value T) {
 	l.past = append(l.past, dated[T]{at: now, value: value})
 }
 
 // At gives the value as it was at the time; the oldest known where that is
 // later. It forgets what is older than the value given.
-func (l *Late[T]) At(t time.Time) T {
+func (l *Delayed[T]) At(t time.Time) T {
 	var zero T
 	if len(l.past) == 0 {
 		return zero
--- a/fakes/serve/serve.go
+++ b/fakes/serve/serve.go
@@ -30,9 +30,9 @@
 // value with a Handler is ready to use.
 type Server struct {
 	Handler http.Handler
-	// Failed is told when the address could not be had again after a crash.
+	// OnListenError is told when the address could not be had again after a crash.
 	// It may be nil.
-	Failed func(error)
+	OnListenError func(error)
 
 	mu      sync.Mutex
 	ctx     context.Context
@@ -97,8 +97,8 @@
 	if s.stopped || s.current != nil {
 		return
 	}
-	if err := s.listen(s.addr); err != nil && s.Failed != nil {
-		s.Failed(err)
+	if err := s.listen(s.addr); err != nil && s.OnListenError != nil {
+		s.OnListenError(err)
 	}
 }
 
--- a/fakes/serve/serve_test.go
+++ b/fakes/serve/serve_test.go
@@ -48,7 +48,7 @@
 }
 
 func TestLateGivesWhatWas(t *testing.T) {
-	var l Late[string]
+	var l Delayed[string]
 	start := time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC)
 	require.Empty(t, l.At(start))
 	l.Set(start, "a")
--- a/fakes/store/objects.go
+++ b/fakes/store/objects.go
@@ -115,7 +115,7 @@
 	switch {
 	case f.WatchSilent:
 		<-r.Context().Done()
-		serve.Drop()
+		serve.AbortConn()
 	case f.Down:
 		http.Error(w, "the platform is down", http.StatusServiceUnavailable)
 	default:
@@ -139,7 +139,7 @@
 			http.Error(w, "value over the limit", http.StatusRequestEntityTooLarge)
 			return
 		}
-		serve.Drop()
+		serve.AbortConn()
 	}
 	p.write(w, r, &p.counts.Put, &infra.Object{Name: r.PathValue("name"), Value: value})
 }
@@ -180,7 +180,7 @@
 	p.wake()
 	if p.fault.LoseAnswers > 0 {
 		p.fault.LoseAnswers--
-		serve.Drop()
+		serve.AbortConn()
 	}
 	w.Header().Set("ETag", next.now.Version.ETag())
 	w.WriteHeader(http.StatusNoContent)
--- a/fakes/store/store.go
+++ b/fakes/store/store.go
@@ -84,7 +84,7 @@
 	objects       map[string]object
 	changed       chan struct{}
 	hosts         map[domain.Host]infra.ListedHost
-	listed        serve.Late[[]infra.ListedHost]
+	listed        serve.Delayed[[]infra.ListedHost]
 	weights       map[string]infra.WeightsInfo
 }
 
@@ -109,8 +109,8 @@
 	p.mux.HandleFunc("GET /counts", func(w http.ResponseWriter, _ *http.Request) { serve.Write(w, http.StatusOK, p.Counts()) })
 }
 
-// Misbehave sets the fault in the place of the one before.
-func (p *Platform) Misbehave(f Fault) {
+// SetFault sets the fault in the place of the one before.
+func (p *Platform) SetFault(f Fault) {
 	p.mu.Lock()
 	p.fault = f
 	p.wake() // a stale read may have hidden a version from watches
@@ -135,7 +135,7 @@
 func (p *Platform) postFault(w http.ResponseWriter, r *http.Request) {
 	var f Fault
 	if serve.Read(w, r, &f) {
-		p.Misbehave(f)
+		p.SetFault(f)
 		serve.Write(w, http.StatusOK, f)
 	}
 }
@@ -145,12 +145,12 @@
 	return func(w http.ResponseWriter, r *http.Request) {
 		given := context.WithoutCancel(r.Context()) // what was given is done, as by a paused process
 		if serve.Sleep(given, p.Fault().Delay) != nil || p.gate.Pass(given) != nil {
-			serve.Drop()
+			serve.AbortConn()
 		}
 		f := p.Fault()
 		switch {
 		case f.Cut:
-			serve.Drop()
+			serve.AbortConn()
 		case f.Down:
 			http.Error(w, "the platform is down", http.StatusServiceUnavailable)
 		default:
--- a/infra/http.go
+++ b/infra/http.go
@@ -10,23 +10,23 @@
 	"jacinthworks/send"
 )
 
-// Failure is the error of a call to the platform.
-type Failure struct {
+// CallError is the error of a call to the platform.
+type CallError struct {
 	// Call names what was asked.
 	Call string
-	// Class is one of the package's errors.
-	Class error
+	// Kind is one of the package's errors.
+	Kind error
 	// Cause says more.
 	Cause error
 }
 
 // Error gives call, class and cause.
-func (f *Failure) Error() string {
-	return f.Class.Error() + ": " + f.Call + ": " + f.Cause.Error()
+func (f *CallError) Error() string {
+	return f.Kind.Error() + ": " + f.Call + ": " + f.Cause.Error()
 }
 
 // Unwrap gives class and cause.
-func (f *Failure) Unwrap() []error { return []error{f.Class, f.Cause} }
+func (f *CallError) Unwrap() []error { return []error{f.Kind, f.Cause} }
 
 // maxAnswer bounds an answer in bytes. A value is a megabyte at most; a list of
 // names may be longer: at about 100 bytes each, three hundred thousand segments
@@ -52,9 +52,9 @@
 // did nothing, which is as good as its own word; everything else is open.
 func lost(call string, err error) error {
 	if send.StageOf(err) == send.NotSent {
-		return &Failure{Call: call, Class: ErrRefused, Cause: err}
+		return &CallError{Call: call, Kind: ErrRefused, Cause: err}
 	}
-	return &Failure{Call: call, Class: ErrNoReply, Cause: err}
+	return &CallError{Call: call, Kind: ErrNoReply, Cause: err}
 }
 
 // answered sorts an answer by its status. Only the statuses by which the
@@ -68,14 +68,14 @@
 	case http.StatusNotModified:
 		class = ErrUnchanged
 	case http.StatusNotFound:
-		class = ErrMissing
+		class = ErrNotFound
 	case http.StatusPreconditionFailed:
 		class = ErrConflict
 	case http.StatusBadRequest, http.StatusRequestEntityTooLarge, http.StatusPreconditionRequired,
 		http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		class = ErrRefused
 	}
-	return &Failure{Call: call, Class: class, Cause: errors.Errorf("infra: status %d: %.200s", status, value)}
+	return &CallError{Call: call, Kind: class, Cause: errors.Errorf("infra: status %d: %.200s", status, value)}
 }
 
 // read asks for a JSON value.
@@ -85,7 +85,7 @@
 		return err
 	}
 	if err := json.Unmarshal(value, into); err != nil {
-		return &Failure{Call: target, Class: ErrNoReply, Cause: err}
+		return &CallError{Call: target, Kind: ErrNoReply, Cause: err}
 	}
 	return nil
 }
--- a/infra/http_hosts.go
+++ b/infra/http_hosts.go
@@ -14,8 +14,8 @@
 type HTTPHosts struct {
 	// Base is the platform's address.
 	Base netip.AddrPort
-	// Silence is how long an answer may take; zero is send.DefaultReadTimeout.
-	Silence time.Duration
+	// ReadTimeout is how long an answer may take; zero is send.DefaultReadTimeout.
+	ReadTimeout time.Duration
 
 	once   sync.Once
 	client send.Client
@@ -25,7 +25,7 @@
 
 // Hosts gives the list as the platform knows it now.
 func (h *HTTPHosts) Hosts(ctx context.Context) ([]ListedHost, error) {
-	h.once.Do(func() { h.client.Base, h.client.ReadTimeout = h.Base, h.Silence })
+	h.once.Do(func() { h.client.Base, h.client.ReadTimeout = h.Base, h.ReadTimeout })
 	var list []ListedHost
 	err := read(ctx, &h.client, "/hosts", &list)
 	return list, err
--- a/infra/http_objects.go
+++ b/infra/http_objects.go
@@ -21,9 +21,9 @@
 type HTTPObjects struct {
 	// Base is the platform's address.
 	Base netip.AddrPort
-	// Silence is how long an answer may take beyond a watch's wait; zero is
+	// ReadTimeout is how long an answer may take beyond a watch's wait; zero is
 	// send.DefaultReadTimeout.
-	Silence time.Duration
+	ReadTimeout time.Duration
 
 	once   sync.Once
 	client send.Client
@@ -69,7 +69,7 @@
 // Watch waits for a version after the given one.
 func (h *HTTPObjects) Watch(ctx context.Context, name string, after Version, wait time.Duration) (Object, error) {
 	query := url.Values{"after": {strconv.FormatUint(uint64(after), 10)}, "wait": {wait.String()}}
-	silence := h.Silence
+	silence := h.ReadTimeout
 	if silence <= 0 {
 		silence = send.DefaultReadTimeout
 	}
@@ -88,7 +88,7 @@
 }
 
 func (h *HTTPObjects) open() *send.Client {
-	h.once.Do(func() { h.client.Base, h.client.ReadTimeout = h.Base, h.Silence })
+	h.once.Do(func() { h.client.Base, h.client.ReadTimeout = h.Base, h.ReadTimeout })
 	return &h.client
 }
 
@@ -108,7 +108,7 @@
 func versionOf(call string, reply *send.Response) (Version, error) {
 	v, err := ParseETag(reply.Header.Get("ETag"))
 	if err != nil {
-		return 0, &Failure{Call: call, Class: ErrNoReply, Cause: err}
+		return 0, &CallError{Call: call, Kind: ErrNoReply, Cause: err}
 	}
 	return v, nil
 }
--- a/infra/http_test.go
+++ b/infra/http_test.go
@@ -30,7 +30,7 @@
 	var p store.Platform
 	o, ctx := start(t, &p), t.Context()
 	_, err := o.Get(ctx, "lease/side-1")
-	require.ErrorIs(t, err, infra.ErrMissing)
+	require.ErrorIs(t, err, infra.ErrNotFound)
 	first, err := o.Put(ctx, "lease/side-1", []byte("one"), 0)
 	require.NoError(t, err)
 	_, err = o.Put(ctx, "lease/side-1", []byte("two"), 0)
@@ -75,8 +75,8 @@
 	require.Equal(t, infra.Object{Name: "table", Version: version, Value: []byte("rows")}, <-seen)
 	require.NoError(t, <-failed)
 
-	p.Misbehave(store.Fault{WatchSilent: true})
-	silent := &infra.HTTPObjects{Base: o.Base, Silence: silence}
+	p.SetFault(store.Fault{WatchSilent: true})
+	silent := &infra.HTTPObjects{Base: o.Base, ReadTimeout: silence}
 	_, err = silent.Watch(ctx, "table", 0, time.Millisecond)
 	require.ErrorIs(t, err, infra.ErrNoReply)
 }
@@ -87,7 +87,7 @@
 func TestALostAnswerLeavesTheWriteOpen(t *testing.T) {
 	var p store.Platform
 	o, ctx := start(t, &p), t.Context()
-	p.Misbehave(store.Fault{LoseAnswers: 1})
+	p.SetFault(store.Fault{LoseAnswers: 1})
 	_, err := o.Put(ctx, "table", []byte("edit"), 0)
 	require.ErrorIs(t, err, infra.ErrNoReply)
 	require.NotErrorIs(t, err, infra.ErrRefused)
@@ -108,15 +108,15 @@
 		t.Run(name, func(t *testing.T) {
 			var p store.Platform
 			o := start(t, &p)
-			o.Silence = silence
-			p.Misbehave(c.fault)
+			o.ReadTimeout = silence
+			p.SetFault(c.fault)
 			_, err := o.Put(t.Context(), "table", nil, 0)
 			require.ErrorIs(t, err, c.want)
 			_, err = o.Get(t.Context(), "table")
 			require.ErrorIs(t, err, c.want)
-			p.Misbehave(store.Fault{})
+			p.SetFault(store.Fault{})
 			_, err = o.Get(t.Context(), "table")
-			require.ErrorIs(t, err, infra.ErrMissing, "the fault is over and nothing was written")
+			require.ErrorIs(t, err, infra.ErrNotFound, "the fault is over and nothing was written")
 		})
 	}
 	for name, fault := range map[string]store.Fault{
@@ -126,11 +126,11 @@
 		t.Run(name, func(t *testing.T) {
 			var p store.Platform
 			o := start(t, &p)
-			o.Silence = silence
-			p.Misbehave(fault)
+			o.ReadTimeout = silence
+			p.SetFault(fault)
 			_, err := o.Put(t.Context(), "table", nil, 0)
 			require.ErrorIs(t, err, infra.ErrNoReply)
-			p.Misbehave(store.Fault{})
+			p.SetFault(store.Fault{})
 			require.Eventually(t, func() bool {
 				_, err := o.Get(t.Context(), "table")
 				return err == nil
@@ -148,7 +148,7 @@
 	t.Run("caller gives up", func(t *testing.T) {
 		var p store.Platform
 		o := start(t, &p)
-		p.Misbehave(store.Fault{Frozen: true})
+		p.SetFault(store.Fault{Frozen: true})
 		ctx, cancel := context.WithTimeout(t.Context(), silence)
 		defer cancel()
 		_, err := o.Put(ctx, "table", nil, 0)
@@ -173,7 +173,7 @@
 	require.NoError(t, err)
 	_, err = o.Put(ctx, "table", []byte("new"), first)
 	require.NoError(t, err)
-	p.Misbehave(store.Fault{StaleReads: true, HostLag: time.Hour})
+	p.SetFault(store.Fault{StaleReads: true, HostLag: time.Hour})
 	got, err := o.Get(ctx, "table")
 	require.NoError(t, err)
 	require.Equal(t, "old", string(got.Value))
@@ -184,12 +184,12 @@
 	list, err := hosts.Hosts(ctx)
 	require.NoError(t, err)
 	require.Equal(t, infra.HostLive, list[0].State, "the list lags")
-	p.Misbehave(store.Fault{})
+	p.SetFault(store.Fault{})
 	list, err = hosts.Hosts(ctx)
 	require.NoError(t, err)
 	require.Equal(t, []infra.ListedHost{{Host: "appraiser-1", Zone: "howrah", State: infra.HostLeaving}}, list)
 
-	rate, size, err := (&infra.HTTPWeights{Base: o.Base}).Rate(ctx, "appraiser-lm")
+	rate, size, err := (&infra.HTTPWeights{Base: o.Base}).Info(ctx, "appraiser-lm")
 	require.NoError(t, err)
 	require.Positive(t, rate)
 	require.Positive(t, size)
--- a/infra/http_weights.go
+++ b/infra/http_weights.go
@@ -24,8 +24,8 @@
 type HTTPWeights struct {
 	// Base is the platform's address.
 	Base netip.AddrPort
-	// Silence is how long an answer may take; zero is send.DefaultReadTimeout.
-	Silence time.Duration
+	// ReadTimeout is how long an answer may take; zero is send.DefaultReadTimeout.
+	ReadTimeout time.Duration
 
 	once   sync.Once
 	client send.Client
@@ -33,9 +33,9 @@
 
 var _ Weights = (*HTTPWeights)(nil)
 
-// Rate gives the store's limit in bytes a second and the size of the model.
-func (h *HTTPWeights) Rate(ctx context.Context, model domain.Service) (bytesPerSecond, size int64, err error) {
-	h.once.Do(func() { h.client.Base, h.client.ReadTimeout = h.Base, h.Silence })
+// Info gives the store's limit in bytes a second and the size of the model.
+func (h *HTTPWeights) Info(ctx context.Context, model domain.Service) (bytesPerSecond, size int64, err error) {
+	h.once.Do(func() { h.client.Base, h.client.ReadTimeout = h.Base, h.ReadTimeout })
 	var info WeightsInfo
 	err = read(ctx, &h.client, "/weights/"+url.PathEscape(string(model)), &info)
 	return info.BytesPerSecond, info.Size, err
--- a/infra/infra.go
+++ b/infra/infra.go
@@ -39,8 +39,8 @@
 
 // The errors of the object API.
 var (
-	// ErrMissing says that there is no such object.
-	ErrMissing = errors.New("infra: no such object")
+	// ErrNotFound says that there is no such object.
+	ErrNotFound = errors.New("infra: no such object")
 	// ErrConflict says that the object is not at the version given, and that
 	// nothing was written.
 	ErrConflict = errors.New("infra: version conflict")
@@ -56,7 +56,7 @@
 // Objects is the platform's object API. Each call counts against its rate, a
 // waiting watch as one.
 type Objects interface {
-	// Get reads an object. With ErrMissing it gives the version at which one can be
+	// Get reads an object. With ErrNotFound it gives the version at which one can be
 	// created.
 	Get(ctx context.Context, name string) (Object, error)
 	// List gives the names that start with prefix, sorted.
@@ -95,7 +95,7 @@
 
 // Weights is the weight store that engines load from; it is rate-limited.
 type Weights interface {
-	// Rate gives the store's limit in bytes a second and the size of the
+	// Info gives the store's limit in bytes a second and the size of the
 	// weights of a model in bytes.
-	Rate(ctx context.Context, model domain.Service) (bytesPerSecond, size int64, err error)
+	Info(ctx context.Context, model domain.Service) (bytesPerSecond, size int64, err error)
 }
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -123,7 +123,7 @@
 
 func (k *Keeper) read(ctx context.Context) {
 	o, err := k.Records.Get(ctx, k.Name)
-	if errors.Is(err, infra.ErrMissing) {
+	if errors.Is(err, infra.ErrNotFound) {
 		k.Guard.Observe(k.now(), fence.Record{}, epoch.Position(o.Version))
 		return
 	}
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -26,7 +26,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.version == 0 {
-		return infra.Object{}, infra.ErrMissing
+		return infra.Object{}, infra.ErrNotFound
 	}
 	return infra.Object{Version: r.version, Value: r.value}, nil
 }
--- a/limit/limit.go
+++ b/limit/limit.go
@@ -57,9 +57,9 @@
 
 // Limiter holds a token bucket for each key. The zero value is ready to use.
 type Limiter struct {
-	// Since is the start of the process. What callers used before is not known, so new
+	// Start is the start of the process. What callers used before is not known, so new
 	// buckets are empty at that time. With the zero time, new buckets are full.
-	Since time.Time
+	Start time.Time
 
 	buckets map[Key]bucket
 }
@@ -74,7 +74,7 @@
 	capacity := max(1, rate*burst.Seconds())
 	b, known := l.buckets[key]
 	if !known {
-		b = bucket{level: min(capacity, rate*now.Sub(l.Since).Seconds()), updated: now}
+		b = bucket{level: min(capacity, rate*now.Sub(l.Start).Seconds()), updated: now}
 	}
 	b.level = min(capacity, b.level+now.Sub(b.updated).Seconds()*rate)
 	b.updated = now
--- a/load/arrivals.go
+++ b/load/arrivals.go
@@ -12,7 +12,7 @@
 	number int
 	// after is the time from the start of the run.
 	after time.Duration
-	work  *Work
+	work  *RequestClass
 	// honours says that the caller returns when Retry-After says.
 	honours bool
 }
@@ -37,22 +37,22 @@
 	}
 	a.number++
 	return arrival{
-		number: a.number, after: a.after, work: a.pick(), honours: a.random.Float64() < a.plan.Honour,
+		number: a.number, after: a.after, work: a.pick(), honours: a.random.Float64() < a.plan.RetryShare,
 	}, true
 }
 
-func (a *arrivals) pick() *Work {
+func (a *arrivals) pick() *RequestClass {
 	total := 0.0
-	for _, w := range a.plan.Work {
-		total += w.Share
+	for _, w := range a.plan.Classes {
+		total += w.Weight
 	}
 	left := a.random.Float64() * total
-	for i := range a.plan.Work {
-		if left -= a.plan.Work[i].Share; left < 0 {
-			return &a.plan.Work[i]
+	for i := range a.plan.Classes {
+		if left -= a.plan.Classes[i].Weight; left < 0 {
+			return &a.plan.Classes[i]
 		}
 	}
-	return &a.plan.Work[len(a.plan.Work)-1]
+	return &a.plan.Classes[len(a.plan.Classes)-1]
 }
 
 // prompt gives a prompt of the arrival's size that no other has.
--- a/load/load.go
+++ b/load/load.go
@@ -7,7 +7,7 @@
 //	p := load.Plan{
 //		Entries: []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:7301")},
 //		Token:   token, Rate: 50, Count: 1000, Duration: time.Minute,
-//		Work: []load.Work{{Share: 1, Service: "appraiser-lm", Kind: "appraisal", PromptTokens: 800, MaxTokens: 64}},
+//		Work: []load.RequestClass{{Share: 1, Service: "appraiser-lm", Kind: "appraisal", PromptTokens: 800, MaxTokens: 64}},
 //	}
 //	report, err := load.Run(ctx, p)
 //	err = report.Write(os.Stdout) // tab-separated: metric value
@@ -32,15 +32,15 @@
 
 // The bounds of a Plan that sets none.
 const (
-	DefaultInFlight = 2000
-	DefaultGrace    = 30 * time.Second
-	maxReturns      = 3
+	DefaultMaxInFlight = 2000
+	DefaultGrace       = 30 * time.Second
+	maxReturns         = 3
 )
 
-// Work is one sort of request in the mix.
-type Work struct {
-	// Share of the requests, against the shares of the others.
-	Share   float64
+// RequestClass is one sort of request in the mix.
+type RequestClass struct {
+	// Weight of the requests, against the shares of the others.
+	Weight  float64
 	Service domain.Service
 	Kind    domain.Kind
 	// PromptTokens and MaxTokens size a completion, each prompt token being
@@ -57,8 +57,8 @@
 	// Entries take the requests in turn.
 	Entries []netip.AddrPort
 	// Token is the caller's bearer token.
-	Token string
-	Work  []Work
+	Token   string
+	Classes []RequestClass
 	// Rate is arrivals a second.
 	Rate float64
 	// Count and Duration bound the arrivals; the first to be reached ends
@@ -67,14 +67,14 @@
 	Duration time.Duration
 	// Grace is how long requests in flight may go on after the last arrival.
 	Grace time.Duration
-	// InFlight bounds requests at once; an arrival over it is counted, not
+	// MaxInFlight bounds requests at once; an arrival over it is counted, not
 	// sent.
-	InFlight int
+	MaxInFlight int
 	// Seed fixes arrivals, mix and prompts.
 	Seed uint64
-	// Honour is the share of refused callers that return when Retry-After
+	// RetryShare is the share of refused callers that return when Retry-After
 	// says; the others do not return.
-	Honour float64
+	RetryShare float64
 }
 
 // Check gives what is wrong with the plan.
@@ -92,12 +92,12 @@
 	if p.Duration <= 0 {
 		f.Add("duration", "is not positive: %s", p.Duration)
 	}
-	if p.Honour < 0 || p.Honour > 1 {
-		f.Add("honour", "is not between 0 and 1: %g", p.Honour)
+	if p.RetryShare < 0 || p.RetryShare > 1 {
+		f.Add("honour", "is not between 0 and 1: %g", p.RetryShare)
 	}
 	total := 0.0
-	for _, w := range p.Work {
-		total += w.Share
+	for _, w := range p.Classes {
+		total += w.Weight
 	}
 	if total <= 0 {
 		f.Add("work", "has no share above 0")
@@ -111,8 +111,8 @@
 	if err := p.Check(); err != nil {
 		return nil, err
 	}
-	if p.InFlight <= 0 {
-		p.InFlight = DefaultInFlight
+	if p.MaxInFlight <= 0 {
+		p.MaxInFlight = DefaultMaxInFlight
 	}
 	if p.Grace <= 0 {
 		p.Grace = DefaultGrace
@@ -155,7 +155,7 @@
 			}
 		}
 		r.report.arrived()
-		if flying >= r.plan.InFlight {
+		if flying >= r.plan.MaxInFlight {
 			r.report.skipped()
 			continue
 		}
--- a/load/load_test.go
+++ b/load/load_test.go
@@ -19,8 +19,8 @@
 )
 
 func TestArrivalsAreThePlansAndTheSeeds(t *testing.T) {
-	p := Plan{Rate: 100, Count: 2000, Duration: time.Hour, Seed: 7, Honour: 0.25, Work: []Work{
-		{Share: 3, Kind: "appraisal", PromptTokens: 100}, {Share: 1, Kind: "card"},
+	p := Plan{Rate: 100, Count: 2000, Duration: time.Hour, Seed: 7, RetryShare: 0.25, Classes: []RequestClass{
+		{Weight: 3, Kind: "appraisal", PromptTokens: 100}, {Weight: 1, Kind: "card"},
 	}}
 	all := func() (list []arrival) {
 		for a, n := newArrivals(p), 0; ; n++ {
@@ -103,11 +103,11 @@
 	e := &entry{keys: map[string]int{}}
 	s := httptest.NewServer(e)
 	defer s.Close()
-	metrics := func(w Work) map[string]string {
-		w.Share, w.Service, w.PromptTokens = 1, "appraiser-lm", 10
+	metrics := func(w RequestClass) map[string]string {
+		w.Weight, w.Service, w.PromptTokens = 1, "appraiser-lm", 10
 		report, err := Run(t.Context(), Plan{
 			Entries: []netip.AddrPort{netip.MustParseAddrPort(s.Listener.Addr().String())}, Token: "token",
-			Rate: 1000, Count: 5, Duration: time.Minute, Honour: 1, Work: []Work{w},
+			Rate: 1000, Count: 5, Duration: time.Minute, RetryShare: 1, Classes: []RequestClass{w},
 		})
 		require.NoError(t, err)
 		var b bytes.Buffer
@@ -121,7 +121,7 @@
 		clear(e.keys)
 		return values
 	}
-	whole := metrics(Work{Kind: "appraisal", MaxTokens: 3})
+	whole := metrics(RequestClass{Kind: "appraisal", MaxTokens: 3})
 	require.Equal(t, "5", whole["arrivals"])
 	require.Equal(t, "5", whole["answered"])
 	require.Equal(t, "5", whole["good"], "without targets every whole answer is good")
@@ -129,28 +129,28 @@
 	require.Contains(t, whole, "tbt_p95_ms")
 	require.Contains(t, whole, "client_lag_p50_ms")
 
-	late := metrics(Work{Kind: "appraisal", MaxTokens: 3, FirstToken: time.Nanosecond})
+	late := metrics(RequestClass{Kind: "appraisal", MaxTokens: 3, FirstToken: time.Nanosecond})
 	require.Equal(t, "5", late["answered"])
 	require.Equal(t, "0", late["good"], "past its target an answer is not good")
 
-	cut := metrics(Work{Kind: "cut", MaxTokens: 3})
+	cut := metrics(RequestClass{Kind: "cut", MaxTokens: 3})
 	require.Equal(t, "0", cut["answered"], "a stream without [DONE] is no answer")
 	require.Equal(t, "5", cut["failed_truncated"])
 
-	require.Equal(t, "5", metrics(Work{Kind: "error", MaxTokens: 3})["refused_upstream_lost"])
-	require.Equal(t, "5", metrics(Work{Kind: "refused", MaxTokens: 3})["refused_no_room"])
+	require.Equal(t, "5", metrics(RequestClass{Kind: "error", MaxTokens: 3})["refused_upstream_lost"])
+	require.Equal(t, "5", metrics(RequestClass{Kind: "refused", MaxTokens: 3})["refused_no_room"])
 
-	plain := metrics(Work{Kind: "card", Method: http.MethodGet, Path: "/cards/17"})
+	plain := metrics(RequestClass{Kind: "card", Method: http.MethodGet, Path: "/cards/17"})
 	require.Equal(t, "5", plain["good"])
 	require.Contains(t, plain, "plain_p50_ms")
 
-	again := metrics(Work{Kind: "refused_once", Method: http.MethodGet, Path: "/cards/17"})
+	again := metrics(RequestClass{Kind: "refused_once", Method: http.MethodGet, Path: "/cards/17"})
 	require.Equal(t, "5", again["returns"], "each caller honours Retry-After with the same key")
 	require.Equal(t, "5", again["answered"])
 }
 
 func TestPlanCheckFindsAll(t *testing.T) {
-	_, err := Run(t.Context(), Plan{Honour: 2})
+	_, err := Run(t.Context(), Plan{RetryShare: 2})
 	require.ErrorContains(t, err, "entries")
 	require.ErrorContains(t, err, "rate")
 	require.ErrorContains(t, err, "count")
--- a/load/report.go
+++ b/load/report.go
@@ -30,7 +30,7 @@
 
 // sample is what one request's caller saw.
 type sample struct {
-	work    *Work
+	work    *RequestClass
 	planned time.Time
 	first   time.Time
 	last    time.Time
--- a/member/member.go
+++ b/member/member.go
@@ -160,7 +160,7 @@
 // Read gives a service's record; an empty one if there is none yet.
 func Read(ctx context.Context, objects infra.Objects, s domain.Service) (Record, error) {
 	o, err := objects.Get(ctx, Name(s))
-	if errors.Is(err, infra.ErrMissing) {
+	if errors.Is(err, infra.ErrNotFound) {
 		return Record{Service: s}, nil
 	}
 	if err != nil {
--- a/member/member_test.go
+++ b/member/member_test.go
@@ -38,7 +38,7 @@
 
 func (o *objects) Get(context.Context, string) (infra.Object, error) {
 	if o.at.Version == 0 {
-		return infra.Object{}, infra.ErrMissing
+		return infra.Object{}, infra.ErrNotFound
 	}
 	return o.at, nil
 }
--- a/pacer/bucket.go
+++ b/pacer/bucket.go
@@ -15,7 +15,7 @@
 	// Wait is the time until the request may be sent if it is granted, and otherwise until
 	// the next one may be granted.
 	Wait time.Duration
-	// Observation is the observation in force at the process that decided.
+	// Current is the observation in force at the process that decided.
 	Observation Observation
 }
 
--- a/pacer/bucket_test.go
+++ b/pacer/bucket_test.go
@@ -71,12 +71,12 @@
 			sum := 0.0
 			for _, n := range sides {
 				if n > 0 {
-					sum += Reachability{Members: members, Reached: n}.Fraction()
+					sum += Reachability{Probed: members, Reached: n}.Fraction()
 				}
 			}
 			require.InDelta(t, 1.25, sum, 0.25+1e-9, "%v: between the whole limit and one and a half times it", sides)
 		}
 	}
 	require.Equal(t, 1.0, Reachability{}.Fraction(), "a process without peers")
-	require.Equal(t, outrankedFraction, Reachability{Members: 3, Reached: 3, Outranked: true}.Fraction())
+	require.Equal(t, outrankedFraction, Reachability{Probed: 3, Reached: 3, Outranked: true}.Fraction())
 }
--- a/pacer/keeper.go
+++ b/pacer/limiter.go
@@ -48,10 +48,10 @@
 	defer k.mu.Unlock()
 	c := k.observe(now, key, observed)
 	if !c.limit.Rate().Limited() {
-		return Decision{Granted: true, Observation: c.limit.Observation()}
+		return Decision{Granted: true, Observation: c.limit.Current()}
 	}
 	granted, wait := c.bucket.Take(now, c.bucketConfig(now, reach), maxWait)
-	return Decision{Granted: granted, Wait: wait, Observation: c.limit.Observation()}
+	return Decision{Granted: granted, Wait: wait, Observation: c.limit.Current()}
 }
 
 // Refund returns the token of a request that was not sent. It returns the observation in force.
@@ -62,14 +62,14 @@
 	if c.limit.Rate().Limited() {
 		c.bucket.Refund(now, c.bucketConfig(now, reach))
 	}
-	return c.limit.Observation()
+	return c.limit.Current()
 }
 
 // Observe takes in an observation, and returns the one in force.
 func (k *Limiter[K]) Observe(now time.Time, key K, observed Observation) Observation {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.observe(now, key, observed).limit.Observation()
+	return k.observe(now, key, observed).limit.Current()
 }
 
 // NextBroadcast returns the observation in force and reports whether the caller has to send it to
@@ -91,7 +91,7 @@
 		return Observation{}, false
 	}
 	c.broadcastRate, c.broadcastAt = rate, now
-	return c.limit.Observation(), true
+	return c.limit.Current(), true
 }
 
 func (k *Limiter[K]) observe(now time.Time, key K, observed Observation) *keyState {
@@ -128,7 +128,7 @@
 // another owner before.
 func (c *keyState) bucketConfig(now time.Time, reach Reachability) BucketConfig {
 	fraction := reach.Fraction()
-	tookOver := c.createdAt.Sub(c.limit.Observation().since()) > maxTransitTime
+	tookOver := c.createdAt.Sub(c.limit.Current().since()) > maxTransitTime
 	if tookOver && !reach.HandedOver && now.Sub(c.createdAt) < takeoverPeriod {
 		fraction = min(fraction, takeoverFraction)
 	}
--- a/pacer/model_test.go
+++ b/pacer/model_test.go
@@ -216,7 +216,7 @@
 		}
 		p.retryAt[o.name] = w.now.Add(retryInterval)
 	}
-	call(&p.localLimiter, pacer.Reachability{Members: len(w.processes), Reached: 1})
+	call(&p.localLimiter, pacer.Reachability{Probed: len(w.processes), Reached: 1})
 	return took
 }
 
@@ -259,7 +259,7 @@
 	}
 	var decision pacer.Decision
 	took := w.callOwner(p, func(k *pacer.Limiter[string], reach pacer.Reachability) {
-		decision = k.Take(w.now, key, p.limit.Observation().Age(w.now).At(w.now), reach, maxWait)
+		decision = k.Take(w.now, key, p.limit.Current().Age(w.now).At(w.now), reach, maxWait)
 	})
 	p.limit.Observe(decision.Observation.Age(w.now).At(w.now))
 	if !decision.Granted {
--- a/pacer/belief.go
+++ b/pacer/observation.go
@@ -86,5 +86,5 @@
 // Age returns the time since the observation in force was received.
 func (b *LimitState) Age(now time.Time) time.Duration { return now.Sub(b.current.Received) }
 
-// Observation returns the observation in force, to be sent to other processes.
-func (b *LimitState) Observation() Observation { return b.current }
+// Current returns the observation in force, to be sent to other processes.
+func (b *LimitState) Current() Observation { return b.current }
--- a/pacer/belief_test.go
+++ b/pacer/observation_test.go
@@ -49,7 +49,7 @@
 	b.Observe(pacer.ObservationAge{Rate: 2, Sent: -time.Hour, Received: -time.Hour, Since: -time.Hour}.At(at(0)))
 	require.Equal(t, pacer.Rate(2), b.Rate())
 	require.True(t, b.Observe(observation(pacer.Unlimited, 10, 20)))
-	aged := b.Observation().Age(at(50))
+	aged := b.Current().Age(at(50))
 	require.Equal(t, 30*time.Millisecond, aged.Received)
 	require.Equal(t, 40*time.Millisecond, aged.Sent)
 	require.Equal(t, 130*time.Millisecond, aged.Add(100*time.Millisecond).Received)
--- a/pacer/watch.go
+++ b/pacer/prober.go
@@ -32,8 +32,8 @@
 	usedAt map[string]time.Time
 }
 
-// Use marks a key as used: this process is its owner, and probes are due for some time.
-func (w *Prober[ID]) Use(now time.Time, key string) {
+// MarkUsed marks a key as used: this process is its owner, and probes are due for some time.
+func (w *Prober[ID]) MarkUsed(now time.Time, key string) {
 	w.mu.Lock()
 	if w.usedAt == nil {
 		w.usedAt = make(map[string]time.Time)
--- a/pacer/standing.go
+++ b/pacer/reachability.go
@@ -5,9 +5,9 @@
 // Reachability describes how far a process can rely on being the only owner of a key, by the
 // other processes that it reaches. The zero value is that of a process that has not probed any.
 type Reachability struct {
-	// Members is the number of processes that were probed, and Reached the number of those
+	// Probed is the number of processes that were probed, and Reached the number of those
 	// that answered lately; both include this one.
-	Members, Reached int
+	Probed, Reached int
 	// Outranked means that a process of a higher rank for the key is alive, as far as
 	// observed. Processes that can reach it use it as the owner.
 	Outranked bool
@@ -35,8 +35,8 @@
 // to their size, which adds up to no more than a half.
 func (s Reachability) Fraction() float64 {
 	fraction := 1.0
-	if s.Members > 1 && 2*s.Reached <= s.Members {
-		fraction = float64(max(s.Reached, 1)) / float64(s.Members)
+	if s.Probed > 1 && 2*s.Reached <= s.Probed {
+		fraction = float64(max(s.Reached, 1)) / float64(s.Probed)
 	}
 	if s.Outranked {
 		fraction = min(fraction, outrankedFraction)
@@ -75,7 +75,7 @@
 // Reachability returns the reachability of a process with the given predecessors. A predecessor
 // that was not probed is assumed to be alive.
 func (g ProbeResult[N]) Reachability(predecessors []N) Reachability {
-	s := Reachability{Members: g.Answered + g.Unreachable + 1, Reached: g.Answered + 1, HandedOver: len(predecessors) > 0}
+	s := Reachability{Probed: g.Answered + g.Unreachable + 1, Reached: g.Answered + 1, HandedOver: len(predecessors) > 0}
 	for _, name := range predecessors {
 		state, probed := g.Predecessors[name]
 		s.Outranked = s.Outranked || !probed || state == Alive
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -133,9 +133,9 @@
 // Counter enforces the allowances of accounts. Set Since first; it must not be copied. It is
 // safe for concurrent use; its lock is a leaf lock, under which no other is acquired.
 type Counter struct {
-	// Since is the start of the process. What accounts used before is not known, so all
+	// Start is the start of the process. What accounts used before is not known, so all
 	// buckets are empty at that time.
-	Since time.Time
+	Start time.Time
 
 	mu       sync.Mutex
 	accounts map[domain.Account]*buckets
@@ -173,7 +173,7 @@
 		c.accounts = make(map[domain.Account]*buckets)
 	}
 	if c.accounts[account] == nil {
-		c.accounts[account] = &buckets{total: Bucket{updated: c.Since}, quota: Bucket{updated: c.Since}}
+		c.accounts[account] = &buckets{total: Bucket{updated: c.Start}, quota: Bucket{updated: c.Start}}
 	}
 	return c.accounts[account]
 }
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -24,7 +24,7 @@
 // request, which may leave a debt.
 func TestCounterNoSpanExceedsAllowance(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := Counter{Since: start}
+		c := Counter{Start: start}
 		type run struct {
 			at   time.Time
 			cost float64
@@ -74,7 +74,7 @@
 // Guards against a second burst for an account after the owner of its quota has crashed and
 // restarted: the account gets its rate from the start of the process.
 func TestCounterStartsWithEmptyBuckets(t *testing.T) {
-	c := Counter{Since: start}
+	c := Counter{Start: start}
 	allowance := Allowance{Quota: limit}
 	require.True(t, c.Take(start.Add(10*time.Millisecond), "a", allowance, 5000).Granted, "the first request leaves a debt")
 	require.False(t, c.Take(start.Add(11*time.Millisecond), "a", allowance, 200).Granted)
@@ -84,7 +84,7 @@
 
 // A quota that operators lower while the bucket is full limits the next request.
 func TestCounterLowerQuotaLimitsBurstAtOnce(t *testing.T) {
-	c := Counter{Since: start}
+	c := Counter{Start: start}
 	now := start.Add(time.Minute)
 	require.True(t, c.Take(now, "a", allowance, 1000).Granted)
 	lower := Allowance{Quota: Limit{Rate: 400, Burst: 400}}
@@ -94,7 +94,7 @@
 
 // After operators lower a quota, the time before the change is refilled at the old rate.
 func TestCounterLowerQuotaRefillsOldRateUntilChange(t *testing.T) {
-	c := Counter{Since: start}
+	c := Counter{Start: start}
 	now := start.Add(time.Minute)
 	require.True(t, c.Take(now, "a", allowance, 36000).Granted)
 	lower := Allowance{Quota: Limit{Rate: 400, Burst: 20000}}
@@ -105,7 +105,7 @@
 // quota, in requests of 3,000 and of 13,000 tokens; small ones consumed each refill. Both
 // sizes are served alike.
 func TestCounterServesAllSizesAlike(t *testing.T) {
-	c := Counter{Since: start}
+	c := Counter{Start: start}
 	now := start.Add(time.Minute)
 	served := make(map[float64]int)
 	random := rand.New(rand.NewPCG(1, 1))
@@ -123,7 +123,7 @@
 // quota for eight seconds. The clump is granted, in part over the quota; of the sustained
 // load the account gets its whole rate within the quota.
 func TestCounterGrantsClumpAndKeepsQuota(t *testing.T) {
-	c := Counter{Since: start}
+	c := Counter{Start: start}
 	now := start.Add(time.Minute)
 	overQuota := 0
 	for range 10 {
@@ -152,7 +152,7 @@
 func TestToleranceIsReachedInOneWindow(t *testing.T) {
 	tolerance := Tolerance{Window: 8 * time.Second, Fraction: 0.1, FixedExcess: 140_000}
 	full := Allowance{Quota: limit, Excess: tolerance.ExcessLimit(limit, 1)}
-	c := Counter{Since: start}
+	c := Counter{Start: start}
 	now := start.Add(time.Minute)
 	used := 0.0
 	for start := now; now.Sub(start) < tolerance.Window; now = now.Add(time.Millisecond) {
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -90,11 +90,11 @@
 // Source is a collection's source that asks relays first.
 type Source[T any] struct {
 	// Name is the collection's, in the log and among the processes.
-	Name   string
-	Direct feed.Source[T]
-	Hub    *Replica[T]
-	Fleet  *Fleet
-	Log    hclog.Logger
+	Name    string
+	Origin  feed.Source[T]
+	Replica *Replica[T]
+	Fleet   *Fleet
+	Log     hclog.Logger
 }
 
 // List gives the collection as a relay has it or, for a relay and where none answers, a
@@ -112,9 +112,9 @@
 	}
 	// Others list at a relay: what it lists itself is not to be old.
 	stale = stale && !plan.self
-	p, err := s.Direct.List(ctx, after, stale)
+	p, err := s.Origin.List(ctx, after, stale)
 	if err == nil {
-		s.Hub.ApplyListPage(boottime(), after == "", stale, p)
+		s.Replica.ApplyListPage(boottime(), after == "", stale, p)
 	}
 	return p, err
 }
@@ -129,7 +129,7 @@
 		took := boottime().Sub(began)
 		switch {
 		case err == nil:
-			s.Hub.ApplySnapshot(from.heard, page)
+			s.Replica.ApplySnapshot(from.heard, page)
 			s.Log.Info("collection listed by a relay", "feed", s.Name, "members", len(page.Items), "revision", page.Revision.String(), "took", took)
 			return page, true
 		case !errors.Is(err, syscall.ECONNREFUSED) || ctx.Err() != nil || took > upWithin:
@@ -150,7 +150,7 @@
 func (s Source[T]) listAt(ctx context.Context, p *Peer) (copied[T], error) {
 	page, heard, err := list[T](ctx, p, s.Name, listWait)
 	switch {
-	case err == nil && page.Revision < s.Hub.Revision():
+	case err == nil && page.Revision < s.Replica.Revision():
 		err = errBehind
 	case err == nil:
 		p.answered()
@@ -166,16 +166,16 @@
 func (s Source[T]) Watch(ctx context.Context, after feed.Revision, wait time.Duration) ([]feed.Change[T], feed.Revision, error) {
 	plan := s.Fleet.plan(boottime())
 	if plan.alone {
-		s.Hub.from(s.Log, s.Name, "", false, "no relays")
+		s.Replica.from(s.Log, s.Name, "", false, "no relays")
 		return s.direct(ctx, after, wait)
 	}
 	if plan.self {
-		s.Hub.from(s.Log, s.Name, "", true, "is a relay")
-		return s.direct(ctx, after, min(wait, s.Hub.watchWait()))
+		s.Replica.from(s.Log, s.Name, "", true, "is a relay")
+		return s.direct(ctx, after, min(wait, s.Replica.watchWait()))
 	}
 	changes, at, err := s.polled(ctx, after, wait)
 	patience := plan.patience(boottime())
-	for errors.Is(err, ErrStale) && boottime().Before(patience) && s.Hub.mayAsk(boottime()) && ctx.Err() == nil {
+	for errors.Is(err, ErrStale) && boottime().Before(patience) && s.Replica.mayAsk(boottime()) && ctx.Err() == nil {
 		group.Sleep(ctx, staleAgain/2+rand.N(staleAgain))
 		began := boottime()
 		changes, at, err = s.polled(ctx, after, wait)
@@ -186,10 +186,10 @@
 	switch {
 	case err == nil, errors.Is(err, feed.ErrCompacted), ctx.Err() != nil:
 		return changes, at, err
-	case errors.Is(err, ErrStale) && !s.Hub.mayAsk(boottime()):
+	case errors.Is(err, ErrStale) && !s.Replica.mayAsk(boottime()):
 		return nil, 0, errors.Wrap(err, "relay: all relays")
 	}
-	s.Hub.from(s.Log, s.Name, "", false, err.Error())
+	s.Replica.from(s.Log, s.Name, "", false, err.Error())
 	return s.direct(ctx, after, min(wait, relayWait))
 }
 
@@ -207,8 +207,8 @@
 		switch {
 		case err == nil:
 			p.answered()
-			s.Hub.ApplyRelayed(t.heard, after, t.changes, t.at)
-			s.Hub.from(s.Log, s.Name, string(p.Name), false, "answers")
+			s.Replica.ApplyRelayed(t.heard, after, t.changes, t.at)
+			s.Replica.from(s.Log, s.Name, string(p.Name), false, "answers")
 			return t.changes, t.at, nil
 		case ctx.Err() != nil, errors.Is(err, feed.ErrCompacted):
 			return nil, 0, err
@@ -230,14 +230,14 @@
 func (s Source[T]) direct(ctx context.Context, after feed.Revision, wait time.Duration) ([]feed.Change[T], feed.Revision, error) {
 	within, cancel := context.WithTimeout(ctx, wait+directPatience)
 	defer cancel()
-	changes, at, err := s.Direct.Watch(within, after, wait)
+	changes, at, err := s.Origin.Watch(within, after, wait)
 	switch {
 	case errors.Is(err, feed.ErrEraChanged):
 		return nil, 0, err // it answers, and is listed next
 	case err != nil:
-		s.Hub.MarkSourceLost(boottime())
+		s.Replica.MarkSourceLost(boottime())
 		return nil, 0, err
 	}
-	s.Hub.ApplyWatch(boottime(), after, changes, at)
+	s.Replica.ApplyWatch(boottime(), after, changes, at)
 	return changes, at, nil
 }
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -137,7 +137,7 @@
 func (p *process) run(ctx context.Context) {
 	f := feed.Feed[int]{
 		Name: "numbers", Log: hclog.NewNullLogger(), Wait: 10 * time.Second,
-		Source: Source[int]{Name: "numbers", Direct: p.direct, Hub: &p.hub, Fleet: &p.fleet, Log: hclog.NewNullLogger()},
+		Source: Source[int]{Name: "numbers", Origin: p.direct, Replica: &p.hub, Fleet: &p.fleet, Log: hclog.NewNullLogger()},
 		OnList: func(_ time.Time, all []feed.Item[int]) {
 			for _, i := range all {
 				p.saw(i.Revision)
@@ -336,7 +336,7 @@
 		o.put("there")
 		f := &Fleet{Self: "self"}
 		f.Seed([]netip.AddrPort{netip.MustParseAddrPort(h.Listener.Addr().String())})
-		s := Source[int]{Name: "numbers", Direct: o, Hub: &Replica[int]{}, Fleet: f, Log: hclog.NewNullLogger()}
+		s := Source[int]{Name: "numbers", Origin: o, Replica: &Replica[int]{}, Fleet: f, Log: hclog.NewNullLogger()}
 		p, err := s.List(t.Context(), "", true)
 		require.NoError(t, err, name)
 		require.Len(t, p.Items, 1, name)
--- a/relay/spread_test.go
+++ b/relay/spread_test.go
@@ -112,9 +112,9 @@
 		p.fleet.Self = p.member.Name
 		p.fleet.connect = func(to *Peer) { to.call = s.call(byName[to.Name]) }
 		p.fleet.SetMembers(members, true)
-		source := Source[int]{Name: "numbers", Direct: s, Hub: &p.hub, Fleet: &p.fleet, Log: hclog.NewNullLogger()}
+		source := Source[int]{Name: "numbers", Origin: s, Replica: &p.hub, Fleet: &p.fleet, Log: hclog.NewNullLogger()}
 		if !p.fleet.plan(boottime()).self {
-			source.Direct = others{s}
+			source.Origin = others{s}
 		}
 		f := feed.Feed[int]{
 			Name: "numbers", Log: hclog.NewNullLogger(), Wait: 10 * time.Second, Source: source,
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -42,12 +42,12 @@
 )
 
 const (
-	// RetryRatio is the number of retries that each accepted request adds to the budget. At a
+	// BudgetRatio is the number of retries that each accepted request adds to the budget. At a
 	// tenth, retries cannot overload a pool that is 90% utilized.
-	RetryRatio = 0.1
-	// Burst is the number of retries that may be made at once, for instance of the requests that
+	BudgetRatio = 0.1
+	// BudgetBurst is the number of retries that may be made at once, for instance of the requests that
 	// were running on one lost upstream; an engine runs some tens.
-	Burst = 32.0
+	BudgetBurst = 32.0
 	// MaxAttempts bounds the attempts of one request. The second one uses another upstream, and
 	// the third covers the loss of that one as well.
 	MaxAttempts = 3
@@ -110,7 +110,7 @@
 	return Allowed
 }
 
-// Budget is a token bucket that each accepted request fills by RetryRatio and each retry empties by
+// Budget is a token bucket that each accepted request fills by BudgetRatio and each retry empties by
 // one. It does not depend on time: where no requests are accepted none are retried. The zero value is
 // full; it must not be copied. It is safe for concurrent use. Its lock is a leaf lock: no other lock
 // is acquired while it is held.
@@ -123,7 +123,7 @@
 func (b *Budget) Accepted() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.spent = max(0, b.spent-RetryRatio)
+	b.spent = max(0, b.spent-BudgetRatio)
 }
 
 // Take takes one retry, and reports whether there was one left.
@@ -131,7 +131,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	// The tolerance of a millionth covers rounding errors in the sum of tenths.
-	if b.spent+1 > Burst+1e-6 {
+	if b.spent+1 > BudgetBurst+1e-6 {
 		return false
 	}
 	b.spent++
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -59,17 +59,17 @@
 	without, with := sends(false), sends(true)
 	t.Logf("sends for 10000 requests in an outage: without budget %d, with %d", without, with)
 	require.Equal(t, 30000, without)
-	require.LessOrEqual(t, with, 11000+int(Burst))
+	require.LessOrEqual(t, with, 11000+int(BudgetBurst))
 }
 
 func TestBudgetAgreesWithNaive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var b Budget
-		tenths := int(Burst * 10) // the naive model counts in tenths
+		tenths := int(BudgetBurst * 10) // the naive model counts in tenths
 		for _, take := range rapid.SliceOfN(rapid.Bool(), 1, 300).Draw(t, "take") {
 			if !take {
 				b.Accepted()
-				tenths = min(int(Burst*10), tenths+1)
+				tenths = min(int(BudgetBurst*10), tenths+1)
 				continue
 			}
 			want := tenths >= 10
--- a/retry/window.go
+++ b/retry/window.go
@@ -79,9 +79,9 @@
 	return float64(w.retries.sum(slot)+1) <= config.Ratio*float64(w.requests.sum(slot))+config.Fixed
 }
 
-// Record counts a retry that has already been sent, even if none was available; fewer are available
+// RecordRetry counts a retry that has already been sent, even if none was available; fewer are available
 // after it.
-func (w *Window) Record(now time.Time, config WindowConfig) {
+func (w *Window) RecordRetry(now time.Time, config WindowConfig) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.retries.add(config.slot(now))
--- a/retry/window_test.go
+++ b/retry/window_test.go
@@ -55,7 +55,7 @@
 	var w retry.Window
 	now := time.Now()
 	for range 3 {
-		w.Record(now, config)
+		w.RecordRetry(now, config)
 	}
 	require.False(t, w.Take(now, config))
 	require.True(t, w.Take(now.Add(config.Span*12/10), config), "recorded retries expire with the span")
--- a/roles/mix.go
+++ b/roles/profile.go
@@ -112,7 +112,7 @@
 	m.decay(now)
 	return Sample{
 		Requests: m.requests, Prompts: m.promptTokens, MemoryTokens: m.memoryTokens, AnswerTokens: m.answers.tokens, AnswerSeconds: m.answers.seconds,
-		Prefill: m.promptTokenSeconds, Prefills: float64(min(m.prefills, maxPrefillWeight)),
+		PromptTokenSeconds: m.promptTokenSeconds, PrefillCount: float64(min(m.prefills, maxPrefillWeight)),
 	}
 }
 
@@ -142,22 +142,22 @@
 	// AnswerTokens came in AnswerSeconds, both summed over the answers.
 	AnswerTokens  float64 `json:"answer_tokens"`
 	AnswerSeconds float64 `json:"answer_seconds"`
-	// Prefill is the prefill time of a prompt token in seconds, and Prefills the number of
+	// PromptTokenSeconds is the prefill time of a prompt token in seconds, and Prefills the number of
 	// prompts by which it is weighted.
-	Prefill  float64 `json:"prefill"`
-	Prefills float64 `json:"prefills"`
+	PromptTokenSeconds float64 `json:"prefill"`
+	PrefillCount       float64 `json:"prefills"`
 }
 
 // valid reports whether the figures can be those of a process. A sample with impossible
 // figures, from a faulty process or a stepped clock, would move all engines of a pool to the
 // other role; it is ignored.
 func (s Sample) valid() bool {
-	for _, v := range []float64{s.Requests, s.Prompts, s.MemoryTokens, s.AnswerTokens, s.AnswerSeconds, s.Prefill, s.Prefills} {
+	for _, v := range []float64{s.Requests, s.Prompts, s.MemoryTokens, s.AnswerTokens, s.AnswerSeconds, s.PromptTokenSeconds, s.PrefillCount} {
 		if !(v >= 0) || v > maxSampleValue { // also true for NaN
 			return false
 		}
 	}
-	return s.Prefills <= maxPrefillWeight
+	return s.PrefillCount <= maxPrefillWeight
 }
 
 // maxSampleValue is above any sum that a process reaches within profileTimeConstant.
@@ -171,10 +171,10 @@
 	sum := Sample{
 		Requests: s.Requests + o.Requests, Prompts: s.Prompts + o.Prompts, MemoryTokens: s.MemoryTokens + o.MemoryTokens,
 		AnswerTokens: s.AnswerTokens + o.AnswerTokens, AnswerSeconds: s.AnswerSeconds + o.AnswerSeconds,
-		Prefills: s.Prefills + o.Prefills,
+		PrefillCount: s.PrefillCount + o.PrefillCount,
 	}
-	if sum.Prefills > 0 {
-		sum.Prefill = (s.Prefill*s.Prefills + o.Prefill*o.Prefills) / sum.Prefills
+	if sum.PrefillCount > 0 {
+		sum.PromptTokenSeconds = (s.PromptTokenSeconds*s.PrefillCount + o.PromptTokenSeconds*o.PrefillCount) / sum.PrefillCount
 	}
 	return sum
 }
@@ -185,10 +185,10 @@
 // with one too few prompts have to run on decode engines.
 func (s Sample) Ratio() (float64, bool) {
 	decodeSeconds := s.MemoryTokens * s.AnswerSeconds / max(s.AnswerTokens, 1)
-	if s.Requests < minRequests || s.AnswerTokens < minAnswerTokens || s.Prefill == 0 || decodeSeconds <= 0 {
+	if s.Requests < minRequests || s.AnswerTokens < minAnswerTokens || s.PromptTokenSeconds == 0 || decodeSeconds <= 0 {
 		return 0, false
 	}
-	return s.Prompts * s.Prefill / decodeSeconds * (1 + smallSampleMargin/math.Sqrt(s.Requests)), true
+	return s.Prompts * s.PromptTokenSeconds / decodeSeconds * (1 + smallSampleMargin/math.Sqrt(s.Requests)), true
 }
 
 // Sufficient reports whether there are enough requests to take engines from decode by the
--- a/roles/mix_test.go
+++ b/roles/profile_test.go
@@ -91,7 +91,7 @@
 	recordRequests(&m, now, 100, constantLength)
 	good := m.Sample(now)
 	for _, bad := range []roles.Sample{
-		{Requests: -5}, {Prompts: math.NaN()}, {MemoryTokens: math.Inf(1)}, {AnswerSeconds: -1e9}, {Prefill: 1e300}, {Prefills: 1e6, Prefill: 1},
+		{Requests: -5}, {Prompts: math.NaN()}, {MemoryTokens: math.Inf(1)}, {AnswerSeconds: -1e9}, {PromptTokenSeconds: 1e300}, {PrefillCount: 1e6, PromptTokenSeconds: 1},
 	} {
 		require.Equal(t, good, good.Add(bad), "%+v", bad)
 	}
--- a/roster/access_test.go
+++ b/roster/access_test.go
@@ -22,7 +22,7 @@
 // model compares the eligibility that a directory returns with that expected from the registry
 // entries and the announcements of each instance.
 type model struct {
-	r             Roster
+	r             Directory
 	now           time.Time
 	announcements map[InstanceKey]announced
 	// entries are the registry entries last applied to the directory; upstreams are all upstreams
@@ -97,7 +97,7 @@
 		s.leaving = true
 	case 1:
 		delay := time.Duration(rapid.IntRange(-1000, 4000).Draw(t, "pause")) * time.Millisecond
-		u.Stats.BackOff(m.now, delay)
+		u.Stats.RequestBackoff(m.now, delay)
 		if until := m.now.Add(delay); delay > 0 && until.After(s.backoffUntil) {
 			s.backoffUntil = until
 		}
@@ -161,8 +161,8 @@
 	require.Zero(t, testing.AllocsPerRun(100, func() { u.Eligibility(now) }))
 }
 
-func pool(n int) *Roster {
-	r := &Roster{Log: hclog.NewNullLogger()}
+func pool(n int) *Directory {
+	r := &Directory{Log: hclog.NewNullLogger()}
 	var all []feed.Item[Server]
 	for i := range n {
 		all = append(all, item(fmt.Sprint("i-", i), false))
--- a/roster/stated.go
+++ b/roster/announcement.go
@@ -24,9 +24,9 @@
 	return true
 }
 
-// BackOff records a response that requests backoff for the given time, and reports whether it
+// RequestBackoff records a response that requests backoff for the given time, and reports whether it
 // extends the backoff. The later end wins, in whatever order the responses arrive.
-func (a *Announcement) BackOff(now time.Time, delay time.Duration) (extended bool) {
+func (a *Announcement) RequestBackoff(now time.Time, delay time.Duration) (extended bool) {
 	until := now.Add(delay)
 	if delay <= 0 || !until.After(a.BackoffUntil) {
 		return false
--- a/roster/copy.go
+++ b/roster/restore.go
@@ -28,7 +28,7 @@
 // RegistryRestored records that the registry was restored from an older snapshot, which the next
 // call to SetAll carries. Members missing from it may have registered after the snapshot was taken,
 // so they are kept for ReregisterGrace, as after an outage.
-func (r *Roster) RegistryRestored(now time.Time) {
+func (r *Directory) RegistryRestored(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.registryDown, r.recoveredAt, r.restored = false, now, true
@@ -40,7 +40,7 @@
 // The restored snapshot may list upstreams as ready that have shut down since. They would get
 // requests until the registry removes their entries a second time. The override ends when the
 // upstream writes its entry again, or after overrideTTL.
-func (r *Roster) overrideStale(now time.Time, i feed.Item[Server]) feed.Item[Server] {
+func (r *Directory) overrideStale(now time.Time, i feed.Item[Server]) feed.Item[Server] {
 	if i.DecodeErr != nil || i.Value.Draining {
 		return i
 	}
@@ -64,7 +64,7 @@
 }
 
 // keepRemoved keeps the state of a removed instance for removedInstanceTTL.
-func (r *Roster) keepRemoved(now time.Time, u *Upstream) {
+func (r *Directory) keepRemoved(now time.Time, u *Upstream) {
 	if r.removed == nil {
 		r.removed = make(map[InstanceKey]removedInstance)
 	}
@@ -82,7 +82,7 @@
 // The registry may drop the entry of an upstream whose heartbeats it missed, and list it again. A
 // new Upstream would lose the announcements of the instance, so an upstream that is shutting down
 // or asked for backoff would get requests again.
-func (r *Roster) reinstate(s Server) *Upstream {
+func (r *Directory) reinstate(s Server) *Upstream {
 	d, ok := r.removed[s.Key()]
 	if !ok || d.upstream.Server().Addr != s.Addr {
 		return nil
@@ -97,7 +97,7 @@
 
 // acceptOverridden applies the overridden entries that have not been written again within
 // overrideTTL, as they were listed.
-func (r *Roster) acceptOverridden(now time.Time) {
+func (r *Directory) acceptOverridden(now time.Time) {
 	for id, d := range r.overridden {
 		if now.After(d.until) {
 			delete(r.overridden, id)
--- a/roster/copy_test.go
+++ b/roster/restore_test.go
@@ -14,7 +14,7 @@
 	return feed.Item[Server]{Name: string(id), Value: Server{Start: Start{ID: id}, Service: "cards", Draining: draining}}
 }
 
-func drainingByID(r *Roster) map[ID]bool {
+func drainingByID(r *Directory) map[ID]bool {
 	all := make(map[ID]bool)
 	for _, u := range r.Upstreams("cards") {
 		all[u.Server().ID] = u.Server().Draining
@@ -25,7 +25,7 @@
 // Guards against requests to upstreams that have shut down, and against the removal of upstreams
 // that registered later, after the registry was restored from an older snapshot.
 func TestRestoredRegistryKeepsDrainingStateAndMissingMembers(t *testing.T) {
-	r := Roster{Log: hclog.NewNullLogger()}
+	r := Directory{Log: hclog.NewNullLogger()}
 	now := time.Now().Add(-overrideTTL - time.Second)
 	r.SetAll(now, []feed.Item[Server]{entryOf("stays", false), entryOf("leaves", false), entryOf("left", false), entryOf("new", false)})
 	r.Apply(now, []feed.Change[Server]{{Item: entryOf("leaves", true)}, {Item: entryOf("left", true)}, {Item: entryOf("left", true), Deleted: true}})
--- a/roster/roster.go
+++ b/roster/roster.go
@@ -4,7 +4,7 @@
 //
 // # Usage
 //
-//	r := roster.Roster{Log: log}
+//	r := roster.Directory{Log: log}
 //	r.SetAll(now, items) // this and the next three are the callbacks of a feed
 //	r.Apply(now, changes)
 //	r.RegistryLost(now)
@@ -126,9 +126,9 @@
 	return u.restarted
 }
 
-// Roster is the directory of upstreams. Set Log before first use. A Roster must not be copied. It
+// Directory is the directory of upstreams. Set Log before first use. A Roster must not be copied. It
 // is safe for concurrent use. Lock order: Roster, then Upstream.
-type Roster struct {
+type Directory struct {
 	Log hclog.Logger
 
 	mu      sync.Mutex
@@ -153,7 +153,7 @@
 }
 
 // Loaded reports whether the registry has been listed at least once.
-func (r *Roster) Loaded() bool {
+func (r *Directory) Loaded() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.loaded
@@ -161,7 +161,7 @@
 
 // Upstreams returns the members of a service, including draining ones. The caller must not modify
 // the slice.
-func (r *Roster) Upstreams(s domain.Service) []*Upstream {
+func (r *Directory) Upstreams(s domain.Service) []*Upstream {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.removeExpired(time.Now())
@@ -169,14 +169,14 @@
 }
 
 // Upstream returns the upstream with an ID; nil if it is not a member.
-func (r *Roster) Upstream(id ID) *Upstream {
+func (r *Directory) Upstream(id ID) *Upstream {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.members[id]
 }
 
 // ByInstance returns the upstream of an instance; nil if that instance is not a member.
-func (r *Roster) ByInstance(s Start) *Upstream {
+func (r *Directory) ByInstance(s Start) *Upstream {
 	if u := r.Upstream(s.ID); u != nil && u.Server().Same(s) {
 		return u
 	}
@@ -184,7 +184,7 @@
 }
 
 // SetAll replaces the directory by a complete list of registry entries.
-func (r *Roster) SetAll(now time.Time, all []feed.Item[Server]) {
+func (r *Directory) SetAll(now time.Time, all []feed.Item[Server]) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.loaded = true
@@ -206,7 +206,7 @@
 }
 
 // Apply applies changes of registry entries.
-func (r *Roster) Apply(now time.Time, changes []feed.Change[Server]) {
+func (r *Directory) Apply(now time.Time, changes []feed.Change[Server]) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, c := range changes {
@@ -225,7 +225,7 @@
 // An entry may be overwritten by a process other than the upstream. Requests would then be sent by
 // a partial or an outdated entry. An upstream whose entry cannot be decoded is therefore removed; a
 // running one writes its entry again within one heartbeat interval.
-func (r *Roster) applyEntry(now time.Time, i feed.Item[Server]) {
+func (r *Directory) applyEntry(now time.Time, i feed.Item[Server]) {
 	if i.DecodeErr == nil {
 		r.putEntry(now, i.Value)
 		return
@@ -236,14 +236,14 @@
 }
 
 // RegistryLost records that the registry is unreachable.
-func (r *Roster) RegistryLost(time.Time) {
+func (r *Directory) RegistryLost(time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.registryDown = true
 }
 
 // RegistryRecovered records that the registry is reachable again.
-func (r *Roster) RegistryRecovered(now time.Time) {
+func (r *Directory) RegistryRecovered(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.registryDown, r.recoveredAt = false, now
@@ -251,7 +251,7 @@
 
 // putEntry adds or updates the member of a decoded entry. An entry of an earlier instance is
 // ignored; one of a later instance replaces the member.
-func (r *Roster) putEntry(now time.Time, s Server) {
+func (r *Directory) putEntry(now time.Time, s Server) {
 	if r.members == nil {
 		r.members = make(map[ID]*Upstream)
 		r.unconfirmed = make(map[ID]time.Time)
@@ -295,7 +295,7 @@
 // Requests to the earlier instance would wait for responses until they time out, and the statistics
 // of the earlier instance would wrongly exclude or favour the new one. So the connections of the
 // earlier instance are closed, and the new instance starts with empty statistics.
-func (r *Roster) replaceInstance(u *Upstream) {
+func (r *Directory) replaceInstance(u *Upstream) {
 	u.mu.Lock()
 	u.restarted = true
 	u.mu.Unlock()
@@ -305,7 +305,7 @@
 
 // handleMissing handles a member that the registry no longer lists. For ReregisterGrace after a
 // recovery of the registry the member is kept, unless it was draining.
-func (r *Roster) handleMissing(now time.Time, id ID) {
+func (r *Directory) handleMissing(now time.Time, id ID) {
 	if r.members[id] == nil {
 		return
 	}
@@ -321,7 +321,7 @@
 }
 
 // remove removes a member and logs the reason. Requests in flight at it go on.
-func (r *Roster) remove(id ID, reason string) {
+func (r *Directory) remove(id ID, reason string) {
 	u := r.members[id]
 	u.mu.Lock()
 	u.removed = true
@@ -337,7 +337,7 @@
 
 // InstanceReplaced records that another instance answers at the upstream's address. The upstream
 // has stopped and is removed, even if the registry still lists it.
-func (r *Roster) InstanceReplaced(u *Upstream) {
+func (r *Directory) InstanceReplaced(u *Upstream) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	id := u.Server().ID
@@ -348,7 +348,7 @@
 }
 
 // removeExpired removes the unconfirmed members whose grace period has passed.
-func (r *Roster) removeExpired(now time.Time) {
+func (r *Directory) removeExpired(now time.Time) {
 	r.acceptOverridden(now)
 	if len(r.unconfirmed) == 0 || r.registryDown {
 		return
@@ -365,7 +365,7 @@
 }
 
 // rebuild builds byService from the members.
-func (r *Roster) rebuild() {
+func (r *Directory) rebuild() {
 	r.byService = make(map[domain.Service][]*Upstream)
 	for _, u := range r.members {
 		s := u.Server().Service
--- a/roster/roster_test.go
+++ b/roster/roster_test.go
@@ -19,7 +19,7 @@
 	}}
 }
 
-func ids(r *Roster) []ID {
+func ids(r *Directory) []ID {
 	var all []ID
 	for _, u := range r.Upstreams("cards") {
 		all = append(all, u.Server().ID)
@@ -36,7 +36,7 @@
 // Running servers register again within two seconds and stay in use until then; a server that does
 // not register again is removed.
 func TestExpiredEntriesAreKeptForGraceAfterOutage(t *testing.T) {
-	r := &Roster{Log: hclog.NewNullLogger()}
+	r := &Directory{Log: hclog.NewNullLogger()}
 	now := time.Now()
 	r.SetAll(now, []feed.Item[Server]{item("a", false), item("b", false), item("leaving", true)})
 	r.RegistryLost(now)
@@ -52,7 +52,7 @@
 }
 
 func TestDeletedOrReplacedUpstreamIsRemovedAtOnce(t *testing.T) {
-	r := &Roster{Log: hclog.NewNullLogger()}
+	r := &Directory{Log: hclog.NewNullLogger()}
 	now := time.Now()
 	r.SetAll(now, []feed.Item[Server]{item("a", false), item("b", false)})
 	u := r.Upstreams("cards")[0]
@@ -65,7 +65,7 @@
 }
 
 func TestChangedEntryKeepsUpstreamAndItsClient(t *testing.T) {
-	r := &Roster{Log: hclog.NewNullLogger()}
+	r := &Directory{Log: hclog.NewNullLogger()}
 	now := time.Now()
 	r.SetAll(now, []feed.Item[Server]{item("a", false)})
 	first := r.Upstreams("cards")[0]
@@ -84,15 +84,15 @@
 	now := time.Now()
 	for _, away := range []time.Duration{time.Second, 2 * time.Second, 4 * time.Second, 8 * time.Second, 8 * time.Second} {
 		s.RecordRefusal(now)
-		require.True(t, s.Candidate(now.Add(away-time.Millisecond)).RecentlyFull)
-		require.False(t, s.Candidate(now.Add(away)).RecentlyFull)
+		require.True(t, s.Candidate(now.Add(away-time.Millisecond)).Excluded)
+		require.False(t, s.Candidate(now.Add(away)).Excluded)
 		now = now.Add(away)
 	}
 	s.RecordSuccess(now, time.Millisecond, 1)
 	s.RecordRefusal(now)
-	require.False(t, s.Candidate(now.Add(time.Second)).RecentlyFull, "a success resets the backoff")
-	s.HoldOff(now.Add(10 * time.Millisecond))
-	require.True(t, s.Candidate(now.Add(20*time.Millisecond)).RecentlyFull, "a shorter exclusion does not end a longer one")
+	require.False(t, s.Candidate(now.Add(time.Second)).Excluded, "a success resets the backoff")
+	s.ExcludeUntil(now.Add(10 * time.Millisecond))
+	require.True(t, s.Candidate(now.Add(20*time.Millisecond)).Excluded, "a shorter exclusion does not end a longer one")
 }
 
 func TestFailureRateAndReportedLoadDecay(t *testing.T) {
@@ -127,17 +127,17 @@
 	var s Stats
 	now := time.Now()
 	s.SuspendUntil(now.Add(8 * time.Second))
-	require.True(t, s.Candidate(now).RecentlyFull)
-	require.False(t, s.Candidate(now.Add(8*time.Second)).RecentlyFull, "the role change should be complete, whatever the registry says")
+	require.True(t, s.Candidate(now).Excluded)
+	require.False(t, s.Candidate(now.Add(8*time.Second)).Excluded, "the role change should be complete, whatever the registry says")
 	s.SuspendUntil(now.Add(8 * time.Second))
 	s.RoleChanged()
-	require.False(t, s.Candidate(now).RecentlyFull)
+	require.False(t, s.Candidate(now).Excluded)
 }
 
 // Guards against an engine that is used for its former role because the registry is unreachable and
 // does not report the change.
 func TestExpectedRoleAppliesWithoutRegistryUpdate(t *testing.T) {
-	r := &Roster{Log: hclog.NewNullLogger()}
+	r := &Directory{Log: hclog.NewNullLogger()}
 	entry := func(role domain.Role) feed.Item[Server] {
 		i := item("a", false)
 		i.Value.Role = role
@@ -194,13 +194,13 @@
 	now := time.Now()
 	for _, away := range []time.Duration{100, 200, 400, 800, 1000, 1000} {
 		s.RecordDialFailure(now)
-		require.True(t, s.Candidate(now.Add(away*time.Millisecond-1)).RecentlyFull)
-		require.False(t, s.Candidate(now.Add(away*time.Millisecond)).RecentlyFull, "eligible again after the backoff")
+		require.True(t, s.Candidate(now.Add(away*time.Millisecond-1)).Excluded)
+		require.False(t, s.Candidate(now.Add(away*time.Millisecond)).Excluded, "eligible again after the backoff")
 		now = now.Add(away * time.Millisecond)
 	}
 	s.RecordSuccess(now, time.Millisecond, 1)
 	s.RecordDialFailure(now)
-	require.False(t, s.Candidate(now.Add(100*time.Millisecond)).RecentlyFull, "a success resets the backoff")
+	require.False(t, s.Candidate(now.Add(100*time.Millisecond)).Excluded, "a success resets the backoff")
 }
 
 // Guards against concurrent prefills at one decode engine, which happen when all prefill engines
@@ -220,12 +220,12 @@
 // Guards against the loss of an upstream's announcements when the registry drops its entry and
 // lists it again, and against their use for a later instance.
 func TestAnnouncementsSurviveReregistrationOfSameInstance(t *testing.T) {
-	r := &Roster{Log: hclog.NewNullLogger()}
+	r := &Directory{Log: hclog.NewNullLogger()}
 	now := time.Now()
 	r.SetAll(now, []feed.Item[Server]{item("a", false), item("b", false), item("c", false)})
 	u := r.Upstreams("cards")
 	u[0].Stats.MarkLeaving(now)
-	u[1].Stats.BackOff(now, 10*time.Second)
+	u[1].Stats.RequestBackoff(now, 10*time.Second)
 	u[2].Stats.ObserveRateLimit(pacer.Observation{Rate: 2, Sent: now, Received: now})
 	for _, id := range []string{"a", "b", "c"} {
 		r.Apply(now, deletion(id))
--- a/roster/start_test.go
+++ b/roster/start_test.go
@@ -23,7 +23,7 @@
 // and restarts under the same ID and address before its entry expires. Its suspension and its
 // failures do not carry over, and a stale list with the earlier instance is ignored.
 func TestRestartedUpstreamIsNewMemberWithoutOldState(t *testing.T) {
-	r := &Roster{Log: hclog.NewNullLogger()}
+	r := &Directory{Log: hclog.NewNullLogger()}
 	now := time.Now()
 	r.SetAll(now, []feed.Item[Server]{itemStartedAt("a", 1000)})
 	first := r.Upstream("a")
@@ -37,7 +37,7 @@
 	require.NotSame(t, first, second)
 	require.True(t, first.Removed())
 	require.True(t, first.Restarted())
-	require.False(t, second.Stats.Candidate(now).RecentlyFull)
+	require.False(t, second.Stats.Candidate(now).Excluded)
 	require.Zero(t, second.Stats.Candidate(now).FailureRate)
 	require.Nil(t, r.ByInstance(Start{ID: "a", Born: time.UnixMilli(1000)}), "the earlier instance is not a member")
 	require.Same(t, second, r.ByInstance(Start{ID: "a", Born: time.UnixMilli(2000)}))
@@ -50,7 +50,7 @@
 // Guards against requests sent by the former content of an entry that another process has
 // overwritten.
 func TestUndecodableEntryRemovesUpstream(t *testing.T) {
-	r := &Roster{Log: hclog.NewNullLogger()}
+	r := &Directory{Log: hclog.NewNullLogger()}
 	now := time.Now()
 	r.SetAll(now, []feed.Item[Server]{item("a", false), item("b", false)})
 	bad := feed.Item[Server]{Name: "a", DecodeErr: errors.New("no object")}
--- a/roster/seen.go
+++ b/roster/stats.go
@@ -116,8 +116,8 @@
 	s.failures++
 }
 
-// HoldOff records that the upstream has no capacity left, and excludes it until the given time.
-func (s *Stats) HoldOff(until time.Time) {
+// ExcludeUntil records that the upstream has no capacity left, and excludes it until the given time.
+func (s *Stats) ExcludeUntil(until time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if until.After(s.skipUntil) {
@@ -233,7 +233,7 @@
 func (s *Stats) RateLimitObservation() pacer.Observation {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.rateLimit.Observation()
+	return s.rateLimit.Current()
 }
 
 // SetRateLimitWait excludes the upstream until the given time, before which its rate limit allows
@@ -269,12 +269,12 @@
 	return s.announcement.MarkLeaving(now)
 }
 
-// BackOff records a response that requests backoff for the given time, and reports whether it
+// RequestBackoff records a response that requests backoff for the given time, and reports whether it
 // extends the backoff.
-func (s *Stats) BackOff(now time.Time, delay time.Duration) (extended bool) {
+func (s *Stats) RequestBackoff(now time.Time, delay time.Duration) (extended bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.announcement.BackOff(now, delay)
+	return s.announcement.RequestBackoff(now, delay)
 }
 
 func (s *Stats) eligibility(now time.Time) Eligibility {
@@ -305,7 +305,7 @@
 		FailureRate:   s.failures / (s.failures + s.successes + failureRatePrior),
 		Responsive:    s.successes >= responsiveMinSuccesses && s.failures+s.refusals < s.successes*responsiveMaxFailureRatio,
 		UnitTime:      s.unitTime,
-		RecentlyFull:  now.Before(s.skipUntil) || now.Before(s.suspendedUntil) || now.Before(s.rateLimitUntil),
+		Excluded:      now.Before(s.skipUntil) || now.Before(s.suspendedUntil) || now.Before(s.rateLimitUntil),
 	}
 }
 
--- a/route/bench_test.go
+++ b/route/bench_test.go
@@ -20,7 +20,7 @@
 				m.Prefills.SetDraining(host("prefill", n), true)
 			}
 			j := Job{PromptTokens: 3000, MaxOutputTokens: 100, Prefix: 7, PrefixTokens: 1000, KVBytes: 4e8, KVLifetime: time.Second,
-				FirstTokenTarget: time.Second, TokenGap: 48 * time.Millisecond}
+				FirstTokenTarget: time.Second, TokenGapTarget: 48 * time.Millisecond}
 			b.ReportAllocs()
 			for b.Loop() {
 				p, _, ok := m.Choose(start, j, source)
--- a/route/offer.go
+++ b/route/candidate.go
@@ -32,9 +32,9 @@
 	// UnitTime is the time for a unit of work, a call or a prompt token; zero if
 	// unknown.
 	UnitTime time.Duration `json:"speed"`
-	// RecentlyFull reports whether it recently refused a request for lack of
+	// Excluded reports whether it recently refused a request for lack of
 	// capacity, or is held off for another reason.
-	RecentlyFull bool `json:"held"`
+	Excluded bool `json:"held"`
 }
 
 // Request is a request to place.
@@ -45,10 +45,10 @@
 	Tokens int
 	// Typical is the assumed size of a request of another process.
 	Typical RequestSize
-	// SkipRecentlyFull leaves out the candidates that are RecentlyFull. All others
+	// SkipExcluded leaves out the candidates that are Excluded. All others
 	// are then treated as if they had capacity, even if the estimate says
 	// otherwise, because a full upstream refuses the request itself.
-	SkipRecentlyFull bool
+	SkipExcluded bool
 	// OnlyResponsive leaves out the candidates that are not Responsive. It is for
 	// requests that cannot be retried after a failure.
 	OnlyResponsive bool
@@ -132,7 +132,7 @@
 // hasRoom reports whether the candidate is estimated to have capacity for the
 // request.
 func (c Candidate) hasRoom(r Request) bool {
-	if c.RecentlyFull || c.Slots > 0 && c.inFlight() >= float64(c.Slots) {
+	if c.Excluded || c.Slots > 0 && c.inFlight() >= float64(c.Slots) {
 		return false
 	}
 	return c.MemoryTokens == 0 || c.usedMemory(r)+float64(r.Tokens) <= float64(c.MemoryTokens)
@@ -145,10 +145,10 @@
 	best, full = -1, true
 	var lowest float64
 	for i, c := range candidates {
-		if r.SkipRecentlyFull && c.RecentlyFull || r.OnlyResponsive && !c.Responsive {
+		if r.SkipExcluded && c.Excluded || r.OnlyResponsive && !c.Responsive {
 			continue
 		}
-		hasRoom := r.SkipRecentlyFull || c.hasRoom(r)
+		hasRoom := r.SkipExcluded || c.hasRoom(r)
 		if !hasRoom && !full {
 			continue
 		}
--- a/route/offer_test.go
+++ b/route/candidate_test.go
@@ -18,7 +18,7 @@
 	failing.FailureRate = 0.3
 	otherZone.SameZone = false
 	atCapacity.OwnRequests = 6
-	recentlyFull.RecentlyFull = true
+	recentlyFull.Excluded = true
 	random := rand.New(rand.NewPCG(1, 2))
 	for name, other := range map[string]route.Candidate{"slow": slow, "failing": failing, "far": otherZone, "full": atCapacity, "held": recentlyFull} {
 		for range 50 {
@@ -30,7 +30,7 @@
 	best, allFull := route.SelectBest([]route.Candidate{recentlyFull, atCapacity}, call, random)
 	require.GreaterOrEqual(t, best, 0, "a candidate is returned even if all appear full")
 	require.True(t, allFull)
-	call.SkipRecentlyFull = true
+	call.SkipExcluded = true
 	best, _ = route.SelectBest([]route.Candidate{recentlyFull}, call, random)
 	require.Equal(t, -1, best)
 	best, _ = route.SelectBest(nil, call, random)
--- a/route/estimate.go
+++ b/route/estimate.go
@@ -48,7 +48,7 @@
 		return candidate, ExcludedSlots
 	case candidate.FreeTokens < j.PromptTokens+j.MaxOutputTokens:
 		return candidate, ExcludedMemory
-	case j.TokenGap > 0 && candidate.TokenGap > j.TokenGap:
+	case j.TokenGapTarget > 0 && candidate.TokenGap > j.TokenGapTarget:
 		return candidate, ExcludedTokenGap
 	}
 	return candidate, ""
@@ -82,7 +82,7 @@
 // score adds the time to the first token and the time between tokens, each divided
 // by its target, so that neither is improved at a greater cost to the other.
 func (j Job) score(e Estimate) float64 {
-	first, gap := j.FirstTokenTarget, j.TokenGap
+	first, gap := j.FirstTokenTarget, j.TokenGapTarget
 	if first <= 0 {
 		first = defaultFirstToken
 	}
--- a/route/grounds.go
+++ b/route/evaluation.go
@@ -91,7 +91,7 @@
 type DecodeCandidate struct {
 	Host domain.Host `json:"host"`
 	Zone domain.Zone `json:"zone"`
-	// FreeRequests and FreeTokens are the free capacity. TokenGap is the time
+	// FreeRequests and FreeTokens are the free capacity. TokenGapTarget is the time
 	// between tokens once the job has joined the batch. Weight is as in
 	// PrefillCandidate.
 	FreeRequests int           `json:"free_requests"`
--- a/route/route.go
+++ b/route/route.go
@@ -91,10 +91,10 @@
 	// the prefill, zero if unknown.
 	KVBytes    int64
 	KVLifetime time.Duration
-	// FirstTokenTarget and TokenGap are the table row's targets for the time to the
+	// FirstTokenTarget and TokenGapTarget are the table row's targets for the time to the
 	// first token and between tokens, zero for none.
 	FirstTokenTarget time.Duration
-	TokenGap         time.Duration
+	TokenGapTarget   time.Duration
 	// MaxQueueWait is the longest accepted wait in the prefill engine's queue; zero
 	// for no limit.
 	MaxQueueWait time.Duration
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -60,11 +60,11 @@
 			gap := 0.010 + 0.002*float64(b+1)
 			first := float64(q+j.PromptTokens)/20_000 + gap
 			long := p%DefaultShortOnlyEvery == DefaultShortOnlyEvery-1 && j.PromptTokens >= longPromptTokens
-			if b >= 16 || long || gap > j.TokenGap.Seconds() {
+			if b >= 16 || long || gap > j.TokenGapTarget.Seconds() {
 				scores = append(scores, math.Inf(1))
 				continue
 			}
-			scores = append(scores, first/j.FirstTokenTarget.Seconds()+gap/j.TokenGap.Seconds())
+			scores = append(scores, first/j.FirstTokenTarget.Seconds()+gap/j.TokenGapTarget.Seconds())
 		}
 	}
 	slices.Sort(scores)
@@ -76,7 +76,7 @@
 		queued := rapid.SliceOfN(rapid.IntRange(0, 60_000), 1, prefillSampleSize).Draw(t, "queued")
 		batch := rapid.SliceOfN(rapid.IntRange(0, 16), 1, decodeSampleSize).Draw(t, "batch")
 		selector := model(len(queued), len(batch), func(n int) int { return queued[n] }, func(n int) int { return batch[n] })
-		j := Job{PromptTokens: rapid.IntRange(1, 50_000).Draw(t, "prompt"), MaxOutputTokens: 100, FirstTokenTarget: time.Second, TokenGap: 40 * time.Millisecond}
+		j := Job{PromptTokens: rapid.IntRange(1, 50_000).Draw(t, "prompt"), MaxOutputTokens: 100, FirstTokenTarget: time.Second, TokenGapTarget: 40 * time.Millisecond}
 		best := exhaustive(j, queued, batch)[0]
 		_, evaluation, ok := selector.Choose(start, j, random())
 		require.Equal(t, !math.IsInf(best, 1), ok)
@@ -95,7 +95,7 @@
 		queued, batch = append(queued, source.IntN(60_000)), append(batch, source.IntN(15))
 	}
 	selector := model(200, 200, func(n int) int { return queued[n] }, func(n int) int { return batch[n] })
-	j := Job{PromptTokens: 2000, MaxOutputTokens: 100, FirstTokenTarget: time.Second, TokenGap: 48 * time.Millisecond}
+	j := Job{PromptTokens: 2000, MaxOutputTokens: 100, FirstTokenTarget: time.Second, TokenGapTarget: 48 * time.Millisecond}
 	all := exhaustive(j, queued, batch)
 	var sum float64
 	for range 500 {
--- a/search/line.go
+++ b/search/queue.go
@@ -254,9 +254,9 @@
 // Freed returns the channel that receives a signal when capacity may have been freed.
 func (q *Queue) Freed() <-chan struct{} { return q.freed }
 
-// TimeToFirstEvent returns the average time from the reservation of capacity to the first
+// FirstEventLatency returns the average time from the reservation of capacity to the first
 // event.
-func (q *Queue) TimeToFirstEvent() time.Duration {
+func (q *Queue) FirstEventLatency() time.Duration {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.timeToFirst
--- a/side/ledger.go
+++ b/side/ledger.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"jacinthworks/domain"
-	"jacinthworks/story"
+	"jacinthworks/trace"
 	"jacinthworks/wire"
 )
 
@@ -68,7 +68,7 @@
 	ended   []wire.AttemptRef
 	// forgotten is the highest number of a request that was dropped, by the
 	// life of the entry that numbered it.
-	forgotten map[story.ID]uint64
+	forgotten map[trace.ID]uint64
 }
 
 // begin takes an order in, or refuses it.
@@ -265,7 +265,7 @@
 		l.orders = make(map[wire.AttemptRef]*order)
 		l.live = make(map[wire.AttemptRef]*order)
 		l.refused = make(map[wire.AttemptRef]time.Time)
-		l.forgotten = make(map[story.ID]uint64)
+		l.forgotten = make(map[trace.ID]uint64)
 	}
 }
 
@@ -283,10 +283,10 @@
 
 // numbered takes a request id apart into the entry's life, which is the id
 // without its number, and the number.
-func numbered(id domain.RequestID) (life story.ID, number uint64) {
-	parts, err := story.ParseID(id)
+func numbered(id domain.RequestID) (life trace.ID, number uint64) {
+	parts, err := trace.ParseID(id)
 	if err != nil {
-		return story.ID{}, 0
+		return trace.ID{}, 0
 	}
 	number, parts.Number = parts.Number, 0
 	return parts, number
--- a/side/run.go
+++ b/side/run.go
@@ -7,7 +7,7 @@
 	"jacinthworks/admit"
 	"jacinthworks/domain"
 	"jacinthworks/inject"
-	"jacinthworks/story"
+	"jacinthworks/trace"
 	"jacinthworks/wire"
 )
 
@@ -53,7 +53,7 @@
 // finish runs an order to its end and accounts for it.
 func (s *Side) finish(ctx context.Context, o *order) {
 	r := o.run
-	s.record(o, story.Event{Kind: story.AttemptStarted})
+	s.record(o, trace.Event{Kind: trace.AttemptStarted})
 	s.FaultHook.Reach(inject.SideBegun)
 	out := s.perform(ctx, o)
 	s.FaultHook.Reach(inject.SideRan)
@@ -66,8 +66,8 @@
 	if s.ledger.untaken(o) {
 		s.orphans.add(r.Request)
 	}
-	s.record(o, story.Event{
-		Kind: story.AttemptEnded, Tokens: o.outcome.Tokens, Ran: o.outcome.Ran, Reason: out.Reason, Detail: out.Detail,
+	s.record(o, trace.Event{
+		Kind: trace.AttemptEnded, Tokens: o.outcome.Tokens, Ran: o.outcome.Ran, Reason: out.Reason, Detail: out.Detail,
 	})
 	s.Log.Info("ended", "request", r.Request, "attempt", r.Attempt, "stage", r.Stage,
 		"ran", o.outcome.Ran, "reason", out.Reason, "tokens", o.outcome.Tokens)
@@ -173,7 +173,7 @@
 }
 
 // record adds an event to the side's half of the story.
-func (s *Side) record(o *order, e story.Event) {
+func (s *Side) record(o *order, e trace.Event) {
 	e.Time, e.Host = time.Now(), s.Settings.Name
 	e.Request, e.Attempt, e.Upstream = o.run.Request, o.run.Attempt, s.Settings.Name
 	e.RequestKind, e.Caller, e.Service = o.run.Kind, o.run.Account, s.Settings.Service
--- a/side/side.go
+++ b/side/side.go
@@ -29,7 +29,7 @@
 	"jacinthworks/inject"
 	"jacinthworks/member"
 	"jacinthworks/retry"
-	"jacinthworks/story"
+	"jacinthworks/trace"
 	"jacinthworks/wire"
 )
 
@@ -58,7 +58,7 @@
 	ledger      OrderTable
 	room        room
 	pace        pace
-	recorder    story.Recorder
+	recorder    trace.Recorder
 	orphans     orphaned
 	claims      claims
 	deaths      deaths
@@ -137,9 +137,9 @@
 	if s.Log == nil {
 		s.Log = hclog.NewNullLogger()
 	}
-	s.Settings.Timings = s.Settings.Timings.OrDefaults()
+	s.Settings.Timings = s.Settings.Timings.WithDefaults()
 	s.incarnation = domain.NewIncarnation()
-	s.recorder.Half = story.HalfSide
+	s.recorder.Kind = trace.SideSpan
 	s.orders = make(chan orderAsk)
 	s.initClaims()
 }
@@ -156,7 +156,7 @@
 		OnOpen:             s.opened,
 		OnClose:            s.claims.closed,
 		HeartbeatInterval:  s.Settings.Timings.Heartbeat,
-		HeartbeatTimeout:   s.Settings.Timings.SilenceAfter,
+		HeartbeatTimeout:   s.Settings.Timings.HeartbeatTimeout,
 	}
 }
 
@@ -203,8 +203,8 @@
 		return wire.Decode(params, func(r wire.AttemptRef) (any, error) { return s.ledger.settle(r, time.Now()), nil })
 	case wire.MethodCancel:
 		return wire.Decode(params, func(r wire.AttemptRef) (any, error) { s.cancel(r); return struct{}{}, nil })
-	case wire.MethodStory:
-		return wire.Decode(params, func(a wire.StoryAsk) (any, error) { return s.story(a.Request) })
+	case wire.MethodTrace:
+		return wire.Decode(params, func(a wire.TraceRequest) (any, error) { return s.story(a.Request) })
 	case wire.MethodOrder:
 		return wire.Decode(params, func(o wire.Order) (any, error) { return s.order(ctx, o) })
 	case wire.MethodDrain:
@@ -266,8 +266,8 @@
 // drain takes no new work and waits for what runs, bounded by stop_within.
 func (s *Side) drain() {
 	s.stopTaking()
-	s.Log.Info("draining", "running", s.ledger.busy(), "within", s.Settings.Timings.StopWithin)
-	ctx, cancel := context.WithTimeout(s.workCtx, s.Settings.Timings.StopWithin)
+	s.Log.Info("draining", "running", s.ledger.busy(), "within", s.Settings.Timings.StopTimeout)
+	ctx, cancel := context.WithTimeout(s.workCtx, s.Settings.Timings.StopTimeout)
 	defer cancel()
 	defer s.leave()
 	t := time.NewTicker(sweepEvery)
--- a/side/stories.go
+++ b/side/stories.go
@@ -9,7 +9,7 @@
 
 	"jacinthworks/domain"
 	"jacinthworks/infra"
-	"jacinthworks/story"
+	"jacinthworks/trace"
 )
 
 // Times of the side's own story writes. They are rare: only what no entry was
@@ -46,8 +46,8 @@
 
 // writeStories writes the stories of orphaned requests to the platform.
 func (s *Side) writeStories(ctx context.Context) error {
-	p := story.Packer{Host: s.Settings.Name, Incarnation: s.incarnation}
-	var o story.Outbox
+	p := trace.Packer{Host: s.Settings.Name, Incarnation: s.incarnation}
+	var o trace.Outbox
 	t := time.NewTicker(storyEvery)
 	defer t.Stop()
 	for {
@@ -61,9 +61,9 @@
 	}
 }
 
-func (s *Side) packStories(now time.Time, p *story.Packer, o *story.Outbox) {
-	var batch []*story.Story
-	for _, one := range s.recorder.Take() {
+func (s *Side) packStories(now time.Time, p *trace.Packer, o *trace.Outbox) {
+	var batch []*trace.Span
+	for _, one := range s.recorder.TakePending() {
 		if s.orphans.take(one.Request) {
 			batch = append(batch, one)
 		}
@@ -80,9 +80,9 @@
 
 // flushStories writes what waits. A name is used once: a conflict says that an
 // earlier write, whose answer was lost, took effect.
-func (s *Side) flushStories(ctx context.Context, o *story.Outbox) {
+func (s *Side) flushStories(ctx context.Context, o *trace.Outbox) {
 	for {
-		segment, found := o.Next()
+		segment, found := o.Oldest()
 		if !found {
 			return
 		}
@@ -92,6 +92,6 @@
 		if err != nil && !errors.Is(err, infra.ErrConflict) {
 			return
 		}
-		o.Done(segment.Name)
+		o.Remove(segment.Name)
 	}
 }
--- a/side/vars.go
+++ b/side/vars.go
@@ -19,7 +19,7 @@
 		w.Header().Set("Content-Type", "application/json; charset=utf-8")
 		fmt.Fprintln(w, s.vars().String())
 	})
-	server := &http.Server{Handler: m, ReadHeaderTimeout: s.Settings.Limits.OrDefaults().HeaderTimeout}
+	server := &http.Server{Handler: m, ReadHeaderTimeout: s.Settings.Limits.WithDefaults().HeaderTimeout}
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
 	if err := server.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
--- a/spool/spool.go
+++ b/spool/spool.go
@@ -32,7 +32,7 @@
 // Writer holds lines until they can be written. Set To before the first
 // Write; it must not be copied. It is safe for concurrent use.
 type Writer struct {
-	To io.Writer
+	Output io.Writer
 
 	mu      sync.Mutex // a leaf
 	held    []byte
@@ -102,7 +102,7 @@
 	w.held = nil
 	w.mu.Unlock()
 	if len(lines) > 0 {
-		_, _ = w.To.Write(lines)
+		_, _ = w.Output.Write(lines)
 	}
 }
 
--- a/spool/spool_test.go
+++ b/spool/spool_test.go
@@ -17,7 +17,7 @@
 func TestAStalledReaderHoldsNobodyUp(t *testing.T) {
 	stalled, to := io.Pipe()
 	defer func() { _ = stalled.Close() }()
-	w := &spool.Writer{To: to}
+	w := &spool.Writer{Output: to}
 	go w.Run()
 	line := []byte(strings.Repeat("x", 1023) + "\n")
 	began := time.Now()
@@ -33,7 +33,7 @@
 
 func TestLinesArriveInOrder(t *testing.T) {
 	var out bytes.Buffer
-	w := &spool.Writer{To: &out}
+	w := &spool.Writer{Output: &out}
 	go w.Run()
 	for _, line := range []string{"a\n", "b\n", "c\n"} {
 		_, err := w.Write([]byte(line))
--- a/table/codec.go
+++ b/table/codec.go
@@ -15,9 +15,9 @@
 
 // stored is the JSON form of a Table.
 type stored struct {
-	Version Version   `json:"version,omitempty"`
-	Rows    []Row     `json:"rows"`
-	Edits   []Applied `json:"edits,omitempty"`
+	Version Version       `json:"version,omitempty"`
+	Rows    []Row         `json:"rows"`
+	Edits   []AppliedEdit `json:"edits,omitempty"`
 }
 
 // MarshalJSON writes version, rows and the edits remembered.
@@ -63,7 +63,7 @@
 	var whole struct {
 		Version Version            `json:"version"`
 		Rows    []map[Column]Value `json:"rows"`
-		Edits   []Applied          `json:"edits"`
+		Edits   []AppliedEdit      `json:"edits"`
 	}
 	trimmed := bytes.TrimSpace(text)
 	d := json.NewDecoder(bytes.NewReader(trimmed))
@@ -73,7 +73,7 @@
 		target = &whole.Rows
 	}
 	if err := d.Decode(target); err != nil {
-		return Table{}, reject(check.Findings{{Place: jsonPlace(trimmed, err), Problem: "not JSON rows: " + err.Error()}})
+		return Table{}, reject(check.Findings{{Location: jsonPlace(trimmed, err), Problem: "not JSON rows: " + err.Error()}})
 	}
 	var found check.Findings
 	rows := make([]Row, len(whole.Rows))
--- a/table/csv.go
+++ b/table/csv.go
@@ -60,9 +60,9 @@
 	return New(0, rows), nil
 }
 
-// ChangesCSV reads an edit's changes: the three columns of the key and any
+// DecodeChangesCSV reads an edit's changes: the three columns of the key and any
 // others. Each record is an OpPut; rows are not removed this way.
-func ChangesCSV(text []byte) ([]Change, error) {
+func DecodeChangesCSV(text []byte) ([]Change, error) {
 	s, found := readSheet(text)
 	for _, c := range []Column{ColumnService, ColumnZone, ColumnKind} {
 		if len(found) == 0 && !s.has(c) {
--- a/table/diff.go
+++ b/table/diff.go
@@ -35,7 +35,7 @@
 	for _, c := range columns {
 		was, is := c.get(a), c.get(b)
 		if was != is {
-			cells = append(cells, Cell{Column: c.name, Value: Value(is), Was: Value(was)})
+			cells = append(cells, Cell{Column: c.name, Value: Value(is), Previous: Value(was)})
 		}
 	}
 	return cells
@@ -60,7 +60,7 @@
 			b.WriteString("\n")
 		default:
 			for _, cell := range change.Cells {
-				fmt.Fprintf(&b, "= %s %s: %s -> %s\n", change.Key, cell.Column, cell.Was, cell.Value)
+				fmt.Fprintf(&b, "= %s %s: %s -> %s\n", change.Key, cell.Column, cell.Previous, cell.Value)
 			}
 		}
 	}
--- a/table/edit.go
+++ b/table/edit.go
@@ -19,12 +19,12 @@
 // they take about 10 KiB of the 1 MiB value.
 const HistoryLimit = 128
 
-// Applied is an edit that a table contains.
-type Applied struct {
+// AppliedEdit is an edit that a table contains.
+type AppliedEdit struct {
 	ID       EditID `json:"id"`
 	Operator string `json:"operator"`
-	// Sum is the edit's checksum.
-	Sum string `json:"sum"`
+	// Checksum is the edit's checksum.
+	Checksum string `json:"sum"`
 	// Base is the version that the edit was applied to.
 	Base Version `json:"base"`
 }
@@ -60,8 +60,8 @@
 type Cell struct {
 	Column Column `json:"column"`
 	Value  Value  `json:"value"`
-	// Was is the value before, as found by Diff.
-	Was Value `json:"was,omitempty"`
+	// Previous is the value before, as found by Diff.
+	Previous Value `json:"was,omitempty"`
 }
 
 // Change is what an edit does to one row.
@@ -125,9 +125,9 @@
 	return fmt.Sprintf("table: rejected (%s)\n%s", r.Cause, r.Findings.Error())
 }
 
-// Sum gives a checksum of the changes. It tells an edit that is sent again
+// Checksum gives a checksum of the changes. It tells an edit that is sent again
 // from another edit under the same id.
-func (e Edit) Sum() string {
+func (e Edit) Checksum() string {
 	h := fnv.New64a()
 	for _, c := range e.Changes {
 		fmt.Fprintf(h, "%q %q", c.Op, c.Key)
@@ -138,23 +138,23 @@
 	return strconv.FormatUint(h.Sum64(), 16)
 }
 
-// Lookup finds an edit among those that the table remembers.
-func (t Table) Lookup(id EditID) (Applied, bool) {
-	i := slices.IndexFunc(t.edits, func(a Applied) bool { return a.ID == id })
+// FindEdit finds an edit among those that the table remembers.
+func (t Table) FindEdit(id EditID) (AppliedEdit, bool) {
+	i := slices.IndexFunc(t.edits, func(a AppliedEdit) bool { return a.ID == id })
 	if i < 0 {
-		return Applied{}, false
+		return AppliedEdit{}, false
 	}
 	return t.edits[i], true
 }
 
-// Remembers reports whether the table knows every edit that was applied to
+// HistoryCovers reports whether the table knows every edit that was applied to
 // the given version or later, so that one it does not contain never was.
-func (t Table) Remembers(since Version) bool {
+func (t Table) HistoryCovers(since Version) bool {
 	return len(t.edits) < HistoryLimit || t.edits[0].Base <= since
 }
 
 // Edits gives the edits that the table remembers, oldest first.
-func (t Table) Edits() []Applied { return slices.Clone(t.edits) }
+func (t Table) Edits() []AppliedEdit { return slices.Clone(t.edits) }
 
 // Apply gives the table with the edit applied, or a *Rejection with every
 // wrong cell. The version stays; the platform gives the new one.
@@ -165,7 +165,7 @@
 		a.change(fmt.Sprintf("change %d %s", i+1, c.Key), c)
 	}
 	next := New(t.version, a.rows)
-	next.edits = append(t.Edits(), Applied{ID: e.ID, Operator: by.Name, Sum: e.Sum(), Base: t.version})
+	next.edits = append(t.Edits(), AppliedEdit{ID: e.ID, Operator: by.Name, Checksum: e.Checksum(), Base: t.version})
 	if extra := len(next.edits) - HistoryLimit; extra > 0 {
 		next.edits = next.edits[extra:]
 	}
--- a/table/edit_test.go
+++ b/table/edit_test.go
@@ -88,9 +88,9 @@
 	require.Equal(t, sampleTable(), before)
 	require.Equal(t, 3, after.Len())
 	require.Len(t, after.Edits(), 1)
-	a, ok := after.Lookup("e-1")
+	a, ok := after.FindEdit("e-1")
 	require.True(t, ok)
-	require.Equal(t, Applied{ID: "e-1", Operator: "asha", Sum: a.Sum, Base: 7}, a)
+	require.Equal(t, AppliedEdit{ID: "e-1", Operator: "asha", Checksum: a.Checksum, Base: 7}, a)
 	r, _ := after.Find("appraiser-lm", "salt-lake", "appraisal")
 	require.Equal(t, 4, r.Weight)
 }
@@ -117,14 +117,14 @@
 			Set(appraisal, Cell{Column: "weight", Value: Value(fmt.Sprint(i))})}}
 		next, err := table.Apply(e, asha)
 		require.NoError(t, err)
-		table = next.At(table.Version() + 1)
+		table = next.WithVersion(table.Version() + 1)
 	}
 	require.Len(t, table.Edits(), HistoryLimit)
-	_, ok := table.Lookup("e-0")
+	_, ok := table.FindEdit("e-0")
 	require.False(t, ok)
-	require.False(t, table.Remembers(7), "e-0, applied to version 7, is forgotten")
-	require.True(t, table.Remembers(8))
-	_, ok = table.Lookup("e-1")
+	require.False(t, table.HistoryCovers(7), "e-0, applied to version 7, is forgotten")
+	require.True(t, table.HistoryCovers(8))
+	_, ok = table.FindEdit("e-1")
 	require.True(t, ok)
 }
 
@@ -166,7 +166,7 @@
 }
 
 func TestCSVOfSomeColumnsSetsAndAdds(t *testing.T) {
-	changes, err := ChangesCSV([]byte("zone,service,kind,weight,team\n*,appraiser-lm,appraisal,9,appraisal\nhowrah,appraiser-lm,blurb,1,appraisal\n"))
+	changes, err := DecodeChangesCSV([]byte("zone,service,kind,weight,team\n*,appraiser-lm,appraisal,9,appraisal\nhowrah,appraiser-lm,blurb,1,appraisal\n"))
 	require.NoError(t, err)
 	_, err = sampleTable().Apply(Edit{ID: "e-1", Changes: changes}, asha)
 	require.Equal(t, []string{"row 2 appraiser-lm/howrah/blurb in_flight: must be 1 to 100000, not 0",
@@ -174,14 +174,14 @@
 	after, err := sampleTable().Apply(Edit{ID: "e-1", Changes: changes[:1]}, asha)
 	require.NoError(t, err)
 	require.Equal(t, "= appraiser-lm/*/appraisal weight: 1 -> 9\n", Diff(sampleTable(), after).String())
-	_, err = ChangesCSV([]byte("service,zone,weight\n"))
+	_, err = DecodeChangesCSV([]byte("service,zone,weight\n"))
 	require.Equal(t, []string{"line 1 kind: the column is missing"}, lines(err))
 }
 
 func TestSumTellsEditsApart(t *testing.T) {
-	a := Edit{ID: "e", Changes: []Change{Set(appraisal, Cell{Column: "weight", Value: "1", Was: "2"})}}
+	a := Edit{ID: "e", Changes: []Change{Set(appraisal, Cell{Column: "weight", Value: "1", Previous: "2"})}}
 	b := Edit{ID: "e", Changes: []Change{Set(appraisal, Cell{Column: "weight", Value: "1"})}}
-	require.Equal(t, a.Sum(), b.Sum(), "what was there before is no part of the edit")
+	require.Equal(t, a.Checksum(), b.Checksum(), "what was there before is no part of the edit")
 	b.Changes[0].Cells[0].Value = "2"
-	require.NotEqual(t, a.Sum(), b.Sum())
+	require.NotEqual(t, a.Checksum(), b.Checksum())
 }
--- a/table/fuzz_test.go
+++ b/table/fuzz_test.go
@@ -20,7 +20,7 @@
 	require.NoError(f, err)
 	f.Add(string(text))
 	f.Fuzz(func(t *testing.T, text string) {
-		_, _ = ChangesCSV([]byte(text))
+		_, _ = DecodeChangesCSV([]byte(text))
 		for _, read := range []func([]byte) (Table, error){DecodeCSV, DecodeRows} {
 			got, err := read([]byte(text))
 			if err != nil {
