--- a/table/holder.go
+++ b/table/holder.go
@@ -27,7 +27,7 @@
 	since time.Time
 }
 
-// Offer takes the table over if it is newer than the one held, and reports
+// Update takes the table over if it is newer than the one held, and reports
 // whether it did. The time is when the answer that brought the table was
 // asked for, on this process's clock.
 //
@@ -35,7 +35,7 @@
 // an answer overtaken by a later one all bring a lower version: operators
 // would see an accepted edit undone on some hosts. Versions come from the one
 // object's conditional updates, so the higher one contains the lower.
-func (h *Holder) Offer(t Table, asked time.Time) bool {
+func (h *Holder) Update(t Table, asked time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	newer := h.take(t)
@@ -43,10 +43,10 @@
 	return newer
 }
 
-// Push takes over a newer table that came without being asked for, and
+// UpdatePushed takes over a newer table that came without being asked for, and
 // reports whether it did. When it was sent is not known, so it says nothing of
 // whether this host is up to date.
-func (h *Holder) Push(t Table) bool {
+func (h *Holder) UpdatePushed(t Table) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.take(t)
@@ -64,7 +64,7 @@
 	return newer
 }
 
-// Hear notes that a source answered, and which version is the newest it knows.
+// Confirm notes that a source answered, and which version is the newest it knows.
 // The time is when the answer was asked for, on this process's clock.
 //
 // A process that was frozen finds answers from before in its sockets. Were
@@ -72,7 +72,7 @@
 // minutes old; dated by their question they count for nothing. For the same
 // reason an answer that names a version newer than the one held does not
 // count: it shows that this host is behind.
-func (h *Holder) Hear(v Version, asked time.Time) {
+func (h *Holder) Confirm(v Version, asked time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.hear(v, asked)
@@ -109,9 +109,9 @@
 	return time.Time{}
 }
 
-// LastHeard gives how long ago the newest answer that counts was asked for,
+// ConfirmationAge gives how long ago the newest answer that counts was asked for,
 // and false when there was none.
-func (h *Holder) LastHeard(now time.Time) (time.Duration, bool) {
+func (h *Holder) ConfirmationAge(now time.Time) (time.Duration, bool) {
 	last := h.heard.Load()
 	if last == nil {
 		return 0, false
@@ -123,7 +123,7 @@
 // confirmed it within staleAfter. The difference is taken on the monotonic
 // clock, so that setting the host's clock changes nothing.
 func (h *Holder) Fresh(now time.Time, staleAfter time.Duration) bool {
-	age, ok := h.LastHeard(now)
+	age, ok := h.ConfirmationAge(now)
 	return ok && age < staleAfter
 }
 
--- a/table/holder_test.go
+++ b/table/holder_test.go
@@ -17,7 +17,7 @@
 	require.False(t, h.Fresh(start, staleAfter))
 	require.Zero(t, h.Version())
 	require.True(t, h.Since().IsZero())
-	_, ok := h.LastHeard(start)
+	_, ok := h.ConfirmationAge(start)
 	require.False(t, ok)
 }
 
@@ -27,10 +27,10 @@
 func TestAHolderNeverGoesBack(t *testing.T) {
 	now := start
 	h := Holder{Now: func() time.Time { return now }}
-	require.True(t, h.Offer(sampleTable().At(8), start))
+	require.True(t, h.Update(sampleTable().WithVersion(8), start))
 	now = start.Add(time.Second)
-	require.False(t, h.Offer(sampleTable().At(7), start.Add(time.Second)))
-	require.False(t, h.Offer(sampleTable().At(8), start.Add(time.Second)))
+	require.False(t, h.Update(sampleTable().WithVersion(7), start.Add(time.Second)))
+	require.False(t, h.Update(sampleTable().WithVersion(8), start.Add(time.Second)))
 	require.Equal(t, Version(8), h.Version())
 	require.Equal(t, start, h.Since())
 }
@@ -41,11 +41,11 @@
 // dated by its question, so the old ones leave the entry stale.
 func TestAnswersFromBeforeAFreezeDoNotMakeFresh(t *testing.T) {
 	var h Holder
-	h.Offer(sampleTable(), start)
+	h.Update(sampleTable(), start)
 	woken := start.Add(time.Minute)
-	h.Hear(7, start.Add(500*time.Millisecond))
+	h.Confirm(7, start.Add(500*time.Millisecond))
 	require.False(t, h.Fresh(woken, staleAfter))
-	h.Hear(7, woken)
+	h.Confirm(7, woken)
 	require.True(t, h.Fresh(woken.Add(time.Second), staleAfter))
 }
 
@@ -54,18 +54,18 @@
 // keep this host taking work by version 7.
 func TestHearingOfANewerVersionDoesNotMakeFresh(t *testing.T) {
 	var h Holder
-	h.Offer(sampleTable(), start)
-	h.Hear(9, start.Add(4*time.Second))
+	h.Update(sampleTable(), start)
+	h.Confirm(9, start.Add(4*time.Second))
 	require.False(t, h.Fresh(start.Add(4*time.Second), staleAfter))
-	h.Offer(sampleTable().At(9), start.Add(5*time.Second))
+	h.Update(sampleTable().WithVersion(9), start.Add(5*time.Second))
 	require.True(t, h.Fresh(start.Add(5*time.Second), staleAfter))
 }
 
 func TestAPushedTableIsTakenButDoesNotMakeFresh(t *testing.T) {
 	var h Holder
-	require.True(t, h.Push(sampleTable()))
+	require.True(t, h.UpdatePushed(sampleTable()))
 	require.False(t, h.Fresh(start, staleAfter))
-	require.False(t, h.Push(sampleTable().At(6)))
+	require.False(t, h.UpdatePushed(sampleTable().WithVersion(6)))
 }
 
 // The status told an operator that their edit was in force on a host 20
@@ -74,18 +74,18 @@
 func TestATableIsInForceFromWhenItIsTaken(t *testing.T) {
 	made := start.Add(20 * time.Second)
 	h := Holder{Now: func() time.Time { return made }}
-	h.Offer(sampleTable(), start)
+	h.Update(sampleTable(), start)
 	require.Equal(t, made, h.Since())
-	age, _ := h.LastHeard(made)
+	age, _ := h.ConfirmationAge(made)
 	require.Equal(t, 20*time.Second, age, "the watch may have been answered late")
 }
 
 func TestAnOlderQuestionDoesNotTurnBackTheClock(t *testing.T) {
 	var h Holder
-	h.Offer(sampleTable(), start)
-	h.Hear(7, start.Add(2*time.Second))
-	h.Hear(6, start.Add(time.Second))
-	age, ok := h.LastHeard(start.Add(3 * time.Second))
+	h.Update(sampleTable(), start)
+	h.Confirm(7, start.Add(2*time.Second))
+	h.Confirm(6, start.Add(time.Second))
+	age, ok := h.ConfirmationAge(start.Add(3 * time.Second))
 	require.True(t, ok)
 	require.Equal(t, time.Second, age)
 }
@@ -93,10 +93,10 @@
 func TestChangedWakesOnlyForANewerTable(t *testing.T) {
 	var h Holder
 	first := h.Changed()
-	h.Offer(sampleTable(), start)
+	h.Update(sampleTable(), start)
 	<-first
 	second := h.Changed()
-	h.Offer(sampleTable().At(3), start)
+	h.Update(sampleTable().WithVersion(3), start)
 	select {
 	case <-second:
 		t.Fatal("woken by a lower version")
@@ -140,10 +140,10 @@
 			m := heardAt{Version(rapid.IntRange(1, 5).Draw(rt, "version")),
 				start.Add(time.Duration(rapid.IntRange(0, 9).Draw(rt, "second")) * time.Second)}
 			if rapid.Bool().Draw(rt, "offer") {
-				h.Offer(New(m.version, nil), m.asked)
+				h.Update(New(m.version, nil), m.asked)
 				n.offers = append(n.offers, m)
 			} else {
-				h.Hear(m.version, m.asked)
+				h.Confirm(m.version, m.asked)
 			}
 			if len(n.offers) > 0 && m.version <= n.version() {
 				n.hears = append(n.hears, m)
--- a/table/model_test.go
+++ b/table/model_test.go
@@ -176,8 +176,8 @@
 func (m model) offer(held, offered Version) Version {
 	var h Holder
 	h.takeLower = m.takeLower
-	h.Offer(Table{}.At(held), start)
-	h.Offer(Table{}.At(offered), start)
+	h.Update(Table{}.WithVersion(held), start)
+	h.Update(Table{}.WithVersion(offered), start)
 	return h.Version()
 }
 
--- a/table/table.go
+++ b/table/table.go
@@ -58,7 +58,7 @@
 	version Version
 	rows    []Row
 	index   map[Key]int
-	edits   []Applied
+	edits   []AppliedEdit
 }
 
 // New gives a table of the rows, sorted by key. It does not check them.
@@ -75,8 +75,8 @@
 // Version gives the table's version.
 func (t Table) Version() Version { return t.version }
 
-// At gives the same rows at the version under which the platform holds them.
-func (t Table) At(v Version) Table {
+// WithVersion gives the same rows at the version under which the platform holds them.
+func (t Table) WithVersion(v Version) Table {
 	t.version = v
 	return t
 }
--- a/test/badinput.go
+++ b/test/badinput.go
@@ -105,7 +105,7 @@
 			rest = append(rest, a)
 		}
 	}
-	ctx, cancel := context.WithTimeout(w.ctx, Within)
+	ctx, cancel := context.WithTimeout(w.ctx, WaitTimeout)
 	defer cancel()
 	command := exec.CommandContext(ctx, w.bin.Router, rest...)
 	command.Dir = w.dir
@@ -113,7 +113,7 @@
 	command.Stdout, command.Stderr = &out, &errs
 	err := command.Run()
 	if ctx.Err() != nil {
-		return errors.Errorf("still runs after %s: %s", Within, &errs)
+		return errors.Errorf("still runs after %s: %s", WaitTimeout, &errs)
 	}
 	if code := command.ProcessState.ExitCode(); strconv.Itoa(code) != args[0] {
 		return errors.Errorf("ended with %d (%v): %s", code, err, &errs)
--- a/test/calls.go
+++ b/test/calls.go
@@ -60,7 +60,7 @@
 	if c == nil {
 		return errors.Errorf("no call %q", args[0])
 	}
-	until := time.After(Within)
+	until := time.After(WaitTimeout)
 	for {
 		v := c.look()
 		if len(args) > 1 && v.tokens >= number(args[1], 1) {
@@ -74,7 +74,7 @@
 			return nil
 		case <-v.more:
 		case <-until:
-			return errors.Errorf("still running after %s: %+v", Within, v)
+			return errors.Errorf("still running after %s: %+v", WaitTimeout, v)
 		}
 	}
 }
--- a/test/direct.go
+++ b/test/direct.go
@@ -24,21 +24,21 @@
 	return b, nil
 }
 
-// Direct is a world for programs that measure: its processes reach each other
+// Cluster is a world for programs that measure: its processes reach each other
 // without relays and log only what a deployment logs.
-type Direct struct{ w *world }
+type Cluster struct{ w *world }
 
-// Running is a process of a Direct world.
-type Running struct {
+// Process is a process of a Direct world.
+type Process struct {
 	PID     int
 	Address netip.AddrPort
 	// Admin and Peers are where an entry answers operators and other entries.
 	Admin, Peers netip.AddrPort
 }
 
-// NewDirect starts a platform with the given table. Logs and settings go to
+// NewCluster starts a platform with the given table. Logs and settings go to
 // dir. The caller must Close it.
-func NewDirect(bin Binaries, dir string, table []byte) (*Direct, error) {
+func NewCluster(bin Binaries, dir string, table []byte) (*Cluster, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
 	}
@@ -48,23 +48,23 @@
 		w.close()
 		return nil, err
 	}
-	return &Direct{w: w}, nil
+	return &Cluster{w: w}, nil
 }
 
 // Close ends what was started, by pid.
-func (d *Direct) Close() { d.w.close() }
+func (d *Cluster) Close() { d.w.close() }
 
 // Fake starts a stand-in.
-func (d *Direct) Fake(name string, args ...string) (Running, error) {
+func (d *Cluster) Fake(name string, args ...string) (Process, error) {
 	p, err := d.w.launch(name, d.w.bin.Fakes, args...)
 	if err != nil {
-		return Running{}, err
+		return Process{}, err
 	}
 	return running(p), nil
 }
 
 // Upstream makes an address known under a name, for Side.
-func (d *Direct) Upstream(name string, at netip.AddrPort) {
+func (d *Cluster) Upstream(name string, at netip.AddrPort) {
 	d.w.mu.Lock()
 	defer d.w.mu.Unlock()
 	if d.w.outside == nil {
@@ -75,39 +75,39 @@
 
 // Side starts a side before an upstream, which is a stand-in's name or one
 // made known by Upstream.
-func (d *Direct) Side(name, zone, role, service, upstream string) (Running, error) {
+func (d *Cluster) Side(name, zone, role, service, upstream string) (Process, error) {
 	if err := d.w.startSide(name, zone, role, service, upstream); err != nil {
-		return Running{}, err
+		return Process{}, err
 	}
 	return d.Process(name)
 }
 
 // Entry starts an entry and waits until it is ready.
-func (d *Direct) Entry(name, zone string) (Running, error) {
+func (d *Cluster) Entry(name, zone string) (Process, error) {
 	if err := d.w.startEntry(name, zone); err != nil {
-		return Running{}, err
+		return Process{}, err
 	}
 	if err := stepReady(d.w, []string{name}); err != nil {
-		return Running{}, err
+		return Process{}, err
 	}
 	return d.Process(name)
 }
 
 // Process gives a process by its name; the platform's is "platform".
-func (d *Direct) Process(name string) (Running, error) {
+func (d *Cluster) Process(name string) (Process, error) {
 	p, err := d.w.find(name)
 	if err != nil {
-		return Running{}, err
+		return Process{}, err
 	}
 	return running(p), nil
 }
 
-func running(p *process) Running {
-	return Running{PID: p.command.Process.Pid, Address: p.address, Admin: p.admin, Peers: p.peers}
+func running(p *process) Process {
+	return Process{PID: p.command.Process.Pid, Address: p.address, Admin: p.admin, Peers: p.peers}
 }
 
 // String names the process for a message.
-func (r Running) String() string { return fmt.Sprintf("pid %d at %s", r.PID, r.Address) }
+func (r Process) String() string { return fmt.Sprintf("pid %d at %s", r.PID, r.Address) }
 
 // upstream gives the address of an upstream.
 func (w *world) upstream(name string) (netip.AddrPort, error) {
--- a/test/drive/drive.go
+++ b/test/drive/drive.go
@@ -4,7 +4,7 @@
 // # Usage
 //
 //	c := drive.Caller{Base: "http://127.0.0.1:8000", Token: token}
-//	r := drive.Closed(ctx, 16, 1000, c.Plain) // 1,000 calls by 16 workers
+//	r := drive.ClosedLoop(ctx, 16, 1000, c.Plain) // 1,000 calls by 16 workers
 //	fmt.Println(r.Rate(), r.Times.ValueAtQuantile(99))
 package drive
 
@@ -27,35 +27,35 @@
 	digits   = 3
 )
 
-// NewTimes gives an empty histogram of times in nanoseconds.
-func NewTimes() *hdrhistogram.Histogram { return hdrhistogram.New(shortest, longest, digits) }
+// NewHistogram gives an empty histogram of times in nanoseconds.
+func NewHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(shortest, longest, digits) }
 
 // Result is what a closed loop did.
 type Result struct {
 	Done, Failed int
 	// First is the error of the first call that failed.
-	First error
-	Took  time.Duration
-	// Times holds how long each call that did not fail took, in nanoseconds.
-	Times *hdrhistogram.Histogram
+	First   error
+	Elapsed time.Duration
+	// Latencies holds how long each call that did not fail took, in nanoseconds.
+	Latencies *hdrhistogram.Histogram
 }
 
 // Rate is calls a second.
-func (r Result) Rate() float64 { return float64(r.Done) / r.Took.Seconds() }
+func (r Result) Rate() float64 { return float64(r.Done) / r.Elapsed.Seconds() }
 
-// Closed has workers make calls one after the other until the total is made
+// ClosedLoop has workers make calls one after the other until the total is made
 // or ctx ends.
-func Closed(ctx context.Context, workers, total int, do func(context.Context) error) Result {
+func ClosedLoop(ctx context.Context, workers, total int, do func(context.Context) error) Result {
 	var (
 		g     group.Group
 		taken atomic.Int64
 		mu    sync.Mutex
 	)
-	r := Result{Times: NewTimes()}
+	r := Result{Latencies: NewHistogram()}
 	began := time.Now()
 	for range workers {
 		g.Go(ctx, "worker", func(ctx context.Context) error {
-			own := NewTimes()
+			own := NewHistogram()
 			failed, first := 0, error(nil)
 			for ctx.Err() == nil && taken.Add(1) <= int64(total) {
 				start := time.Now()
@@ -68,7 +68,7 @@
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			r.Times.Merge(own)
+			r.Latencies.Merge(own)
 			r.Failed += failed
 			if r.First == nil {
 				r.First = first
@@ -77,7 +77,7 @@
 		})
 	}
 	g.Wait()
-	r.Took = time.Since(began)
-	r.Done = int(r.Times.TotalCount())
+	r.Elapsed = time.Since(began)
+	r.Done = int(r.Latencies.TotalCount())
 	return r
 }
--- a/test/drive/drive_test.go
+++ b/test/drive/drive_test.go
@@ -14,7 +14,7 @@
 
 func TestClosedMakesJustTheTotal(t *testing.T) {
 	var n atomic.Int64
-	r := Closed(t.Context(), 7, 100, func(context.Context) error {
+	r := ClosedLoop(t.Context(), 7, 100, func(context.Context) error {
 		if n.Add(1)%10 == 0 {
 			return errors.New("tenth")
 		}
--- a/test/faults.go
+++ b/test/faults.go
@@ -59,7 +59,7 @@
 		}
 		select {
 		case <-p.done:
-		case <-time.After(Within):
+		case <-time.After(WaitTimeout):
 			return errors.Errorf("%s still runs", name)
 		}
 	}
--- a/test/fleet.go
+++ b/test/fleet.go
@@ -104,9 +104,9 @@
 // The store counts its eras where that is asked for.
 func newFleet(bin Binaries, dir string, eras bool) (*fleet, error) {
 	f := &fleet{w: newWorld(bin, dir), store: fake.NewStore(), servers: make(map[string]*server)}
-	f.store.SetStale(time.Second)
+	f.store.SetStaleReadLag(time.Second)
 	if eras {
-		f.store.CountEras()
+		f.store.EnableEras()
 	}
 	f.configure(0)
 	for n := range 3 {
@@ -187,7 +187,7 @@
 	s.now = fake.NewServer(f.store, fake.Entry{
 		ID: id, Service: service, Stage: stage, Zone: "here", Slots: 16, Address: r.address().String(),
 	})
-	s.now.SetPace(fleetPace)
+	s.now.SetEventInterval(fleetPace)
 	r.aim(s.now.Addr())
 	f.past = append(f.past, s.now)
 }
@@ -238,7 +238,7 @@
 	case <-l.started:
 	case <-l.done:
 		return errors.Errorf("%s ended before it listened", h.name)
-	case <-time.After(Within):
+	case <-time.After(WaitTimeout):
 		return errors.Errorf("%s did not listen", h.name)
 	}
 	h.mu.Lock()
@@ -298,7 +298,7 @@
 }
 
 func (f *fleet) untilReady(h *entryHost) error {
-	for until := time.Now().Add(Within); time.Now().Before(until); group.Sleep(f.w.ctx, 20*time.Millisecond) {
+	for until := time.Now().Add(WaitTimeout); time.Now().Before(until); group.Sleep(f.w.ctx, 20*time.Millisecond) {
 		if h.now().isReady() {
 			return nil
 		}
@@ -338,7 +338,7 @@
 	}
 	select {
 	case <-l.done:
-	case <-time.After(Within):
+	case <-time.After(WaitTimeout):
 		return errors.Errorf("%s did not end", h.name)
 	}
 	group.Sleep(f.w.ctx, fleetRestart)
--- a/test/fleetcalls.go
+++ b/test/fleetcalls.go
@@ -16,7 +16,7 @@
 	id, kind, method, target, body string
 	entry, incarnation             int
 	sent, ended                    time.Time
-	got                            fake.Got
+	got                            fake.Response
 	// fresh says that its connection was made for it, left that its caller
 	// gave up.
 	fresh, left bool
@@ -107,9 +107,9 @@
 	}
 	ctx, cancel := context.WithTimeout(f.w.ctx, patience)
 	defer cancel()
-	a := fake.Ask{ID: one.id, Method: one.method, Target: one.target, Body: one.body, Within: fleetWithin}
+	a := fake.Request{ID: one.id, Method: one.method, Target: one.target, Body: one.body, Timeout: fleetWithin}
 	if one.kind == "stream" || one.kind == "resumed" || one.kind == longKind {
-		a.Prompt, a.Output = 1000, 200
+		a.PromptTokens, a.MaxOutputTokens = 1000, 200
 	}
 	one.sent = time.Now()
 	one.got, one.fresh = c.Do(ctx, a)
--- a/test/fleetcopy.go
+++ b/test/fleetcopy.go
@@ -26,7 +26,7 @@
 			name: fmt.Sprintf("store comes back from a copy %v old", age.Round(time.Millisecond)), entry: everyEntry,
 			begin: func(f *fleet) error {
 				f.store.SetDown(true)
-				f.store.Rewind(age)
+				f.store.Restore(age)
 				return nil
 			},
 			end: func(f *fleet) error {
--- a/test/fleetjudge.go
+++ b/test/fleetjudge.go
@@ -78,7 +78,7 @@
 			counts["given up"]++
 		case c.got.Err != nil:
 			counts["broken off"]++
-		case c.got.Signed:
+		case c.got.Stamped:
 			counts["answered"]++
 		default:
 			counts[fmt.Sprintf("refused with %d", c.got.Status)]++
@@ -160,7 +160,7 @@
 		if (c.kind == "once" || c.kind == "stream") && runs > 1 {
 			found.add("%s ran %d times", c.id, runs)
 		}
-		if promised(c.got.Status) && !c.got.Signed && runs > 0 && (c.kind == "once" || c.kind == "stream") {
+		if promised(c.got.Status) && !c.got.Stamped && runs > 0 && (c.kind == "once" || c.kind == "stream") {
 			found.add("%s ran, and its caller was told %d", c.id, c.got.Status)
 		}
 	}
@@ -175,10 +175,10 @@
 func (f *fleet) judgeAnswers(found *findings) {
 	for _, c := range f.calls {
 		switch {
-		case c.got.Read && c.got.Status >= 300 && c.got.Status < 500 && !promised(c.got.Status):
+		case c.got.HeaderReceived && c.got.Status >= 300 && c.got.Status < 500 && !promised(c.got.Status):
 			found.add("%s was denied with %d", c.id, c.got.Status)
 		case c.got.Status != http.StatusOK || c.got.Err != nil:
-		case !c.got.Signed:
+		case !c.got.Stamped:
 			found.add("%s has a success that no server signed", c.id)
 		case !c.whole():
 			found.add("%s has an answer that is not its own, or not whole: %q", c.id, c.got.Body)
@@ -207,10 +207,10 @@
 		}
 		// A request that meets the close of a kept connection was never read; one
 		// on a connection that is refused was never taken.
-		crossed := c.got.Err != nil && !c.got.Read && len(ran[c.id]) == 0 && !f.idle(c.entry, c.sent, c.ended)
+		crossed := c.got.Err != nil && !c.got.HeaderReceived && len(ran[c.id]) == 0 && !f.idle(c.entry, c.sent, c.ended)
 		switch {
 		case c.got.Err != nil && !crossed:
-			found.add("%s at entry-%d broke off in calm (read %v, fresh %v): %v", c.id, c.entry+1, c.got.Read, c.fresh, c.got.Err)
+			found.add("%s at entry-%d broke off in calm (read %v, fresh %v): %v", c.id, c.entry+1, c.got.HeaderReceived, c.fresh, c.got.Err)
 		case c.got.Status != http.StatusOK && !crossed && f.idle(c.entry, c.sent, c.ended):
 			found.add("%s at entry-%d was answered %d in calm", c.id, c.entry+1, c.got.Status)
 		}
--- a/test/fleetlimit.go
+++ b/test/fleetlimit.go
@@ -73,7 +73,7 @@
 	}
 	for _, l := range f.limits {
 		var in []time.Time
-		for _, a := range l.server.Arrived() {
+		for _, a := range l.server.Received() {
 			c, known := by[a.ID]
 			first, knows := told[[2]int{c.entry, c.incarnation}]
 			counts := known && knows && a.At.After(first.Add(limitTold)) && f.calm(c.entry, a.At, a.At)
--- a/test/fleetplan.go
+++ b/test/fleetplan.go
@@ -152,16 +152,16 @@
 		return trouble{
 			name: "store slow and behind, its history dropped", entry: everyEntry,
 			begin: func(f *fleet) error {
-				f.store.SetSlow(storeSlow)
-				f.store.SetBehind(storeBehind)
+				f.store.SetLatency(storeSlow)
+				f.store.SetReadLag(storeBehind)
 				// Something else changes, so that all watches are behind what is kept.
 				f.store.Put("other", "object", time.Now().String())
 				f.store.Compact()
 				return nil
 			},
 			end: func(f *fleet) error {
-				f.store.SetSlow(0)
-				f.store.SetBehind(0)
+				f.store.SetLatency(0)
+				f.store.SetReadLag(0)
 				return nil
 			},
 		}
@@ -175,8 +175,8 @@
 		lost := &losing{random: rand.New(rand.NewPCG(r.Uint64(), 0))}
 		return trouble{
 			name: "answers lost by " + upstream, entry: everyEntry,
-			begin: func(f *fleet) error { f.server(upstream).Do(lost.serve(f.server(upstream))); return nil },
-			end:   func(f *fleet) error { f.server(upstream).Do(nil); return nil },
+			begin: func(f *fleet) error { f.server(upstream).Intercept(lost.serve(f.server(upstream))); return nil },
+			end:   func(f *fleet) error { f.server(upstream).Intercept(nil); return nil },
 		}
 	case 14:
 		return trouble{
@@ -187,7 +187,7 @@
 	}
 	return trouble{
 		name: "crash " + upstream, entry: everyEntry,
-		begin: func(f *fleet) error { f.server(upstream).Die(); return nil },
+		begin: func(f *fleet) error { f.server(upstream).Crash(); return nil },
 		end:   func(f *fleet) error { f.replace(upstream); return nil },
 	}
 }
@@ -207,7 +207,7 @@
 		l.mu.Lock()
 		drawn := l.random.Float64()
 		l.mu.Unlock()
-		if drawn > losePart || !s.MayRun(r) {
+		if drawn > losePart || !s.Executable(r) {
 			return false
 		}
 		if drawn > losePart/2 && s.Entry.Stage != "" {
@@ -215,7 +215,7 @@
 			_, _ = io.WriteString(w, "id: 4\ndata: pie")
 			_ = http.NewResponseController(w).Flush()
 		} else {
-			s.MarkRan(r)
+			s.RecordRun(r)
 		}
 		panic(http.ErrAbortHandler)
 	}
@@ -343,7 +343,7 @@
 // first one some time after it may get requests.
 func (f *fleet) leave(name string) {
 	old := f.server(name)
-	old.Leave()
+	old.RegisterLeaving()
 	f.mu.Lock()
 	f.leaves = append(f.leaves, leave{server: old, at: time.Now()})
 	s := f.servers[name]
--- a/test/fleetstated.go
+++ b/test/fleetstated.go
@@ -53,7 +53,7 @@
 	for _, c := range f.calls {
 		by[c.id] = c
 	}
-	for _, a := range s.Arrived() {
+	for _, a := range s.Received() {
 		if c, known := by[a.ID]; known {
 			all = append(all, arrival{a.At, c})
 		}
@@ -96,12 +96,12 @@
 	for _, a := range arrived {
 		at[a.call.id] = a
 	}
-	for _, p := range s.Pauses() {
+	for _, p := range s.Backoffs() {
 		asker, known := at[p.ID]
 		if !known {
 			continue
 		}
-		n, until := 0, p.At.Add(p.For)
+		n, until := 0, p.At.Add(p.Duration)
 		for _, a := range arrived {
 			same := a.call.entry == asker.call.entry && a.call.incarnation == asker.call.incarnation
 			if same && a.at.After(p.At.Add(pauseSlack)) && a.at.Before(until) {
@@ -109,7 +109,7 @@
 			}
 		}
 		if n > pauseMost && f.calm(asker.call.entry, p.At, until) {
-			found.add("%s had asked entry-%d for a pause of %v, and got %d requests in it", s.Entry.ID, asker.call.entry+1, p.For, n)
+			found.add("%s had asked entry-%d for a pause of %v, and got %d requests in it", s.Entry.ID, asker.call.entry+1, p.Duration, n)
 		}
 	}
 }
--- a/test/judge.go
+++ b/test/judge.go
@@ -106,7 +106,7 @@
 	w.judged(AtMostOnce, &found, func(f *check.Findings) { w.judgeRuns(u, f) })
 	w.judged(AnsweredOnce, &found, w.judgeSecondAnswers)
 	w.judged(AnsweredOnce, &found, w.judgeCounts)
-	w.judged(EditsHold, &found, w.judgeTable)
+	w.judged(EditsPersist, &found, w.judgeTable)
 	return found.Err()
 }
 
@@ -133,7 +133,7 @@
 			}
 			continue
 		}
-		want := model.Answer(c.prompt, c.maxTokens)
+		want := model.Completion(c.prompt, c.maxTokens)
 		switch {
 		case v.whole && v.text != want:
 			found.Add(name, "answer is not whole or not its own: got %q, want %q", v.text, want)
--- a/test/operator.go
+++ b/test/operator.go
@@ -16,8 +16,8 @@
 	"jacinthworks/editor"
 	"jacinthworks/engine"
 	"jacinthworks/fakes/model"
-	"jacinthworks/story"
 	"jacinthworks/table"
+	"jacinthworks/trace"
 )
 
 // edit is one operator's edit and what became of it.
@@ -39,7 +39,7 @@
 	if who == "bola" {
 		token = rivalToken
 	}
-	return &admin.Client{Address: p.admin, Token: conf.Secret(token), Pause: 200 * time.Millisecond}, nil
+	return &admin.Client{Address: p.admin, Token: conf.Secret(token), RetryInterval: 200 * time.Millisecond}, nil
 }
 
 func parseKey(text string) (table.Key, error) {
@@ -127,7 +127,7 @@
 			if !strings.HasPrefix(entry, "entry-") {
 				continue
 			}
-			if err := w.timed(EditsHold, within, func() error { return w.holds(entry, key, name, value) }); err != nil {
+			if err := w.timed(EditsPersist, within, func() error { return w.holds(entry, key, name, value) }); err != nil {
 				return err
 			}
 		}
@@ -218,7 +218,7 @@
 		}
 		ctx, cancel := context.WithTimeout(w.ctx, 3*time.Second)
 		defer cancel()
-		a, err := c.Story(ctx, call.look().id)
+		a, err := c.Trace(ctx, call.look().id)
 		if err != nil {
 			return err
 		}
@@ -226,7 +226,7 @@
 	})
 }
 
-func matches(a story.Account, o map[string]string) error {
+func matches(a trace.Trace, o map[string]string) error {
 	if want := o["state"]; want != "" && string(a.State) != want {
 		return errors.Errorf("state is %s, not %s: %+v", a.State, want, a)
 	}
@@ -254,7 +254,7 @@
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(w.ctx, Within)
+	ctx, cancel := context.WithTimeout(w.ctx, WaitTimeout)
 	defer cancel()
 	_, err = c.SendOrder(ctx, admin.OrderRequest{Host: domain.Host(args[0]), Kind: engine.OrderKind(args[1]), Value: args[2]})
 	return err
@@ -267,7 +267,7 @@
 	if err != nil {
 		return err
 	}
-	var got []model.GivenOrder
+	var got []model.ReceivedOrder
 	if err := getJSON(w.ctx, "http://"+p.address.String()+"/orders", &got); err != nil {
 		return err
 	}
--- a/test/path/departures.go
+++ b/test/path/departures.go
@@ -85,7 +85,7 @@
 	times *hdrhistogram.Histogram
 }
 
-func newArrivals() *arrivals { return &arrivals{times: drive.NewTimes()} }
+func newArrivals() *arrivals { return &arrivals{times: drive.NewHistogram()} }
 
 // add takes the time of one token.
 func (a *arrivals) add(took time.Duration, left bool) error {
--- a/test/path/plain.go
+++ b/test/path/plain.go
@@ -18,7 +18,7 @@
 // calls through entry and side: one after the other for the time added, then
 // many at once for the rate.
 func measurePlain(ctx context.Context, bin test.Binaries, dir string, a arguments) error {
-	w, err := test.NewDirect(bin, filepath.Join(dir, "plain"), []byte(drive.Table))
+	w, err := test.NewCluster(bin, filepath.Join(dir, "plain"), []byte(drive.Table))
 	if err != nil {
 		return err
 	}
@@ -38,22 +38,22 @@
 		{Base: "http://" + server.Address.String(), Path: "/card"},
 		{Base: "http://" + e.Address.String(), Token: test.CallerToken},
 	}
-	times := []*hdrhistogram.Histogram{drive.NewTimes(), drive.NewTimes()}
+	times := []*hdrhistogram.Histogram{drive.NewHistogram(), drive.NewHistogram()}
 	for round := range rounds + 1 {
 		for i, c := range ways {
-			r := drive.Closed(ctx, 1, a.Calls/rounds, c.Plain)
+			r := drive.ClosedLoop(ctx, 1, a.Calls/rounds, c.Plain)
 			if r.Failed > 0 {
 				return errors.Wrap(r.First, "plain call")
 			}
 			if round > 0 { // the first warms up
-				times[i].Merge(r.Times)
+				times[i].Merge(r.Latencies)
 			}
 		}
 	}
 	reportTimes("plain_call", times[0], times[1])
 	var rates []float64
 	for _, c := range ways {
-		r := drive.Closed(ctx, a.Workers, a.Load, c.Plain)
+		r := drive.ClosedLoop(ctx, a.Workers, a.Load, c.Plain)
 		if r.Failed > 0 {
 			return errors.Wrap(r.First, "plain calls at once")
 		}
--- a/test/path/tokens.go
+++ b/test/path/tokens.go
@@ -34,7 +34,7 @@
 func (e *engines) start(ctx context.Context) error {
 	settings := model.Settings{
 		Model: drive.Model, PrefillRate: 1_000_000, Slots: 256, MemoryTokens: 10_000_000,
-		TokenGap: tokenGap, BatchCost: 0.0001, LinkRate: 100_000_000, Life: 10 * time.Second,
+		TokenGap: tokenGap, BatchCost: 0.0001, LinkRate: 100_000_000, KVLifetime: 10 * time.Second,
 	}
 	settings.Role = domain.RolePrefill
 	e.prefill.Handler = &model.Engine{Settings: settings}
@@ -68,7 +68,7 @@
 	if err != nil {
 		return err
 	}
-	w, err := test.NewDirect(bin, filepath.Join(dir, "tokens"), []byte(drive.Table))
+	w, err := test.NewCluster(bin, filepath.Join(dir, "tokens"), []byte(drive.Table))
 	if err != nil {
 		return err
 	}
@@ -100,7 +100,7 @@
 	for n := range a.Streams {
 		numbers <- n
 	}
-	r := drive.Closed(ctx, a.Streams, a.Streams, func(ctx context.Context) error {
+	r := drive.ClosedLoop(ctx, a.Streams, a.Streams, func(ctx context.Context) error {
 		id := domain.RequestID(fmt.Sprintf("direct.%d", <-numbers))
 		kv, err := prefill.Prefill(ctx, engine.PrefillOrder{Request: id, Attempt: 1, Prompt: "pedigree", PromptTokens: 8})
 		if err != nil {
@@ -115,7 +115,7 @@
 // through asks the entry.
 func (e *engines) through(ctx context.Context, a arguments, c *drive.Caller) (*hdrhistogram.Histogram, error) {
 	took := newArrivals()
-	r := drive.Closed(ctx, a.Streams, a.Streams, func(ctx context.Context) error {
+	r := drive.ClosedLoop(ctx, a.Streams, a.Streams, func(ctx context.Context) error {
 		next := 0
 		return c.Stream(ctx, "pedigree", a.Tokens, func(request string, count int) error {
 			for range count {
--- a/test/promises.go
+++ b/test/promises.go
@@ -27,8 +27,8 @@
 	AtMostOnce                       // what must not be repeated runs at most once
 	LeavingIdle                      // a leaving host gets no new work
 	StopCutsNone                     // a planned stop cuts no request
-	EditsHold                        // an accepted edit is in force everywhere and stays
-	lastPromise   = EditsHold
+	EditsPersist                     // an accepted edit is in force everywhere and stays
+	lastPromise   = EditsPersist
 	promisePrefix = "# promises:"
 )
 
--- a/test/script.go
+++ b/test/script.go
@@ -161,7 +161,7 @@
 	if err != nil {
 		return err
 	}
-	return w.eventually(Within, func() error {
+	return w.eventually(WaitTimeout, func() error {
 		answer, err := http.Get("http://" + p.address.String() + "/ready")
 		if err != nil {
 			return err
@@ -176,7 +176,7 @@
 
 // stepLogged waits until a process has logged a line that has all the words.
 func stepLogged(w *world, args []string) error {
-	return w.eventually(Within, func() error {
+	return w.eventually(WaitTimeout, func() error {
 		text, err := os.ReadFile(filepath.Join(w.dir, args[0]+".log"))
 		if err != nil {
 			return err
--- a/test/slopes/calls.go
+++ b/test/slopes/calls.go
@@ -32,7 +32,7 @@
 }
 
 func countCalls(ctx context.Context, b *bench, role string, entries int) error {
-	w, err := test.NewDirect(b.bin, filepath.Join(b.dir, "calls-"+role), []byte(drive.Table))
+	w, err := test.NewCluster(b.bin, filepath.Join(b.dir, "calls-"+role), []byte(drive.Table))
 	if err != nil {
 		return err
 	}
--- a/test/slopes/claims.go
+++ b/test/slopes/claims.go
@@ -30,12 +30,12 @@
 	if err := measureOwner(); err != nil {
 		return err
 	}
-	w, err := test.NewDirect(b.bin, filepath.Join(b.dir, "claims"), []byte(drive.Table))
+	w, err := test.NewCluster(b.bin, filepath.Join(b.dir, "claims"), []byte(drive.Table))
 	if err != nil {
 		return err
 	}
 	defer w.Close()
-	processes := map[string]test.Running{}
+	processes := map[string]test.Process{}
 	for n, zone := range []string{"salt-lake", "new-town", "howrah"} {
 		server := fmt.Sprintf("server-%d", n)
 		if _, err := w.Fake(server, "app"); err != nil {
@@ -54,13 +54,13 @@
 
 // measureKeyed makes keyed calls. The sides are taken together, since each is
 // a runner of some keys and an owner of others.
-func measureKeyed(ctx context.Context, processes map[string]test.Running) error {
+func measureKeyed(ctx context.Context, processes map[string]test.Process) error {
 	c := &drive.Caller{Base: "http://" + processes["entry"].Address.String(), Token: test.CallerToken}
 	var number atomic.Int64
 	call := func(ctx context.Context) error {
 		return c.Keyed(ctx, fmt.Sprintf("enquiry-%d", number.Add(1)))
 	}
-	if r := drive.Closed(ctx, plainWorkers, keyedSizes[0], call); r.Failed > 0 { // warm up
+	if r := drive.ClosedLoop(ctx, plainWorkers, keyedSizes[0], call); r.Failed > 0 { // warm up
 		return errors.Wrap(r.First, "keyed calls")
 	}
 	roles := map[string]string{}
@@ -77,7 +77,7 @@
 				return err
 			}
 		}
-		if r := drive.Closed(ctx, plainWorkers, size, call); r.Failed > 0 {
+		if r := drive.ClosedLoop(ctx, plainWorkers, size, call); r.Failed > 0 {
 			return errors.Wrap(r.First, "keyed calls")
 		}
 		spent, held := map[string]float64{}, map[string]float64{}
--- a/test/slopes/links.go
+++ b/test/slopes/links.go
@@ -55,7 +55,7 @@
 	kinds := []struct {
 		mechanism, role, per string
 		sizes                []int
-		start                func(context.Context, int) (test.Running, error)
+		start                func(context.Context, int) (test.Process, error)
 	}{
 		{"heartbeats_load", "side", "connection", linkSizes, f.side},
 		{"heartbeats_load", "entry", "connection", linkSizes, f.entry},
@@ -119,7 +119,7 @@
 	far   *group.Group
 
 	mu  sync.Mutex
-	all []*test.Direct
+	all []*test.Cluster
 }
 
 func (f *worlds) close() {
@@ -128,10 +128,10 @@
 	}
 }
 
-func (f *worlds) world() (*test.Direct, error) {
+func (f *worlds) world() (*test.Cluster, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	w, err := test.NewDirect(f.bench.bin, filepath.Join(f.bench.dir, fmt.Sprintf("links-%d", len(f.all))), []byte(drive.PlainTable))
+	w, err := test.NewCluster(f.bench.bin, filepath.Join(f.bench.dir, fmt.Sprintf("links-%d", len(f.all))), []byte(drive.PlainTable))
 	if err == nil {
 		f.all = append(f.all, w)
 	}
@@ -140,17 +140,17 @@
 
 // side gives a side beside an engine, the only one of its service, with as many
 // entries connected.
-func (f *worlds) side(ctx context.Context, entries int) (test.Running, error) {
+func (f *worlds) side(ctx context.Context, entries int) (test.Process, error) {
 	w, err := f.world()
 	if err != nil {
-		return test.Running{}, err
+		return test.Process{}, err
 	}
 	if _, err := w.Fake("engine", "engine", "--role", "decode", "--model", drive.Model); err != nil {
-		return test.Running{}, err
+		return test.Process{}, err
 	}
 	s, err := w.Side("decode-1", "salt-lake", "decode", drive.Model, "engine")
 	if err != nil {
-		return test.Running{}, err
+		return test.Process{}, err
 	}
 	for i := range entries {
 		l := &wire.Link{Target: s.Address, Local: &wire.Handlers{
@@ -162,27 +162,27 @@
 }
 
 // entry gives an entry, the only one, with as many sides connected.
-func (f *worlds) entry(ctx context.Context, sides int) (test.Running, error) {
+func (f *worlds) entry(ctx context.Context, sides int) (test.Process, error) {
 	w, err := f.world()
 	if err != nil {
-		return test.Running{}, err
+		return test.Process{}, err
 	}
 	if err := fakeSides(ctx, w, f.far, sides); err != nil {
-		return test.Running{}, err
+		return test.Process{}, err
 	}
 	return w.Entry("entry-1", "salt-lake")
 }
 
 // members gives a side of a plain service with as many other members.
-func (f *worlds) members(_ context.Context, others int) (test.Running, error) {
+func (f *worlds) members(_ context.Context, others int) (test.Process, error) {
 	w, err := f.world()
 	if err != nil {
-		return test.Running{}, err
+		return test.Process{}, err
 	}
 	if _, err := w.Fake("server", "app"); err != nil {
-		return test.Running{}, err
+		return test.Process{}, err
 	}
-	var first test.Running
+	var first test.Process
 	for i := range others + 1 {
 		s, err := w.Side(fmt.Sprintf("app-%d", i), "salt-lake", "app", drive.App, "server")
 		if err != nil {
@@ -196,13 +196,13 @@
 }
 
 // entries gives an entry with as many others and one side.
-func (f *worlds) entries(ctx context.Context, others int) (test.Running, error) {
+func (f *worlds) entries(ctx context.Context, others int) (test.Process, error) {
 	w, err := f.world()
 	if err != nil {
-		return test.Running{}, err
+		return test.Process{}, err
 	}
 	if err := fakeSides(ctx, w, f.far, 1); err != nil {
-		return test.Running{}, err
+		return test.Process{}, err
 	}
 	var starting group.Group
 	for i := range others + 1 {
@@ -212,13 +212,13 @@
 		})
 	}
 	if failed := starting.Wait(); len(failed) > 0 {
-		return test.Running{}, failed[0].Err
+		return test.Process{}, failed[0].Err
 	}
 	return w.Process("entry-0")
 }
 
 // fakeSides serves sides that only send heartbeats, and records them.
-func fakeSides(ctx context.Context, w *test.Direct, far *group.Group, count int) error {
+func fakeSides(ctx context.Context, w *test.Cluster, far *group.Group, count int) error {
 	r := member.Record{Service: drive.App}
 	for i := range count {
 		host := domain.Host(fmt.Sprintf("app-%03d", i))
@@ -241,7 +241,7 @@
 	return putRecord(ctx, w, r)
 }
 
-func putRecord(ctx context.Context, w *test.Direct, r member.Record) error {
+func putRecord(ctx context.Context, w *test.Cluster, r member.Record) error {
 	p, err := w.Process("platform")
 	if err != nil {
 		return err
--- a/test/slopes/orders.go
+++ b/test/slopes/orders.go
@@ -22,7 +22,7 @@
 // one that answers: an entry's confirm of the table, and an entry's cancel and
 // settle at a side. The asker is this process; its cost is as much again.
 func measureOrders(ctx context.Context, b *bench) error {
-	w, err := test.NewDirect(b.bin, filepath.Join(b.dir, "orders"), []byte(drive.PlainTable))
+	w, err := test.NewCluster(b.bin, filepath.Join(b.dir, "orders"), []byte(drive.PlainTable))
 	if err != nil {
 		return err
 	}
--- a/test/slopes/proc.go
+++ b/test/slopes/proc.go
@@ -78,7 +78,7 @@
 func micros(d time.Duration) float64 { return float64(d) / float64(time.Microsecond) }
 
 // allocated reads from an entry's metrics how many bytes it has allocated.
-func allocated(ctx context.Context, r test.Running) (float64, error) {
+func allocated(ctx context.Context, r test.Process) (float64, error) {
 	var v struct {
 		Memory struct {
 			TotalAlloc float64
--- a/test/slopes/requests.go
+++ b/test/slopes/requests.go
@@ -8,9 +8,9 @@
 	"github.com/pkg/errors"
 
 	"jacinthworks/infra"
-	"jacinthworks/story"
 	"jacinthworks/test"
 	"jacinthworks/test/drive"
+	"jacinthworks/trace"
 )
 
 // Sizes of the request path. Calls and streams are many at once, as under
@@ -33,13 +33,13 @@
 // part is one process of the path while it is measured.
 type part struct {
 	role string
-	at   test.Running
+	at   test.Process
 	idle float64 // us a second
 	// cpu and alloc hold the costs at each size.
 	cpu, alloc, bytes, resident []point
 }
 
-func newParts(ctx context.Context, processes map[string]test.Running) ([]*part, error) {
+func newParts(ctx context.Context, processes map[string]test.Process) ([]*part, error) {
 	var parts []*part
 	for _, role := range []string{"entry", "side_app", "side_prefill", "side_decode"} {
 		if at, found := processes[role]; found {
@@ -126,10 +126,10 @@
 }
 
 func measurePlain(ctx context.Context, p *path) error {
-	if r := drive.Closed(ctx, plainWorkers, plainSizes[0], p.caller.Plain); r.Failed > 0 { // warm up
+	if r := drive.ClosedLoop(ctx, plainWorkers, plainSizes[0], p.caller.Plain); r.Failed > 0 { // warm up
 		return r.First
 	}
-	parts, err := newParts(ctx, map[string]test.Running{"entry": p.entry, "side_app": p.app})
+	parts, err := newParts(ctx, map[string]test.Process{"entry": p.entry, "side_app": p.app})
 	if err != nil {
 		return err
 	}
@@ -138,7 +138,7 @@
 	}
 	for _, size := range plainSizes {
 		err := during(ctx, parts, float64(size), 1, func() error {
-			r := drive.Closed(ctx, plainWorkers, size, p.caller.Plain)
+			r := drive.ClosedLoop(ctx, plainWorkers, size, p.caller.Plain)
 			return errors.Wrap(r.First, "plain calls")
 		})
 		if err != nil {
@@ -157,14 +157,14 @@
 }
 
 func measureTokens(ctx context.Context, p *path) error {
-	parts, err := newParts(ctx, map[string]test.Running{"entry": p.entry, "side_prefill": p.prefill, "side_decode": p.decode})
+	parts, err := newParts(ctx, map[string]test.Process{"entry": p.entry, "side_prefill": p.prefill, "side_decode": p.decode})
 	if err != nil {
 		return err
 	}
 	prompt := promptOf(promptBytes)
 	for _, tokens := range tokenSizes {
 		err := during(ctx, parts, float64(tokens), streamsEach, func() error {
-			r := drive.Closed(ctx, streamWorkers, streamsEach, func(ctx context.Context) error {
+			r := drive.ClosedLoop(ctx, streamWorkers, streamsEach, func(ctx context.Context) error {
 				return p.caller.Stream(ctx, prompt, tokens, func(string, int) error { return nil })
 			})
 			return errors.Wrap(r.First, "streams")
@@ -189,18 +189,18 @@
 // and notes those it sees. Sides write too where no entry took an outcome:
 // none should be theirs here.
 func measureStories(ctx context.Context, p *path, kind string, seen map[string]bool) error {
-	pause(ctx, story.FlushAge+time.Second)
+	pause(ctx, trace.DefaultFlushInterval+time.Second)
 	platform, err := p.world.Process("platform")
 	if err != nil {
 		return err
 	}
 	objects := infra.HTTPObjects{Base: platform.Address}
-	names, err := objects.List(ctx, story.Prefix)
+	names, err := objects.List(ctx, trace.Prefix)
 	if err != nil {
 		return err
 	}
 	var size, sides int
-	var all []*story.Story
+	var all []*trace.Span
 	for _, name := range names {
 		if seen[name] {
 			continue
@@ -210,8 +210,8 @@
 		if err != nil {
 			return err
 		}
-		found, _ := story.Unpack(o.Value)
-		if !strings.HasPrefix(name, story.Prefix+"entry-") {
+		found, _ := trace.Unpack(o.Value)
+		if !strings.HasPrefix(name, trace.Prefix+"entry-") {
 			sides += len(found)
 			continue
 		}
@@ -223,14 +223,14 @@
 	return reportStories(kind, all, size, sides)
 }
 
-func reportStories(kind string, all []*story.Story, size, sides int) error {
+func reportStories(kind string, all []*trace.Span, size, sides int) error {
 	if len(all) == 0 {
 		return errors.New("no stories were written")
 	}
 	report("story", "entry", "segment_"+kind, float64(size)/float64(len(all)), "B/story", len(all))
 	report("story", "side", "written_"+kind, float64(sides), "stories", sides)
-	batch := all[:min(len(all), story.FlushStories)]
-	packer := story.Packer{Host: "entry-1", Incarnation: 1}
+	batch := all[:min(len(all), trace.FlushSpans)]
+	packer := trace.Packer{Host: "entry-1", Incarnation: 1}
 	took, err := timed(func() error { _, err := packer.Pack(time.Now(), batch); return err })
 	report("story", "entry", "pack_"+kind, micros(took)/float64(len(batch)), "us/story", len(batch))
 	return err
--- a/test/slopes/streams.go
+++ b/test/slopes/streams.go
@@ -55,7 +55,7 @@
 	defer cancel()
 	var open atomic.Int64
 	text := promptOf(prompt)
-	parts := map[string]test.Running{"entry": p.entry, "side_prefill": p.prefill, "side_decode": p.decode}
+	parts := map[string]test.Process{"entry": p.entry, "side_prefill": p.prefill, "side_decode": p.decode}
 	resident := map[string][]point{}
 	started := 0
 	for _, size := range sizes {
--- a/test/slopes/world.go
+++ b/test/slopes/world.go
@@ -16,14 +16,14 @@
 
 // path is one of each process, from caller to upstream.
 type path struct {
-	world                       *test.Direct
-	entry, app, prefill, decode test.Running
+	world                       *test.Cluster
+	entry, app, prefill, decode test.Process
 	caller                      *drive.Caller
 }
 
 // newPath starts a path whose engines give a token every gap.
 func newPath(b *bench, name, gap string) (*path, error) {
-	w, err := test.NewDirect(b.bin, filepath.Join(b.dir, name), []byte(drive.Table))
+	w, err := test.NewCluster(b.bin, filepath.Join(b.dir, name), []byte(drive.Table))
 	if err != nil {
 		return nil, err
 	}
--- a/test/world.go
+++ b/test/world.go
@@ -37,8 +37,8 @@
 // Binaries are the programs under test.
 type Binaries struct{ Router, Fakes string }
 
-// Within bounds every wait of a scenario for something that must come.
-const Within = 20 * time.Second
+// WaitTimeout bounds every wait of a scenario for something that must come.
+const WaitTimeout = 20 * time.Second
 
 // process is one running program.
 type process struct {
@@ -146,7 +146,7 @@
 		}
 	case <-p.done:
 		return nil, errors.Errorf("%s ended before it listened", name)
-	case <-time.After(Within):
+	case <-time.After(WaitTimeout):
 		return nil, errors.Errorf("%s did not listen", name)
 	}
 	w.mu.Lock()
--- a/story/account.go
+++ b/trace/account.go
@@ -1,4 +1,4 @@
-package story
+package trace
 
 import (
 	"cmp"
@@ -24,8 +24,8 @@
 	StateLost     State = "lost"
 )
 
-// Account is what is known of a request from all halves that were found.
-type Account struct {
+// Trace is what is known of a request from all halves that were found.
+type Trace struct {
 	Request domain.RequestID `json:"request_id"`
 	State   State            `json:"state"`
 	// Ran is the account given to the caller or, when that is lost, what the
@@ -44,8 +44,8 @@
 
 // Merge puts the halves of a request's story together. Halves of other
 // requests are passed over; one that is given twice counts once.
-func Merge(id domain.RequestID, halves ...Story) Account {
-	a := Account{Request: id, State: StateLost, Ran: domain.Unknown}
+func Merge(id domain.RequestID, halves ...Span) Trace {
+	a := Trace{Request: id, State: StateLost, Ran: domain.Unknown}
 	m := merger{account: &a, seen: make(map[string]bool), open: make(map[domain.Host]bool)}
 	for _, h := range halves {
 		if h.Request == id {
@@ -71,7 +71,7 @@
 }
 
 type merger struct {
-	account  *Account
+	account  *Trace
 	placed   []placed
 	seen     map[string]bool
 	findings map[check.Finding]bool
@@ -84,7 +84,7 @@
 	stepDecided
 )
 
-func (m *merger) add(h Story) {
+func (m *merger) add(h Span) {
 	var attempt, decided domain.Attempt
 	var latest time.Time
 	for _, e := range h.Events {
@@ -99,10 +99,10 @@
 		if e.Attempt == 0 {
 			p.attempt = attempt
 		}
-		if e.End() {
+		if e.Terminal() {
 			p.attempt = math.MaxUint32
 		}
-		if h.Half == HalfEntry && e.Attempt > decided {
+		if h.Kind == EntrySpan && e.Attempt > decided {
 			p.step = stepDeciding
 		}
 		if e.Kind == Decided {
@@ -112,7 +112,7 @@
 	}
 	if h.Open && len(h.Events) > 0 {
 		m.open[h.Events[0].Host] = true
-		m.ongoing = m.ongoing || h.Half == HalfEntry
+		m.ongoing = m.ongoing || h.Kind == EntrySpan
 	}
 	if h.Dropped > 0 {
 		m.missing("%d events of a half with %d are left out, beyond its bound", h.Dropped, len(h.Events))
@@ -157,7 +157,7 @@
 			cmp.Compare(a.event.Host, b.event.Host),
 		)
 	})
-	s := Story{Request: m.account.Request}
+	s := Span{Request: m.account.Request}
 	for _, p := range m.placed {
 		s.Add(p.event)
 	}
@@ -189,7 +189,7 @@
 }
 
 // evidence gives an event that shows that the request ran.
-func (a *Account) evidence() (Event, bool) {
+func (a *Trace) evidence() (Event, bool) {
 	for _, e := range a.Events {
 		ranAttempt := e.Kind == AttemptEnded && e.Ran == domain.DidRun
 		if ranAttempt || e.Kind == PrefillDone || e.Kind == FirstToken {
@@ -289,7 +289,7 @@
 	place := string(a.Request)
 	evidence, ran := a.evidence()
 	if a.State == StateRefused && a.Ran == domain.NotRun && ran {
-		m.find(check.Finding{Place: place, Problem: fmt.Sprintf("refused as not_run, but %s has %s", evidence.Host, evidence)})
+		m.find(check.Finding{Location: place, Problem: fmt.Sprintf("refused as not_run, but %s has %s", evidence.Host, evidence)})
 	}
 	runs := make(map[domain.Attempt]bool)
 	repeatable := true
@@ -302,7 +302,7 @@
 		}
 	}
 	if !repeatable && len(runs) > 1 {
-		m.find(check.Finding{Place: place, Problem: fmt.Sprintf("may not be repeated, but ran in %d attempts", len(runs))})
+		m.find(check.Finding{Location: place, Problem: fmt.Sprintf("may not be repeated, but ran in %d attempts", len(runs))})
 	}
 }
 
--- a/story/bench_test.go
+++ b/trace/bench_test.go
@@ -1,4 +1,4 @@
-package story
+package trace
 
 import (
 	"fmt"
@@ -16,8 +16,8 @@
 	for n := range b.N {
 		entry, _, _ := appraisal(uint64(n))
 		record(&r, entry)
-		if n%FlushStories == 0 {
-			r.Take()
+		if n%FlushSpans == 0 {
+			r.TakePending()
 		}
 	}
 }
@@ -35,8 +35,8 @@
 func BenchmarkPack(b *testing.B) {
 	x := rand.New(rand.NewPCG(1, 2))
 	side := func() domain.Host { return domain.Host(fmt.Sprintf("side-%d", x.IntN(9))) }
-	var batch []*Story
-	for n := range FlushStories {
+	var batch []*Span
+	for n := range FlushSpans {
 		entry, _, _ := appraisal(uint64(n))
 		entry[0].Caller = domain.Account(fmt.Sprintf("stud-%d", x.IntN(2100)))
 		entry[4].Tokens = x.IntN(900)
@@ -46,9 +46,9 @@
 		}
 		for range 4 {
 			c := Candidate{Host: side(), Cost: time.Duration(x.IntN(1e9))}
-			entry[2].Grounds.Candidates = append(entry[2].Grounds.Candidates, c)
+			entry[2].Evaluation.Candidates = append(entry[2].Evaluation.Candidates, c)
 		}
-		s := half(HalfEntry, entry)
+		s := half(EntrySpan, entry)
 		batch = append(batch, &s)
 	}
 	p := Packer{Host: "entry-1", Incarnation: 3}
--- a/story/event.go
+++ b/trace/event.go
@@ -1,4 +1,4 @@
-package story
+package trace
 
 import (
 	"fmt"
@@ -48,8 +48,8 @@
 	Note string `json:"note,omitempty"`
 }
 
-// Grounds are why a decision went as it did.
-type Grounds struct {
+// Evaluation are why a decision went as it did.
+type Evaluation struct {
 	// Policy names the rule that decided.
 	Policy string `json:"policy"`
 	// Considered counts all candidates; Candidates holds the first
@@ -81,8 +81,8 @@
 	// a model request the prefill side, with Decode beside it.
 	Upstream domain.Host `json:"upstream,omitempty"`
 	Decode   domain.Host `json:"decode,omitempty"`
-	// Grounds is set on Decided.
-	Grounds *Grounds `json:"grounds,omitempty"`
+	// Evaluation is set on Decided.
+	Evaluation *Evaluation `json:"grounds,omitempty"`
 	// Tokens counts what the event is about: prompt tokens on Accepted and
 	// PrefillDone, tokens reserved on Reserved, tokens answered on ends.
 	Tokens int `json:"tokens,omitempty"`
@@ -94,8 +94,8 @@
 	Detail string `json:"detail,omitempty"`
 }
 
-// End reports whether the event ends its request towards the caller.
-func (e Event) End() bool { return e.Kind == Answered || e.Kind == Refused }
+// Terminal reports whether the event ends its request towards the caller.
+func (e Event) Terminal() bool { return e.Kind == Answered || e.Kind == Refused }
 
 // Check adds to f, under the given place, what is wrong with the event.
 func (e Event) Check(f *check.Findings, place string) {
@@ -111,7 +111,7 @@
 	if _, err := ParseID(e.Request); err != nil {
 		f.Add(place+" request_id", "%v", err)
 	}
-	needsRan := e.End() || e.Kind == AttemptEnded
+	needsRan := e.Terminal() || e.Kind == AttemptEnded
 	if needsRan && e.Ran != domain.NotRun && e.Ran != domain.DidRun && e.Ran != domain.Unknown {
 		f.Add(place+" ran", "is not an account: %.40q", string(e.Ran))
 	}
@@ -139,8 +139,8 @@
 	if e.Reason != "" {
 		add("reason=%s", e.Reason)
 	}
-	if e.Grounds != nil {
-		add("grounds=(%s)", e.Grounds)
+	if e.Evaluation != nil {
+		add("grounds=(%s)", e.Evaluation)
 	}
 	if e.Detail != "" {
 		add("%q", e.Detail)
@@ -149,7 +149,7 @@
 }
 
 // String gives the grounds in one line.
-func (g *Grounds) String() string {
+func (g *Evaluation) String() string {
 	line := fmt.Sprintf("%s of %d", g.Policy, g.Considered)
 	for _, c := range g.Candidates {
 		line += fmt.Sprintf("; %s %s", c.Host, c.Cost.Round(10*time.Microsecond))
@@ -174,16 +174,16 @@
 func (e Event) bounded() Event {
 	e.Detail = cut(e.Detail)
 	e.Time = e.Time.UTC().Round(0)
-	if e.Grounds == nil {
+	if e.Evaluation == nil {
 		return e
 	}
-	g := *e.Grounds
+	g := *e.Evaluation
 	g.Policy = cut(g.Policy)
 	g.Candidates = append([]Candidate(nil), g.Candidates[:min(len(g.Candidates), MaxCandidates)]...)
 	for i := range g.Candidates {
 		g.Candidates[i].Note = cut(g.Candidates[i].Note)
 	}
-	e.Grounds = &g
+	e.Evaluation = &g
 	return e
 }
 
--- a/story/id.go
+++ b/trace/id.go
@@ -1,4 +1,4 @@
-package story
+package trace
 
 import (
 	"fmt"
@@ -38,7 +38,7 @@
 func splitLast(s string) (domain.Host, domain.Incarnation, string, error) {
 	last := strings.LastIndexByte(s, '.')
 	if last < 0 {
-		return "", 0, "", errors.Errorf("story: not <host>.<incarnation>.<number>: %.80q", s)
+		return "", 0, "", errors.Errorf("trace: not <host>.<incarnation>.<number>: %.80q", s)
 	}
 	host, incarnation, err := splitHost(s[:last])
 	return host, incarnation, s[last+1:], err
@@ -48,7 +48,7 @@
 func splitHost(s string) (domain.Host, domain.Incarnation, error) {
 	dot := strings.LastIndexByte(s, '.')
 	if dot < 0 || !validHost(s[:dot]) {
-		return "", 0, errors.Errorf("story: not <host>.<incarnation>: %.80q", s)
+		return "", 0, errors.Errorf("trace: not <host>.<incarnation>: %.80q", s)
 	}
 	n, err := parseNumber(s[dot+1:])
 	return domain.Host(s[:dot]), domain.Incarnation(n), err
@@ -61,7 +61,7 @@
 func parseNumber(s string) (uint64, error) {
 	n, err := strconv.ParseUint(s, 10, 64)
 	if err != nil || strconv.FormatUint(n, 10) != s {
-		return 0, errors.Errorf("story: not a plain number: %.40q", s)
+		return 0, errors.Errorf("trace: not a plain number: %.40q", s)
 	}
 	return n, nil
 }
--- a/story/name.go
+++ b/trace/name.go
@@ -1,4 +1,4 @@
-package story
+package trace
 
 import (
 	"cmp"
@@ -27,15 +27,15 @@
 	First, Last uint64
 }
 
-// Holds reports whether the request lies in the range.
-func (g Range) Holds(d ID) bool {
+// Contains reports whether the request lies in the range.
+func (g Range) Contains(d ID) bool {
 	return g.Entry == d.Entry && g.Incarnation == d.Incarnation && g.First <= d.Number && d.Number <= g.Last
 }
 
-// Name is a segment's name in its parts. Host, Incarnation and Seq make it
+// SegmentName is a segment's name in its parts. Host, Incarnation and Seq make it
 // unique, so that a segment is only ever created: when the answer to a write is
 // lost, the same write again is harmless.
-type Name struct {
+type SegmentName struct {
 	Host        domain.Host
 	Incarnation domain.Incarnation
 	// Seq numbers the segments of one life of the host, from 1.
@@ -47,7 +47,7 @@
 
 // String writes the name:
 // stories/<host>.<incarnation>/<seq>~<unix seconds>~<entry>.<incarnation>.<first>-<last>[~...]
-func (n Name) String() string {
+func (n SegmentName) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s%s.%d/%d~%d", Prefix, n.Host, n.Incarnation, n.Seq, n.Written.Unix())
 	for _, g := range n.Ranges {
@@ -56,31 +56,31 @@
 	return b.String()
 }
 
-// ParseName reads what String writes.
-func ParseName(s string) (Name, error) {
+// ParseSegmentName reads what String writes.
+func ParseSegmentName(s string) (SegmentName, error) {
 	rest, ok := strings.CutPrefix(s, Prefix)
 	owner, file, found := strings.Cut(rest, "/")
 	parts := strings.Split(file, "~")
 	if !ok || !found || len(parts) < 3 || len(parts) > 2+MaxRanges {
-		return Name{}, errors.Errorf("story: not a segment's name: %.80q", s)
+		return SegmentName{}, errors.Errorf("trace: not a segment's name: %.80q", s)
 	}
-	var n Name
+	var n SegmentName
 	var err error
 	if n.Host, n.Incarnation, err = splitHost(owner); err != nil {
-		return Name{}, err
+		return SegmentName{}, err
 	}
 	if n.Seq, err = parseNumber(parts[0]); err != nil {
-		return Name{}, err
+		return SegmentName{}, err
 	}
 	written, err := parseNumber(parts[1])
 	if err != nil || written > 1<<40 {
-		return Name{}, errors.Errorf("story: not a time in seconds: %.40q", parts[1])
+		return SegmentName{}, errors.Errorf("trace: not a time in seconds: %.40q", parts[1])
 	}
 	n.Written = time.Unix(int64(written), 0).UTC()
 	for _, p := range parts[2:] {
 		g, err := parseRange(p)
 		if err != nil {
-			return Name{}, err
+			return SegmentName{}, err
 		}
 		n.Ranges = append(n.Ranges, g)
 	}
@@ -101,7 +101,7 @@
 		return Range{}, err
 	}
 	if g.First > g.Last {
-		return Range{}, errors.Errorf("story: range runs backwards: %.80q", s)
+		return Range{}, errors.Errorf("trace: range runs backwards: %.80q", s)
 	}
 	return g, nil
 }
@@ -112,10 +112,10 @@
 	return fmt.Sprintf("%s%s.%d/", Prefix, d.Entry, d.Incarnation)
 }
 
-// Find gives those of the listed names whose segments may hold the request:
+// FindSegments gives those of the listed names whose segments may hold the request:
 // the entry's first, narrow ranges before wide ones. Names that are no
 // segment's are passed over.
-func Find(listed []string, d ID) []string {
+func FindSegments(listed []string, d ID) []string {
 	type match struct {
 		name  string
 		other bool
@@ -123,12 +123,12 @@
 	}
 	var found []match
 	for _, s := range listed {
-		n, err := ParseName(s)
+		n, err := ParseSegmentName(s)
 		if err != nil {
 			continue
 		}
 		for _, g := range n.Ranges {
-			if g.Holds(d) {
+			if g.Contains(d) {
 				found = append(found, match{s, n.Host != d.Entry, g.Last - g.First})
 				break
 			}
@@ -150,12 +150,12 @@
 	return names
 }
 
-// Expired gives those of the listed names whose segments were written longer
+// ExpiredSegments gives those of the listed names whose segments were written longer
 // than keep ago. Any host may delete them.
-func Expired(listed []string, now time.Time, keep time.Duration) []string {
+func ExpiredSegments(listed []string, now time.Time, keep time.Duration) []string {
 	var old []string
 	for _, s := range listed {
-		if n, err := ParseName(s); err == nil && now.Sub(n.Written) > keep {
+		if n, err := ParseSegmentName(s); err == nil && now.Sub(n.Written) > keep {
 			old = append(old, s)
 		}
 	}
--- a/story/outbox.go
+++ b/trace/outbox.go
@@ -1,4 +1,4 @@
-package story
+package trace
 
 // MaxOutbox is the default bound of an Outbox in bytes. At 100 to 200 bytes a
 // story it holds some 50,000 stories while the platform is down.
@@ -28,21 +28,21 @@
 		o.bytes += len(s.Data)
 	}
 	for o.bytes > limit && len(o.waiting) > 0 {
-		o.dropped += int64(o.waiting[0].Stories)
+		o.dropped += int64(o.waiting[0].Spans)
 		o.remove(0)
 	}
 }
 
-// Next gives the oldest segment, without removing it.
-func (o *Outbox) Next() (Segment, bool) {
+// Oldest gives the oldest segment, without removing it.
+func (o *Outbox) Oldest() (Segment, bool) {
 	if len(o.waiting) == 0 {
 		return Segment{}, false
 	}
 	return o.waiting[0], true
 }
 
-// Done removes the named segment, once it is written.
-func (o *Outbox) Done(name string) {
+// Remove removes the named segment, once it is written.
+func (o *Outbox) Remove(name string) {
 	for i, s := range o.waiting {
 		if s.Name == name {
 			o.remove(i)
@@ -51,8 +51,8 @@
 	}
 }
 
-// Waiting gives the segments and bytes that are not yet written.
-func (o *Outbox) Waiting() (segments, bytes int) { return len(o.waiting), o.bytes }
+// Pending gives the segments and bytes that are not yet written.
+func (o *Outbox) Pending() (segments, bytes int) { return len(o.waiting), o.bytes }
 
 // Dropped counts the stories lost to the bound.
 func (o *Outbox) Dropped() int64 { return o.dropped }
--- a/story/recorder.go
+++ b/trace/recorder.go
@@ -1,4 +1,4 @@
-package story
+package trace
 
 import (
 	"container/list"
@@ -10,22 +10,22 @@
 
 // The defaults of a Recorder.
 const (
-	// DefaultRecent keeps some seconds of an entry's full rate in memory, at
+	// DefaultMaxClosed keeps some seconds of an entry's full rate in memory, at
 	// about 3 KB a story.
-	DefaultRecent = 2000
-	// DefaultAge is how long a closed story is answered from memory. Segments
+	DefaultMaxClosed = 2000
+	// DefaultMaxAge is how long a closed story is answered from memory. Segments
 	// are long written by then.
-	DefaultAge = 10 * time.Minute
-	// DefaultPending bounds the closed stories that wait for Take, twice a due
+	DefaultMaxAge = 10 * time.Minute
+	// DefaultMaxPending bounds the closed stories that wait for Take, twice a due
 	// batch. Beyond it the oldest are dropped and counted; an outage of the
 	// platform is waited out in an Outbox, in far less memory.
-	DefaultPending = 2 * FlushStories
-	// FlushAge is how long a closed story waits for its segment; it is what a
+	DefaultMaxPending = 2 * FlushSpans
+	// DefaultFlushInterval is how long a closed story waits for its segment; it is what a
 	// killed host loses of its own half.
-	FlushAge = 2 * time.Second
-	// FlushStories makes a batch due before that age. A story takes about
+	DefaultFlushInterval = 2 * time.Second
+	// FlushSpans makes a batch due before that age. A story takes about
 	// 100 to 200 bytes of a segment, so a batch is far below MaxSegment.
-	FlushStories = 2000
+	FlushSpans = 2000
 	// usualEvents is the length of a half that meets no failure.
 	usualEvents = 8
 )
@@ -43,12 +43,12 @@
 	Late int64 `json:"late"`
 	// Dropped counts closed stories that were dropped before they were written.
 	Dropped int64 `json:"dropped"`
-	// Pending counts closed stories that wait to be written.
+	// MaxPending counts closed stories that wait to be written.
 	Pending int64 `json:"pending"`
 }
 
-// Conserve reports whether each accepted request is accounted for once.
-func (c Counts) Conserve() bool { return c.Accepted == c.Answered+c.Refused+c.Open }
+// Balanced reports whether each accepted request is accounted for once.
+func (c Counts) Balanced() bool { return c.Accepted == c.Answered+c.Refused+c.Open }
 
 // Recorder keeps the stories of one host in memory: open ones for as long as
 // they are open, closed ones by count and age, and those not yet written. The
@@ -61,28 +61,28 @@
 // side's half that has not closed within Age is closed with a finding, so that
 // a lost AttemptEnded cannot hold memory for good.
 type Recorder struct {
-	// Half says whose half is kept; set it before first use.
-	Half Half
-	// Recent, Age and Pending override the defaults when they are not zero.
-	Recent  int
-	Age     time.Duration
-	Pending int
-	// Flush overrides FlushAge: hosts divided by it is the platform's writes a
+	// Kind says whose half is kept; set it before first use.
+	Kind SpanKind
+	// MaxClosed, Age and Pending override the defaults when they are not zero.
+	MaxClosed  int
+	MaxAge     time.Duration
+	MaxPending int
+	// FlushInterval overrides DefaultFlushInterval: hosts divided by it is the platform's writes a
 	// second.
-	Flush time.Duration
+	FlushInterval time.Duration
 
 	mu      sync.Mutex
 	open    map[domain.RequestID]*item
 	closed  map[domain.RequestID]*list.Element
 	byAge   list.List // of *item, oldest close first
 	openAge list.List // of *item, oldest open first; used by sides only
-	pending []*Story
+	pending []*Span
 	oldest  time.Time // close of pending[0]
 	counts  Counts
 }
 
 type item struct {
-	story Story
+	story Span
 	at    time.Time // last opened or closed
 	age   *list.Element
 }
@@ -95,7 +95,7 @@
 	r.init()
 	defer r.expire(e.Time)
 	i := r.open[e.Request]
-	if i == nil && (!r.Half.opens(e) || r.closedAsEntry(e.Request)) {
+	if i == nil && (!r.Kind.opens(e) || r.closedAsEntry(e.Request)) {
 		r.late(e)
 		return
 	}
@@ -103,14 +103,14 @@
 		i = r.start(e)
 	}
 	i.story.Add(e)
-	if r.Half.closes(e) {
+	if r.Kind.closes(e) {
 		r.count(e)
 		r.close(i, e.Time)
 	}
 }
 
 // Get gives the story of a request, if it is in memory.
-func (r *Recorder) Get(id domain.RequestID) (Story, bool) {
+func (r *Recorder) Get(id domain.RequestID) (Span, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if i := r.open[id]; i != nil {
@@ -121,14 +121,14 @@
 	if e := r.closed[id]; e != nil {
 		return e.Value.(*item).story.clone(), true
 	}
-	return Story{}, false
+	return Span{}, false
 }
 
 // Latest gives up to n closed stories, the last closed first.
-func (r *Recorder) Latest(n int) []Story {
+func (r *Recorder) Latest(n int) []Span {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var found []Story
+	var found []Span
 	for e := r.byAge.Back(); e != nil && len(found) < n; e = e.Prev() {
 		found = append(found, e.Value.(*item).story.clone())
 	}
@@ -140,28 +140,28 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	c := r.counts
-	if r.Half == HalfEntry {
+	if r.Kind == EntrySpan {
 		c.Open = int64(len(r.open))
 	}
 	c.Pending = int64(len(r.pending))
 	return c
 }
 
-// Due reports whether a batch should be written: because FlushStories wait, or
-// one has waited for FlushAge.
+// Due reports whether a batch should be written: because FlushSpans wait, or
+// one has waited for DefaultFlushInterval.
 func (r *Recorder) Due(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	n, age := len(r.pending), r.Flush
+	n, age := len(r.pending), r.FlushInterval
 	if age <= 0 {
-		age = FlushAge
+		age = DefaultFlushInterval
 	}
-	return n >= FlushStories || n > 0 && now.Sub(r.oldest) >= age
+	return n >= FlushSpans || n > 0 && now.Sub(r.oldest) >= age
 }
 
-// Take gives the closed stories that wait to be written and forgets that they
+// TakePending gives the closed stories that wait to be written and forgets that they
 // do; they stay in memory for Get. The caller must not change them.
-func (r *Recorder) Take() []*Story {
+func (r *Recorder) TakePending() []*Span {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	batch := r.pending
@@ -179,13 +179,13 @@
 // closedAsEntry guards against a request accepted twice under one id: a second
 // Accepted after the end would open a second story with a second end.
 func (r *Recorder) closedAsEntry(id domain.RequestID) bool {
-	return r.Half == HalfEntry && r.closed[id] != nil
+	return r.Kind == EntrySpan && r.closed[id] != nil
 }
 
 func (r *Recorder) start(e Event) *item {
-	i := &item{story: Story{Request: e.Request, Half: r.Half, Events: make([]Event, 0, usualEvents)}, at: e.Time}
+	i := &item{story: Span{Request: e.Request, Kind: r.Kind, Events: make([]Event, 0, usualEvents)}, at: e.Time}
 	r.open[e.Request] = i
-	if r.Half == HalfEntry {
+	if r.Kind == EntrySpan {
 		r.counts.Accepted++
 		return i
 	}
@@ -229,7 +229,7 @@
 // may be written already; Merge puts the two together.
 func (r *Recorder) late(e Event) {
 	r.counts.Late++
-	addition := Story{Request: e.Request, Half: r.Half}
+	addition := Span{Request: e.Request, Kind: r.Kind}
 	if c := r.closed[e.Request]; c != nil {
 		s := &c.Value.(*item).story
 		before := len(s.Findings)
@@ -247,7 +247,7 @@
 
 // wait shares the events' memory with the story that stays for Get: that one
 // is only ever appended to, beyond the length which s has.
-func (r *Recorder) wait(s Story, now time.Time) {
+func (r *Recorder) wait(s Span, now time.Time) {
 	if len(r.pending) == 0 {
 		r.oldest = now
 	}
@@ -258,9 +258,9 @@
 // boundPending keeps a writer that hangs from filling the memory: the oldest
 // stories go, and are counted as dropped.
 func (r *Recorder) boundPending() {
-	limit := r.Pending
+	limit := r.MaxPending
 	if limit <= 0 {
-		limit = DefaultPending
+		limit = DefaultMaxPending
 	}
 	if over := len(r.pending) - limit; over > 0 {
 		r.counts.Dropped += int64(over)
@@ -270,12 +270,12 @@
 }
 
 func (r *Recorder) expire(now time.Time) {
-	count, age := r.Recent, r.Age
+	count, age := r.MaxClosed, r.MaxAge
 	if count <= 0 {
-		count = DefaultRecent
+		count = DefaultMaxClosed
 	}
 	if age <= 0 {
-		age = DefaultAge
+		age = DefaultMaxAge
 	}
 	for e := r.byAge.Front(); e != nil; e = r.byAge.Front() {
 		i := e.Value.(*item)
--- a/story/segment.go
+++ b/trace/segment.go
@@ -1,4 +1,4 @@
-package story
+package trace
 
 import (
 	"bytes"
@@ -42,8 +42,8 @@
 type Segment struct {
 	Name string
 	Data []byte
-	// Stories counts the stories inside.
-	Stories int
+	// Spans counts the stories inside.
+	Spans int
 }
 
 // Packer packs stories into segments. Set Host and Incarnation; it belongs to
@@ -57,7 +57,7 @@
 // Pack compresses the stories into as few segments as their bounds allow:
 // MaxSegment bytes and MaxRanges entries each. Stories that cannot be packed
 // are left out and named by the error, a check.Findings.
-func (p *Packer) Pack(now time.Time, batch []*Story) ([]Segment, error) {
+func (p *Packer) Pack(now time.Time, batch []*Span) ([]Segment, error) {
 	var f check.Findings
 	var segments []Segment
 	var lines [][]byte
@@ -115,8 +115,8 @@
 		return nil
 	}
 	p.seq++
-	n := Name{Host: p.Host, Incarnation: p.Incarnation, Seq: p.seq, Written: now, Ranges: ranges}
-	return []Segment{{Name: n.String(), Data: data, Stories: len(lines)}}
+	n := SegmentName{Host: p.Host, Incarnation: p.Incarnation, Seq: p.seq, Written: now, Ranges: ranges}
+	return []Segment{{Name: n.String(), Data: data, Spans: len(lines)}}
 }
 
 // widen gives ranges that hold the request, too, or false when that would take
@@ -138,7 +138,7 @@
 // Unpack gives the stories of a segment. Damage is refused with findings: all
 // of a segment whose compression or checksum is broken, or whose header is not
 // ours; single lines that are no stories, with the rest given.
-func Unpack(data []byte) ([]Story, check.Findings) {
+func Unpack(data []byte) ([]Span, check.Findings) {
 	var f check.Findings
 	if len(data) > MaxSegment {
 		f.Add("segment", "%d bytes, over %d", len(data), MaxSegment)
@@ -146,7 +146,7 @@
 	}
 	raw, err := decoder().DecodeAll(data, nil)
 	if err != nil {
-		f.Add("segment", "%v", errors.Wrap(err, "story: decompress"))
+		f.Add("segment", "%v", errors.Wrap(err, "trace: decompress"))
 		return nil, f
 	}
 	lines := bytes.Split(raw, []byte("\n"))
@@ -158,7 +158,7 @@
 	if tail := lines[len(lines)-1]; len(tail) != 0 {
 		f.Add(fmt.Sprintf("line %d", len(lines)), "is cut off")
 	}
-	var stories []Story
+	var stories []Span
 	for i, l := range lines[1 : len(lines)-1] {
 		if s, ok := readStory(l, fmt.Sprintf("line %d", i+2), &f); ok {
 			stories = append(stories, s)
@@ -173,30 +173,30 @@
 func readHeader(line []byte) (header, error) {
 	var h header
 	if err := json.Unmarshal(line, &h); err != nil {
-		return h, errors.Wrap(err, "story: header")
+		return h, errors.Wrap(err, "trace: header")
 	}
 	if h.Format != format || h.Version != version {
-		return h, errors.Errorf("story: header of another format: %.40q version %d", h.Format, h.Version)
+		return h, errors.Errorf("trace: header of another format: %.40q version %d", h.Format, h.Version)
 	}
 	return h, nil
 }
 
 // readStory rebuilds the story by Add, so that what was written by another
 // program obeys the same rule as what was recorded here.
-func readStory(line []byte, place string, f *check.Findings) (Story, bool) {
-	var read Story
+func readStory(line []byte, place string, f *check.Findings) (Span, bool) {
+	var read Span
 	if err := json.Unmarshal(line, &read); err != nil {
 		f.Add(place, "%v", errors.Wrap(err, "story"))
-		return Story{}, false
+		return Span{}, false
 	}
 	before := len(*f)
 	if _, err := ParseID(read.Request); err != nil {
 		f.Add(place+" request_id", "%v", err)
 	}
-	if read.Half != HalfEntry && read.Half != HalfSide {
-		f.Add(place+" half", "is neither entry's nor side's: %.40q", string(read.Half))
+	if read.Kind != EntrySpan && read.Kind != SideSpan {
+		f.Add(place+" half", "is neither entry's nor side's: %.40q", string(read.Kind))
 	}
-	s := Story{Request: read.Request, Half: read.Half, Dropped: max(0, read.Dropped), Findings: read.Findings}
+	s := Span{Request: read.Request, Kind: read.Kind, Dropped: max(0, read.Dropped), Findings: read.Findings}
 	for i, e := range read.Events {
 		e.Check(f, fmt.Sprintf("%s event %d", place, i+1))
 		s.Add(e)
@@ -211,7 +211,7 @@
 		e, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithWindowSize(1<<20),
 			zstd.WithLowerEncoderMem(true))
 		if err != nil {
-			panic(errors.Wrap(err, "story: encoder options"))
+			panic(errors.Wrap(err, "trace: encoder options"))
 		}
 		return e
 	})
@@ -219,7 +219,7 @@
 		d, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxDecoded),
 			zstd.WithDecoderLowmem(true))
 		if err != nil {
-			panic(errors.Wrap(err, "story: decoder options"))
+			panic(errors.Wrap(err, "trace: decoder options"))
 		}
 		return d
 	})
--- a/story/text.go
+++ b/trace/text.go
@@ -1,4 +1,4 @@
-package story
+package trace
 
 import (
 	"bytes"
@@ -12,7 +12,7 @@
 // WriteText writes the account for a person: a line that says how it ended,
 // whose it was, one line an event with its time since the first, what is
 // missing and what contradicts itself.
-func (a Account) WriteText(w io.Writer) error {
+func (a Trace) WriteText(w io.Writer) error {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "request %s: %s, ran: %s", a.Request, a.State, a.Ran)
 	if a.Reason != "" {
@@ -30,10 +30,10 @@
 		fmt.Fprintf(&b, "  finding: %s\n", f)
 	}
 	_, err := w.Write(b.Bytes())
-	return errors.Wrap(err, "story: write text")
+	return errors.Wrap(err, "trace: write text")
 }
 
-func (a Account) writeOwner(b *bytes.Buffer) {
+func (a Trace) writeOwner(b *bytes.Buffer) {
 	for _, e := range a.Events {
 		if e.Caller == "" {
 			continue
@@ -44,7 +44,7 @@
 	}
 }
 
-func (a Account) writeEvent(b *bytes.Buffer, e Event) {
+func (a Trace) writeEvent(b *bytes.Buffer, e Event) {
 	since := e.Time.Sub(a.Events[0].Time)
 	attempt := "-"
 	if e.Attempt != 0 {
--- a/story/story_test.go
+++ b/trace/trace_test.go
@@ -1,4 +1,4 @@
-package story
+package trace
 
 import (
 	"bytes"
@@ -34,7 +34,7 @@
 	accepted.Kind, accepted.Time, accepted.Host, accepted.Request = Accepted, at(0), "entry-1", id
 	decided := ev(Decided, 2, "entry-1", 1)
 	decided.Upstream, decided.Decode = "side-4", "side-7"
-	decided.Grounds = &Grounds{Policy: "pair", Considered: 9, Candidates: []Candidate{{"side-4", 3 * time.Millisecond, ""}}}
+	decided.Evaluation = &Evaluation{Policy: "pair", Considered: 9, Candidates: []Candidate{{"side-4", 3 * time.Millisecond, ""}}}
 	started := ev(AttemptStarted, 3, "entry-1", 1)
 	started.Upstream, started.Decode = "side-4", "side-7"
 	answered := ev(Answered, 60, "entry-1", 0)
@@ -55,8 +55,8 @@
 	return entry, prefill, decode
 }
 
-func half(h Half, events []Event) Story {
-	s := Story{Half: h}
+func half(h SpanKind, events []Event) Span {
+	s := Span{Kind: h}
 	for _, e := range events {
 		s.Add(e)
 	}
@@ -83,10 +83,10 @@
 	require.Equal(t, Answered, end.Kind)
 	require.Len(t, s.Findings, 1)
 	c := r.Counts()
-	require.True(t, c.Conserve())
+	require.True(t, c.Balanced())
 	require.Equal(t, int64(1), c.SecondEnds)
 	// The finding reaches the segments, too, as an addition to the story.
-	halves := r.Take()
+	halves := r.TakePending()
 	require.Len(t, halves, 2)
 	a := Merge(entry[0].Request, *halves[0], *halves[1])
 	require.Equal(t, StateAnswered, a.State)
@@ -95,7 +95,7 @@
 
 func TestCountsConserveUnderAnySequence(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := Recorder{Recent: 4, Age: 50 * time.Millisecond}
+		r := Recorder{MaxClosed: 4, MaxAge: 50 * time.Millisecond}
 		kinds := rapid.SliceOfN(rapid.SampledFrom([]EventKind{Accepted, Queued, Answered, Refused, CallerGone, AttemptEnded}), 1, 80).Draw(t, "kinds")
 		naive := make(map[domain.RequestID]EventKind) // the first end, or Accepted
 		for i, k := range kinds {
@@ -113,7 +113,7 @@
 				want[v]++
 			}
 			c := r.Counts()
-			require.True(t, c.Conserve(), "%+v", c)
+			require.True(t, c.Balanced(), "%+v", c)
 			require.Equal(t, [3]int64{want[Accepted], want[Answered], want[Refused]}, [3]int64{c.Open, c.Answered, c.Refused})
 		}
 		require.LessOrEqual(t, len(r.Latest(100)), 4)
@@ -134,33 +134,33 @@
 	}
 	wg.Wait()
 	c := r.Counts()
-	require.True(t, c.Conserve())
+	require.True(t, c.Balanced())
 	require.Equal(t, int64(1600), c.Answered)
 }
 
 func TestSideClosesWhatNeverEnds(t *testing.T) {
-	r := Recorder{Half: HalfSide, Age: time.Second}
+	r := Recorder{Kind: SideSpan, MaxAge: time.Second}
 	_, prefill, _ := appraisal(1)
 	record(&r, prefill[:2])
 	_, other, _ := appraisal(2)
 	other[0].Time = at(2000)
 	r.Record(other[0])
-	batch := r.Take()
+	batch := r.TakePending()
 	require.Len(t, batch, 1)
 	require.Contains(t, batch[0].Findings[0].Problem, "did not end")
-	require.False(t, r.Due(at(2000).Add(FlushAge)), "nothing waits")
+	require.False(t, r.Due(at(2000).Add(DefaultFlushInterval)), "nothing waits")
 
 	// Late news opens no half that would wait for an end.
 	r.Record(Event{Kind: CallerGone, Time: at(2001), Host: "side-4", Request: "entry-1.3.9"})
 	require.False(t, r.Due(at(2002)))
-	require.True(t, r.Due(at(2001).Add(FlushAge)))
-	require.Len(t, r.Take(), 1)
+	require.True(t, r.Due(at(2001).Add(DefaultFlushInterval)))
+	require.Len(t, r.TakePending(), 1)
 }
 
 // The entry is lost while the side still runs its request. The side's half is
 // read from the live side: it has no end yet, and that is not a loss.
 func TestOpenHalfIsNotLost(t *testing.T) {
-	r := Recorder{Half: HalfSide}
+	r := Recorder{Kind: SideSpan}
 	entry, prefill, _ := appraisal(1)
 	record(&r, prefill[:3])
 	s, ok := r.Get(entry[0].Request)
@@ -184,21 +184,21 @@
 func TestAccountSaysWhatIsMissing(t *testing.T) {
 	entry, prefill, decode := appraisal(17)
 	id := entry[0].Request
-	whole := Merge(id, half(HalfEntry, entry), half(HalfSide, prefill), half(HalfSide, decode))
+	whole := Merge(id, half(EntrySpan, entry), half(SideSpan, prefill), half(SideSpan, decode))
 	require.Equal(t, StateAnswered, whole.State)
 	require.Empty(t, whole.Missing)
 	require.Empty(t, whole.Findings)
 
-	lost := Merge(id, half(HalfSide, prefill), half(HalfSide, decode))
+	lost := Merge(id, half(SideSpan, prefill), half(SideSpan, decode))
 	require.Equal(t, StateLost, lost.State)
 	require.Equal(t, domain.DidRun, lost.Ran)
 	require.Contains(t, strings.Join(lost.Missing, "\n"), "entry entry-1.3 was lost before it wrote")
 
-	cutOff := Merge(id, half(HalfEntry, entry[:4]), half(HalfSide, prefill))
+	cutOff := Merge(id, half(EntrySpan, entry[:4]), half(SideSpan, prefill))
 	require.Contains(t, strings.Join(cutOff.Missing, "\n"), "entry entry-1.3 lost after attempt_started")
 	require.Contains(t, strings.Join(cutOff.Missing, "\n"), "half of side side-7 for attempt 1")
 
-	died := Merge(id, half(HalfEntry, entry), half(HalfSide, prefill), half(HalfSide, decode[:3]))
+	died := Merge(id, half(EntrySpan, entry), half(SideSpan, prefill), half(SideSpan, decode[:3]))
 	require.Contains(t, strings.Join(died.Missing, "\n"), "side side-7: lost after first_token")
 
 	none := Merge(id)
@@ -217,7 +217,7 @@
 	entry, prefill, _ := appraisal(5)
 	end := &entry[len(entry)-1]
 	end.Kind, end.Ran, end.Reason = Refused, domain.NotRun, domain.ReasonLost
-	a := Merge(entry[0].Request, half(HalfEntry, entry), half(HalfSide, prefill))
+	a := Merge(entry[0].Request, half(EntrySpan, entry), half(SideSpan, prefill))
 	require.Len(t, a.Findings, 1)
 	require.Contains(t, a.Findings[0].Problem, "refused as not_run")
 
@@ -226,13 +226,13 @@
 	for i := range again {
 		again[i].Attempt, again[i].Host = 2, "side-5"
 	}
-	a = Merge(entry[0].Request, half(HalfEntry, entry), half(HalfSide, prefill), half(HalfSide, again))
+	a = Merge(entry[0].Request, half(EntrySpan, entry), half(SideSpan, prefill), half(SideSpan, again))
 	require.Contains(t, a.Findings.Error(), "ran in 2 attempts")
 }
 
 func TestMergeDoesNotDependOnOrderOrRepeats(t *testing.T) {
 	entry, prefill, decode := appraisal(9)
-	halves := []Story{half(HalfEntry, entry), half(HalfSide, prefill), half(HalfSide, decode)}
+	halves := []Span{half(EntrySpan, entry), half(SideSpan, prefill), half(SideSpan, decode)}
 	want := Merge(entry[0].Request, halves...)
 	for i, e := range want.Events { // cause before effect, though side-7's clock is behind
 		if e.Kind == Decided {
@@ -247,10 +247,10 @@
 
 func TestSegmentsGiveBackWhatWasPacked(t *testing.T) {
 	p := Packer{Host: "side.4", Incarnation: 2}
-	var batch []*Story
+	var batch []*Span
 	for n := range 400 {
 		_, prefill, _ := appraisal(uint64(n))
-		s := Story{Half: HalfSide}
+		s := Span{Kind: SideSpan}
 		for _, e := range prefill {
 			e.Request = ID{domain.Host(fmt.Sprintf("entry-%d", n%20)), 1, uint64(n)}.RequestID()
 			s.Add(e)
@@ -263,17 +263,17 @@
 	var names []string
 	for _, s := range segments {
 		require.LessOrEqual(t, len(s.Data), MaxSegment)
-		n, err := ParseName(s.Name)
+		n, err := ParseSegmentName(s.Name)
 		require.NoError(t, err)
 		require.Equal(t, s.Name, n.String())
 		names = append(names, s.Name)
 	}
-	require.Len(t, Expired(append(names, "other"), at(1001), time.Second), len(names))
+	require.Len(t, ExpiredSegments(append(names, "other"), at(1001), time.Second), len(names))
 	for _, want := range batch {
 		d, err := ParseID(want.Request)
 		require.NoError(t, err)
 		found := 0
-		for _, name := range Find(append(names, "stories/odd", "table"), d) {
+		for _, name := range FindSegments(append(names, "stories/odd", "table"), d) {
 			for _, s := range segments {
 				if s.Name != name {
 					continue
@@ -294,10 +294,10 @@
 
 func TestSegmentNeverOutgrowsItsBound(t *testing.T) {
 	p := Packer{Host: "e", Incarnation: 1}
-	var batch []*Story
+	var batch []*Span
 	seed := uint64(1)
 	for n := range 40 {
-		s := Story{}
+		s := Span{}
 		for i := range MaxEvents + 20 {
 			noise := make([]byte, 3*MaxDetail)
 			for j := range noise {
@@ -326,8 +326,8 @@
 func TestDamageIsFound(t *testing.T) {
 	p := Packer{Host: "entry-1", Incarnation: 3}
 	entry, _, _ := appraisal(1)
-	s := half(HalfEntry, entry)
-	segments, err := p.Pack(start, []*Story{&s, &s})
+	s := half(EntrySpan, entry)
+	segments, err := p.Pack(start, []*Span{&s, &s})
 	require.NoError(t, err)
 	data := segments[0].Data
 	for n := range data {
@@ -337,7 +337,7 @@
 		bad[n] ^= 1
 		stories, f := Unpack(bad)
 		if len(f) == 0 { // a bit without meaning to the format
-			require.Equal(t, []Story{s, s}, stories, "flipped in %d", n)
+			require.Equal(t, []Span{s, s}, stories, "flipped in %d", n)
 		}
 	}
 	line, err := json.Marshal(s)
@@ -353,18 +353,18 @@
 	o := Outbox{MaxBytes: 10}
 	o.Add(Segment{"a", make([]byte, 6), 3}, Segment{"b", make([]byte, 4), 2}, Segment{"c", make([]byte, 4), 1})
 	require.Equal(t, int64(3), o.Dropped())
-	next, _ := o.Next()
+	next, _ := o.Oldest()
 	require.Equal(t, "b", next.Name)
-	o.Done("b")
-	segments, size := o.Waiting()
+	o.Remove("b")
+	segments, size := o.Pending()
 	require.Equal(t, [2]int{1, 4}, [2]int{segments, size})
 }
 
 func FuzzUnpack(f *testing.F) {
 	p := Packer{Host: "entry-1", Incarnation: 3}
 	entry, prefill, _ := appraisal(1)
-	a, b := half(HalfEntry, entry), half(HalfSide, prefill)
-	segments, err := p.Pack(start, []*Story{&a, &b})
+	a, b := half(EntrySpan, entry), half(SideSpan, prefill)
+	segments, err := p.Pack(start, []*Span{&a, &b})
 	require.NoError(f, err)
 	f.Add(segments[0].Data)
 	f.Add(segments[0].Data[:40])
@@ -388,7 +388,7 @@
 	f.Add("stories/side.4.2/7~1764662400~entry-1.3.100-180~entry-2.1.5-9")
 	f.Add("stories/e.1/1~1~e.1.0-")
 	f.Fuzz(func(t *testing.T, s string) {
-		if n, err := ParseName(s); err == nil {
+		if n, err := ParseSegmentName(s); err == nil {
 			require.Equal(t, s, n.String())
 		}
 	})
--- a/wire/order.go
+++ b/wire/order.go
@@ -24,9 +24,9 @@
 	MethodSettle = "settle"
 	// MethodCancel ends an attempt and frees its room: Ref to nothing.
 	MethodCancel = "cancel"
-	// MethodStory gives what a process knows of a request: StoryAsk to a
+	// MethodTrace gives what a process knows of a request: TraceRequest to a
 	// story's events as JSON.
-	MethodStory = "story"
+	MethodTrace = "story"
 	// MethodDrain tells a side to take no new work.
 	MethodDrain = "drain"
 )
@@ -129,8 +129,8 @@
 	Last bool `json:"last,omitempty"`
 }
 
-// StoryAsk asks for what is known of a request.
-type StoryAsk struct {
+// TraceRequest asks for what is known of a request.
+type TraceRequest struct {
 	Request domain.RequestID `json:"request"`
 }
 
