--- a/claim/bench_test.go
+++ b/claim/bench_test.go
@@ -12,9 +12,9 @@
 	"jacinthworks/domain"
 )
 
-// benchAsk gives a claim as entries send it: a UUID as key and a request id
-// with the entry's name.
-func benchAsk(i int, runner Process) Request {
+// benchRequest returns a claim request of the size that entries send: a UUID as key and a
+// request ID that contains the entry's name.
+func benchRequest(i int, runner Process) Request {
 	return Request{Key: Key{Account: "tollygunge", Name: fmt.Sprintf("%032x-key", i)},
 		Try:  AttemptID{Request: domain.RequestID("entry-12.1764700000." + strconv.Itoa(i)), Attempt: 1},
 		Body: Body(i), Runner: runner}
@@ -24,14 +24,14 @@
 	f := newFleet(t, 9)
 	o := &f.owner(0).shards[0].owner
 	o.Limits.MaxKeys = 1 << 30
-	return o, o.scopes[0].eligible[0]
+	return o, o.runnerSets[0].eligible[0]
 }
 
 func BenchmarkClaim(b *testing.B) {
 	o, runner := benchOwner(b)
 	asks := make([]Request, b.N)
 	for i := range asks {
-		asks[i] = benchAsk(i, runner)
+		asks[i] = benchRequest(i, runner)
 	}
 	b.ReportAllocs()
 	b.ResetTimer()
@@ -46,8 +46,8 @@
 	r := Runner{Self: Process{"side-1", 1}, Limits: Limits{MaxKeys: 1 << 30}}
 	list := make([]Dispatch, b.N)
 	for i := range list {
-		ask := benchAsk(i, r.Self)
-		list[i] = Dispatch{Token: Token{Key: ask.Key, Epoch: Epoch{1, 0}}, Try: ask.Try, Body: ask.Body, To: r.Self}
+		request := benchRequest(i, r.Self)
+		list[i] = Dispatch{Token: Token{Key: request.Key, Epoch: Epoch{1, 0}}, Try: request.Try, Body: request.Body, To: r.Self}
 	}
 	b.ReportAllocs()
 	b.ResetTimer()
@@ -58,23 +58,24 @@
 	}
 }
 
-// BenchmarkRepeat is a claim that is refused, as in a burst of one key.
-func BenchmarkRepeat(b *testing.B) {
+// BenchmarkClaimRefused measures a claim that is refused because its key is in progress, as
+// in a burst of requests with one key.
+func BenchmarkClaimRefused(b *testing.B) {
 	o, runner := benchOwner(b)
-	ask := benchAsk(1, runner)
-	_, err := o.Claim(ask, modelNow)
+	request := benchRequest(1, runner)
+	_, err := o.Claim(request, modelNow)
 	require.NoError(b, err)
 	b.ReportAllocs()
 	b.ResetTimer()
 	for range b.N {
-		if _, err := o.Claim(ask, modelNow); err == nil {
+		if _, err := o.Claim(request, modelNow); err == nil {
 			b.Fatal("granted twice")
 		}
 	}
 }
 
-// BenchmarkBytesPerKey reports what one key takes in an owner's memory, with
-// its strings, and in a message.
+// BenchmarkBytesPerKey reports the bytes that one key, with its strings, takes in an
+// owner's memory and in a JSON message.
 func BenchmarkBytesPerKey(b *testing.B) {
 	const keys = 32768
 	var memory, message float64
@@ -82,7 +83,7 @@
 		o, runner := benchOwner(b)
 		before := heap()
 		for i := range keys {
-			if _, err := o.Claim(benchAsk(i, runner), modelNow); err != nil {
+			if _, err := o.Claim(benchRequest(i, runner), modelNow); err != nil {
 				b.Fatal(err)
 			}
 		}
@@ -100,7 +101,8 @@
 	return float64(len(text))
 }
 
-// heap gives the live bytes. What a pool holds is freed by the second cycle.
+// heap returns the bytes of live heap objects. It collects garbage twice, because sync.Pool
+// releases its contents only in the second cycle.
 func heap() float64 {
 	var m runtime.MemStats
 	runtime.GC()
@@ -109,8 +111,8 @@
 	return float64(m.HeapAlloc)
 }
 
-// BenchmarkTakeover is a successor that merges six runners' lists of 341 keys:
-// one shard of 2,048 keys, or 131,072 keys in all.
+// BenchmarkTakeover measures a successor that merges the lists of six runners with 341 keys
+// each: one shard of 2,048 keys, or 131,072 keys over all shards.
 func BenchmarkTakeover(b *testing.B) {
 	f := newFleet(b, 9)
 	runners := f.record.Eligible(0)
@@ -118,8 +120,8 @@
 	for i, p := range runners {
 		r := FenceReply{Epoch: Epoch{1, 1}, Runner: p, Before: Epoch{1, 0}, RestoredVersion: 1}
 		for j := range 341 {
-			ask := benchAsk(i*341+j, p)
-			r.Entries = append(r.Entries, Entry{Key: ask.Key, Try: ask.Try, Runner: p, State: StateRan})
+			request := benchRequest(i*341+j, p)
+			r.Entries = append(r.Entries, Entry{Key: request.Key, Try: request.Try, Runner: p, State: StateRan})
 		}
 		replies = append(replies, r)
 	}
@@ -145,9 +147,9 @@
 	}
 }
 
-// BenchmarkLearn is a member that reads a record with a full past, and goes on
-// with the shards that it owns.
-func BenchmarkLearn(b *testing.B) {
+// BenchmarkApplyRecord measures a member that applies a record with MaxPast past
+// generations and continues to own its shards.
+func BenchmarkApplyRecord(b *testing.B) {
 	f := newFleet(b, 9)
 	for range MaxPast {
 		next := f.record.Next(f.record.Members)
@@ -156,13 +158,13 @@
 	}
 	text, err := json.Marshal(f.record)
 	require.NoError(b, err)
-	book := f.books["side-0"]
+	ledger := f.ledgers["side-0"]
 	b.ResetTimer()
 	for range b.N {
 		f.record.Version++
-		_, err := book.Apply(f.record, modelNow)
+		_, err := ledger.Apply(f.record, modelNow)
 		require.NoError(b, err)
 	}
-	b.ReportMetric(float64(len(book.Owned())), "shards")
+	b.ReportMetric(float64(len(ledger.Owned())), "shards")
 	b.ReportMetric(float64(len(text)), "record_B")
 }
--- a/claim/fleet_test.go
+++ b/claim/fleet_test.go
@@ -12,7 +12,7 @@
 	"jacinthworks/domain"
 )
 
-// TestMain fixes the seed of the random tests, so that each run is the same.
+// TestMain fixes the seed of the rapid tests, so that each run draws the same values.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
@@ -22,58 +22,58 @@
 	os.Exit(m.Run())
 }
 
-// fleet is books whose messages arrive at once, but for those of hosts that
-// are silent.
+// fleet is a set of ledgers whose messages are delivered at once, except those to and from
+// unreachable hosts.
 type fleet struct {
-	t      require.TestingT
-	now    time.Time
-	record Record
-	books  map[domain.Host]*Ledger
-	silent map[domain.Host]bool
+	t           require.TestingT
+	now         time.Time
+	record      Record
+	ledgers     map[domain.Host]*Ledger
+	unreachable map[domain.Host]bool
 }
 
-// newFleet gives n members spread over three zones under the first record.
+// newFleet returns n members distributed over three zones under the first record.
 func newFleet(t require.TestingT, n int) *fleet {
-	f := &fleet{t: t, now: modelNow, books: map[domain.Host]*Ledger{}, silent: map[domain.Host]bool{}}
+	f := &fleet{t: t, now: modelNow, ledgers: map[domain.Host]*Ledger{}, unreachable: map[domain.Host]bool{}}
 	f.record = Record{Generation: Generation{Version: 1, First: true}}
 	zones := []domain.Zone{"salt-lake", "new-town", "howrah"}
 	for i := range n {
 		m := Member{Host: domain.Host(fmt.Sprintf("side-%d", i)), Zone: zones[i%3], Incarnation: 1}
 		f.record.Members = append(f.record.Members, m)
-		f.books[m.Host] = f.book(m)
+		f.ledgers[m.Host] = f.ledger(m)
 	}
 	f.publish(f.record)
 	return f
 }
 
-func (f *fleet) book(m Member) *Ledger {
-	return &Ledger{Self: m.Process(), Live: func(p Process) bool { return !f.silent[p.Host] }}
+func (f *fleet) ledger(m Member) *Ledger {
+	return &Ledger{Self: m.Process(), Live: func(p Process) bool { return !f.unreachable[p.Host] }}
 }
 
-// publish lets all members learn a record.
-func (f *fleet) publish(rec Record) {
-	f.record = rec
-	for _, m := range rec.Members {
-		if !f.silent[m.Host] {
-			out, err := f.books[m.Host].Apply(rec, f.now)
+// publish applies a record on all reachable members and delivers their messages.
+func (f *fleet) publish(record Record) {
+	f.record = record
+	for _, m := range record.Members {
+		if !f.unreachable[m.Host] {
+			out, err := f.ledgers[m.Host].Apply(record, f.now)
 			require.NoError(f.t, err)
 			f.deliver(out)
 		}
 	}
-	for _, m := range rec.Members {
-		if !f.silent[m.Host] {
-			f.deliver(f.books[m.Host].Pending(f.now))
+	for _, m := range record.Members {
+		if !f.unreachable[m.Host] {
+			f.deliver(f.ledgers[m.Host].Pending(f.now))
 		}
 	}
 }
 
-// replace publishes the members with another incarnation of one host.
-func (f *fleet) replace(host domain.Host) {
+// restart publishes a record with a new incarnation of one host, which has an empty ledger.
+func (f *fleet) restart(host domain.Host) {
 	var list []Member
 	for _, m := range f.record.Members {
 		if m.Host == host {
 			m.Incarnation++
-			f.books[host] = f.book(m)
+			f.ledgers[host] = f.ledger(m)
 		}
 		list = append(list, m)
 	}
@@ -84,31 +84,31 @@
 
 func (f *fleet) deliver(out Outbox) {
 	for _, o := range out.Fences {
-		b := f.books[o.To.Host]
-		if f.silent[o.To.Host] || f.silent[o.Owner.Host] {
+		b := f.ledgers[o.To.Host]
+		if f.unreachable[o.To.Host] || f.unreachable[o.Owner.Host] {
 			continue
 		}
 		if reply, err := b.Fence(o, f.now); err == nil {
-			next, err := f.books[o.Owner.Host].Fenced(reply, f.now)
+			next, err := f.ledgers[o.Owner.Host].Fenced(reply, f.now)
 			require.NoError(f.t, err)
 			f.deliver(next)
 		}
 	}
 	for _, o := range out.Restores {
-		if f.silent[o.To.Host] {
+		if f.unreachable[o.To.Host] {
 			continue
 		}
-		if reply, err := f.books[o.To.Host].Restore(o, f.now); err == nil {
-			for _, b := range f.books {
+		if reply, err := f.ledgers[o.To.Host].Restore(o, f.now); err == nil {
+			for _, b := range f.ledgers {
 				require.NoError(f.t, b.Restored(reply))
 			}
 		}
 	}
 	for _, h := range out.Handovers {
-		next, taken, err := f.books[h.To.Host].AcceptHandover(h, f.now)
+		next, accepted, err := f.ledgers[h.To.Host].AcceptHandover(h, f.now)
 		require.NoError(f.t, err)
-		for _, b := range f.books {
-			if taken && b.Self != h.To {
+		for _, b := range f.ledgers {
+			if accepted && b.Self != h.To {
 				require.NoError(f.t, b.Delivered(h.Shard))
 			}
 		}
@@ -116,13 +116,13 @@
 	}
 }
 
-// owner gives the book that owns the shard at the newest epoch.
+// owner returns the ledger that owns the shard at the newest epoch among reachable hosts.
 func (f *fleet) owner(s Shard) *Ledger {
 	var best *Ledger
 	var newest Epoch
-	for host, b := range f.books {
+	for host, b := range f.ledgers {
 		for _, o := range b.Owned() {
-			if o.Shard == s && !f.silent[host] && newest.Less(o.Epoch) {
+			if o.Shard == s && !f.unreachable[host] && newest.Less(o.Epoch) {
 				best, newest = b, o.Epoch
 			}
 		}
@@ -130,16 +130,17 @@
 	return best
 }
 
-// claim asks the key's owner, and gives the runner too.
-func (f *fleet) claim(k Key, try AttemptID, body Body, pick int) (Grant, error) {
+// claim sends a claim to the key's owner; pick selects the runner among the eligible
+// runners.
+func (f *fleet) claim(k Key, attempt AttemptID, body Body, pick int) (Grant, error) {
 	eligible := f.record.Eligible(k.Shard())
-	return f.owner(k.Shard()).Claim(Request{Key: k, Try: try, Body: body,
+	return f.owner(k.Shard()).Claim(Request{Key: k, Try: attempt, Body: body,
 		Runner: eligible[pick%len(eligible)]}, f.now)
 }
 
-// send claims a key and, when granted, dispatches it.
-func (f *fleet) send(k Key, try AttemptID, body Body, pick int) (Grant, error) {
-	g, err := f.claim(k, try, body, pick)
+// send claims a key and, if the claim is granted, dispatches the request to the runner.
+func (f *fleet) send(k Key, attempt AttemptID, body Body, pick int) (Grant, error) {
+	g, err := f.claim(k, attempt, body, pick)
 	if err != nil {
 		return g, err
 	}
@@ -148,17 +149,17 @@
 
 func (f *fleet) accept(g Grant, body Body) error {
 	d := Dispatch{Token: g.Token, Try: g.Try, Body: body, To: g.Runner}
-	return f.books[g.Runner.Host].Accept(d, f.now)
+	return f.ledgers[g.Runner.Host].Accept(d, f.now)
 }
 
-// settle ends a try on its runner and tells the owner.
+// settle ends an attempt on its runner and sends the resolution to the owner.
 func (f *fleet) settle(g Grant, state State) {
-	res, err := f.books[g.Runner.Host].Settle(g.Token.Key, g.Try, state, f.now)
+	resolution, err := f.ledgers[g.Runner.Host].Settle(g.Token.Key, g.Try, state, f.now)
 	require.NoError(f.t, err)
-	require.NoError(f.t, f.owner(g.Token.Shard).Resolve(res, f.now))
+	require.NoError(f.t, f.owner(g.Token.Shard).Resolve(resolution, f.now))
 }
 
-func try(n int) AttemptID {
+func testAttempt(n int) AttemptID {
 	return AttemptID{Request: domain.RequestID(fmt.Sprintf("entry-1.7.%d", n)), Attempt: 1}
 }
 
--- /dev/null
+++ b/claim/key_table.go
@@ -0,0 +1,118 @@
+package claim
+
+import (
+	"time"
+
+	"jacinthworks/domain"
+)
+
+// storedKey is what an owner or a runner remembers of a key.
+type storedKey struct {
+	attempt AttemptID
+	body    Body
+	runner  Process
+	state   State
+	at      time.Time // of the last change of state
+}
+
+// toEntry returns the key in the form in which messages carry it.
+func (r storedKey) toEntry(k Key, now time.Time) Entry {
+	return Entry{Key: k, Try: r.attempt, Body: r.body, Runner: r.runner, State: r.state,
+		Age: max(0, now.Sub(r.at))}
+}
+
+// execution returns what a caller may be told about a remembered key.
+func (r storedKey) execution() domain.Execution {
+	if r.state == StateRan {
+		return domain.DidRun
+	}
+	return domain.Unknown
+}
+
+// expired reports whether the key may be forgotten. A granted key never expires: its
+// request may still be running after any time, and a forgotten key would let a repeated
+// request run beside it.
+func (r storedKey) expired(now time.Time, keep time.Duration) bool {
+	return r.state != StateGranted && now.Sub(r.at) > keep
+}
+
+// keyTable holds the remembered keys of one shard. The zero value is empty.
+type keyTable map[Key]storedKey
+
+// merge adds a key that another process lists. If two lists give different states for one
+// attempt, the state that forbids more wins: ran, then unknown, then granted.
+//
+// If two lists name different attempts of a key, the key is stored as unknown without an
+// attempt, which nothing frees before it expires. This happens when a paused owner receives
+// "not run" of attempt 1 and grants attempt 2 while its successor collects the lists: the
+// successor finds attempt 1 in an older list, then attempt 2. If the key were stored with
+// attempt 1, the delayed "not run" of attempt 1 would free the key while attempt 2 runs.
+func (t keyTable) merge(e Entry, now time.Time) {
+	existing, listed := t[e.Key]
+	sameAttempt := existing.attempt == e.Try
+	switch {
+	case listed && existing.state == StateRan:
+		return
+	case listed && sameAttempt && severity(existing.state) >= severity(e.State):
+		return
+	case listed && !sameAttempt && e.State != StateRan:
+		e.Try, e.Runner, e.State, e.Age = AttemptID{}, Process{}, StateUnknown, 0
+	}
+	t[e.Key] = storedKey{attempt: e.Try, body: e.Body, runner: e.Runner, state: e.State,
+		at: now.Add(-max(0, e.Age))}
+}
+
+func severity(s State) int {
+	switch s {
+	case StateRan:
+		return 3
+	case StateUnknown:
+		return 2
+	}
+	return 1
+}
+
+// resolve records how an attempt ended; StateNotRun frees its key.
+func (t keyTable) resolve(resolution Resolution, now time.Time) {
+	stored, listed := t[resolution.Key]
+	if !listed || stored.attempt != resolution.Try || resolution.Try == (AttemptID{}) || stored.state == StateRan {
+		return
+	}
+	switch resolution.State {
+	case StateNotRun:
+		delete(t, resolution.Key)
+	case StateRan, StateUnknown:
+		stored.state, stored.at = resolution.State, now
+		t[resolution.Key] = stored
+	}
+}
+
+// markEnded marks the keys granted to a process that has ended as unknown.
+func (t keyTable) markEnded(p Process, now time.Time) {
+	for key, k := range t {
+		if k.runner == p && k.state == StateGranted {
+			k.state, k.at = StateUnknown, now
+			t[key] = k
+		}
+	}
+}
+
+// entries lists the keys for which keep returns true; a nil keep lists all.
+func (t keyTable) entries(now time.Time, keep func(storedKey) bool) []Entry {
+	var list []Entry
+	for k, r := range t {
+		if keep == nil || keep(r) {
+			list = append(list, r.toEntry(k, now))
+		}
+	}
+	return list
+}
+
+// expire forgets the keys that were settled longer than keep ago.
+func (t keyTable) expire(now time.Time, keep time.Duration) {
+	for k, r := range t {
+		if r.expired(now, keep) {
+			delete(t, k)
+		}
+	}
+}
--- a/claim/message.go
+++ b/claim/message.go
@@ -6,25 +6,25 @@
 	"github.com/pkg/errors"
 )
 
-// State is what is known of one try.
+// State is the state of one attempt.
 type State uint8
 
-// The states of a try. The zero State means that nothing is known of it.
+// The states of an attempt. The zero State means that nothing is known about the attempt.
 const (
-	// StateGranted: granted by the owner or handed to the upstream by the
-	// runner, and not yet ended.
+	// StateGranted: granted by the owner, or handed to the upstream by the runner, and not
+	// ended yet.
 	StateGranted State = iota + 1
-	// StateRan: the upstream ran it.
+	// StateRan: the upstream ran the attempt.
 	StateRan
-	// StateUnknown: it may have run, and who would know is lost.
+	// StateUnknown: the attempt may have run, and the process that could tell has ended.
 	StateUnknown
-	// StateNotRun: it did not run and never will.
+	// StateNotRun: the attempt did not run and never will.
 	StateNotRun
 )
 
 var stateNames = [...]string{"", "granted", "ran", "unknown", "not_run"}
 
-// String gives the state's name in messages.
+// String returns the state's name in messages.
 func (s State) String() string {
 	if int(s) < len(stateNames) {
 		return stateNames[s]
@@ -32,10 +32,10 @@
 	return "invalid"
 }
 
-// MarshalText gives the state's name.
+// MarshalText returns the state's name in messages.
 func (s State) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
-// UnmarshalText reads a state's name.
+// UnmarshalText parses a state's name.
 func (s *State) UnmarshalText(text []byte) error {
 	for i, name := range stateNames {
 		if name == string(text) {
@@ -46,7 +46,8 @@
 	return errors.Errorf("claim: no such state: %q", text)
 }
 
-// Token travels with a dispatch from the owner to the runner.
+// Token authorizes a dispatch. The owner issues it with a grant, the entry passes it on,
+// and the runner checks its epoch.
 type Token struct {
 	Shard Shard   `json:"shard"`
 	Key   Key     `json:"key"`
@@ -54,7 +55,7 @@
 	Owner Process `json:"owner"`
 }
 
-// Request asks the owner whether a try may run on a runner.
+// Request asks the owner whether an attempt may run on a runner.
 type Request struct {
 	Key    Key       `json:"key"`
 	Try    AttemptID `json:"try"`
@@ -62,35 +63,35 @@
 	Runner Process   `json:"runner"`
 }
 
-// Grant is the owner's leave to dispatch a try, to this runner only.
+// Grant is the owner's permission to dispatch an attempt, to this runner only.
 type Grant struct {
 	Token  Token     `json:"stamp"`
 	Try    AttemptID `json:"try"`
 	Runner Process   `json:"runner"`
 }
 
-// Dispatch is what the runner checks before it hands a request over.
+// Dispatch is what the runner checks before it hands a request to its upstream.
 type Dispatch struct {
 	Token Token     `json:"stamp"`
 	Try   AttemptID `json:"try"`
 	Body  Body      `json:"body"`
-	// To is the runner of the grant. Another incarnation refuses.
+	// To is the runner that the grant names. Another incarnation refuses the dispatch.
 	To Process `json:"to"`
 }
 
-// Entry is a remembered key as it travels between processes.
+// Entry is a remembered key as processes send it to each other.
 type Entry struct {
 	Key    Key       `json:"key"`
 	Try    AttemptID `json:"try"`
 	Body   Body      `json:"body"`
 	Runner Process   `json:"runner"`
 	State  State     `json:"state"`
-	// Age is the time since the key was granted, handed or settled. Ages
-	// travel in place of times, as clocks of hosts differ.
+	// Age is the time since the key was granted, handed to the upstream or settled.
+	// Messages carry ages instead of times because the clocks of hosts differ.
 	Age time.Duration `json:"age"`
 }
 
-// FenceRequest tells a runner to refuse older epochs and to list its keys.
+// FenceRequest asks a runner to refuse older epochs and to list its keys.
 type FenceRequest struct {
 	Shard Shard   `json:"shard"`
 	Epoch Epoch   `json:"epoch"`
@@ -103,18 +104,19 @@
 	Shard  Shard   `json:"shard"`
 	Epoch  Epoch   `json:"epoch"`
 	Runner Process `json:"runner"`
-	// Before is the epoch that the fence stood at before it was raised to
-	// Epoch; the same in each reply for one Epoch.
+	// Before is the epoch at which the fence stood before it was raised to Epoch; it is the
+	// same in each reply for one Epoch.
 	Before Epoch `json:"before"`
-	// RestoredVersion is the record's version up to which this incarnation holds its
-	// part of what may have run; zero for a restarted runner that has not
-	// been restored.
+	// RestoredVersion is the record's version up to which this incarnation holds its part
+	// of the keys that may have run; zero for a restarted runner that has not been
+	// restored.
 	RestoredVersion uint64  `json:"vouched"`
 	Entries         []Entry `json:"entries,omitempty"`
 }
 
-// RestoreRequest gives a runner the keys of the shard whose own runner is no longer
-// eligible, and thereby vouches for the runner at Epoch.Version.
+// RestoreRequest sends a runner the keys of the shard whose own runner is no longer
+// eligible. Once the runner has stored them, its list counts as complete up to
+// Epoch.Version.
 type RestoreRequest struct {
 	Shard   Shard   `json:"shard"`
 	Epoch   Epoch   `json:"epoch"`
@@ -122,7 +124,7 @@
 	Entries []Entry `json:"entries,omitempty"`
 }
 
-// RestoreReply acknowledges a Restore.
+// RestoreReply acknowledges a RestoreRequest.
 type RestoreReply struct {
 	Shard           Shard   `json:"shard"`
 	Epoch           Epoch   `json:"epoch"`
@@ -134,28 +136,28 @@
 type Handover struct {
 	Shard Shard `json:"shard"`
 	From  Epoch `json:"from"`
-	// Epoch is the one epoch that the table may be used at.
+	// Epoch is the only epoch at which the table may be used.
 	Epoch   Epoch   `json:"epoch"`
 	To      Process `json:"to"`
 	Entries []Entry `json:"entries,omitempty"`
 }
 
-// StatusRequest asks a runner what became of a try that was granted to it.
+// StatusRequest asks a runner for the state of an attempt that was granted to that runner.
 type StatusRequest struct {
 	Key Key       `json:"key"`
 	Try AttemptID `json:"try"`
 	To  Process   `json:"to"`
 }
 
-// Resolution tells an owner what became of a try.
+// Resolution reports to an owner how an attempt ended.
 type Resolution struct {
 	Key   Key       `json:"key"`
 	Try   AttemptID `json:"try"`
 	State State     `json:"state"`
 }
 
-// Outbox holds messages to send; each names its receiver in To. All may be
-// lost, repeated and reordered.
+// Outbox holds messages to send; each names its receiver in To. Messages may be lost,
+// repeated and reordered.
 type Outbox struct {
 	Fences    []FenceRequest
 	Restores  []RestoreRequest
--- a/claim/model_test.go
+++ b/claim/model_test.go
@@ -11,70 +11,71 @@
 	"jacinthworks/domain"
 )
 
-// The model check walks all orders of events of a small deployment, breadth
-// first: 1 key, members a, b and c in three zones, a owning and b next. Owner
-// and Runner are the real ones. A message once sent may arrive at any time,
-// again or never, so loss, repetition, reordering, pauses of processes and
-// the owner's death are all in it; restarts and new records are steps.
+// The model check visits all orders of events of a small deployment, breadth first: 1 key,
+// members a, b and c in three zones, a is the owner and b the next rank. Owner and Runner
+// are the production types. A message that was sent may arrive at any time, repeatedly or
+// never, so loss, repetition, reordering, pauses of processes and the death of the owner
+// are all covered; restarts and new records are steps of their own.
 
 var (
 	modelNow = time.Unix(1_800_000_000, 0)
 	modelKey = Key{Account: "stud", Name: "enquiry-1"}
 )
 
-// envelope is a message on its way to a host; message is one of the package's.
+// envelope is a message on its way to a host; message is one of the package's message
+// types.
 type envelope struct {
 	host    int
 	message any
 }
 
-// node is one process. Nodes are interned and never changed.
+// node is one process. Nodes are interned and never modified.
 type node struct {
 	owner  Owner
 	runner Runner
-	record int // index of the record that it has read, -1 if none
+	record int // index of the newest record that the process has read, -1 if none
 }
 
-// world is one state: indexes of interned nodes and of the set of messages.
+// world is one state: the indexes of interned nodes and of the set of messages in flight.
 type world struct {
-	nodes    [3]int32
-	messages int32
-	record   int8 // the newest record in the platform
-	restarts int8 // of scenario.restarts that have happened
-	claims   int8 // tries that were used
-	live     uint8
-	denied   uint8 // tries of which "not run" was said
+	nodes      [3]int32
+	messages   int32
+	record     int8 // index of the newest record in the platform
+	restarts   int8 // number of scenario.restarts that have happened
+	claims     int8 // number of attempts that were claimed
+	handedOver uint8
+	notRun     uint8 // attempts that were reported as "not run"
 }
 
-// scenario bounds a walk.
+// scenario configures and bounds a search.
 type scenario struct {
-	name     string
-	records  []Record
-	restarts []int // hosts, in order; restart i precedes record i+1
-	tries    int
-	starters []int // hosts that may take over at their turn
-	rounds   int   // of turns after the first
-	retires  bool  // owner may hand over, at any time or at a new record
-	// cold starts before the first fence and walks everything. Otherwise a
-	// owns the shard at epoch 1.0, and two things are left out which only
-	// forbid more: the end "ran" (a granted key is refused as well) and the
-	// repeat of a fence order that took effect (it lists more keys).
-	cold    bool
-	runners []int // hosts that entries pick as runner; default b and c
-	off     disabled
-	maximum int // states to visit
+	name          string
+	records       []Record
+	restarts      []int // hosts, in order; restart i precedes record i+1
+	attempts      int
+	takeoverHosts []int // hosts that may take over at their turn
+	rounds        int   // rounds of turns after the first round
+	mayRetire     bool  // owner may hand over, at any time or at a new record
+	// fromStart begins before the first fence request and covers every event. Otherwise a
+	// owns the shard at epoch 1.0, and two kinds of event are omitted that only forbid
+	// more: the end "ran" (a granted key is refused as well) and the repetition of a fence
+	// request that took effect (its reply lists more keys).
+	fromStart bool
+	runners   []int // hosts that entries select as runner; default b and c
+	disabled  disabledGuards
+	maxStates int // number of states to visit
 }
 
-// effect is what one event does to one node and to the world. Effects are
-// computed once for each node and event.
+// effect is what one event does to one node and to the world. An effect is computed once
+// for each pair of node and event.
 type effect struct {
-	node  int32
-	sent  []uint16
-	what  string
-	claim bool  // a try was used
-	live  uint8 // tries handed over
-	ended uint8 // tries that ended as not run after they were handed over
-	deny  uint8 // tries of which "not run" was said
+	node       int32
+	sent       []uint16
+	what       string
+	claim      bool  // an attempt was claimed
+	handedOver uint8 // attempts handed to an upstream
+	ended      uint8 // attempts that ended as not run after they were handed over
+	notRun     uint8 // attempts reported as "not run"
 }
 
 type step struct {
@@ -82,31 +83,31 @@
 	what   string
 }
 
-// event is what may happen to a node: a message, or a step of its own while
-// the platform holds a record and some tries are used.
+// event is what may happen to a node: the arrival of a message, or a step of its own while
+// the platform holds a record and a number of attempts were claimed.
 type event struct {
 	node           int32
-	message        int32 // -1 for a step of its own, -2-i for "try i did not run"
+	message        int32 // -1 for a step of its own, -2-i for "attempt i did not run"
 	record, claims int8
 }
 
 type checker struct {
 	scenario
-	shard     Shard
-	nodes     []node
-	nodeIDs   map[string]int32
-	messages  []envelope
-	messageID map[string]uint16
-	sets      [][]uint16
-	setIDs    map[string]int32
-	added     map[[2]int32]int32
-	dropped   map[[3]int32]int32
-	effects   map[event][]effect
-	seen      map[world]bool
-	queue     []world
-	steps     []step
-	violation string
-	bad       step
+	shard         Shard
+	nodes         []node
+	nodeIDs       map[string]int32
+	messages      []envelope
+	messageID     map[string]uint16
+	sets          [][]uint16
+	setIDs        map[string]int32
+	added         map[[2]int32]int32
+	dropped       map[[3]int32]int32
+	effects       map[event][]effect
+	seen          map[world]bool
+	queue         []world
+	steps         []step
+	violation     string
+	violatingStep step
 }
 
 func members(incarnations ...domain.Incarnation) []Member {
@@ -120,7 +121,7 @@
 	return list
 }
 
-// recordsOf gives the successive records with these members.
+// recordsOf returns successive records with these members.
 func recordsOf(generations ...[]Member) []Record {
 	list := []Record{{Generation: Generation{Version: 1, First: true, Members: generations[0]}}}
 	for i, g := range generations[1:] {
@@ -144,12 +145,12 @@
 	if c.runners == nil {
 		c.runners = []int{1, 2}
 	}
-	w := world{messages: c.set(nil)}
+	w := world{messages: c.internSet(nil)}
 	var list []node
 	for _, m := range c.records[0].Members {
-		list = append(list, c.fresh(m.Process()))
+		list = append(list, c.newNode(m.Process()))
 	}
-	if !c.cold {
+	if !c.fromStart {
 		establish(list, c.records[0])
 	}
 	for i, n := range list {
@@ -159,13 +160,13 @@
 	return c
 }
 
-// establish makes a the owner at epoch 1.0 with a complete view.
-func establish(nodes []node, rec Record) {
+// establish makes a the owner at epoch 1.0 with a complete table.
+func establish(nodes []node, record Record) {
 	for i := range nodes {
 		nodes[i].record = 0
-		nodes[i].runner.Apply(rec)
-		if nodes[i].owner.Apply(rec, nil, modelNow) != nil {
-			panic("adopt")
+		nodes[i].runner.Apply(record)
+		if nodes[i].owner.Apply(record, nil, modelNow) != nil {
+			panic("apply the first record")
 		}
 	}
 	for _, o := range nodes[0].owner.Pending(modelNow).Fences {
@@ -177,10 +178,10 @@
 	}
 }
 
-func (c *checker) fresh(p Process) node {
+func (c *checker) newNode(p Process) node {
 	return node{record: -1,
-		owner:  Owner{Self: p, Shard: c.shard, off: c.off},
-		runner: Runner{Self: p, Shard: c.shard, off: c.off}}
+		owner:  Owner{Self: p, Shard: c.shard, disabled: c.disabled},
+		runner: Runner{Self: p, Shard: c.shard, disabled: c.disabled}}
 }
 
 func (c *checker) push(w world, parent int32, what string) {
@@ -192,8 +193,9 @@
 	c.steps = append(c.steps, step{parent, what})
 }
 
-// done ends an effect: the changed node, and what its owner has to send.
-func (c *checker) done(e *effect, n node) effect {
+// finishEffect stores the changed node in the effect, with the messages that its owner has
+// to send.
+func (c *checker) finishEffect(e *effect, n node) effect {
 	out := n.owner.Pending(modelNow)
 	for _, m := range out.Fences {
 		c.send(e, index(m.To), m)
@@ -208,40 +210,41 @@
 	return *e
 }
 
-// apply checks an effect against what was promised and records the state.
+// apply checks an effect against the guarantees of the package and records the resulting
+// state.
 func (c *checker) apply(w world, parent int32, host int, e effect) {
 	switch {
-	case e.live != 0 && w.live != 0:
-		c.fail(parent, e.what, "the key was handed over twice")
-	case e.live&w.denied != 0:
-		c.fail(parent, e.what, "a try was handed over after not_run was said of it")
-	case e.deny&w.live != 0:
-		c.fail(parent, e.what, "not_run was said of a try that was handed over")
+	case e.handedOver != 0 && w.handedOver != 0:
+		c.recordViolation(parent, e.what, "the key was handed over twice")
+	case e.handedOver&w.notRun != 0:
+		c.recordViolation(parent, e.what, "an attempt was handed over after it was reported as not_run")
+	case e.notRun&w.handedOver != 0:
+		c.recordViolation(parent, e.what, "not_run was reported for an attempt that was handed over")
 	}
-	w.live = (w.live | e.live) &^ e.ended
-	w.denied |= e.deny | e.ended
+	w.handedOver = (w.handedOver | e.handedOver) &^ e.ended
+	w.notRun |= e.notRun | e.ended
 	if e.claim {
 		w.claims++
 	}
 	for _, id := range e.sent {
-		w.messages = c.with(w.messages, id)
+		w.messages = c.addMessage(w.messages, id)
 	}
 	w.nodes[host] = e.node
-	w.messages = c.drop(w)
+	w.messages = c.dropStale(w)
 	c.push(w, parent, e.what)
 }
 
 func index(p Process) int { return int(p.Host[0] - 'a') }
 
-func modelTry(i int) AttemptID {
+func modelAttempt(i int) AttemptID {
 	return AttemptID{Request: domain.RequestID(rune('0' + i)), Attempt: 1}
 }
 
-func tryBit(t AttemptID) uint8 { return 1 << (t.Request[0] - '0') }
+func attemptBit(t AttemptID) uint8 { return 1 << (t.Request[0] - '0') }
 
-// run walks until nothing is new, a violation is found or the bound is met.
+// run searches until there is no new state, a violation is found or the bound is reached.
 func (c *checker) run() {
-	for i := 0; i < len(c.queue) && c.violation == "" && len(c.queue) < c.maximum; i++ {
+	for i := 0; i < len(c.queue) && c.violation == "" && len(c.queue) < c.maxStates; i++ {
 		w, at := c.queue[i], int32(i)
 		c.platformSteps(w, at)
 		for host, id := range w.nodes {
@@ -251,10 +254,10 @@
 			}
 		}
 		for _, host := range c.owners() {
-			for try := range c.tries {
-				if w.denied&tryBit(modelTry(try)) != 0 {
-					told := event{node: w.nodes[host], message: -2 - int32(try)}
-					for _, e := range c.effectsOf(told, host) {
+			for attempt := range c.attempts {
+				if w.notRun&attemptBit(modelAttempt(attempt)) != 0 {
+					notRunEvent := event{node: w.nodes[host], message: -2 - int32(attempt)}
+					for _, e := range c.effectsOf(notRunEvent, host) {
 						c.apply(w, at, host, e)
 					}
 				}
@@ -271,35 +274,35 @@
 }
 
 func (c *checker) effectsOf(v event, host int) []effect {
-	list, known := c.effects[v]
-	if known {
+	list, cached := c.effects[v]
+	if cached {
 		return list
 	}
 	switch {
 	case v.message == -1:
 		list = c.processSteps(v, host)
 	case v.message < -1:
-		list = c.resolve(v, host)
+		list = c.resolveSteps(v, host)
 	default:
-		list = c.deliver(v, host)
+		list = c.deliverSteps(v, host)
 	}
 	list = slices.DeleteFunc(list, func(e effect) bool {
-		return e.node == v.node && len(e.sent) == 0 && e.live|e.ended|e.deny == 0
+		return e.node == v.node && len(e.sent) == 0 && e.handedOver|e.ended|e.notRun == 0
 	})
 	c.effects[v] = list
 	return list
 }
 
-func (c *checker) fail(parent int32, what, why string) {
+func (c *checker) recordViolation(parent int32, what, why string) {
 	if c.violation == "" {
-		c.violation, c.bad = why, step{parent, what}
+		c.violation, c.violatingStep = why, step{parent, what}
 	}
 }
 
-// trace gives the shortest way to the violation.
+// trace returns the shortest sequence of events that leads to the violation.
 func (c *checker) trace() string {
-	list := []string{c.bad.what + ": " + c.violation}
-	for at := c.bad.parent; at >= 0; at = c.steps[at].parent {
+	list := []string{c.violatingStep.what + ": " + c.violation}
+	for at := c.violatingStep.parent; at >= 0; at = c.steps[at].parent {
 		list = append(list, c.steps[at].what)
 	}
 	slices.Reverse(list)
@@ -310,7 +313,7 @@
 	t.Helper()
 	c := newChecker(s)
 	c.run()
-	t.Logf("%s: %d states visited, exhausted=%t", s.name, len(c.queue), len(c.queue) < c.maximum)
+	t.Logf("%s: %d states visited, exhausted=%t", s.name, len(c.queue), len(c.queue) < c.maxStates)
 	require.Empty(t, c.violation, "%s", c.trace())
 }
 
--- a/claim/owner.go
+++ b/claim/owner.go
@@ -7,150 +7,149 @@
 	"jacinthworks/domain"
 )
 
-// phase is how far an ownership has come.
+// phase is the state of an ownership.
 type phase uint8
 
 const (
-	phaseNone     phase = iota // not the owner
-	phaseBarrier               // fencing; the view is not complete
-	phaseComplete              // grants
-	phaseRetired               // handed over; grants nothing more
+	phaseNone     phase = iota // does not own the shard
+	phaseBarrier               // fences runners; the table is not complete
+	phaseComplete              // grants keys
+	phaseRetired               // handed the table over; grants nothing more
 )
 
-// answer is what a runner said to this epoch's fence.
-type answer struct {
-	before  Epoch
-	vouched uint64
+// runnerState is what a runner replied to this epoch's fence and restore requests.
+type runnerState struct {
+	previousFence   Epoch
+	restoredVersion uint64
 }
 
-// Owner is the part of one shard that decides which keys may run. Self must be
-// set; the rest of the zero value is a process that does not own the shard. An
-// Owner is not safe for concurrent use. That it may be superseded without
-// knowing it is expected: its grants are then refused by the runners, and it
-// never says "not run" of a key.
+// Owner is the part of one shard that decides which keys may run. Self must be set; the
+// rest of the zero value is a process that does not own the shard. An Owner is not safe for
+// concurrent use. An Owner may have been superseded without having been notified: the
+// runners then refuse its grants, and it never reports a key as "not run".
 type Owner struct {
-	// Self is the process that the owner lives in.
+	// Self is the process that the owner runs in.
 	Self Process
 	// Shard is the owner's shard.
 	Shard Shard
-	// Limits bounds what is remembered.
+	// Limits bounds what the owner remembers.
 	Limits Limits
 
-	epoch  Epoch
-	seen   Epoch // the newest that was heard of from others
-	phase  phase
-	scopes []scope // eligible runners, newest version first
-	heard  map[Process]answer
-	lost   map[Process]time.Time
-	keys   keyTable // in force, or being collected from the runners' lists
-	legacy keyTable // the table of the epoch from, until it is known to be good
-	from   Epoch    // zero if there is no legacy
-	target Handover // what Retire promised, without its entries
-	off    disabled
+	epoch         Epoch
+	observed      Epoch // the newest epoch reported by other processes
+	phase         phase
+	runnerSets    []runnerSet // eligible runners, newest version first
+	replies       map[Process]runnerState
+	ended         map[Process]time.Time
+	keys          keyTable // in use, or being collected from the runners' lists
+	inherited     keyTable // the table of epoch inheritedFrom, not validated for this epoch yet
+	inheritedFrom Epoch    // zero if there is no inherited table
+	handover      Handover // what Retire assigned, without its entries
+	disabled      disabledGuards
 }
 
-// Epoch gives the owner's epoch, and whether its view is complete.
+// Epoch returns the owner's epoch and reports whether its table is complete.
 func (o *Owner) Epoch() (Epoch, bool) { return o.epoch, o.phase == phaseComplete }
 
-// Claim gives a grant for a key that surely has not run, or a *Refusal. The
-// same try claimed twice is refused as in progress: ask the runner about it,
-// then claim with the next attempt.
-func (o *Owner) Claim(ask Request, now time.Time) (Grant, error) {
-	o.refresh(now)
+// Claim returns a grant for a key that certainly has not run, or a *Refusal. A second claim
+// of the same attempt is refused as in progress: ask the runner for the attempt's status,
+// then claim the next attempt.
+func (o *Owner) Claim(request Request, now time.Time) (Grant, error) {
+	o.completeView(now)
 	if !o.owns() {
 		return Grant{}, o.refuse(CodeNotOwner)
 	}
-	if k, listed := o.keys[ask.Key]; listed {
-		return Grant{}, o.listed(ask, k)
+	if stored, listed := o.keys[request.Key]; listed {
+		return Grant{}, o.refuseListed(request, stored)
 	}
-	if k, listed := o.legacy[ask.Key]; listed {
-		return Grant{}, o.listed(ask, k)
+	if stored, listed := o.inherited[request.Key]; listed {
+		return Grant{}, o.refuseListed(request, stored)
 	}
-	// Failure: the key ran under an earlier owner, the runner that knows of
-	// it has not answered yet, and a grant would run it again. An unlisted
-	// key is new only where all runners' lists are in.
+	// A key that the table does not list counts as new only once all runners' lists are
+	// merged: it may have run under an earlier owner, on a runner that has not replied yet,
+	// and a grant would run it a second time.
 	if o.phase != phaseComplete {
 		return Grant{}, o.refuse(CodeNotRestored)
 	}
-	if !slices.Contains(o.scopes[0].eligible, ask.Runner) {
+	if !slices.Contains(o.runnerSets[0].eligible, request.Runner) {
 		return Grant{}, o.refuse(CodeOtherRunner)
 	}
 	if len(o.keys) >= o.Limits.maxKeys() {
 		return Grant{}, o.refuse(CodeFull)
 	}
-	o.keys[ask.Key] = remembered{try: ask.Try, body: ask.Body, runner: ask.Runner,
+	o.keys[request.Key] = storedKey{attempt: request.Try, body: request.Body, runner: request.Runner,
 		state: StateGranted, at: now}
-	stamp := Token{Shard: o.Shard, Key: ask.Key, Epoch: o.epoch, Owner: o.Self}
-	return Grant{Token: stamp, Try: ask.Try, Runner: ask.Runner}, nil
+	stamp := Token{Shard: o.Shard, Key: request.Key, Epoch: o.epoch, Owner: o.Self}
+	return Grant{Token: stamp, Try: request.Try, Runner: request.Runner}, nil
 }
 
-// listed refuses a key that is remembered.
-func (o *Owner) listed(ask Request, k remembered) *Refusal {
+// refuseListed returns the refusal of a key that the table lists.
+func (o *Owner) refuseListed(request Request, stored storedKey) *Refusal {
 	refusal := o.refuse(CodeInProgress)
-	refusal.Try, refusal.Runner, refusal.Ran = k.try, k.runner, k.ran()
-	refusal.TryNotRun = k.try != ask.Try
+	refusal.Try, refusal.Runner, refusal.Ran = stored.attempt, stored.runner, stored.execution()
+	refusal.TryNotRun = stored.attempt != request.Try
 	switch {
-	case k.body != ask.Body:
+	case stored.body != request.Body:
 		refusal.Code, refusal.Ran = CodeOtherBody, domain.Unknown
-	case k.state == StateRan:
+	case stored.state == StateRan:
 		refusal.Code = CodeAlreadyRan
-	case k.state == StateUnknown:
+	case stored.state == StateUnknown:
 		refusal.Code = CodeMayHaveRun
 	}
 	return refusal
 }
 
-// refuse gives a refusal of a claim. This try was granted by nobody; of the
-// key an owner that may have been superseded can say nothing.
+// refuse returns the refusal of a claim. No owner has granted the attempt, so it has not run.
+// About the key itself an owner that may have been superseded can make no statement.
 func (o *Owner) refuse(c Code) *Refusal {
 	return &Refusal{Code: c, Ran: domain.Unknown, TryNotRun: true, Epoch: o.epoch}
 }
 
-// Resolve notes how a try ended. StateNotRun frees the key; it must come from
-// the try's own runner (Settle, Ask or a refusal with TryNotRun).
-func (o *Owner) Resolve(res Resolution, now time.Time) {
-	o.keys.resolve(res, now)
-	o.legacy.resolve(res, now)
+// Resolve records how an attempt ended. StateNotRun frees the key; it must come from the
+// attempt's own runner (Settle, Status or a refusal with TryNotRun).
+func (o *Owner) Resolve(resolution Resolution, now time.Time) {
+	o.keys.resolve(resolution, now)
+	o.inherited.resolve(resolution, now)
 }
 
-// MarkLost notes that a process has ended: a newer incarnation of its host stands
-// in the record, or the platform says that the host is gone. What it was
-// granted may have run. Silence is no ground for a call of Lost.
+// MarkLost records that a process has ended: the record lists a newer incarnation of its
+// host, or the platform reports that the host was removed. Requests that were granted to
+// the process may have run. Call MarkLost only for these two reasons, never because the
+// process is unreachable.
 //
-// Failure: owner and runner of a shard are lost together, and no list that
-// could complete the view exists any more, so that the shard would refuse new
-// keys for good. After the retention nothing that the lost process ran is
-// still to be remembered, and the view is complete without it.
+// When owner and runner of a shard are lost together, no list exists any more that could
+// complete the table, and the shard would refuse new keys forever. After the retention, no
+// key that the ended process ran has to be remembered any longer, and the table is complete
+// without its list.
 func (o *Owner) MarkLost(p Process, now time.Time) {
-	if o.lost == nil {
-		o.lost = map[Process]time.Time{}
+	if o.ended == nil {
+		o.ended = map[Process]time.Time{}
 	}
-	if _, known := o.lost[p]; !known {
-		o.lost[p] = now
+	if _, listed := o.ended[p]; !listed {
+		o.ended[p] = now
 	}
-	o.keys.lose(p, now)
-	o.legacy.lose(p, now)
+	o.keys.markEnded(p, now)
+	o.inherited.markEnded(p, now)
 }
 
-// Superseded notes that a runner knows of a newer epoch. It saves callers a
-// round trip; the fences hold without it. A table that was promised to an heir
-// is kept for it.
+// Superseded records that a runner reported a newer epoch. It saves callers a round trip;
+// the fences are safe without it. A table that was assigned to an heir is kept for the
+// heir.
 func (o *Owner) Superseded(e Epoch) {
-	if o.seen.Less(e) {
-		o.seen = e
+	if o.observed.Less(e) {
+		o.observed = e
 	}
 	if o.owns() && o.epoch.Less(e) {
-		o.phase, o.from, o.keys, o.legacy = phaseNone, Epoch{}, nil, nil
+		o.phase, o.inheritedFrom, o.keys, o.inherited = phaseNone, Epoch{}, nil, nil
 	}
 }
 
-// Overdue gives the questions to ask about keys that were granted longer than
-// age ago. Take an age above the longest deadline, as a try that is asked about
-// before it reaches its runner is refused there.
+// Overdue returns the status requests for keys that were granted longer than age ago.
+// Choose an age above the longest deadline: a runner that is asked about an attempt before
+// the dispatch arrives refuses the dispatch.
 //
-// Failure: the message that says how a try ended is lost, and its key is "in
-// progress" for good, as granted keys are never forgotten; in the end they
-// fill the shard.
+// Without these requests, a lost Resolution would leave its key "in progress" forever, as
+// granted keys are never forgotten; such keys would finally fill the shard.
 func (o *Owner) Overdue(age time.Duration, now time.Time) []StatusRequest {
 	var list []StatusRequest
 	if !o.owns() {
@@ -158,17 +157,17 @@
 	}
 	for key, k := range o.keys {
 		if k.state == StateGranted && now.Sub(k.at) > age {
-			list = append(list, StatusRequest{Key: key, Try: k.try, To: k.runner})
+			list = append(list, StatusRequest{Key: key, Try: k.attempt, To: k.runner})
 		}
 	}
 	return list
 }
 
-// Expire forgets what was settled longer than the retention ago.
+// Expire forgets keys that were settled longer than the retention ago.
 func (o *Owner) Expire(now time.Time) {
 	o.keys.expire(now, o.Limits.retention())
-	o.legacy.expire(now, o.Limits.retention())
+	o.inherited.expire(now, o.Limits.retention())
 }
 
-// owns tells whether the owner claims the shard, with a complete view or not.
+// owns reports whether the process acts as the shard's owner, with a complete table or not.
 func (o *Owner) owns() bool { return o.phase == phaseBarrier || o.phase == phaseComplete }
--- a/claim/record_test.go
+++ b/claim/record_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestRanksAndEligibility(t *testing.T) {
+func TestRankedAndEligibleFollowZones(t *testing.T) {
 	f := newFleet(t, 9)
 	for s := Shard(0); s < Shards; s++ {
 		ranked := f.record.Ranked(s)
@@ -24,7 +24,7 @@
 	require.Empty(t, Generation{}.Eligible(0))
 }
 
-func TestRecordMovesOnlyShardsOfTheMemberThatLeft(t *testing.T) {
+func TestRankedMovesOnlyShardsOfRemovedMember(t *testing.T) {
 	f := newFleet(t, 9)
 	fewer := Generation{Members: f.record.Members[:8]}
 	for s := Shard(0); s < Shards; s++ {
@@ -34,28 +34,28 @@
 	}
 }
 
-func TestRecordFindingsAreToldTogether(t *testing.T) {
-	rec := Record{Generation: Generation{Members: []Member{{"a", "", 1}, {"a", "z", 1}}},
+func TestRecordCheckReportsAllFindings(t *testing.T) {
+	record := Record{Generation: Generation{Members: []Member{{"a", "", 1}, {"a", "z", 1}}},
 		Past: []Generation{{Version: 3}}}
-	err := rec.Check()
+	err := record.Check()
 	for _, place := range []string{"version:", "members[0]:", "members[1]:", "past[0]:"} {
 		require.ErrorContains(t, err, place)
 	}
 }
 
-func TestBookNeverGoesBack(t *testing.T) {
+func TestLedgerApplyIgnoresOlderRecord(t *testing.T) {
 	f := newFleet(t, 3)
 	old := f.record
-	f.replace("side-1")
-	out, err := f.books["side-0"].Apply(old, f.now)
+	f.restart("side-1")
+	out, err := f.ledgers["side-0"].Apply(old, f.now)
 	require.NoError(t, err)
 	require.Empty(t, out)
-	require.Equal(t, uint64(2), f.books["side-0"].Record().Version)
+	require.Equal(t, uint64(2), f.ledgers["side-0"].Record().Version)
 }
 
-func TestMessagesKeepTheirMeaning(t *testing.T) {
+func TestHandoverJSONRoundTrip(t *testing.T) {
 	in := Handover{Shard: 3, From: Epoch{4, 0}, Epoch: Epoch{4, 1}, To: Process{"b", 2},
-		Entries: []Entry{{Key: enquiry, Try: try(1), Body: 1 << 63, Runner: Process{"c", 1}, State: StateRan, Age: 5}}}
+		Entries: []Entry{{Key: testKey, Try: testAttempt(1), Body: 1 << 63, Runner: Process{"c", 1}, State: StateRan, Age: 5}}}
 	text, err := json.Marshal(in)
 	require.NoError(t, err)
 	require.Contains(t, string(text), `"state":"ran"`)
--- a/claim/naive_test.go
+++ b/claim/reference_test.go
@@ -11,16 +11,16 @@
 	"jacinthworks/domain"
 )
 
-// naive is the whole of it where nothing fails: one map.
-type naive map[Key]*naiveKey
+// referenceModel is the expected behaviour without failures: one map.
+type referenceModel map[Key]*referenceKey
 
-type naiveKey struct {
+type referenceKey struct {
 	grant Grant
 	body  Body
 	ran   bool
 }
 
-func (n naive) code(k Key, body Body) Code {
+func (n referenceModel) expectedCode(k Key, body Body) Code {
 	old, listed := n[k]
 	switch {
 	case !listed:
@@ -33,27 +33,27 @@
 	return CodeInProgress
 }
 
-// Where nothing fails, any sequence of sends, ends, planned stops, needless
-// takeovers and new records gives callers what one map would.
-func TestLikeOneMapWithoutFailures(t *testing.T) {
+// Without failures, any sequence of sends, settlements, planned stops, unnecessary
+// takeovers and new records gives callers the same results as one map.
+func TestLedgersMatchReferenceMapWithoutFailures(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(r *rapid.T) {
-		f, n, tries := newFleet(r, 5), naive{}, 0
+		f, n, attempts := newFleet(r, 5), referenceModel{}, 0
 		key := rapid.Custom(func(r *rapid.T) Key {
 			return Key{Account: "stud", Name: rapid.SampledFrom([]string{"p", "q", "r", "s"}).Draw(r, "name")}
 		})
 		r.Repeat(map[string]func(*rapid.T){
 			"send": func(r *rapid.T) {
 				k, body := key.Draw(r, "key"), Body(rapid.IntRange(1, 2).Draw(r, "body"))
-				tries++
-				want := n.code(k, body)
-				g, err := f.send(k, try(tries), body, rapid.IntRange(0, 9).Draw(r, "runner"))
+				attempts++
+				want := n.expectedCode(k, body)
+				g, err := f.send(k, testAttempt(attempts), body, rapid.IntRange(0, 9).Draw(r, "runner"))
 				if want != "" {
 					requireCode(r, want, err)
 					return
 				}
 				require.NoError(r, err)
-				n[k] = &naiveKey{grant: g, body: body}
+				n[k] = &referenceKey{grant: g, body: body}
 			},
 			"end": func(r *rapid.T) {
 				k := key.Draw(r, "key")
@@ -80,7 +80,7 @@
 			"takeover": func(r *rapid.T) {
 				s := key.Draw(r, "key").Shard()
 				m := rapid.SampledFrom(f.record.Members).Draw(r, "member")
-				out, err := f.books[m.Host].TakeOver(s, f.now)
+				out, err := f.ledgers[m.Host].TakeOver(s, f.now)
 				require.NoError(r, err)
 				f.deliver(out)
 			},
@@ -93,9 +93,9 @@
 	})
 }
 
-// Eight entries send the same thousand keys at once, to an owner and runners
-// under load. Each key is accepted by one runner once.
-func TestBooksAcceptEachKeyOnceUnderConcurrentEntries(t *testing.T) {
+// Eight entries concurrently send the same thousand keys to the owners and runners. Exactly
+// one runner accepts each key, once.
+func TestLedgersAcceptEachKeyOnceUnderConcurrentEntries(t *testing.T) {
 	f := newFleet(t, 9)
 	owners := map[Shard]*Ledger{}
 	for s := Shard(0); s < Shards; s++ {
@@ -108,9 +108,9 @@
 			for i := range 1000 {
 				k := Key{Account: "stud", Name: string(rune('a'+i%26)) + string(rune('0'+i/26))}
 				runners := f.record.Eligible(k.Shard())
-				ask := Request{Key: k, Try: AttemptID{Request: domain.RequestID(rune('0' + e)), Attempt: domain.Attempt(i)},
+				request := Request{Key: k, Try: AttemptID{Request: domain.RequestID(rune('0' + e)), Attempt: domain.Attempt(i)},
 					Runner: runners[(e+i)%len(runners)]}
-				g, err := owners[k.Shard()].Claim(ask, f.now)
+				g, err := owners[k.Shard()].Claim(request, f.now)
 				if err == nil && f.accept(g, 0) == nil {
 					accepted.Add(1)
 				}
--- a/claim/refusal.go
+++ b/claim/refusal.go
@@ -6,10 +6,11 @@
 	"jacinthworks/domain"
 )
 
-// Code says why a claim, a dispatch or an order was refused.
+// Code is the reason why a claim, a dispatch or a request to a runner was refused.
 type Code string
 
-// The codes. The first six answer Claim, the next four Accept and orders.
+// The codes. Owner.Claim returns the first six, CodeOtherRunner and CodeFull; the methods of
+// Runner return the last five.
 const (
 	CodeOtherBody   Code = "other_body"
 	CodeInProgress  Code = "in_progress"
@@ -26,30 +27,29 @@
 	CodeFull Code = "full"
 )
 
-// Refusal is a typed refusal of a Book, an owner or a runner.
+// Refusal is the error of a Ledger, an Owner or a Runner that refuses a message.
 type Refusal struct {
 	Code Code `json:"code"`
-	// Ran is what may be said to a caller of its key, whichever send of it
-	// ran.
+	// Ran is what a caller may be told about its key, whichever attempt of the key ran.
 	Ran domain.Execution `json:"ran"`
-	// TryNotRun says that this try did not run and never will: the entry may
-	// resolve it as StateNotRun. When false, silence of the runner is all
-	// that is known.
+	// TryNotRun reports that this attempt did not run and never will: the entry may resolve
+	// it as StateNotRun. If false, the refusal does not say whether the attempt ran.
 	TryNotRun bool `json:"try_not_run"`
-	// Epoch is the epoch that the refuser knows of, if any.
+	// Epoch is the epoch of the refusing owner, or the runner's fence; zero if there is
+	// none.
 	Epoch Epoch `json:"epoch"`
-	// AttemptID and Runner name the earlier try of the key and who can be asked
-	// about it, if known.
+	// Try and Runner name the earlier attempt of the key and the runner that can report its
+	// status, if known.
 	Try    AttemptID `json:"try"`
 	Runner Process   `json:"runner"`
 }
 
-// Error gives code, account and epoch in one line.
+// Error returns code, execution and epoch in one line.
 func (r *Refusal) Error() string {
 	return fmt.Sprintf("claim: %s (%s) at epoch %s", r.Code, r.Ran, r.Epoch)
 }
 
-// Reason gives the word for the refusal that callers see.
+// Reason returns the reason that callers receive.
 func (r *Refusal) Reason() domain.Reason {
 	switch r.Code {
 	case CodeOtherBody:
--- a/claim/runner.go
+++ b/claim/runner.go
@@ -6,211 +6,212 @@
 	"jacinthworks/domain"
 )
 
-// keyTry names a try of a key that was refused before it came.
-type keyTry struct {
-	key Key
-	try AttemptID
+// keyAttempt identifies an attempt of a key that was refused before its dispatch arrived.
+type keyAttempt struct {
+	key     Key
+	attempt AttemptID
 }
 
-// Runner is the part of one shard that stands before an upstream. It is the
-// only one to hand the shard's keyed requests over. Self must be set; the rest
-// of the zero value is ready to use. A Runner is not safe for concurrent use.
+// Runner is the part of one shard that stands before an upstream. Only a Runner hands the
+// shard's keyed requests to an upstream. Self must be set; the rest of the zero value is
+// ready to use. A Runner is not safe for concurrent use.
 type Runner struct {
-	// Self is the process that the runner lives in.
+	// Self is the process that the runner runs in.
 	Self Process
 	// Shard is the runner's shard.
 	Shard Shard
-	// Limits bounds what is remembered.
+	// Limits bounds what the runner remembers.
 	Limits Limits
 
-	fenced  Epoch // no dispatch of an older epoch is accepted
-	before  Epoch // where the fence stood before it was raised to fenced
-	vouched uint64
-	keys    keyTable // what this runner was given to run
-	// restored is what runners that left may have run. It stands apart from
-	// keys, as Ask and Settle speak for this runner's own tries only.
+	fence           Epoch // dispatches of older epochs are refused
+	previousFence   Epoch // where the fence stood before it was raised to its present epoch
+	restoredVersion uint64
+	keys            keyTable // keys that were dispatched to this runner
+	// restored holds the keys that removed runners may have run. It is separate from keys,
+	// because Status and Settle apply to this runner's own attempts only.
 	restored keyTable
-	refused  map[keyTry]time.Time
-	off      disabled
+	blocked  map[keyAttempt]time.Time
+	disabled disabledGuards
 }
 
-// Apply takes from a record whether this incarnation stood in the first
-// generation ever and so holds all that may have run on it.
-func (r *Runner) Apply(rec Record) {
-	r.vouched = max(r.vouched, rec.vouchedFrom(r.Self))
+// Apply sets the restored version if the record's first generation lists this incarnation,
+// which then holds every key that may have run on it.
+func (r *Runner) Apply(record Record) {
+	r.restoredVersion = max(r.restoredVersion, record.firstGenerationVersion(r.Self))
 }
 
-// Accept marks the key as handed over, or refuses with a *Refusal. The caller
-// hands the request to its upstream only after Accept returned nil, and once.
-func (r *Runner) Accept(d Dispatch, now time.Time) error {
-	if err := r.addressed(d.To); err != nil {
+// Accept marks the key as handed over, or returns a *Refusal. The caller hands the request
+// to its upstream only after Accept returned nil, and only once.
+func (r *Runner) Accept(dispatch Dispatch, now time.Time) error {
+	if err := r.checkTarget(dispatch.To); err != nil {
 		return err
 	}
-	// The key is looked up before the fence: of a try that is running here
-	// the fence must not say "not run".
-	if k, listed := r.keys[d.Token.Key]; listed {
-		return r.taken(d, k, now)
+	// The key is looked up before the fence is checked: the fence must not report "not run"
+	// for an attempt that is running here.
+	if stored, listed := r.keys[dispatch.Token.Key]; listed {
+		return r.refuseListed(dispatch, stored, now)
 	}
-	if k, listed := r.restored[d.Token.Key]; listed {
-		return r.taken(d, k, now)
+	if stored, listed := r.restored[dispatch.Token.Key]; listed {
+		return r.refuseListed(dispatch, stored, now)
 	}
-	// Failure: an entry dies, another entry asks about its try, hears "not
-	// run" and sends the request again; then the first dispatch arrives late
-	// and the request runs twice. Ask left the try here, so it is refused.
-	if _, refused := r.refused[keyTry{d.Token.Key, d.Try}]; refused {
-		return &Refusal{Code: CodeRefused, Ran: domain.Unknown, TryNotRun: true, Epoch: r.fenced}
+	// After an entry dies, another entry may ask for its attempt's status, receive "not
+	// run" and send the request again. If the first dispatch arrived afterwards and were
+	// accepted, the request would run twice. Status recorded the attempt in blocked, so it
+	// is refused.
+	if _, blocked := r.blocked[keyAttempt{dispatch.Token.Key, dispatch.Try}]; blocked {
+		return &Refusal{Code: CodeRefused, Ran: domain.Unknown, TryNotRun: true, Epoch: r.fence}
 	}
-	// Failure: an owner is paused, its successor lists all keys and grants
-	// this one to another runner; then the old owner's dispatch arrives and
-	// the request runs twice. The successor's view was complete only after
-	// this runner had raised its fence, and the fence never sinks.
-	if d.Token.Epoch.Less(r.fenced) && !r.off.fence {
-		return &Refusal{Code: CodeFenced, Ran: domain.Unknown, TryNotRun: true, Epoch: r.fenced}
+	// While an owner is paused, its successor may list all keys and grant this key to
+	// another runner. If the old owner's dispatch arrived afterwards and were accepted, the
+	// request would run twice. The successor's table was complete only after this runner
+	// had raised its fence, and the fence is never lowered.
+	if dispatch.Token.Epoch.Less(r.fence) && !r.disabled.fence {
+		return &Refusal{Code: CodeFenced, Ran: domain.Unknown, TryNotRun: true, Epoch: r.fence}
 	}
 	if r.full() {
-		return &Refusal{Code: CodeFull, Ran: domain.Unknown, Epoch: r.fenced}
+		return &Refusal{Code: CodeFull, Ran: domain.Unknown, Epoch: r.fence}
 	}
-	r.raise(d.Token.Epoch)
+	r.raiseFence(dispatch.Token.Epoch)
 	if r.keys == nil {
 		r.keys = keyTable{}
 	}
-	r.keys[d.Token.Key] = remembered{try: d.Try, body: d.Body, runner: r.Self,
+	r.keys[dispatch.Token.Key] = storedKey{attempt: dispatch.Try, body: dispatch.Body, runner: r.Self,
 		state: StateGranted, at: now}
 	return nil
 }
 
-// taken refuses a dispatch of a key that is listed. Of the listed try nothing
-// new can be said. Another try is refused for good, so that a repeat of this
-// dispatch is not accepted after "not run" was said of it.
-func (r *Runner) taken(d Dispatch, k remembered, now time.Time) error {
-	refusal := &Refusal{Code: CodeKeyTaken, Ran: k.ran(), Epoch: r.fenced, Try: k.try, Runner: k.runner}
-	if k.try != d.Try {
-		refusal.TryNotRun = r.refuse(d.Token.Key, d.Try, now)
+// refuseListed refuses a dispatch of a key that the runner already lists. The refusal says
+// nothing new about the listed attempt. Another attempt of the key is blocked permanently,
+// so that a repeated dispatch of it is not accepted after the refusal reported "not run".
+func (r *Runner) refuseListed(dispatch Dispatch, stored storedKey, now time.Time) error {
+	refusal := &Refusal{Code: CodeKeyTaken, Ran: stored.execution(), Epoch: r.fence, Try: stored.attempt, Runner: stored.runner}
+	if stored.attempt != dispatch.Try {
+		refusal.TryNotRun = r.blockAttempt(dispatch.Token.Key, dispatch.Try, now)
 	}
 	return refusal
 }
 
-// addressed refuses what was sent to another incarnation. Failure: a runner
-// restarts and forgets what it ran; asked about such a try it would say "not
-// run", or accept a repeat of its dispatch, or acknowledge a fence for a list
-// that is lost. Only a record that lists the new incarnation gives rise to
-// messages for it, and the owners under that record count its list as
-// incomplete.
-func (r *Runner) addressed(to Process) error {
-	if to == r.Self || (r.off.address && to.Host == r.Self.Host) {
+// checkTarget refuses a message that was sent to another incarnation. A restarted runner
+// has forgotten what it ran: asked about an attempt of its earlier incarnation it would
+// report "not run", accept a repeated dispatch, or acknowledge a fence with a list that
+// lacks the lost keys. Messages to the new incarnation are sent only under a record that
+// lists it, and owners under that record count its list as incomplete.
+func (r *Runner) checkTarget(to Process) error {
+	if to == r.Self || (r.disabled.incarnation && to.Host == r.Self.Host) {
 		return nil
 	}
 	return &Refusal{Code: CodeOtherRunner, Ran: domain.Unknown, Runner: r.Self}
 }
 
-// Fence raises the fence and lists all keys of the shard. An order older than
-// the fence is refused with the current epoch; the same order may be repeated.
-func (r *Runner) Fence(o FenceRequest, now time.Time) (FenceReply, error) {
-	if err := r.addressed(o.To); err != nil {
+// Fence raises the fence and lists all keys of the shard. A request older than the fence is
+// refused with the current epoch; the same request may be repeated.
+func (r *Runner) Fence(request FenceRequest, now time.Time) (FenceReply, error) {
+	if err := r.checkTarget(request.To); err != nil {
 		return FenceReply{}, err
 	}
-	if o.Epoch.Less(r.fenced) {
-		return FenceReply{}, &Refusal{Code: CodeFenced, Ran: domain.Unknown, Epoch: r.fenced}
+	if request.Epoch.Less(r.fence) {
+		return FenceReply{}, &Refusal{Code: CodeFenced, Ran: domain.Unknown, Epoch: r.fence}
 	}
-	r.raise(o.Epoch)
-	return FenceReply{Shard: r.Shard, Epoch: o.Epoch, Runner: o.To, Before: r.before,
-		RestoredVersion: r.vouched, Entries: append(r.keys.entries(now, nil), r.restored.entries(now, nil)...)}, nil
+	r.raiseFence(request.Epoch)
+	return FenceReply{Shard: r.Shard, Epoch: request.Epoch, Runner: request.To, Before: r.previousFence,
+		RestoredVersion: r.restoredVersion, Entries: append(r.keys.entries(now, nil), r.restored.entries(now, nil)...)}, nil
 }
 
-func (r *Runner) raise(e Epoch) {
-	if r.fenced.Less(e) {
-		r.before, r.fenced = r.fenced, e
+func (r *Runner) raiseFence(e Epoch) {
+	if r.fence.Less(e) {
+		r.previousFence, r.fence = r.fence, e
 	}
 }
 
-// Settle notes how a try that was handed over here ended: StateRan,
-// StateNotRun (the upstream surely never took it) or StateUnknown. It gives
-// the message for the owner.
-func (r *Runner) Settle(key Key, try AttemptID, state State, now time.Time) (Resolution, error) {
-	k, listed := r.keys[key]
-	if !listed || k.try != try {
-		return Resolution{}, &Refusal{Code: CodeOtherRunner, Ran: domain.Unknown, Epoch: r.fenced}
+// Settle records how an attempt that was handed over here ended: StateRan, StateNotRun (the
+// upstream certainly never accepted it) or StateUnknown. It returns the message for the
+// owner.
+func (r *Runner) Settle(key Key, attempt AttemptID, state State, now time.Time) (Resolution, error) {
+	stored, listed := r.keys[key]
+	if !listed || stored.attempt != attempt {
+		return Resolution{}, &Refusal{Code: CodeOtherRunner, Ran: domain.Unknown, Epoch: r.fence}
 	}
-	if k.state == StateRan || state == StateGranted {
-		return Resolution{Key: key, Try: try, State: k.state}, nil
+	if stored.state == StateRan || state == StateGranted {
+		return Resolution{Key: key, Try: attempt, State: stored.state}, nil
 	}
 	if state == StateNotRun {
-		// The refusal takes the key's room, so that no bound can stop it.
+		// The blocked attempt replaces the key, so that MaxKeys cannot prevent it.
 		delete(r.keys, key)
-		r.refuse(key, try, now)
-		return Resolution{Key: key, Try: try, State: state}, nil
+		r.blockAttempt(key, attempt, now)
+		return Resolution{Key: key, Try: attempt, State: state}, nil
 	}
-	k.state, k.at = state, now
-	r.keys[key] = k
-	return Resolution{Key: key, Try: try, State: state}, nil
+	stored.state, stored.at = state, now
+	r.keys[key] = stored
+	return Resolution{Key: key, Try: attempt, State: state}, nil
 }
 
-// Status tells what became of a try. A try that never came is refused from now
-// on, and only then called StateNotRun; where there is no room to remember the
-// refusal the answer is StateUnknown.
-func (r *Runner) Status(o StatusRequest, now time.Time) (Resolution, error) {
-	if err := r.addressed(o.To); err != nil {
+// Status returns the state of an attempt. An attempt that never arrived is blocked first
+// and only then reported as StateNotRun; if MaxKeys leaves no room to block it, the result
+// is StateUnknown.
+func (r *Runner) Status(request StatusRequest, now time.Time) (Resolution, error) {
+	if err := r.checkTarget(request.To); err != nil {
 		return Resolution{}, err
 	}
-	res := Resolution{Key: o.Key, Try: o.Try, State: StateNotRun}
-	if k, listed := r.keys[o.Key]; listed && k.try == o.Try {
-		res.State = k.state
-		return res, nil
+	resolution := Resolution{Key: request.Key, Try: request.Try, State: StateNotRun}
+	if stored, listed := r.keys[request.Key]; listed && stored.attempt == request.Try {
+		resolution.State = stored.state
+		return resolution, nil
 	}
-	if r.off.refusal {
-		return res, nil
+	if r.disabled.block {
+		return resolution, nil
 	}
-	if !r.refuse(o.Key, o.Try, now) {
-		res.State = StateUnknown
+	if !r.blockAttempt(request.Key, request.Try, now) {
+		resolution.State = StateUnknown
 	}
-	return res, nil
+	return resolution, nil
 }
 
-// refuse remembers that the try must not be accepted; false if there is no
-// room.
-func (r *Runner) refuse(key Key, try AttemptID, now time.Time) bool {
-	kt := keyTry{key, try}
-	if _, refused := r.refused[kt]; !refused && r.full() {
+// blockAttempt records that the attempt must not be accepted. It reports false if MaxKeys
+// leaves no room.
+func (r *Runner) blockAttempt(key Key, attempt AttemptID, now time.Time) bool {
+	id := keyAttempt{key, attempt}
+	if _, blocked := r.blocked[id]; !blocked && r.full() {
 		return false
 	}
-	if r.refused == nil {
-		r.refused = map[keyTry]time.Time{}
+	if r.blocked == nil {
+		r.blocked = map[keyAttempt]time.Time{}
 	}
-	r.refused[kt] = now
+	r.blocked[id] = now
 	return true
 }
 
-// Restore takes in the keys of runners that left, and vouches for this one.
-// A restored key keeps its own runner's name and forbids the key here.
-func (r *Runner) Restore(o RestoreRequest, now time.Time) (RestoreReply, error) {
-	if err := r.addressed(o.To); err != nil {
+// Restore stores the keys of removed runners and raises the version up to which this
+// runner's list counts as complete. A restored key keeps the name of its own runner and is
+// refused here.
+func (r *Runner) Restore(request RestoreRequest, now time.Time) (RestoreReply, error) {
+	if err := r.checkTarget(request.To); err != nil {
 		return RestoreReply{}, err
 	}
-	if o.Epoch.Less(r.fenced) {
-		return RestoreReply{}, &Refusal{Code: CodeFenced, Ran: domain.Unknown, Epoch: r.fenced}
+	if request.Epoch.Less(r.fence) {
+		return RestoreReply{}, &Refusal{Code: CodeFenced, Ran: domain.Unknown, Epoch: r.fence}
 	}
-	r.raise(o.Epoch)
+	r.raiseFence(request.Epoch)
 	if r.restored == nil {
 		r.restored = keyTable{}
 	}
-	for _, e := range o.Entries {
+	for _, e := range request.Entries {
 		if e.State != StateRan {
 			e.State = StateUnknown
 		}
 		r.restored.merge(e, now)
 	}
-	r.vouched = max(r.vouched, o.Epoch.Version)
-	return RestoreReply{Shard: r.Shard, Epoch: o.Epoch, Runner: r.Self, RestoredVersion: r.vouched}, nil
+	r.restoredVersion = max(r.restoredVersion, request.Epoch.Version)
+	return RestoreReply{Shard: r.Shard, Epoch: request.Epoch, Runner: r.Self, RestoredVersion: r.restoredVersion}, nil
 }
 
-// Expire forgets what was settled or refused longer than the retention ago.
+// Expire forgets what was settled or blocked longer than the retention ago.
 func (r *Runner) Expire(now time.Time) {
 	keep := r.Limits.retention()
 	r.keys.expire(now, keep)
 	r.restored.expire(now, keep)
-	for kt, at := range r.refused {
+	for kt, at := range r.blocked {
 		if now.Sub(at) > keep {
-			delete(r.refused, kt)
+			delete(r.blocked, kt)
 		}
 	}
 }
@@ -220,5 +221,5 @@
 }
 
 func (r *Runner) size() int {
-	return len(r.keys) + len(r.restored) + len(r.refused)
+	return len(r.keys) + len(r.restored) + len(r.blocked)
 }
--- a/claim/view.go
+++ b/claim/view.go
@@ -7,153 +7,155 @@
 	"github.com/pkg/errors"
 )
 
-// Start begins an ownership at the process's next turn in the record. It does
-// nothing for an owner at that version that no newer epoch is known to have
-// followed. A complete table, or one that is waiting for its successor's first
-// answer, goes on; any other is built anew from the runners' lists.
-func (o *Owner) Start(rec Record, now time.Time) error {
-	if _, member := rec.Rank(o.Shard, o.Self); !member {
-		return errors.Errorf("claim: %s (%d) is no member at version %d",
-			o.Self.Host, o.Self.Incarnation, rec.Version)
+// Start begins an ownership at the process's next turn in the record. It does nothing if
+// this process already owns the shard at the record's version and no newer epoch has been
+// reported. A complete table, or an inherited one that has not been validated yet, stays a
+// candidate for the new epoch; otherwise the table is rebuilt from the runners' lists.
+func (o *Owner) Start(record Record, now time.Time) error {
+	if _, member := record.Rank(o.Shard, o.Self); !member {
+		return errors.Errorf("claim: %s (%d) is not a member at record version %d",
+			o.Self.Host, o.Self.Incarnation, record.Version)
 	}
-	if o.owns() && o.epoch.Version == rec.Version && !o.epoch.Less(o.seen) {
+	if o.owns() && o.epoch.Version == record.Version && !o.epoch.Less(o.observed) {
 		return nil
 	}
-	if next, may := rec.Turn(o.Shard, o.Self, o.newest()); may {
-		o.begin(rec, next, now)
+	if next, may := record.Turn(o.Shard, o.Self, o.newestEpoch()); may {
+		o.startEpoch(record, next, now)
 	}
 	return nil
 }
 
-// newest gives the newest epoch that this process has started or heard of.
-func (o *Owner) newest() Epoch {
-	if o.epoch.Less(o.seen) {
-		return o.seen
+// newestEpoch returns the newest epoch that this process has started or that was reported
+// to it.
+func (o *Owner) newestEpoch() Epoch {
+	if o.epoch.Less(o.observed) {
+		return o.observed
 	}
 	return o.epoch
 }
 
-// StartAt begins an ownership at an epoch that a predecessor chose for its
-// heir. It does nothing unless the epoch is this process's turn in the record
-// and newer than any that it knows.
-func (o *Owner) StartAt(rec Record, at Epoch, now time.Time) {
-	if p, known := rec.Holder(o.Shard, at); known && p == o.Self && o.newest().Less(at) {
-		o.begin(rec, at, now)
+// StartAt begins an ownership at the epoch that a predecessor assigned to its heir. It does
+// nothing unless the record assigns the epoch to this process and the epoch is newer than
+// any that it has started or received.
+func (o *Owner) StartAt(record Record, at Epoch, now time.Time) {
+	if p, listed := record.Holder(o.Shard, at); listed && p == o.Self && o.newestEpoch().Less(at) {
+		o.startEpoch(record, at, now)
 	}
 }
 
-func (o *Owner) begin(rec Record, next Epoch, now time.Time) {
+func (o *Owner) startEpoch(record Record, next Epoch, now time.Time) {
 	switch {
 	case o.phase == phaseComplete:
-		o.from, o.legacy = o.epoch, o.keys
-	case o.phase == phaseBarrier && o.from != Epoch{}:
-		// The table has not been used at the epoch that is left.
+		o.inheritedFrom, o.inherited = o.epoch, o.keys
+	case o.phase == phaseBarrier && o.inheritedFrom != Epoch{}:
+		// The inherited table was not used at the epoch that ends here and stays a
+		// candidate.
 	default:
-		o.from, o.legacy = Epoch{}, nil
+		o.inheritedFrom, o.inherited = Epoch{}, nil
 	}
 	o.keys = keyTable{}
-	o.target = Handover{}
-	o.epoch, o.phase, o.scopes = next, phaseBarrier, rec.scopes(o.Shard)
-	o.heard = map[Process]answer{}
-	o.refresh(now)
+	o.handover = Handover{}
+	o.epoch, o.phase, o.runnerSets = next, phaseBarrier, record.runnerSets(o.Shard)
+	o.replies = map[Process]runnerState{}
+	o.completeView(now)
 }
 
-// Fenced takes a runner's answer to this epoch's fence.
+// Fenced processes a runner's reply to this epoch's fence request.
 func (o *Owner) Fenced(reply FenceReply, now time.Time) {
 	if reply.Epoch != o.epoch || !o.owns() {
 		return
 	}
-	a := o.heard[reply.Runner]
-	a.before, a.vouched = reply.Before, max(a.vouched, reply.RestoredVersion)
-	o.heard[reply.Runner] = a
+	state := o.replies[reply.Runner]
+	state.previousFence, state.restoredVersion = reply.Before, max(state.restoredVersion, reply.RestoredVersion)
+	o.replies[reply.Runner] = state
 	if o.phase == phaseComplete {
-		return // the list can hold nothing new, but may hold freed keys
+		return // the list cannot contain new keys, but may contain freed ones
 	}
 	for _, e := range reply.Entries {
 		o.keys.merge(e, now)
 	}
-	o.refresh(now)
+	o.completeView(now)
 }
 
-// refresh makes the view complete once it is. Of the two tables one is kept:
-// a good legacy holds all there is, and lists made before a key was freed must
-// not bring it back; one that was superseded would bring back what others
-// freed since.
-func (o *Owner) refresh(now time.Time) {
+// completeView completes the table as soon as that is safe. Only one of the two tables is
+// used: a valid inherited table lists every key, and the runners' lists, which may predate
+// the freeing of a key, must not add that key again; an inherited table that was superseded
+// would add keys that later owners have freed since.
+func (o *Owner) completeView(now time.Time) {
 	if o.phase != phaseBarrier {
 		return
 	}
 	switch {
-	case o.stepped():
-		o.keys = o.legacy
-	case !o.covered(now):
+	case o.inheritedValid():
+		o.keys = o.inherited
+	case !o.listsComplete(now):
 		return
 	}
-	o.phase, o.from, o.legacy = phaseComplete, Epoch{}, nil
+	o.phase, o.inheritedFrom, o.inherited = phaseComplete, Epoch{}, nil
 }
 
-// covered tells whether the runners' lists hold every key that may have run.
-// It looks for a version w such that all runners eligible from w on have
-// acknowledged the fence, and those of w are vouched for at w.
+// listsComplete reports whether the runners' lists hold every key that may have run. It
+// looks for a version w such that all runners that were eligible at w or later have
+// acknowledged the fence, and the runners of w are restored up to w.
 //
-// Failure: a runner restarts with an empty list and acknowledges the fence; a
-// key that it ran looks new and runs again. Such a runner is vouched for only
-// after an owner with a complete view sent it the keys that no living runner
-// lists (Restore). With all runners of w vouched at w, these keys stand with
-// each of them, and every other key with its own runner.
-func (o *Owner) covered(now time.Time) bool {
-	if o.off.view {
-		return len(o.heard) > 0
+// A restarted runner acknowledges the fence with an empty list: a key that it ran before
+// would look new and run again. Its list counts only after an owner with a complete table
+// has sent it the keys that no eligible runner lists (RestoreRequest). Once all runners of
+// w are restored up to w, each of them lists these keys, and every other key is listed by
+// its own runner.
+func (o *Owner) listsComplete(now time.Time) bool {
+	if o.disabled.view {
+		return len(o.replies) > 0
 	}
-	for _, s := range o.scopes {
-		vouched := true
+	for _, s := range o.runnerSets {
+		allRestored := true
 		for _, p := range s.eligible {
-			a, heard := o.heard[p]
-			presumed := o.presumed(p, now)
-			if !heard && !presumed {
+			state, replied := o.replies[p]
+			elapsed := o.retentionElapsed(p, now)
+			if !replied && !elapsed {
 				return false
 			}
-			if a.vouched < s.version && !presumed && !o.off.vouched {
-				vouched = false
+			if state.restoredVersion < s.version && !elapsed && !o.disabled.restored {
+				allRestored = false
 			}
 		}
-		if vouched {
+		if allRestored {
 			return true
 		}
 	}
 	return false
 }
 
-func (o *Owner) presumed(p Process, now time.Time) bool {
-	at, lost := o.lost[p]
-	return lost && now.Sub(at) > o.Limits.retention()
+func (o *Owner) retentionElapsed(p Process, now time.Time) bool {
+	at, ended := o.ended[p]
+	return ended && now.Sub(at) > o.Limits.retention()
 }
 
-// stepped tells whether the table of the epoch o.from may be used at this
-// epoch: one runner eligible at o.from has stepped from o.from, or an older
-// epoch, straight to this one.
+// inheritedValid reports whether the table of epoch inheritedFrom may be used at this
+// epoch: the fence of one runner that was eligible at inheritedFrom has moved from
+// inheritedFrom, or an older epoch, directly to this epoch.
 //
-// Failure: a member that was taken for lost reads a new record and goes on
-// with its table, while a successor has already granted keys that the table
-// lacks; they run again. Each successor but one must pass every runner
-// eligible at o.from before its view is complete: if it passed this runner
-// earlier, the step did not start at o.from, and if it comes later, it is
-// refused. The one is whoever else inherits the same table, and a table is
-// handed to one epoch only.
-func (o *Owner) stepped() bool {
-	if o.from == (Epoch{}) {
+// Otherwise a member that was believed to be lost could read a new record and continue with
+// its table, while a successor has already granted keys that the table lacks; those keys
+// would run again. A successor has to fence every runner eligible at inheritedFrom before
+// its table is complete. If it fenced this runner earlier, the runner's fence did not move
+// from inheritedFrom; if its request arrives later, the runner refuses it. The only
+// exception is another process that inherits the same table, and a table is handed over to
+// one epoch only.
+func (o *Owner) inheritedValid() bool {
+	if o.inheritedFrom == (Epoch{}) {
 		return false
 	}
-	if o.off.successor {
+	if o.disabled.successor {
 		return true
 	}
-	for _, s := range o.scopes {
-		if s.version != o.from.Version {
+	for _, s := range o.runnerSets {
+		if s.version != o.inheritedFrom.Version {
 			continue
 		}
 		for _, p := range s.eligible {
-			a, heard := o.heard[p]
-			if heard && (!o.from.Less(a.before) || o.off.before) {
+			state, replied := o.replies[p]
+			if replied && (!o.inheritedFrom.Less(state.previousFence) || o.disabled.stepEpoch) {
 				return true
 			}
 		}
@@ -161,74 +163,77 @@
 	return false
 }
 
-// Retire ends the ownership and gives its table to the process that is to own
-// the shard at the given epoch. The table goes to the first such epoch and to
-// no other, however often Retire is called: two heirs of one table would not
-// know of each other's grants. It reports false if there is no table to give.
+// Retire ends the ownership and returns its table for the process that is to own the shard at the
+// given epoch. The first call that returns true assigns the table to that epoch; later calls return
+// the same assignment, whatever their arguments: two heirs of one table would not see each other's
+// grants. It reports false if there is no table to hand over.
 func (o *Owner) Retire(to Process, at Epoch, now time.Time) (Handover, bool) {
-	first := o.phase == phaseComplete || o.off.heir && o.phase == phaseRetired
-	if first && o.epoch.Less(at) && to != o.Self {
+	mayAssign := o.phase == phaseComplete || o.disabled.singleHandover && o.phase == phaseRetired
+	if mayAssign && o.epoch.Less(at) && to != o.Self {
 		o.phase = phaseRetired
-		o.target = Handover{Shard: o.Shard, From: o.epoch, To: to, Epoch: at}
+		o.handover = Handover{Shard: o.Shard, From: o.epoch, To: to, Epoch: at}
 	}
 	if o.phase != phaseRetired {
 		return Handover{}, false
 	}
-	h := o.target
-	h.Entries = o.keys.entries(now, nil)
-	return h, true
+	handover := o.handover
+	handover.Entries = o.keys.entries(now, nil)
+	return handover, true
 }
 
-// Delivered notes that the handover arrived and need not be sent again.
+// Delivered records that the handover arrived and need not be sent again.
 func (o *Owner) Delivered() {
 	if o.phase == phaseRetired {
-		o.phase, o.keys, o.target = phaseNone, nil, Handover{}
+		o.phase, o.keys, o.handover = phaseNone, nil, Handover{}
 	}
 }
 
-// AcceptHandover takes a predecessor's table. It reports false if this owner is
-// not at the epoch that the table is meant for and can be sent it again later.
-func (o *Owner) AcceptHandover(h Handover, now time.Time) bool {
-	if h.To != o.Self || h.Epoch != o.epoch {
-		return o.phase != phaseNone && h.Epoch.Less(o.epoch)
+// AcceptHandover stores a predecessor's table. It reports whether the sender may discard
+// the handover: false means that this owner has not reached the epoch of the handover yet,
+// and the sender must retry.
+func (o *Owner) AcceptHandover(handover Handover, now time.Time) bool {
+	if handover.To != o.Self || handover.Epoch != o.epoch {
+		return o.phase != phaseNone && handover.Epoch.Less(o.epoch)
 	}
-	if o.phase != phaseBarrier || !o.from.Less(h.From) {
+	if o.phase != phaseBarrier || !o.inheritedFrom.Less(handover.From) {
 		return true
 	}
-	o.from, o.legacy = h.From, keyTable{}
-	for _, e := range h.Entries {
-		o.legacy.merge(e, now)
+	o.inheritedFrom, o.inherited = handover.From, keyTable{}
+	for _, e := range handover.Entries {
+		o.inherited.merge(e, now)
 	}
-	o.refresh(now)
+	o.completeView(now)
 	return true
 }
 
-// Pending gives the messages that are still unanswered: fences while the view
-// is incomplete, then a Restore for each eligible runner that is not vouched
-// for at this version. Send it again until it is empty.
+// Pending returns the messages that have not been acknowledged: fence requests while the
+// table is incomplete, then a RestoreRequest for each eligible runner that is not restored
+// up to this version, or the handover after Retire. Send them again until the Outbox is
+// empty.
 func (o *Owner) Pending(now time.Time) Outbox {
 	var out Outbox
 	switch o.phase {
 	case phaseBarrier:
-		for _, p := range o.unheard() {
+		for _, p := range o.unacknowledged() {
 			out.Fences = append(out.Fences, FenceRequest{Shard: o.Shard, Epoch: o.epoch, Owner: o.Self, To: p})
 		}
 	case phaseComplete:
-		out.Restores = o.restores(now)
+		out.Restores = o.restoreRequests(now)
 	case phaseRetired:
-		if h, ok := o.Retire(Process{}, Epoch{}, now); ok {
-			out.Handovers = append(out.Handovers, h)
+		if handover, ok := o.Retire(Process{}, Epoch{}, now); ok {
+			out.Handovers = append(out.Handovers, handover)
 		}
 	}
 	return out
 }
 
-func (o *Owner) unheard() []Process {
+func (o *Owner) unacknowledged() []Process {
 	var list []Process
-	for _, s := range o.scopes {
+	for _, s := range o.runnerSets {
 		for _, p := range s.eligible {
-			// A runner that learned the first record late answers again.
-			if o.heard[p].vouched == 0 && !slices.Contains(list, p) {
+			// A runner that has not been restored is fenced again: a runner that read the
+			// first record late then replies with a restored version.
+			if o.replies[p].restoredVersion == 0 && !slices.Contains(list, p) {
 				list = append(list, p)
 			}
 		}
@@ -236,22 +241,22 @@
 	return list
 }
 
-// restores gives the eligible runners the keys whose own runner is not among
-// them. Failure: the only process that remembers what a lost runner ran is the
-// owner; it dies too, and the key runs again under its successor. So each new
-// version of the record counts as vouched for only once these keys stand with
-// every eligible runner.
-func (o *Owner) restores(now time.Time) []RestoreRequest {
-	eligible := o.scopes[0].eligible
+// restoreRequests sends the eligible runners the keys whose own runner is no longer
+// eligible. Without them, the owner is the only process that remembers what a lost runner
+// ran; if the owner died too, those keys would run again under its successor. Therefore a
+// runner counts as restored up to a version of the record only once it has stored these
+// keys.
+func (o *Owner) restoreRequests(now time.Time) []RestoreRequest {
+	eligible := o.runnerSets[0].eligible
 	var orphans []Entry
 	var list []RestoreRequest
 	for _, p := range eligible {
-		if o.heard[p].vouched >= o.epoch.Version {
+		if o.replies[p].restoredVersion >= o.epoch.Version {
 			continue
 		}
-		if orphans == nil && !o.off.orphans {
-			orphans = o.keys.entries(now, func(k remembered) bool {
-				return !slices.Contains(eligible, k.runner)
+		if orphans == nil && !o.disabled.orphans {
+			orphans = o.keys.entries(now, func(stored storedKey) bool {
+				return !slices.Contains(eligible, stored.runner)
 			})
 		}
 		list = append(list, RestoreRequest{Shard: o.Shard, Epoch: o.epoch, To: p, Entries: orphans})
@@ -259,15 +264,15 @@
 	return list
 }
 
-// Restored takes a runner's answer to a Restore.
+// Restored processes a runner's reply to a RestoreRequest.
 func (o *Owner) Restored(reply RestoreReply) {
 	if reply.Epoch != o.epoch || o.phase != phaseComplete {
 		return
 	}
-	a, heard := o.heard[reply.Runner]
-	if !heard {
-		a.before = o.epoch
+	state, replied := o.replies[reply.Runner]
+	if !replied {
+		state.previousFence = o.epoch
 	}
-	a.vouched = max(a.vouched, reply.RestoredVersion)
-	o.heard[reply.Runner] = a
+	state.restoredVersion = max(state.restoredVersion, reply.RestoredVersion)
+	o.replies[reply.Runner] = state
 }
