--- a/fence/fence.go
+++ b/fence/fence.go
@@ -1,37 +1,36 @@
-// Package fence guards an engine that ignores fencing numbers. The side beside
-// the engine gives orders only while it holds the order lease, and stops well
-// before the lease can pass on. It imports no network; times are passed in.
+// Package fence ensures that only one side sends orders to an engine that ignores fencing
+// tokens: the side beside the engine issues orders only while it holds the order lease, and
+// stops before another process can acquire the lease. It performs no network calls; times
+// are passed in.
 //
-// Load pattern: none; the failure is a side that was paused, or cut from the
-// platform, and goes on giving orders after another has taken over. An engine
-// that honours fencing numbers refuses the old order. One that ignores them
-// loads the old model over the new one, and both sides believe that they have
-// had their way. The tests bring this about, and show that it appears when the
-// margin is taken away.
+// It guards against a side that was paused, or cut off from the platform, and continues to
+// send orders after another side has taken over. An engine that checks fencing tokens
+// refuses the old order. An engine that ignores them loads the old model over the new one,
+// and both sides assume that their order is in force. The tests reproduce this, and show
+// that it occurs when the safety margin is removed.
 //
-// The lease is a record in the platform, written by conditional update. Its
-// holder counts its time from before it sent the write that renewed it; another
-// counts from after it has read that renewal. So the holder's time ends first,
-// whatever their clocks show, as long as both run at nearly the same rate.
-// Times passed in must carry Go's monotonic reading: a wall clock that is set
-// back would lengthen the lease.
+// The lease is a record in the platform, written by conditional update. Its holder measures
+// the lease from before it sent the write that renewed it; any other process measures from
+// after it has read that renewal. So the lease ends first for its holder, whatever the
+// clocks show, as long as both clocks run at nearly the same rate. Times passed in must
+// carry Go's monotonic reading: a wall clock that is set back would lengthen the lease.
 //
-// What the guard does not cover: a pause longer than OrderTimeout between May and
-// the engine's taking of the order. Gave tells whether that came about, and
-// the next holder reads the engine's state and gives its own order again.
+// The guard does not cover a pause longer than OrderTimeout between Issue and the engine's
+// acceptance of the order. Complete reports whether that happened, and the next holder
+// reads the engine's state and sends its own order again.
 //
 // # Usage
 //
 //	g := fence.Guard{Holder: host, Incarnation: incarnation}
-//	switch a := g.Next(now); a.Do {
+//	switch a := g.Next(now); a.Kind {
 //	case fence.Read:  // read the record
-//		g.Saw(now, record, version)
-//	case fence.Write: // sent := now; write a.Record if at version a.At
-//		g.Wrote(sent, version) // or g.Conflicted() or g.NoAnswer(), as it went
+//		g.Observe(now, record, version)
+//	case fence.Write: // sent := now; write a.Record if at version a.Version
+//		g.WriteSucceeded(sent, version) // or g.WriteConflicted() or g.RequestFailed(now)
 //	case fence.Wait:  // call Next again at a.Until
 //	}
-//	number, err := g.May(now)          // before an order; the number goes with it
-//	err = g.Gave(now, number)          // after it
+//	token, err := g.Issue(now)         // before an order, which carries the token
+//	err = g.Complete(now, token)       // after it
 package fence
 
 import (
@@ -44,74 +43,75 @@
 )
 
 const (
-	// TTL is how long the lease lasts from its last renewal. It bounds how
-	// long no orders are given after its holder died, in which a load that
-	// shifts meets engines of the wrong role: with 15 s, hosts stopped in turn
-	// left engines without orders for 26 s.
+	// TTL is how long the lease lasts after its last renewal. It bounds how long no orders
+	// are issued after the holder has died. During that time a changing load meets engines
+	// in the wrong role: with 15 s, hosts stopped in turn left engines without orders for
+	// 26 s.
 	TTL = 8 * time.Second
-	// RenewInterval is the age at which a holder that has orders to give renews: one
-	// renewal may fail before it stops giving orders.
+	// RenewInterval is the age of the lease at which its holder renews it: one renewal may
+	// fail before the holder stops issuing orders.
 	RenewInterval = TTL / 4
-	// OrderTimeout is the longest that an order may take from May until the
-	// engine has taken it. The adapter's timeout must be shorter.
+	// OrderTimeout is the maximum time from Issue until the engine has accepted the order.
+	// The adapter's timeout must be shorter.
 	OrderTimeout = 4 * time.Second
-	// MaxClockDrift is the share by which two monotonic clocks may differ in rate.
-	// Crystals stay within 0.02%; 1% covers a clock that is being slewed.
+	// MaxClockDrift is the maximum relative difference in rate between two monotonic
+	// clocks. Crystals stay within 0.02%; 1% covers a clock that is being slewed.
 	MaxClockDrift = 0.01
-	// RetryInterval is the pause after an answer that was lost or refused.
+	// RetryInterval is the delay after a lost reply or an error of the platform.
 	RetryInterval = 500 * time.Millisecond
-	// setUpEra is the highest era of a platform that was just set up, whether it counts
+	// setUpEra is the highest era of a platform that was just set up: platforms count eras
 	// from zero or from one.
 	setUpEra = 1
 )
 
-// The errors of May and Gave.
+// The errors of Issue and Complete.
 var (
-	// ErrNotHolder says that the side does not hold the lease, or not for long
-	// enough to give an order.
+	// ErrNotHolder means that the side does not hold the lease, or not for long enough to
+	// issue an order.
 	ErrNotHolder = errors.New("fence: order lease not held")
-	// ErrStaleToken says that a higher number was given already.
+	// ErrStaleToken means that the token is not higher than one used before.
 	ErrStaleToken = errors.New("fence: old fencing number")
-	// ErrOverrun says that the order may have reached the engine after the
-	// lease had passed on: read the engine's state before anything else.
+	// ErrOverrun means that the order may have reached the engine after the lease had
+	// expired: read the engine's state before any other action.
 	ErrOverrun = errors.New("fence: order overran the lease")
 )
 
-// Token is a fencing number. It grows with every order, also from one holder
-// to the next.
+// Token is a fencing token. It increases with every order, also from one holder to the
+// next.
 type Token uint64
 
-// sequenceBits leaves a million orders to one holding of the lease.
+// sequenceBits allows a million orders in one term of the lease.
 const sequenceBits = 20
 
-func number(term, sequence uint64) Token { return Token(term<<sequenceBits | sequence) }
+func newToken(term, sequence uint64) Token { return Token(term<<sequenceBits | sequence) }
 
-// Term gives what of the number is the holder's: it grows with the platform's version
-// of the record at which the holder took the lease.
+// Term returns the part of the token that identifies the holder's term. It increases with
+// the platform's version of the record at which the holder acquired the lease.
 func (n Token) Term() uint64 { return uint64(n) >> sequenceBits }
 
-// Record is the lease as the platform holds it.
+// Record is the lease as the platform stores it.
 type Record struct {
 	Holder      domain.Host        `json:"holder"`
 	Incarnation domain.Incarnation `json:"incarnation"`
-	// Nonce tells two writes of one holder apart, so that a lost answer is
-	// settled by reading.
+	// Nonce distinguishes the writes of one holder, so that reading the record shows
+	// whether a write whose reply was lost took effect.
 	Nonce uint64 `json:"nonce"`
-	// Released says that the holder gave its last order before it wrote this.
+	// Released reports that the holder issued its last order before it wrote this record.
 	Released bool `json:"released,omitempty"`
 }
 
-// ActionKind is what the guard asks of its owner.
+// ActionKind is the kind of an Action that the caller of Next has to perform.
 type ActionKind string
 
-// The actions.
+// The kinds of actions.
 const (
 	Read  ActionKind = "read"
 	Write ActionKind = "write"
 	Wait  ActionKind = "wait"
 )
 
-// Action is what to do next. Record and At are set for Write, Until for Wait.
+// Action is the action to perform next. Record and Version are set for Write, Until for
+// Wait.
 type Action struct {
 	Kind    ActionKind
 	Record  Record
@@ -119,57 +119,59 @@
 	Until   time.Time
 }
 
-type state int
+type leaseState int
 
 const (
-	unread  state = iota // nothing known: read before anything else
-	waiting              // another holds it, or did: wait until it must have stopped
-	free                 // nobody can hold it: write
+	unread  leaseState = iota // record not read yet: read it before any other action
+	waiting                   // another process may hold the lease: wait until its lease must have expired
+	free                      // no process can hold the lease: write
 	holding
 )
 
-// Guard is the state machine. Set Holder and Incarnation; the rest works from
-// zero. It belongs to one goroutine, which also gives the orders.
+// Guard is the state machine of one process for one lease. Set Holder and Incarnation; the
+// rest of the zero value is ready to use. It must be used by one goroutine only, which also
+// sends the orders.
 type Guard struct {
 	Holder      domain.Host
 	Incarnation domain.Incarnation
-	// Fresh says that the platform's store was just set up, so that nobody can have held
-	// the lease before in the era that is found.
+	// Fresh reports that the platform's store was just set up, so that no process can have
+	// held the lease before in the era that is read first.
 	Fresh bool
 
-	state   state
-	version epoch.Position // of the record as last read or written
-	own     epoch.Position // of our last write that is known to have taken effect
-	seen    time.Time      // when that version was first read
-	ends    time.Duration  // from then to the end of its holder's time
-	renewed time.Time      // when the write that renewed our lease was sent
-	term    uint64         // version at which we took it
-	given   uint64         // orders given in this term
-	highest Token
-	nonce   uint64
-	// read says that the record was read, firstEra is the era of the first reading.
-	read     bool
-	firstEra uint64
-	sent     map[uint64]time.Time // our writes without a known outcome, by nonce
-	retry    time.Time
+	state     leaseState
+	version   epoch.Position // of the record as last read or written
+	lastWrite epoch.Position // of this process's last write that is confirmed
+	firstRead time.Time      // when that version was first read
+	waitFor   time.Duration  // time from firstRead until its holder's lease has expired
+	renewed   time.Time      // when the write that last renewed the lease was sent
+	term      uint64         // term of the version at which this process acquired the lease
+	issued    uint64         // orders issued in this term
+	highest   Token
+	nonce     uint64
+	// hasRead reports that the record was read; firstEra is the era of the first read.
+	hasRead     bool
+	firstEra    uint64
+	unconfirmed map[uint64]time.Time // send times of this process's writes with unknown outcome, by nonce
+	retryAt     time.Time
 }
 
-// Next says what to do now.
+// Next returns the action to perform now.
 func (g *Guard) Next(now time.Time) Action {
-	if g.state == holding && !now.Before(g.renewed.Add(shorter(TTL))) {
-		// Lapsed, such as after a pause. Another may hold it: read first.
+	if g.state == holding && !now.Before(g.renewed.Add(shortenByDrift(TTL))) {
+		// The lease expired, for example during a pause. Another process may hold it: read
+		// first.
 		g.state = unread
 	}
 	switch {
-	case now.Before(g.retry):
-		return Action{Kind: Wait, Until: g.retry}
+	case now.Before(g.retryAt):
+		return Action{Kind: Wait, Until: g.retryAt}
 	case g.state == unread:
 		return Action{Kind: Read}
 	case g.state == waiting:
-		// Guard: the last holder may be alive and not yet know that its time
-		// is over. Its TTL, counted from our first reading of its renewal, and
-		// lengthened by drift, ends after its own count of it.
-		if end := g.seen.Add(g.ends); now.Before(end) {
+		// The last holder may be alive and not have noticed yet that its lease has expired.
+		// Its TTL, measured from this process's first read of its renewal and lengthened by
+		// the clock drift, ends after the holder's own measurement.
+		if end := g.firstRead.Add(g.waitFor); now.Before(end) {
 			return Action{Kind: Wait, Until: end}
 		}
 		return Action{Kind: Read}
@@ -181,148 +183,158 @@
 
 func (g *Guard) write(now time.Time) Action {
 	g.nonce++
-	if g.sent == nil {
-		g.sent = make(map[uint64]time.Time)
+	if g.unconfirmed == nil {
+		g.unconfirmed = make(map[uint64]time.Time)
 	}
-	g.sent[g.nonce] = now
+	g.unconfirmed[g.nonce] = now
 	return Action{Kind: Write, Version: g.version, Record: Record{Holder: g.Holder, Incarnation: g.Incarnation, Nonce: g.nonce}}
 }
 
-// Observe takes a reading of the record that was answered at the given time. A version
-// with revision zero says that there is no record.
+// Observe processes a read of the record; answered is when the reply arrived. A version
+// with revision zero means that there is no record.
 func (g *Guard) Observe(answered time.Time, r Record, version epoch.Position) {
-	sent, ours := g.sent[r.Nonce]
+	sentAt, unconfirmed := g.unconfirmed[r.Nonce]
 	missing := version.Revision() == 0
-	self := r.Holder == g.Holder && r.Incarnation == g.Incarnation && !missing
-	copied := g.isCopy(version)
-	if !g.read {
-		g.read, g.firstEra = true, version.Era()
+	ownRecord := r.Holder == g.Holder && r.Incarnation == g.Incarnation && !missing
+	restored := g.mayBeRestored(version)
+	if !g.hasRead {
+		g.hasRead, g.firstEra = true, version.Era()
 	}
 	switch {
-	case copied:
-		g.sawCopy(answered, version)
-	case self && ours:
-		// The write whose answer was lost took effect.
-		g.took(sent, version)
-	case self && version == g.own, missing && g.isSound(version):
-		// Nobody wrote since we did, or ever: nobody else can be giving
-		// orders, and the write is conditional on its staying so.
+	case restored:
+		g.observeRestored(answered, version)
+	case ownRecord && unconfirmed:
+		// The write whose reply was lost took effect.
+		g.confirmWrite(sentAt, version)
+	case ownRecord && version == g.lastWrite, missing && g.neverRestored(version):
+		// No other process has written the record since this one did, or ever: no other
+		// process can be issuing orders, and the write is conditional on this version.
 		g.state, g.version = free, version
-	case version != g.version || g.seen.IsZero():
-		g.state, g.version, g.seen, g.ends = waiting, version, answered, longer(TTL)
+	case version != g.version || g.firstRead.IsZero():
+		g.state, g.version, g.firstRead, g.waitFor = waiting, version, answered, lengthenByDrift(TTL)
 		if r.Released {
-			g.ends = longer(OrderTimeout)
+			g.waitFor = lengthenByDrift(OrderTimeout)
 		}
-	case answered.Sub(g.seen) >= g.ends:
+	case answered.Sub(g.firstRead) >= g.waitFor:
 		g.state = free
 	default:
 		g.state = waiting
 	}
 }
 
-// isSound says whether the platform can't have come back from a copy by then.
-func (g *Guard) isSound(version epoch.Position) bool {
-	set := g.Fresh && version.Era() <= setUpEra && (!g.read || version.Era() == g.firstEra)
-	return set || !version.MayBeRestored()
+// neverRestored reports whether the store cannot have been restored from an older snapshot
+// before that version.
+func (g *Guard) neverRestored(version epoch.Position) bool {
+	freshStore := g.Fresh && version.Era() <= setUpEra && (!g.hasRead || version.Era() == g.firstEra)
+	return freshStore || !version.MayBeRestored()
 }
 
-// isCopy says whether a reading may be the first after the platform came back from a copy.
-func (g *Guard) isCopy(version epoch.Position) bool {
-	return !g.isSound(version) && (!g.read || version.Era() != g.version.Era())
+// mayBeRestored reports whether this read may be the first after the store was restored
+// from an older snapshot.
+func (g *Guard) mayBeRestored(version epoch.Position) bool {
+	return !g.neverRestored(version) && (!g.hasRead || version.Era() != g.version.Era())
 }
 
-// sawCopy takes the first reading after the platform came back from an older copy.
+// observeRestored processes the first read after the store was restored from an older
+// snapshot.
 //
-// Failure: the holder's renewals are gone from the copy, or its whole record, or the
-// record tells of a holder before it that had released the lease. It shows as two
-// holders. Whoever holds the lease by its own count holds it alone, and writes it anew;
-// all others wait for the whole time of a lease, whatever the record says.
-func (g *Guard) sawCopy(answered time.Time, version epoch.Position) {
-	held := g.term != 0 && answered.Before(g.renewed.Add(shorter(TTL)))
-	g.version, g.own = version, 0
+// The snapshot may lack the holder's renewals or its whole record, or contain the record of
+// an earlier holder that had released the lease; a process that relied on it could become a
+// second holder. A process that holds the lease by its own measurement is the only holder
+// and writes the record again; all other processes wait for the whole duration of a lease,
+// whatever the record contains.
+func (g *Guard) observeRestored(answered time.Time, version epoch.Position) {
+	held := g.term != 0 && answered.Before(g.renewed.Add(shortenByDrift(TTL)))
+	g.version, g.lastWrite = version, 0
 	if held {
 		g.state = free
 		return
 	}
-	g.state, g.seen, g.ends = waiting, answered, longer(TTL)
+	g.state, g.firstRead, g.waitFor = waiting, answered, lengthenByDrift(TTL)
 }
 
-// Invalidate has the record read again, where another is thought to have written it.
+// Invalidate makes the next action read the record again. Call it when another process may
+// have written the record.
 func (g *Guard) Invalidate() {
 	if g.state == waiting {
 		g.state = unread
 	}
 }
 
-// Release ends the holding for good and gives the write that tells the others,
-// or false where there is nothing to release. No order may be given after it.
+// Release ends the term and returns the write that notifies the other processes, or false
+// if this process does not hold the lease. No order may be issued afterwards.
 //
-// Failure: the holder is stopped as planned, and whoever is next waits for the
-// whole TTL, in which no order is given. What is on its way of the last order
-// has arrived after OrderTimeout, which is all that a successor waits for.
+// Without this write, the successor of a holder that is stopped as planned would wait for
+// the whole TTL, during which no order is issued. After OrderTimeout the last order has
+// arrived or failed, so the successor waits only for that time.
 func (g *Guard) Release(now time.Time) (Action, bool) {
 	if !g.Holds(now) {
 		return Action{}, false
 	}
 	g.term, g.state = 0, unread
-	a := g.write(now)
-	a.Record.Released = true
-	return a, true
+	release := g.write(now)
+	release.Record.Released = true
+	return release, true
 }
 
-// WriteSucceeded says that the write took effect. It was sent at the given time.
-func (g *Guard) WriteSucceeded(sent time.Time, version epoch.Position) { g.took(sent, version) }
+// WriteSucceeded records that the write took effect; sent is when it was sent.
+func (g *Guard) WriteSucceeded(sent time.Time, version epoch.Position) { g.confirmWrite(sent, version) }
 
-// WriteConflicted says that another wrote first: nothing was written.
+// WriteConflicted records that another process had written first, so that this write had no
+// effect.
 func (g *Guard) WriteConflicted() { g.state = unread }
 
-// RequestFailed says that the answer to a read or write was lost, or that the
-// platform refused it. A holder keeps what it has until that ends.
+// RequestFailed records that the reply to a read or write was lost, or that the platform
+// returned an error. A holder keeps its lease until the lease expires.
 func (g *Guard) RequestFailed(now time.Time) {
-	g.retry = now.Add(RetryInterval)
+	g.retryAt = now.Add(RetryInterval)
 	g.state = unread
 }
 
-func (g *Guard) took(sent time.Time, version epoch.Position) {
-	// A new term whenever the lease may have been out of our hands.
-	kept := g.term != 0 && sent.Before(g.renewed.Add(shorter(TTL)))
-	if !kept {
-		g.term, g.given = version.Term(), 0
+func (g *Guard) confirmWrite(sent time.Time, version epoch.Position) {
+	// A new term starts whenever another process may have held the lease in between.
+	continued := g.term != 0 && sent.Before(g.renewed.Add(shortenByDrift(TTL)))
+	if !continued {
+		g.term, g.issued = version.Term(), 0
 	}
-	g.state, g.version, g.own, g.renewed, g.seen = holding, version, version, sent, time.Time{}
-	clear(g.sent)
+	g.state, g.version, g.lastWrite, g.renewed, g.firstRead = holding, version, version, sent, time.Time{}
+	clear(g.unconfirmed)
 }
 
-// Issue gives the fencing number for one order, or an error if the lease does
-// not last until the order has surely arrived.
+// Issue returns the fencing token for one order, or an error if the lease does not last
+// until the order has certainly arrived.
 func (g *Guard) Issue(now time.Time) (Token, error) {
-	if g.term == 0 || !now.Before(g.stop()) {
+	if g.term == 0 || !now.Before(g.issueUntil()) {
 		return 0, errors.WithStack(ErrNotHolder)
 	}
-	g.given++
-	n := number(g.term, g.given)
-	if n <= g.highest || g.given >= 1<<sequenceBits {
+	g.issued++
+	token := newToken(g.term, g.issued)
+	if token <= g.highest || g.issued >= 1<<sequenceBits {
 		return 0, errors.WithStack(ErrStaleToken)
 	}
-	g.highest = n
-	return n, nil
+	g.highest = token
+	return token, nil
 }
 
-// Complete says that the engine has taken the order, or that its outcome is known
-// to be none. It returns ErrOverrun when the lease may have passed on by then.
-func (g *Guard) Complete(now time.Time, n Token) error {
-	if n.Term() != g.term || !now.Before(g.renewed.Add(shorter(TTL))) {
+// Complete records that the engine has accepted the order, or that the order certainly had
+// no effect. It returns ErrOverrun if the lease may have expired before that.
+func (g *Guard) Complete(now time.Time, token Token) error {
+	if token.Term() != g.term || !now.Before(g.renewed.Add(shortenByDrift(TTL))) {
 		return errors.WithStack(ErrOverrun)
 	}
 	return nil
 }
 
-// Holds reports whether an order may be given now.
-func (g *Guard) Holds(now time.Time) bool { return g.term != 0 && now.Before(g.stop()) }
+// Holds reports whether an order may be issued now.
+func (g *Guard) Holds(now time.Time) bool { return g.term != 0 && now.Before(g.issueUntil()) }
 
-// stop is when the holder gives its last order: OrderTimeout before the earliest
-// moment at which another may start.
-func (g *Guard) stop() time.Time { return g.renewed.Add(shorter(TTL) - OrderTimeout) }
+// issueUntil returns the time at which the holder stops issuing orders: OrderTimeout before
+// the earliest time at which another process may start.
+func (g *Guard) issueUntil() time.Time { return g.renewed.Add(shortenByDrift(TTL) - OrderTimeout) }
 
-func shorter(d time.Duration) time.Duration { return time.Duration(float64(d) * (1 - MaxClockDrift)) }
-func longer(d time.Duration) time.Duration  { return time.Duration(float64(d) * (1 + MaxClockDrift)) }
+func shortenByDrift(d time.Duration) time.Duration {
+	return time.Duration(float64(d) * (1 - MaxClockDrift))
+}
+func lengthenByDrift(d time.Duration) time.Duration {
+	return time.Duration(float64(d) * (1 + MaxClockDrift))
+}
--- a/fence/fence_test.go
+++ b/fence/fence_test.go
@@ -19,46 +19,46 @@
 
 const tick = 100 * time.Millisecond
 
-// call is an operation on the platform on its way.
+// call is a request to the platform in progress.
 type call struct {
-	action   Action
-	sent     time.Time // by the caller's clock
-	effect   time.Time // by the world's
-	answer   time.Time
-	done     bool
-	lost     bool
-	conflict bool
-	released bool // the host then starts anew
-	record   Record
-	version  epoch.Position
+	action    Action
+	sent      time.Time // by the caller's clock
+	effectAt  time.Time // by the simulation's clock
+	replyAt   time.Time
+	done      bool
+	replyLost bool
+	conflict  bool
+	released  bool // the host restarts after this call
+	record    Record
+	version   epoch.Position
 }
 
-// host is one side with its clock, pauses and orders.
+// host is one side with its clock rate, pauses and pending request.
 type host struct {
-	guard  Guard
-	rate   float64
-	naive  bool // gives orders until a write conflicts, whatever its clock says
-	paused time.Time
-	call   *call
+	guard     Guard
+	rate      float64
+	unguarded bool // issues orders until a write conflicts, without checking its clock
+	paused    time.Time
+	call      *call
 }
 
-// copied is what the platform held from a time on.
-type copied struct {
+// snapshot is the content of the platform's store from a time on.
+type snapshot struct {
 	at      time.Time
 	record  Record
 	version uint64
 }
 
-// position is that of the record, as the adapter gives it.
-func (w *world) position() epoch.Position { return epoch.New(w.era, w.version) }
+// position returns the record's position as the adapter returns it.
+func (w *simulation) position() epoch.Position { return epoch.New(w.era, w.version) }
 
-// rewind has the platform come back from a copy that is so old.
-func (w *world) rewind(age time.Duration) {
+// restore replaces the store by a snapshot of the given age.
+func (w *simulation) restore(age time.Duration) {
 	w.era++
 	w.record, w.version = Record{}, 0
-	for n, c := range w.written {
+	for n, c := range w.history {
 		if c.at.After(w.now.Add(-age)) {
-			w.written = w.written[:n]
+			w.history = w.history[:n]
 			break
 		}
 		w.record, w.version = c.record, c.version
@@ -66,102 +66,104 @@
 }
 
 type order struct {
-	number Token
-	effect time.Time
+	token    Token
+	effectAt time.Time
 }
 
-// world is the platform's record and an engine that takes any order.
-type world struct {
-	x       *rand.Rand
+// simulation is the platform's record, the competing hosts and an engine that accepts any
+// order.
+type simulation struct {
+	random  *rand.Rand
 	now     time.Time
 	record  Record
 	version uint64
-	// era counts how often the platform came back from a copy, written holds what it
-	// held since when.
+	// era counts the restores of the store; history holds the snapshots written since the
+	// start.
 	era     uint64
-	written []copied
-	// copies is the mean number of steps between two copies; zero is none.
-	copies  int
-	twice   int // numbers that two holders gave
-	given   map[Token]domain.Host
-	hosts   []*host
-	orders  []order
-	last    Token
-	taken   int
-	older   int // orders taken after one of a later holder
-	holders map[domain.Host]bool
+	history []snapshot
+	// restoreInterval is the mean number of steps between two restores; zero means none.
+	restoreInterval int
+	duplicateTokens int // tokens issued by two holders
+	issuedBy        map[Token]domain.Host
+	hosts           []*host
+	orders          []order
+	newestExecuted  Token
+	executedOrders  int
+	staleOrders     int // orders executed after an order of a later holder
+	holders         map[domain.Host]bool
 }
 
-func (w *world) after(most time.Duration) time.Time {
-	return w.now.Add(time.Duration(w.x.Int64N(int64(most))))
+func (w *simulation) randomTime(maxDelay time.Duration) time.Time {
+	return w.now.Add(time.Duration(w.random.Int64N(int64(maxDelay))))
 }
 
-func (h *host) clock(now time.Time) time.Time {
+func (h *host) localTime(now time.Time) time.Time {
 	return start.Add(time.Duration(float64(now.Sub(start)) * h.rate))
 }
 
-func (w *world) step(h *host) {
-	now := h.clock(w.now)
-	if w.x.IntN(400) == 0 {
-		h.paused = w.after(40 * time.Second)
+func (w *simulation) runHost(h *host) {
+	now := h.localTime(w.now)
+	if w.random.IntN(400) == 0 {
+		h.paused = w.randomTime(40 * time.Second)
 	}
 	if w.now.Before(h.paused) {
 		return
 	}
 	if h.call != nil {
-		w.answer(h, now)
+		w.deliverReply(h, now)
 	}
 	if h.call == nil {
-		w.send(h, now)
+		w.sendNext(h, now)
 	}
-	if w.x.IntN(20) == 0 {
+	if w.random.IntN(20) == 0 {
 		h.guard.Invalidate()
 	}
-	if w.x.IntN(600) == 0 && !h.naive && h.call == nil {
+	if w.random.IntN(600) == 0 && !h.unguarded && h.call == nil {
 		if a, ok := h.guard.Release(now); ok {
-			h.call = &call{action: a, sent: now, effect: w.after(tick / 2), released: true}
-			h.call.answer = h.call.effect
+			h.call = &call{action: a, sent: now, effectAt: w.randomTime(tick / 2), released: true}
+			h.call.replyAt = h.call.effectAt
 		}
 	}
-	if w.x.IntN(3) != 0 {
+	if w.random.IntN(3) != 0 {
 		return
 	}
-	n, err := h.guard.Issue(now)
-	if h.naive && h.guard.term != 0 && h.guard.state == holding {
-		h.guard.given++
-		n, err = number(h.guard.term, h.guard.given), nil
+	token, err := h.guard.Issue(now)
+	if h.unguarded && h.guard.term != 0 && h.guard.state == holding {
+		h.guard.issued++
+		token, err = newToken(h.guard.term, h.guard.issued), nil
 	}
 	if err == nil {
-		effect := w.after(OrderTimeout)
-		if w.x.IntN(2) == 0 { // as late as the adapter's timeout lets it be
-			effect = w.now.Add(OrderTimeout - 1)
+		effectAt := w.randomTime(OrderTimeout)
+		if w.random.IntN(2) == 0 { // the maximum delay that the adapter's timeout allows
+			effectAt = w.now.Add(OrderTimeout - 1)
 		}
-		w.orders = append(w.orders, order{n, effect})
-		if by, given := w.given[n]; given && by != h.guard.Holder {
-			w.twice++
+		w.orders = append(w.orders, order{token, effectAt})
+		if by, given := w.issuedBy[token]; given && by != h.guard.Holder {
+			w.duplicateTokens++
 		}
-		w.given[n] = h.guard.Holder
+		w.issuedBy[token] = h.guard.Holder
 		w.holders[h.guard.Holder] = true
 	}
 }
 
-func (w *world) send(h *host, now time.Time) {
+func (w *simulation) sendNext(h *host, now time.Time) {
 	a := h.guard.Next(now)
 	if a.Kind == Wait {
 		return
 	}
-	most := tick / 2
-	if w.x.IntN(10) == 0 {
-		most = 20 * time.Second
+	maxDelay := tick / 2
+	if w.random.IntN(10) == 0 {
+		maxDelay = 20 * time.Second
 	}
-	c := &call{action: a, sent: now, effect: w.after(most), lost: w.x.IntN(8) == 0}
-	c.answer = c.effect.Add(c.effect.Sub(w.now))
+	c := &call{action: a, sent: now, effectAt: w.randomTime(maxDelay), replyLost: w.random.IntN(8) == 0}
+	c.replyAt = c.effectAt.Add(c.effectAt.Sub(w.now))
 	h.call = c
 }
 
-// effect lets a call take effect, also when its caller sleeps.
-func (w *world) effect(c *call) {
-	if c == nil || c.done || w.now.Before(c.effect) {
+// applyCall executes a request at the platform when it is due, also while its caller is
+// paused.
+func (w *simulation) applyCall(c *call) {
+	if c == nil || c.done || w.now.Before(c.effectAt) {
 		return
 	}
 	c.done = true
@@ -169,28 +171,28 @@
 		c.record, c.version = w.record, w.position()
 		return
 	}
-	// The platform compares revisions, which are given out again.
+	// The platform compares revisions, which are reused after a restore.
 	if c.action.Version.Revision() != w.version {
 		c.conflict = true
 		return
 	}
 	w.version++
 	w.record, c.version = c.action.Record, w.position()
-	// The adapter takes an answer of another era for none.
-	c.lost = c.lost || c.action.Version != 0 && c.action.Version.Era() != w.era
-	w.written = append(w.written, copied{w.now, w.record, w.version})
+	// The adapter treats a reply of another era as lost.
+	c.replyLost = c.replyLost || c.action.Version != 0 && c.action.Version.Era() != w.era
+	w.history = append(w.history, snapshot{w.now, w.record, w.version})
 }
 
-func (w *world) answer(h *host, now time.Time) {
+func (w *simulation) deliverReply(h *host, now time.Time) {
 	c := h.call
-	if !c.done || w.now.Before(c.answer) {
+	if !c.done || w.now.Before(c.replyAt) {
 		return
 	}
 	h.call = nil
 	switch {
 	case c.released:
 		h.guard = Guard{Holder: h.guard.Holder, Incarnation: h.guard.Incarnation + 1}
-	case c.lost:
+	case c.replyLost:
 		h.guard.RequestFailed(now)
 	case c.action.Kind == Read:
 		h.guard.Observe(now, c.record, c.version)
@@ -201,81 +203,81 @@
 	}
 }
 
-func (w *world) takeOrders() {
+func (w *simulation) executeOrders() {
 	rest := w.orders[:0]
 	for _, o := range w.orders {
-		if w.now.Before(o.effect) {
+		if w.now.Before(o.effectAt) {
 			rest = append(rest, o)
 			continue
 		}
-		w.taken++
-		if o.number.Term() < w.last.Term() {
-			w.older++
+		w.executedOrders++
+		if o.token.Term() < w.newestExecuted.Term() {
+			w.staleOrders++
 		}
-		w.last = max(w.last, o.number)
+		w.newestExecuted = max(w.newestExecuted, o.token)
 	}
 	w.orders = rest
 }
 
-func run(seed uint64, naive bool, steps, copies int) *world {
-	w := newWorld(seed)
-	w.copies = copies
+func simulate(seed uint64, unguarded bool, steps, restoreInterval int) *simulation {
+	w := newSimulation(seed)
+	w.restoreInterval = restoreInterval
 	for i, rate := range []float64{1, 0.996, 1.004} {
-		h := &host{rate: rate, naive: naive}
+		h := &host{rate: rate, unguarded: unguarded}
 		h.guard.Fresh = true
 		h.guard.Holder, h.guard.Incarnation = domain.Host([]string{"a", "b", "c"}[i]), 1
 		w.hosts = append(w.hosts, h)
 	}
 	for range steps {
-		w.next()
+		w.advance()
 	}
 	return w
 }
 
-func newWorld(seed uint64) *world {
-	return &world{
-		x: rand.New(rand.NewPCG(seed, 2)), now: start, era: 1, holders: make(map[domain.Host]bool), given: make(map[Token]domain.Host),
+func newSimulation(seed uint64) *simulation {
+	return &simulation{
+		random: rand.New(rand.NewPCG(seed, 2)), now: start, era: 1, holders: make(map[domain.Host]bool), issuedBy: make(map[Token]domain.Host),
 	}
 }
 
-// next moves the world on by a tick.
-func (w *world) next() {
+// advance moves the simulation forward by one tick.
+func (w *simulation) advance() {
 	w.now = w.now.Add(tick)
-	if w.copies > 0 && w.x.IntN(w.copies) == 0 {
-		w.rewind(w.after(10 * time.Second).Sub(w.now))
+	if w.restoreInterval > 0 && w.random.IntN(w.restoreInterval) == 0 {
+		w.restore(w.randomTime(10 * time.Second).Sub(w.now))
 	}
 	for _, h := range w.hosts {
-		w.effect(h.call)
+		w.applyCall(h.call)
 	}
-	w.takeOrders()
+	w.executeOrders()
 	for _, h := range w.hosts {
-		w.step(h)
+		w.runHost(h)
 	}
 }
 
-// A side is paused with an order to load last week's model in hand, past its
-// lease; the side that took over has loaded the new one. The engine ignores
-// fencing numbers and would load the old model over it when the first wakes.
-func TestNoOrderOfAnEarlierHolderComesAfterALaterOne(t *testing.T) {
-	older, taken, naiveOlder, naiveTaken, handovers := 0, 0, 0, 0, 0
+// A side is paused beyond its lease with an order to load an old model; the side that took
+// over has loaded a new one. The engine ignores fencing tokens and would load the old model
+// when the paused side resumes.
+func TestGuardExecutesNoStaleOrderAfterTakeover(t *testing.T) {
+	staleOrders, executed, unguardedStale, unguardedExecuted, handovers := 0, 0, 0, 0, 0
 	for seed := range uint64(60) {
-		w := run(seed, false, 6000, 0)
-		require.Zero(t, w.older, "seed %d", seed)
-		older, taken = older+w.older, taken+w.taken
+		w := simulate(seed, false, 6000, 0)
+		require.Zero(t, w.staleOrders, "seed %d", seed)
+		staleOrders, executed = staleOrders+w.staleOrders, executed+w.executedOrders
 		if len(w.holders) > 1 {
 			handovers++
 		}
-		n := run(seed, true, 6000, 0)
-		naiveOlder, naiveTaken = naiveOlder+n.older, naiveTaken+n.taken
+		n := simulate(seed, true, 6000, 0)
+		unguardedStale, unguardedExecuted = unguardedStale+n.staleOrders, unguardedExecuted+n.executedOrders
 	}
-	t.Logf("60 runs of 600 s, %d with several holders: guard took %d orders, %d old; naive took %d, %d old",
-		handovers, taken, older, naiveTaken, naiveOlder)
-	require.Greater(t, taken, 10000)
+	t.Logf("60 runs of 600 s, %d with several holders: guarded: %d orders executed, %d stale; unguarded: %d executed, %d stale",
+		handovers, executed, staleOrders, unguardedExecuted, unguardedStale)
+	require.Greater(t, executed, 10000)
 	require.Greater(t, handovers, 20)
-	require.Positive(t, naiveOlder, "the check must catch a holder that trusts its last write")
+	require.Positive(t, unguardedStale, "the check must catch a holder that trusts its last write")
 }
 
-func TestOrdersStopBeforeTheLeaseCanPass(t *testing.T) {
+func TestGuardStopsIssuingBeforeSuccessorHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := Guard{Holder: "a", Incarnation: 1}, Guard{Holder: "b", Incarnation: 1}
 		require.Equal(t, Read, a.Next(start).Kind)
@@ -311,10 +313,10 @@
 	})
 }
 
-// The answer to the write that took the lease is lost. Writing again would
-// conflict with oneself for good; reading settles it, and the lease counts
-// from when that write was sent.
-func TestLostAnswerIsSettledByReading(t *testing.T) {
+// The reply to the write that acquired the lease is lost. Writing again would conflict with
+// the process's own record forever; reading shows that the write took effect, and the lease
+// counts from the time when that write was sent.
+func TestObserveResolvesLostWriteReply(t *testing.T) {
 	g := Guard{Holder: "a", Incarnation: 1}
 	g.Observe(start, Record{}, 0)
 	w := g.Next(start)
@@ -327,7 +329,8 @@
 	require.True(t, g.Holds(now))
 	require.False(t, g.Holds(start.Add(TTL-OrderTimeout)), "counted from the write, not from the reading")
 
-	// Paused past its lease, with nobody after it: no wait for itself.
+	// Paused beyond its lease, with no other holder since: the process does not wait for
+	// itself.
 	now = start.Add(time.Minute)
 	require.Equal(t, Read, g.Next(now).Kind)
 	g.Observe(now, w.Record, 1)
@@ -338,10 +341,9 @@
 	require.Equal(t, uint64(2), n.Term())
 }
 
-// Story: the holder is stopped as planned while the load shifts. Its successor
-// would wait for the whole of its time; it waits only for what may be on its way
-// of the last order.
-func TestAReleasedLeaseIsFreeAfterTheLastOrder(t *testing.T) {
+// The holder is stopped as planned while the load changes. Without a release its successor
+// would wait for the whole TTL; with it, only until the last order has arrived.
+func TestReleasedLeaseIsFreeAfterOrderTimeout(t *testing.T) {
 	a, b := Guard{Holder: "a", Incarnation: 1}, Guard{Holder: "b", Incarnation: 1}
 	a.Observe(start, Record{}, 0)
 	held := a.Next(start)
@@ -372,7 +374,7 @@
 	require.True(t, b.Holds(wait.Until))
 }
 
-func TestGateRefusesOldNumbers(t *testing.T) {
+func TestGateRefusesStaleTokens(t *testing.T) {
 	var g Gate
 	require.NoError(t, g.Accept(5))
 	require.ErrorIs(t, g.Accept(5), ErrStaleToken)
--- a/fence/gate.go
+++ b/fence/gate.go
@@ -2,20 +2,20 @@
 
 import "github.com/pkg/errors"
 
-// Gate refuses orders with an old number, in the place of an engine that does
-// not, or of a side towards a planner. The zero value lets any number pass
-// first; after a restart Raise it to the number that the engine reports.
+// Gate refuses orders with a stale token, in front of an engine that does not check tokens,
+// or at a side that receives orders from a planner. The zero value accepts any first token;
+// after a restart call Raise with the token that the engine reports.
 type Gate struct{ highest Token }
 
-// Accept lets a number pass that is higher than all before, and refuses others
-// with ErrStaleToken.
-func (g *Gate) Accept(n Token) error {
-	if n <= g.highest {
-		return errors.Wrapf(ErrStaleToken, "%d after %d", n, g.highest)
+// Accept accepts a token that is higher than all tokens before, and otherwise returns
+// ErrStaleToken.
+func (g *Gate) Accept(token Token) error {
+	if token <= g.highest {
+		return errors.Wrapf(ErrStaleToken, "%d after %d", token, g.highest)
 	}
-	g.highest = n
+	g.highest = token
 	return nil
 }
 
-// Raise makes the gate refuse the number and all below.
-func (g *Gate) Raise(n Token) { g.highest = max(g.highest, n) }
+// Raise makes the gate refuse this token and all lower tokens.
+func (g *Gate) Raise(token Token) { g.highest = max(g.highest, token) }
--- a/fence/copy_test.go
+++ b/fence/restore_test.go
@@ -10,31 +10,31 @@
 	"jacinthworks/epoch"
 )
 
-// Guards against two holders, and numbers given twice, after the platform came back from
-// an older copy, also twice in a row, with answers lost and hosts suspended.
-func TestNoOrderOfAnEarlierHolderComesAfterACopy(t *testing.T) {
-	taken, handovers := 0, 0
+// Guards against two holders, and tokens issued twice, after the store was restored from
+// older snapshots, also twice in a row, with lost replies and paused hosts.
+func TestGuardExecutesNoStaleOrderAfterRestore(t *testing.T) {
+	executed, handovers := 0, 0
 	for seed := range uint64(120) {
-		w := run(seed, false, 3000, 100+50*int(seed%8))
-		require.Zero(t, w.older, "seed %d", seed)
-		require.Zero(t, w.twice, "seed %d", seed)
-		taken += w.taken
+		w := simulate(seed, false, 3000, 100+50*int(seed%8))
+		require.Zero(t, w.staleOrders, "seed %d", seed)
+		require.Zero(t, w.duplicateTokens, "seed %d", seed)
+		executed += w.executedOrders
 		if len(w.holders) > 1 {
 			handovers++
 		}
 	}
-	t.Logf("120 runs of 300 s: %d orders, %d runs with several holders", taken, handovers)
-	require.Greater(t, taken, 1000)
+	t.Logf("120 runs of 300 s: %d orders, %d runs with several holders", executed, handovers)
+	require.Greater(t, executed, 1000)
 	require.Greater(t, handovers, 20)
 }
 
-// Guards against the same, wherever the copy comes in the life of two holders, however old
-// it is, and whichever of them is stopped.
-func TestACopyAtAnyMomentLeavesOneHolder(t *testing.T) {
+// Guards against two holders and duplicate tokens for restores at any time while two hosts
+// compete for the lease, for snapshots of any age, and with either host or neither paused.
+func TestGuardHasOneHolderAfterRestoreAtAnyTime(t *testing.T) {
 	for at := time.Duration(0); at < 24*time.Second; at += 200 * time.Millisecond {
 		for age := 200 * time.Millisecond; age <= 10*time.Second; age += 700 * time.Millisecond {
 			for stopped := range 3 {
-				w := newWorld(uint64(stopped))
+				w := newSimulation(uint64(stopped))
 				for _, name := range []domain.Host{"a", "b"} {
 					h := &host{rate: 1}
 					h.guard.Fresh = true
@@ -44,23 +44,23 @@
 				for w.now.Before(start.Add(45 * time.Second)) {
 					since := w.now.Sub(start)
 					if since == at {
-						w.rewind(age)
+						w.restore(age)
 					}
 					if stopped < 2 && since == 8*time.Second {
 						w.hosts[stopped].paused = w.now.Add(12 * time.Second)
 					}
-					w.next()
+					w.advance()
 				}
-				require.Zero(t, w.older, "copy of %v at %v, %d stopped", age, at, stopped)
-				require.Zero(t, w.twice, "copy of %v at %v, %d stopped", age, at, stopped)
+				require.Zero(t, w.staleOrders, "snapshot of age %v restored at %v, paused host %d", age, at, stopped)
+				require.Zero(t, w.duplicateTokens, "snapshot of age %v restored at %v, paused host %d", age, at, stopped)
 			}
 		}
 	}
 }
 
-// Guards against a process that has just started and finds, in a copy, that the lease was
-// released: another may have taken it since.
-func TestAReleaseInACopyIsNotBelieved(t *testing.T) {
+// Guards against a process that has just started and reads from a restored store that the
+// lease was released: another process may have acquired the lease after the snapshot.
+func TestObserveIgnoresReleaseInRestoredStore(t *testing.T) {
 	released := Record{Holder: "a", Incarnation: 1, Nonce: 7, Released: true}
 	c := Guard{Holder: "c", Incarnation: 1}
 	c.Observe(start, released, epoch.New(1, 40))
@@ -73,7 +73,7 @@
 	require.Equal(t, Write, c.Next(start).Kind, "the store was just set up")
 	c = Guard{Holder: "c", Incarnation: 1}
 	c.Observe(start, Record{}, epoch.New(1, 0))
-	require.GreaterOrEqual(t, c.Next(start).Until.Sub(start), TTL, "the copy may lack the record")
+	require.GreaterOrEqual(t, c.Next(start).Until.Sub(start), TTL, "the snapshot may lack the record")
 	c.Invalidate()
 	c.Observe(start.Add(time.Second), Record{}, epoch.New(1, 0))
 	require.GreaterOrEqual(t, c.Next(start).Until.Sub(start), TTL)
