--- a/lease/lease.go
+++ b/lease/lease.go
@@ -1,16 +1,16 @@
-// Package lease keeps a fence.Guard in step with its record in the platform:
-// it reads and writes the record as the guard asks.
+// Package lease acquires and renews a lease in the platform: a Keeper reads and writes the
+// record as its fence.Guard requests.
 //
 // # Usage
 //
 //	k := lease.Keeper{Records: objects, Name: "orders/engine-1", Guard: fence.Guard{Holder: host, Incarnation: n}}
-//	number, err := k.Hold(ctx)        // waits until an order may be given
+//	token, err := k.Acquire(ctx)        // waits until an order may be issued
 //
-//	until := k.Step(ctx)              // or, for a standing holder, one action
-//	number, err := k.May(time.Time{}) // at a time
-//	err = k.Gave(number)
+//	wait := k.Step(ctx)                 // or one action at a time, for a process
+//	token, err := k.Issue(time.Time{})  // that keeps the lease
+//	err = k.Complete(token)
 //
-// A Keeper belongs to one goroutine.
+// A Keeper must be used by one goroutine only.
 package lease
 
 import (
@@ -35,25 +35,24 @@
 // Keeper holds a lease, or waits for it.
 type Keeper struct {
 	Records Records
-	// Name is the record's.
+	// Name is the name of the record in the object API.
 	Name  string
 	Guard fence.Guard
-	// Now is the clock; nil is Boottime.
+	// Now is the clock; nil means Boottime.
 	Now func() time.Time
 }
 
-// Boottime is a clock that counts the time for which the host was suspended.
+// Boottime is a clock that includes the time for which the host was suspended.
 //
-// Failure: a host is suspended while it holds the lease, another takes over,
-// and the first wakes and goes on. Go's monotonic clock stands still meanwhile,
-// so that by it the lease still holds. It shows as orders of two holders. This
-// clock shows the time that has passed, and no step of the time of day moves it.
+// Go's monotonic clock stops during a suspension. A holder that measured its lease by it
+// would continue to issue orders after it resumes, while another process has acquired the
+// lease. Boottime includes the suspension, and setting the wall clock does not change it.
 func Boottime() time.Time {
-	var t unix.Timespec
-	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
+	var now unix.Timespec
+	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &now); err != nil {
 		return time.Now()
 	}
-	return time.Unix(t.Unix())
+	return time.Unix(now.Unix())
 }
 
 func (k *Keeper) now() time.Time {
@@ -63,95 +62,96 @@
 	return Boottime()
 }
 
-// Holds says whether an order may be given now.
+// Holds reports whether an order may be issued now.
 func (k *Keeper) Holds() bool { return k.Guard.Holds(k.now()) }
 
-// Issue gives the fencing number for one order. It takes no notice of the time
-// given, which is on another clock than the lease's.
+// Issue returns the fencing token for one order. It ignores the time passed in, which comes
+// from another clock than the lease's.
 func (k *Keeper) Issue(time.Time) (fence.Token, error) { return k.Guard.Issue(k.now()) }
 
-// Complete says that an order was taken, or is known not to have been.
-func (k *Keeper) Complete(n fence.Token) error { return k.Guard.Complete(k.now(), n) }
+// Complete records that an order was accepted, or that it certainly had no effect; see
+// fence.Guard.Complete.
+func (k *Keeper) Complete(token fence.Token) error { return k.Guard.Complete(k.now(), token) }
 
-// Acquire does what the guard asks until an order may be given.
+// Acquire performs the guard's actions until an order may be issued, and returns its token.
 func (k *Keeper) Acquire(ctx context.Context) (fence.Token, error) {
 	for ctx.Err() == nil {
-		if number, err := k.Issue(time.Time{}); err == nil {
-			return number, nil
+		if token, err := k.Issue(time.Time{}); err == nil {
+			return token, nil
 		}
 		wait := k.Step(ctx)
-		t := time.NewTimer(wait)
+		timer := time.NewTimer(wait)
 		select {
 		case <-ctx.Done():
-		case <-t.C:
+		case <-timer.C:
 		}
-		t.Stop()
+		timer.Stop()
 	}
 	return 0, errors.Wrap(fence.ErrNotHolder, "lease")
 }
 
-// Step does one thing that the guard asks for, and gives the time to the next.
+// Step performs one action of the guard and returns the delay until the next.
 func (k *Keeper) Step(ctx context.Context) time.Duration {
-	switch a := k.Guard.Next(k.now()); a.Kind {
+	switch action := k.Guard.Next(k.now()); action.Kind {
 	case fence.Read:
-		k.read(ctx)
+		k.readRecord(ctx)
 	case fence.Write:
-		k.write(ctx, a)
+		k.writeRecord(ctx, action)
 	case fence.Wait:
-		return a.Until.Sub(k.now())
+		return action.Until.Sub(k.now())
 	}
 	return 0
 }
 
-// Invalidate has the record read again by the next Step, where another is thought to
+// Invalidate makes the next Step read the record again. Call it when another process may
 // have released the lease.
 func (k *Keeper) Invalidate() { k.Guard.Invalidate() }
 
-// Release gives the lease up for good, if it is held: no Step may follow. It
-// reports whether the others can know.
+// Release ends the lease if this process holds it; Step must not be called afterwards. It
+// reports whether the release was written, so that other processes can read it.
 func (k *Keeper) Release(ctx context.Context) bool {
-	a, held := k.Guard.Release(k.now())
+	release, held := k.Guard.Release(k.now())
 	if !held {
 		return false
 	}
-	text, err := json.Marshal(a.Record)
+	text, err := json.Marshal(release.Record)
 	if err == nil {
-		_, err = k.Records.Put(ctx, k.Name, text, infra.Version(a.Version))
+		_, err = k.Records.Put(ctx, k.Name, text, infra.Version(release.Version))
 	}
 	return err == nil
 }
 
-func (k *Keeper) read(ctx context.Context) {
-	o, err := k.Records.Get(ctx, k.Name)
+func (k *Keeper) readRecord(ctx context.Context) {
+	object, err := k.Records.Get(ctx, k.Name)
 	if errors.Is(err, infra.ErrNotFound) {
-		k.Guard.Observe(k.now(), fence.Record{}, epoch.Position(o.Version))
+		k.Guard.Observe(k.now(), fence.Record{}, epoch.Position(object.Version))
 		return
 	}
 	if err != nil {
 		k.Guard.RequestFailed(k.now())
 		return
 	}
-	// Failure: something else writes over the record, which can't be read then. It
-	// shows as a lease that nobody takes any more. Whoever wrote it is taken for a
-	// holder, whose time ends as any other's.
-	var r fence.Record
-	if err := json.Unmarshal(o.Value, &r); err != nil {
-		r = fence.Record{}
+	// The record may have been overwritten with a value that cannot be decoded. If such a
+	// read counted as failed, no process would ever acquire the lease again. Instead, the
+	// unknown writer counts as a holder whose lease expires like any other.
+	var record fence.Record
+	if err := json.Unmarshal(object.Value, &record); err != nil {
+		record = fence.Record{}
 	}
-	k.Guard.Observe(k.now(), r, epoch.Position(o.Version))
+	k.Guard.Observe(k.now(), record, epoch.Position(object.Version))
 }
 
-func (k *Keeper) write(ctx context.Context, a fence.Action) {
+func (k *Keeper) writeRecord(ctx context.Context, action fence.Action) {
 	sent := k.now()
-	text, err := json.Marshal(a.Record)
+	text, err := json.Marshal(action.Record)
 	if err != nil {
 		k.Guard.RequestFailed(k.now())
 		return
 	}
-	v, err := k.Records.Put(ctx, k.Name, text, infra.Version(a.Version))
+	version, err := k.Records.Put(ctx, k.Name, text, infra.Version(action.Version))
 	switch {
 	case err == nil:
-		k.Guard.WriteSucceeded(sent, epoch.Position(v))
+		k.Guard.WriteSucceeded(sent, epoch.Position(version))
 	case errors.Is(err, infra.ErrConflict):
 		k.Guard.WriteConflicted()
 	default:
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -14,12 +14,13 @@
 	"jacinthworks/lease"
 )
 
-// records is one record in memory; lose makes writes take effect unanswered.
+// records is one record in memory; with loseReplies, writes take effect but return no
+// reply.
 type records struct {
-	mu      sync.Mutex
-	value   []byte
-	version infra.Version
-	lose    bool
+	mu          sync.Mutex
+	value       []byte
+	version     infra.Version
+	loseReplies bool
 }
 
 func (r *records) Get(context.Context, string) (infra.Object, error) {
@@ -38,18 +39,18 @@
 		return 0, infra.ErrConflict
 	}
 	r.value, r.version = value, r.version+1
-	if r.lose {
+	if r.loseReplies {
 		return 0, errors.WithStack(infra.ErrNoReply)
 	}
 	return r.version, nil
 }
 
-// clock is moved by hand.
+// clock is a manual clock.
 type clock struct{ at time.Time }
 
 func (c *clock) now() time.Time { return c.at }
 
-func keeper(r *records, c *clock, host string) *lease.Keeper {
+func newKeeper(r *records, c *clock, host string) *lease.Keeper {
 	k := &lease.Keeper{Records: r, Name: "leases/x", Now: c.now}
 	k.Guard = fence.Guard{Holder: "h-" + "1", Incarnation: 1}
 	if host != "1" {
@@ -58,26 +59,26 @@
 	return k
 }
 
-func steps(ctx context.Context, k *lease.Keeper, n int) {
+func runSteps(ctx context.Context, k *lease.Keeper, n int) {
 	for range n {
 		k.Step(ctx)
 	}
 }
 
-// Story: the holder is suspended while it holds the lease. Another takes over
-// after the lease has ended. The first wakes and has orders to give: by a clock
-// that stood still its lease would hold.
-func TestASuspendedHolderGivesNothing(t *testing.T) {
+// The holder is suspended while it holds the lease, and another process acquires the lease
+// after it has expired. The first process resumes with orders to issue: by a clock that
+// stopped during the suspension it would still hold the lease.
+func TestKeeperIssuesNothingAfterSuspension(t *testing.T) {
 	r, c := &records{}, &clock{at: time.Unix(1000, 0)}
-	first, second := keeper(r, c, "1"), keeper(r, c, "2")
-	steps(t.Context(), first, 3)
+	first, second := newKeeper(r, c, "1"), newKeeper(r, c, "2")
+	runSteps(t.Context(), first, 3)
 	require.True(t, first.Holds())
 	early, err := first.Issue(time.Time{})
 	require.NoError(t, err)
-	steps(t.Context(), second, 3)
+	runSteps(t.Context(), second, 3)
 	require.False(t, second.Holds())
 	c.at = c.at.Add(fence.TTL + time.Second) // the suspension
-	steps(t.Context(), second, 4)
+	runSteps(t.Context(), second, 4)
 	require.True(t, second.Holds())
 	late, err := second.Issue(time.Time{})
 	require.NoError(t, err)
@@ -88,29 +89,30 @@
 	require.Error(t, first.Complete(early))
 }
 
-func TestALostAnswerIsSettledByReading(t *testing.T) {
-	r, c := &records{lose: true}, &clock{at: time.Unix(1000, 0)}
-	k := keeper(r, c, "1")
-	steps(t.Context(), k, 2)
+func TestKeeperHoldsAfterLostWriteReply(t *testing.T) {
+	r, c := &records{loseReplies: true}, &clock{at: time.Unix(1000, 0)}
+	k := newKeeper(r, c, "1")
+	runSteps(t.Context(), k, 2)
 	require.False(t, k.Holds())
 	c.at = c.at.Add(fence.RetryInterval)
-	steps(t.Context(), k, 1)
+	runSteps(t.Context(), k, 1)
 	require.True(t, k.Holds())
 }
 
-func TestBoottimeGoesOn(t *testing.T) {
+func TestBoottimeDoesNotGoBack(t *testing.T) {
 	a := lease.Boottime()
 	require.False(t, lease.Boottime().Before(a))
 }
 
-// Story: something else writes over the record of the lease, and it can't be read
-// any more. No entry takes the lease again, and no order is given until the end.
-func TestARecordThatCannotBeReadIsTakenAfterItsTime(t *testing.T) {
+// The record of the lease is overwritten with a value that cannot be decoded. Without an
+// expiry for such a record, no process would acquire the lease again and no order would
+// ever be issued.
+func TestKeeperAcquiresUnreadableRecordAfterTTL(t *testing.T) {
 	r, c := &records{value: []byte(`"nonsense"`), version: 3}, &clock{at: time.Now()}
-	k := keeper(r, c, "1")
-	steps(t.Context(), k, 3)
-	require.False(t, k.Holds(), "whoever wrote it may be giving orders")
+	k := newKeeper(r, c, "1")
+	runSteps(t.Context(), k, 3)
+	require.False(t, k.Holds(), "the writer of the record may be issuing orders")
 	c.at = c.at.Add(fence.TTL + time.Second)
-	steps(t.Context(), k, 3)
+	runSteps(t.Context(), k, 3)
 	require.True(t, k.Holds())
 }
