--- a/epoch/epoch.go
+++ b/epoch/epoch.go
@@ -1,44 +1,45 @@
-// Package epoch orders the revisions of a store that may come back from an older copy
-// of itself: its revisions go back then, and are given out again. The store counts how
-// often that was, as its era.
+// Package epoch orders the revisions of a store that may be restored from an older
+// snapshot. A restore sets the store's revision back, so that revisions are reused. The
+// store counts its restores as its era.
 //
 // # Usage
 //
 //	p := epoch.New(era, revision)
-//	if p > known { ... }          // later: of a later era, or of the same one and higher
-//	revision = p.Revision()       // as the store knows it
+//	if p > known { ... }          // p is of a later era, or of the same era with a higher revision
+//	revision = p.Revision()       // as the store numbers it
 //
-// A store that counts no eras is of era zero, and its positions are its revisions.
+// The positions of a store without eras have era zero and equal its revisions.
 package epoch
 
 import "strconv"
 
 const (
-	// revisionBits hold a revision: at a thousand changes a second, 34 years of them.
+	// revisionBits is the width of a revision: enough for a thousand changes a second over
+	// 34 years.
 	revisionBits = 40
 	maxRevision  = 1<<revisionBits - 1
 	maxEra       = 1<<(64-revisionBits) - 1
-	// termEra is what an era adds to a term: more changes than a copy lacks.
-	termEra = 1 << 20
+	// termsPerEra is how much an era adds to a term: more changes than a snapshot may lack.
+	termsPerEra = 1 << 20
 )
 
 // Position is a revision in an era. Positions are compared as numbers.
 type Position uint64
 
-// New gives the position of a revision in an era. What is beyond the highest of either
-// counts as that.
+// New returns the position of a revision in an era. It limits era and revision to the
+// highest value that a Position can hold.
 func New(era, revision uint64) Position {
 	return Position(min(era, maxEra)<<revisionBits | min(revision, maxRevision))
 }
 
-// Era gives the era.
+// Era returns the store's era, which grows by one with each restore.
 func (p Position) Era() uint64 { return uint64(p) >> revisionBits }
 
-// Revision gives the revision as the store knows it.
+// Revision returns the revision as the store numbers it.
 func (p Position) Revision() uint64 { return uint64(p) & maxRevision }
 
-// String gives the position for the log: ERA.REVISION, or the revision alone where no
-// eras are counted.
+// String returns the position for the log: ERA.REVISION, or only the revision if the store
+// has no eras.
 func (p Position) String() string {
 	revision := strconv.FormatUint(p.Revision(), 10)
 	if p.Era() == 0 {
@@ -47,11 +48,12 @@
 	return strconv.FormatUint(p.Era(), 10) + "." + revision
 }
 
-// MayBeRestored says whether the store may ever have come back from an older copy: it counts
-// eras, from zero or from one.
+// MayBeRestored reports whether the store may ever have been restored from an older
+// snapshot. A store counts eras from zero or from one, so that this is true for each era
+// above zero.
 func (p Position) MayBeRestored() bool { return p.Era() > 0 }
 
-// Term gives a number for fencing tokens that is higher for a later position, also of
-// a later era whose revisions began anew up to a million lower. It is about as short as
-// the revision, since others read it as a number of limited precision.
-func (p Position) Term() uint64 { return p.Era()*termEra + p.Revision() }
+// Term returns a number for fencing tokens that is higher for a later position, also if the
+// revisions of the later era start up to a million lower. It is nearly as small as the
+// revision, because other systems read it as a number of limited precision.
+func (p Position) Term() uint64 { return p.Era()*termsPerEra + p.Revision() }
