--- a/member/member.go
+++ b/member/member.go
@@ -1,12 +1,12 @@
-// Package member keeps the record of which processes serve what. Each service
-// has one record in the platform's object API, changed only by conditional
-// update; a process puts itself in when it starts. Whether a member lives is
-// not in the record: that is heard on connections.
+// Package member keeps the record of which processes serve which service. Each service has
+// one record in the platform's object API, changed only by conditional update; a process
+// adds itself when it starts. The record does not show whether a member is alive: processes
+// detect that on their connections to it.
 //
 // # Usage
 //
-//	g, err := member.Join(ctx, objects, member.Member{Host: "wallapp-1", Service: "wallapp", ...})
-//	g, err = member.Read(ctx, objects, "wallapp")
+//	record, err := member.Join(ctx, objects, member.Member{Host: "wallapp-1", Service: "wallapp", ...})
+//	record, err = member.Read(ctx, objects, "wallapp")
 package member
 
 import (
@@ -24,17 +24,19 @@
 	"jacinthworks/infra"
 )
 
-// EntryService is the service name under which entries themselves are recorded.
+// EntryService is the service name under which the entries are recorded.
 const EntryService domain.Service = "entry"
 
-// joinTries bounds how often one join meets another's write. Members of one
-// service start together at most by the dozen; each loss is one more read.
-const joinTries = 64
+// maxUpdateAttempts bounds the attempts of one update when other processes write the record
+// at the same time. Members of one service start together by the dozen at most; each
+// conflict costs one more read.
+const maxUpdateAttempts = 64
 
-// keepEvery is the wait between tries while the platform is down: a host that
-// started during an outage serves within a second of its end, and 12,000 of
-// them would still stay below the platform's reads only if few start at once.
-const keepEvery = time.Second
+// joinRetryInterval is the delay between attempts to join while the platform is down. A
+// host that started during an outage serves within a second after its end. The reads of
+// 12,000 such hosts would stay below the platform's limit only if few of them start at
+// once.
+const joinRetryInterval = time.Second
 
 // Member is one process in the record.
 type Member struct {
@@ -44,28 +46,28 @@
 	Service     domain.Service     `json:"service"`
 	Address     netip.AddrPort     `json:"address"`
 	Incarnation domain.Incarnation `json:"incarnation"`
-	// Draining members take no new work and claim nothing, and are still
-	// connected to for what they run and know.
+	// Draining members accept no new work and own no shards. Other processes stay connected
+	// to them for the requests that they still run and the keys that they remember.
 	Draining bool `json:"draining,omitempty"`
 }
 
-// Record is a service's members at a version.
+// Record is the list of a service's members at one version.
 type Record struct {
 	Service domain.Service `json:"service"`
 	Version infra.Version  `json:"version"`
 	// Members are sorted by host.
 	Members []Member `json:"members"`
-	// OwnsShards lists the members that own shards of keys and run what is
-	// claimed. It has versions of its own, which grow by one with each change
-	// of those members and of nothing else.
+	// Claims lists the members that own shards of keys and run claimed requests. Its
+	// version is separate from Version: it grows by one with each change of those members
+	// and of nothing else.
 	Claims claim.Record `json:"claims"`
 }
 
-// Name is the name of a service's record in the object API.
+// Name returns the name of a service's record in the object API.
 func Name(s domain.Service) string { return "members/" + string(s) }
 
-// With gives the record with m in the place of its earlier incarnation, and
-// whether that is a change.
+// With returns the record with m in place of an earlier incarnation of its host, and
+// reports whether that changes the record.
 func (r Record) With(m Member) (Record, bool) {
 	next := Record{Service: r.Service, Version: r.Version, Claims: r.Claims}
 	for _, o := range r.Members {
@@ -78,64 +80,66 @@
 	}
 	next.Members = append(next.Members, m)
 	sort.Slice(next.Members, func(i, j int) bool { return next.Members[i].Host < next.Members[j].Host })
-	next.claim()
+	next.updateClaims()
 	return next, true
 }
 
-// claim brings the claims' members up to date.
-func (r *Record) claim() {
+// updateClaims updates Claims to the members that own shards now.
+func (r *Record) updateClaims() {
 	var list []claim.Member
 	for _, m := range r.Members {
 		if m.OwnsShards() {
 			list = append(list, claim.Member{Host: m.Host, Zone: m.Zone, Incarnation: m.Incarnation})
 		}
 	}
-	old := r.Claims
-	if slices.Equal(list, old.Members) {
+	previous := r.Claims
+	if slices.Equal(list, previous.Members) {
 		return
 	}
-	if old.Version == 0 {
+	if previous.Version == 0 {
 		r.Claims = claim.Record{Generation: claim.Generation{Version: 1, First: true, Members: list}}
 		return
 	}
-	r.Claims = old.Next(list)
-	r.Claims.Version = old.Version + 1
-	r.Claims.Past = bounded(r.Claims.Past)
+	r.Claims = previous.Next(list)
+	r.Claims.Version = previous.Version + 1
+	r.Claims.Past = dropOldGenerations(r.Claims.Past)
 }
 
-// mostPast bounds the members in all past generations together, at about 60
-// bytes each a quarter of what an object may hold. Dropping the oldest costs
-// availability after many losses at once, never safety.
-const mostPast = 4096
+// maxPastMembers bounds the members in all past generations together; at about 60 bytes
+// each they take a quarter of the maximum size of an object. Dropping the oldest
+// generations costs availability after many losses at once, but never safety.
+const maxPastMembers = 4096
 
-func bounded(past []claim.Generation) []claim.Generation {
-	n := 0
+func dropOldGenerations(past []claim.Generation) []claim.Generation {
+	count := 0
 	for i, g := range past {
-		if n += len(g.Members); n > mostPast {
+		if count += len(g.Members); count > maxPastMembers {
 			return past[:i]
 		}
 	}
 	return past
 }
 
-// ExecutesWork says whether the member's upstream is one at which work takes effect or
-// is answered, so that what it ran has to be known.
+// ExecutesWork reports whether work takes effect or is answered at the member's upstream,
+// so that the member must remember what it ran.
 func (m Member) ExecutesWork() bool { return m.Role == domain.RoleDecode || m.Role == domain.RoleApp }
 
-// OwnsShards says whether the member owns shards and runs what is claimed.
+// OwnsShards reports whether the member owns shards and runs claimed requests.
 func (m Member) OwnsShards() bool { return m.ExecutesWork() && !m.Draining }
 
-// SameProcess says whether both speak of one life of a process at one address.
+// SameProcess reports whether m and o are the same incarnation of a process at the same
+// address.
 func (m Member) SameProcess(o Member) bool {
 	return m.Process() == o.Process() && m.Address == o.Address
 }
 
-// Process names the member's present life as claims do.
+// Process returns the member's incarnation in the form that package claim uses.
 func (m Member) Process() claim.Process {
 	return claim.Process{Host: m.Host, Incarnation: m.Incarnation}
 }
 
-// Without gives the record without the host's given incarnation.
+// Without returns the record without the given incarnation of the host, and reports whether
+// that changes the record.
 func (r Record) Without(h domain.Host, i domain.Incarnation) (Record, bool) {
 	next := Record{Service: r.Service, Version: r.Version, Claims: r.Claims}
 	for _, o := range r.Members {
@@ -143,113 +147,115 @@
 			next.Members = append(next.Members, o)
 		}
 	}
-	next.claim()
+	next.updateClaims()
 	return next, len(next.Members) != len(r.Members)
 }
 
-// Parse reads a record from an object.
-func Parse(o infra.Object) (Record, error) {
-	var r Record
-	if err := json.Unmarshal(o.Value, &r); err != nil {
-		return Record{}, errors.Wrapf(err, "member: %s", o.Name)
+// Parse decodes a record from an object.
+func Parse(object infra.Object) (Record, error) {
+	var record Record
+	if err := json.Unmarshal(object.Value, &record); err != nil {
+		return Record{}, errors.Wrapf(err, "member: decode %s", object.Name)
 	}
-	r.Version = o.Version
-	return r, nil
+	record.Version = object.Version
+	return record, nil
 }
 
-// Read gives a service's record; an empty one if there is none yet.
+// Read returns a service's record; it is empty if the service has none yet.
 func Read(ctx context.Context, objects infra.Objects, s domain.Service) (Record, error) {
-	o, err := objects.Get(ctx, Name(s))
+	object, err := objects.Get(ctx, Name(s))
 	if errors.Is(err, infra.ErrNotFound) {
 		return Record{Service: s}, nil
 	}
 	if err != nil {
 		return Record{}, err
 	}
-	return Parse(o)
+	return Parse(object)
 }
 
-// Join puts m into its service's record and gives the record.
+// Join adds m to its service's record and returns the record.
 func Join(ctx context.Context, objects infra.Objects, m Member) (Record, error) {
-	return change(ctx, objects, m.Service, func(r Record) (Record, bool) { return r.With(m) })
+	return updateRecord(ctx, objects, m.Service, func(r Record) (Record, bool) { return r.With(m) })
 }
 
-// Leave takes m out of its service's record. A later incarnation stays.
+// Leave removes m from its service's record and returns the record. A later incarnation of
+// the host stays in the record.
 func Leave(ctx context.Context, objects infra.Objects, m Member) (Record, error) {
-	return change(ctx, objects, m.Service, func(r Record) (Record, bool) { return r.Without(m.Host, m.Incarnation) })
+	return updateRecord(ctx, objects, m.Service, func(r Record) (Record, bool) { return r.Without(m.Host, m.Incarnation) })
 }
 
-// change writes by conditional update. A lost answer is settled by the next
-// turn's read: the change then finds itself done.
-func change(ctx context.Context, objects infra.Objects, s domain.Service, edit func(Record) (Record, bool)) (Record, error) {
-	var last error
-	for range joinTries {
-		now, err := Read(ctx, objects, s)
+// updateRecord applies edit by conditional update. After a lost reply the next attempt
+// reads the record again; if the write took effect, edit reports no change.
+func updateRecord(ctx context.Context, objects infra.Objects, s domain.Service, edit func(Record) (Record, bool)) (Record, error) {
+	var lastErr error
+	for range maxUpdateAttempts {
+		current, err := Read(ctx, objects, s)
 		if err != nil {
 			return Record{}, err
 		}
-		next, changed := edit(now)
+		next, changed := edit(current)
 		if !changed {
-			return now, nil
+			return current, nil
 		}
-		text, err := json.Marshal(next)
+		value, err := json.Marshal(next)
 		if err != nil {
 			return Record{}, errors.Wrap(err, "member")
 		}
-		v, err := objects.Put(ctx, Name(s), text, now.Version)
+		version, err := objects.Put(ctx, Name(s), value, current.Version)
 		if err == nil {
-			next.Version = v
+			next.Version = version
 			return next, nil
 		}
-		last = err
+		lastErr = err
 		if !errors.Is(err, infra.ErrConflict) && !errors.Is(err, infra.ErrNoReply) {
 			break
 		}
 	}
-	return Record{}, errors.Wrapf(last, "member: %s", s)
+	return Record{}, errors.Wrapf(lastErr, "member: update record of %s", s)
 }
 
-// JoinWithRetry joins, trying again until the platform takes it, and tells of the
-// record once. It ends then, or with the context.
+// JoinWithRetry calls Join until it succeeds, then calls joined once with the record and
+// returns nil. It also returns nil when the context ends.
 func JoinWithRetry(ctx context.Context, objects infra.Objects, m Member, joined func(Record)) error {
 	for {
-		r, err := Join(ctx, objects, m)
+		record, err := Join(ctx, objects, m)
 		if err == nil {
-			joined(r)
+			joined(record)
 			return nil
 		}
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-time.After(keepEvery):
+		case <-time.After(joinRetryInterval):
 		}
 	}
 }
 
-// How long the watch of a record waits at the platform, and how long a failed
-// one rests. At 650 entries and ten services, thirty seconds are 217 calls a
-// second, a tenth of the platform's reads.
+// WatchWait is how long a watch of a record waits at the platform, WatchRetryDelay the
+// delay after a failed watch. With 650 entries and ten services, thirty seconds make 217
+// calls a second, a tenth of the reads that the platform allows.
 const (
 	WatchWait       = 30 * time.Second
 	WatchRetryDelay = 500 * time.Millisecond
 )
 
-// Watch gives each newer version of a service's record to apply, until the
-// context ends. While the platform does not give it, otherwise is asked for
-// the newest that is known elsewhere; it may be nil.
-func Watch(ctx context.Context, objects infra.Objects, s domain.Service, apply func(Record) bool, otherwise func(context.Context, Record) Record) error {
-	var at Record
+// Watch calls apply with each newer version of a service's record until the context ends.
+// When the platform returns an error, it calls fallback with the last applied record and
+// continues from the record that fallback returns, the newest that another source has;
+// fallback may be nil.
+func Watch(ctx context.Context, objects infra.Objects, s domain.Service, apply func(Record) bool, fallback func(context.Context, Record) Record) error {
+	var applied Record
 	for ctx.Err() == nil {
-		o, err := objects.Watch(ctx, Name(s), at.Version, WatchWait)
+		object, err := objects.Watch(ctx, Name(s), applied.Version, WatchWait)
 		if err == nil {
-			next, err := Parse(o)
+			next, err := Parse(object)
 			if err == nil && apply(next) {
-				at = next
+				applied = next
 				continue
 			}
 		}
-		if otherwise != nil && err != nil && !errors.Is(err, infra.ErrUnchanged) {
-			at = otherwise(ctx, at)
+		if fallback != nil && err != nil && !errors.Is(err, infra.ErrUnchanged) {
+			applied = fallback(ctx, applied)
 		}
 		select {
 		case <-ctx.Done():
--- a/member/member_test.go
+++ b/member/member_test.go
@@ -17,56 +17,56 @@
 
 func TestMain(m *testing.M) { seeded.Main(m) }
 
-// fault is what befalls one write.
-type fault int
+// faultKind is the fault injected into one write.
+type faultKind int
 
 const (
-	faultNone   fault = iota
-	faultRace         // another process's write comes in between
-	faultBefore       // no answer, and nothing was written
-	faultAfter        // no answer, and the write took effect
+	faultNone        faultKind = iota
+	faultConflict              // another process writes first
+	faultRequestLost           // no reply, and the write took no effect
+	faultReplyLost             // no reply, and the write took effect
 )
 
-// objects is one object in memory, with all that was ever written to it.
+// objects is one object in memory, with the record of every write that took effect.
 type objects struct {
 	infra.Objects
-	at     infra.Object
-	writes []Record
-	faults []fault
-	race   func()
+	stored          infra.Object
+	writes          []Record
+	faults          []faultKind
+	concurrentWrite func()
 }
 
 func (o *objects) Get(context.Context, string) (infra.Object, error) {
-	if o.at.Version == 0 {
+	if o.stored.Version == 0 {
 		return infra.Object{}, infra.ErrNotFound
 	}
-	return o.at, nil
+	return o.stored, nil
 }
 
 func (o *objects) Put(_ context.Context, name string, value []byte, at infra.Version) (infra.Version, error) {
-	now := faultNone
+	injected := faultNone
 	if len(o.faults) > 0 {
-		now, o.faults = o.faults[0], o.faults[1:]
+		injected, o.faults = o.faults[0], o.faults[1:]
 	}
-	if now == faultRace {
-		o.race()
+	if injected == faultConflict {
+		o.concurrentWrite()
 	}
-	if at != o.at.Version {
+	if at != o.stored.Version {
 		return 0, infra.ErrConflict
 	}
-	if now == faultBefore {
+	if injected == faultRequestLost {
 		return 0, infra.ErrNoReply
 	}
-	o.at = infra.Object{Name: name, Version: at + 1, Value: value}
+	o.stored = infra.Object{Name: name, Version: at + 1, Value: value}
 	var r Record
 	if err := json.Unmarshal(value, &r); err != nil {
 		return 0, err
 	}
 	o.writes = append(o.writes, r)
-	if now == faultAfter {
+	if injected == faultReplyLost {
 		return 0, infra.ErrNoReply
 	}
-	return o.at.Version, nil
+	return o.stored.Version, nil
 }
 
 var roles = []domain.Role{domain.RolePrefill, domain.RoleDecode, domain.RoleApp}
@@ -75,36 +75,36 @@
 	return Member{Host: domain.Host(fmt.Sprintf("host-%d", host)), Role: roles[host%len(roles)], Service: "logwriter", Incarnation: i}
 }
 
-// The story: after a rolling stop a hall server gets no work, or a keyed call
-// finds two owners. Processes join, restart and leave late, all writing one
-// record; answers of the platform are lost after the write took effect. The
-// cause would be a write that is made twice, dropped, or undoes a newer life.
-func TestRecordThroughConflictsAndLostAnswers(t *testing.T) {
+// Processes join, restart and leave late, and all write one record; replies of the platform
+// are lost after the write took effect. A write that is made twice, is dropped, or removes
+// a newer incarnation would leave an application server without work after a rolling stop,
+// or a key with two owners.
+func TestRecordStaysCorrectThroughConflictsAndLostReplies(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ctx, o := t.Context(), &objects{}
-		naive := make(map[domain.Host]Member)
-		lives := make(map[int]domain.Incarnation)
+		expected := make(map[domain.Host]Member)
+		incarnations := make(map[int]domain.Incarnation)
 		change := func(host int, join bool) {
 			if join {
-				lives[host]++
-				m := memberOf(host, lives[host])
-				naive[m.Host] = m
+				incarnations[host]++
+				m := memberOf(host, incarnations[host])
+				expected[m.Host] = m
 				r, err := Join(ctx, o, m)
 				require.NoError(t, err)
 				require.Equal(t, 1, countOf(r, m), "in the record once")
 				return
 			}
-			life := domain.Incarnation(rapid.Uint64Range(0, uint64(lives[host])).Draw(t, "life"))
-			m := memberOf(host, life)
-			if naive[m.Host] == m {
-				delete(naive, m.Host)
+			incarnation := domain.Incarnation(rapid.Uint64Range(0, uint64(incarnations[host])).Draw(t, "life"))
+			m := memberOf(host, incarnation)
+			if expected[m.Host] == m {
+				delete(expected, m.Host)
 			}
 			_, err := Leave(ctx, o, m)
 			require.NoError(t, err)
 		}
 		for range rapid.IntRange(1, 20).Draw(t, "changes") {
-			o.faults = rapid.SliceOfN(rapid.Map(rapid.IntRange(0, 3), func(n int) fault { return fault(n) }), 0, 4).Draw(t, "faults")
-			o.race = func() {
+			o.faults = rapid.SliceOfN(rapid.Map(rapid.IntRange(0, 3), func(n int) faultKind { return faultKind(n) }), 0, 4).Draw(t, "faults")
+			o.concurrentWrite = func() {
 				faults := o.faults
 				o.faults = nil
 				change(rapid.IntRange(5, 8).Draw(t, "other"), rapid.Bool().Draw(t, "other joins"))
@@ -115,7 +115,7 @@
 		r, err := Read(ctx, o, "logwriter")
 		require.NoError(t, err)
 		var want []Member
-		for _, m := range naive {
+		for _, m := range expected {
 			want = append(want, m)
 		}
 		require.ElementsMatch(t, want, r.Members)
@@ -132,8 +132,8 @@
 	return n
 }
 
-// requireClaims checks what the owners of shards rely on: the claims' version
-// grows by one with each change of the members that claim, and of no others.
+// requireClaims checks what the owners of shards rely on: the claims' version grows by one
+// with each change of the members that own shards, and with no other change.
 func requireClaims(t *rapid.T, writes []Record) {
 	var before Record
 	for n, r := range writes {
