--- a/peers/peers.go
+++ b/peers/peers.go
@@ -1,12 +1,12 @@
-// Package peers keeps a connection to each member of the services that a
-// process deals with, and knows which of them may be given new work.
+// Package peers keeps a connection to each member of the services that a process works
+// with, and reports which members may receive new work.
 //
 // # Usage
 //
 //	d := peers.Directory{Local: &local}
 //	g.Go(ctx, "links", d.Run)
 //	d.Apply(record) // on each newer record
-//	for _, l := range d.Of("wallapp") { ... }
+//	for _, l := range d.ForService("wallapp") { ... }
 package peers
 
 import (
@@ -24,40 +24,45 @@
 	"jacinthworks/wire"
 )
 
-// Link is one member as this process sees it.
+// Link is the connection to one member, with what this process has learned about the
+// member.
 type Link struct {
 	Member member.Member
 	wire.Link
 	stop context.CancelFunc
-	// Leaving is what the host list says; it lags.
+	// Leaving reports that the host list marks the member's host as leaving. The host list
+	// lags.
 	Leaving atomic.Bool
-	// gone says that the member is not in its record any more.
-	gone atomic.Bool
+	// removed reports that the service's record does not list the member any more.
+	removed atomic.Bool
 }
 
-// Usable says whether the member may be given new work.
+// Usable reports whether the member may receive new work: it is connected and listed, its
+// host is not leaving, and its last heartbeat reports neither draining nor a failed
+// upstream.
 func (l *Link) Usable() bool {
-	p := l.Peer()
-	if p == nil || l.Leaving.Load() || l.gone.Load() {
+	peer := l.Peer()
+	if peer == nil || l.Leaving.Load() || l.removed.Load() {
 		return false
 	}
-	b, heard := p.LastHeartbeat()
-	return heard && !b.Draining && (b.Load == nil || !b.Load.Down)
+	heartbeat, received := peer.LastHeartbeat()
+	return received && !heartbeat.Draining && (heartbeat.Load == nil || !heartbeat.Load.Down)
 }
 
-// Directory holds a link to each member of each record it is given. The zero
-// value with Local set is ready; its lock is a leaf.
+// Directory holds a link to each member of each record that was applied. The zero value
+// with Local set is ready to use; mu is a leaf lock.
 type Directory struct {
 	Local *wire.Handlers
 	// TLS is nil for plain connections.
 	TLS *tls.Config
-	// OnRemoved, if set, is told of members that left a record.
+	// OnRemoved, if set, is called with each member that was removed from a record, once
+	// its connection has closed.
 	OnRemoved func(member.Member)
 
 	mu      sync.Mutex
 	byHost  map[domain.Host]*Link
 	records map[domain.Service]member.Record
-	runs    group.Group
+	group   group.Group
 	ctx     context.Context
 	ready   chan struct{}
 	once    sync.Once
@@ -67,60 +72,61 @@
 	d.once.Do(func() { d.ready = make(chan struct{}) })
 }
 
-// Run owns the links until the context ends.
+// Run runs the links until the context ends.
 func (d *Directory) Run(ctx context.Context) error {
 	d.init()
 	d.mu.Lock()
 	d.ctx = ctx
 	d.mu.Unlock()
 	close(d.ready)
-	stop := context.AfterFunc(ctx, d.runs.Close)
+	stop := context.AfterFunc(ctx, d.group.Close)
 	defer stop()
-	t := time.NewTicker(sweepEvery)
-	defer t.Stop()
+	ticker := time.NewTicker(sweepInterval)
+	defer ticker.Stop()
 	for {
 		select {
-		case _, open := <-d.runs.Exits():
+		case _, open := <-d.group.Exits():
 			if !open {
 				return nil
 			}
-		case <-t.C:
+		case <-ticker.C:
 			d.sweep()
 		}
 	}
 }
 
-// sweepEvery is how often members that left are looked at.
-const sweepEvery = time.Second
+// sweepInterval is the interval at which removed members are checked for closed
+// connections.
+const sweepInterval = time.Second
 
-// sweep lets members go that left their record and have closed. The failure:
-// a member that stops in order leaves the record before its last requests have
-// ended. It shows as requests that a planned stop cuts. Waiting for the member
-// itself to close holds, since it does so once nothing runs there.
+// sweep drops removed members whose connection has closed. A member that stops as planned
+// leaves its record before its last requests have ended, so that a link dropped as soon as
+// the record changes would cut those requests. The member itself closes the connection only
+// when it runs no request any more.
 func (d *Directory) sweep() {
-	for _, m := range d.letGo() {
+	for _, m := range d.dropClosed() {
 		if d.OnRemoved != nil {
-			d.OnRemoved(m) // without the lock: it may take locks that are held around ours
+			d.OnRemoved(m) // without d.mu: it may acquire locks that are held during calls of Directory methods
 		}
 	}
 }
 
-func (d *Directory) letGo() []member.Member {
+func (d *Directory) dropClosed() []member.Member {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	var left []member.Member
+	var dropped []member.Member
 	for h, l := range d.byHost {
-		if l.gone.Load() && l.Peer() == nil {
+		if l.removed.Load() && l.Peer() == nil {
 			l.stop()
 			delete(d.byHost, h)
-			left = append(left, l.Member)
+			dropped = append(dropped, l.Member)
 		}
 	}
-	return left
+	return dropped
 }
 
-// Apply takes a service's record, if it is newer than the one held: new members
-// are dialled, those replaced are let go, and those gone get no new work.
+// Apply replaces a service's record if r is newer: it connects to new members, reconnects
+// to restarted ones, and sends no new work to removed ones. It reports whether r was newer.
 func (d *Directory) Apply(r member.Record) bool {
 	d.init()
 	<-d.ready
@@ -137,31 +143,31 @@
 	kept := make(map[domain.Host]bool)
 	for _, m := range r.Members {
 		kept[m.Host] = true
-		if s := d.byHost[m.Host]; s == nil || !s.Member.SameProcess(m) {
-			d.replace(m)
+		if link := d.byHost[m.Host]; link == nil || !link.Member.SameProcess(m) {
+			d.connect(m)
 		} else {
-			s.gone.Store(false)
+			link.removed.Store(false)
 		}
 	}
-	for h, s := range d.byHost {
-		if s.Member.Service == r.Service && !kept[h] {
-			s.gone.Store(true)
+	for h, link := range d.byHost {
+		if link.Member.Service == r.Service && !kept[h] {
+			link.removed.Store(true)
 		}
 	}
 	return true
 }
 
-func (d *Directory) replace(m member.Member) {
-	if old := d.byHost[m.Host]; old != nil {
-		old.stop()
+func (d *Directory) connect(m member.Member) {
+	if previous := d.byHost[m.Host]; previous != nil {
+		previous.stop()
 	}
 	ctx, stop := context.WithCancel(d.ctx)
-	s := &Link{Member: m, stop: stop, Link: wire.Link{Target: m.Address, Local: d.Local, TLS: d.TLS}}
-	d.byHost[m.Host] = s
-	d.runs.Go(ctx, string(m.Host), s.Run)
+	link := &Link{Member: m, stop: stop, Link: wire.Link{Target: m.Address, Local: d.Local, TLS: d.TLS}}
+	d.byHost[m.Host] = link
+	d.group.Go(ctx, string(m.Host), link.Run)
 }
 
-// Dial adds a link that no record speaks of.
+// Dial adds a link to a process that no record lists.
 func (d *Directory) Dial(m member.Member) {
 	d.init()
 	<-d.ready
@@ -171,38 +177,39 @@
 		d.byHost = make(map[domain.Host]*Link)
 		d.records = make(map[domain.Service]member.Record)
 	}
-	d.replace(m)
+	d.connect(m)
 }
 
-// Connected lists one link to each process that is connected, by host name.
-// The same process may stand under two names, in the settings and the record.
+// Connected returns one link to each connected process except this one, sorted by host. One
+// process may have two links, under its name in the settings and under its name in the
+// record.
 func (d *Directory) Connected() []*Link {
-	var found []*Link
+	var links []*Link
 	seen := make(map[domain.Host]bool)
 	for _, l := range d.All() {
-		p := l.Peer()
-		if p == nil || p.RemoteHello().Host == d.Local.Hello.Host || seen[p.RemoteHello().Host] {
+		peer := l.Peer()
+		if peer == nil || peer.RemoteHello().Host == d.Local.Hello.Host || seen[peer.RemoteHello().Host] {
 			continue
 		}
-		seen[p.RemoteHello().Host] = true
-		found = append(found, l)
+		seen[peer.RemoteHello().Host] = true
+		links = append(links, l)
 	}
-	return found
+	return links
 }
 
-// ForService lists the links to a service's members, by host name.
+// ForService returns the links to a service's members, sorted by host.
 func (d *Directory) ForService(s domain.Service) []*Link {
-	var found []*Link
+	var links []*Link
 	for _, l := range d.All() {
 		if l.Member.Service == s {
-			found = append(found, l)
+			links = append(links, l)
 		}
 	}
-	return found
+	return links
 }
 
-// HasEveryRole says whether every role that the service's record names has a side
-// that may be given work.
+// HasEveryRole reports whether each role in the service's record has a member that may
+// receive new work.
 func (d *Directory) HasEveryRole(s domain.Service) bool {
 	d.mu.Lock()
 	r := d.records[s]
@@ -219,20 +226,20 @@
 	return len(r.Members) > 0
 }
 
-// All lists every side known, by host.
+// All returns all links, sorted by host.
 func (d *Directory) All() []*Link {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	found := make([]*Link, 0, len(d.byHost))
+	links := make([]*Link, 0, len(d.byHost))
 	for _, l := range d.byHost {
-		found = append(found, l)
+		links = append(links, l)
 	}
-	sort.Slice(found, func(i, j int) bool { return found[i].Member.Host < found[j].Member.Host })
-	return found
+	sort.Slice(links, func(i, j int) bool { return links[i].Member.Host < links[j].Member.Host })
+	return links
 }
 
-// CanServe says whether a service has sides for a whole request: an
-// application server, or an engine of each role.
+// CanServe reports whether a service has usable members for a whole request: an application
+// server, or an engine of each role.
 func (d *Directory) CanServe(s domain.Service) bool {
 	usable := make(map[domain.Role]bool)
 	for _, l := range d.ForService(s) {
@@ -241,51 +248,51 @@
 	return usable[domain.RoleApp] || usable[domain.RolePrefill] && usable[domain.RoleDecode]
 }
 
-// Usable lists the hosts of a service's members that may be given new work.
+// Usable returns the hosts of a service's members that may receive new work.
 func (d *Directory) Usable(s domain.Service) []domain.Host {
-	var found []domain.Host
+	var hosts []domain.Host
 	for _, l := range d.ForService(s) {
 		if l.Usable() {
-			found = append(found, l.Member.Host)
+			hosts = append(hosts, l.Member.Host)
 		}
 	}
-	return found
+	return hosts
 }
 
-// Find gives the side under a host's name, or nil.
+// Find returns the link to the process with this host name, or nil.
 func (d *Directory) Find(h domain.Host) *Link {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.byHost[h]
 }
 
-// Members lists the hosts of a service's record in a role.
+// Members returns the hosts in a service's record that have the role.
 func (d *Directory) Members(s domain.Service, r domain.Role) []domain.Host {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	var found []domain.Host
+	var hosts []domain.Host
 	for _, m := range d.records[s].Members {
 		if m.Role == r {
-			found = append(found, m.Host)
+			hosts = append(hosts, m.Host)
 		}
 	}
-	return found
+	return hosts
 }
 
-// Zones lists the availability zones of a service's members.
+// Zones returns the availability zones of a service's members.
 func (d *Directory) Zones(s domain.Service) []domain.Zone {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	var found []domain.Zone
+	var zones []domain.Zone
 	for _, m := range d.records[s].Members {
-		if !slices.Contains(found, m.Zone) {
-			found = append(found, m.Zone)
+		if !slices.Contains(zones, m.Zone) {
+			zones = append(zones, m.Zone)
 		}
 	}
-	return found
+	return zones
 }
 
-// Record gives a service's record; an empty one if none is known.
+// Record returns the service's newest applied record; an empty one if there is none.
 func (d *Directory) Record(s domain.Service) member.Record {
 	d.mu.Lock()
 	defer d.mu.Unlock()
