--- a/inject/inject.go
+++ b/inject/inject.go
@@ -1,14 +1,13 @@
-// Package inject lists the points that a request passes between its acceptance
-// and its answer at which a process can be lost with a difference to the
-// account that must be given. Processes tell a hook of each; failure tests and
-// drills end or pause the process there, so that every point is driven and
-// none is met by luck.
+// Package inject lists the points between acceptance and answer of a request at which the
+// loss of a process changes what a caller may be told about the request. Processes call a
+// hook at each point; failure tests and drills end or pause the process there, so that each
+// point is tested on purpose and not by chance.
 //
 // # Usage
 //
-//	e := entry.Entry{Step: inject.Fault{At: inject.EntryReserved, Do: inject.Exit}.Hook()}
+//	e := entry.Entry{FaultHook: inject.Fault{Point: inject.EntryReserved, Action: inject.Exit}.Hook()}
 //
-// A nil hook does nothing and costs nothing.
+// A nil hook does nothing.
 package inject
 
 import (
@@ -20,22 +19,22 @@
 	"github.com/pkg/errors"
 )
 
-// Point is one point.
+// Point is a point in the processing of a request.
 type Point string
 
-// The points at an entry, in order.
+// The points at an entry.
 const (
-	// EntryAccepted: the story is open, nothing else was done.
+	// EntryAccepted: the trace is open, nothing else was done.
 	EntryAccepted Point = "entry_accepted"
 	// EntryClaimed: the key is claimed for this request.
 	EntryClaimed Point = "entry_claimed"
-	// EntryReserved: decode room is held, no prefill has started.
+	// EntryReserved: decode capacity is reserved, no prefill has started.
 	EntryReserved Point = "entry_reserved"
 	// EntryPrefilled: the KV cache is filled, no decode has started.
 	EntryPrefilled Point = "entry_prefilled"
-	// EntryRan: the outcome of the last stage is known, the answer not written.
+	// EntryRan: the outcome of the last stage is known, the answer is not written.
 	EntryRan Point = "entry_ran"
-	// EntryAnswered: the answer is written, its claim not yet settled.
+	// EntryAnswered: the answer is written, its claim may not be settled yet.
 	EntryAnswered Point = "entry_answered"
 )
 
@@ -43,80 +42,80 @@
 const (
 	// SideArrived: the order was read from the connection.
 	SideArrived Point = "side_arrived"
-	// SideBegun: the order is in the ledger, the upstream knows nothing of it.
+	// SideBegun: the order is recorded at the side, nothing was sent to the upstream.
 	SideBegun Point = "side_begun"
-	// SideHanded: the order is marked as handed over; nothing was sent yet.
+	// SideHanded: the order is marked as handed over, nothing was sent to the upstream yet.
 	SideHanded Point = "side_handed"
-	// SideRan: the upstream has answered, the ledger does not know.
+	// SideRan: the upstream has answered, the side has not recorded the outcome.
 	SideRan Point = "side_ran"
-	// SideEnded: the outcome is in the ledger, the entry does not know.
+	// SideEnded: the side has recorded the outcome, the entry has not received it.
 	SideEnded Point = "side_ended"
 )
 
-// EntryPoints lists the points at an entry.
+// EntryPoints returns the points at an entry.
 func EntryPoints() []Point {
 	return []Point{EntryAccepted, EntryClaimed, EntryReserved, EntryPrefilled, EntryRan, EntryAnswered}
 }
 
-// SidePoints lists the points at a side.
+// SidePoints returns the points at a side, in order.
 func SidePoints() []Point { return []Point{SideArrived, SideBegun, SideHanded, SideRan, SideEnded} }
 
-// Hook is told of each point as it is passed.
+// Hook is called with each point that a request reaches.
 type Hook func(Point)
 
-// Reach tells the hook, if there is one.
+// Reach calls the hook with s if the hook is not nil.
 func (h Hook) Reach(s Point) {
 	if h != nil {
 		h(s)
 	}
 }
 
-// Action is what a drill does to its process.
+// Action is what a Fault does to its process.
 type Action string
 
 // The actions.
 const (
-	// Exit ends the process at once, as a kill does.
+	// Exit ends the process at once, like SIGKILL.
 	Exit Action = "exit"
-	// Pause stops the process until it is continued (SIGCONT).
+	// Pause stops the process until it receives SIGCONT.
 	Pause Action = "pause"
 )
 
-// exitCode is that of a killed process.
+// exitCode is the exit status of a process that was killed by SIGKILL.
 const exitCode = 137
 
-// Fault does its action the first time that its point is passed.
+// Fault performs its action the first time that a request reaches its point.
 type Fault struct {
 	Action Action
 	Point  Point
 }
 
-// UnmarshalText reads ACTION:STEP, as in exit:side_handed.
-func (d *Fault) UnmarshalText(text []byte) error {
-	do, at, found := strings.Cut(string(text), ":")
-	if !found || Action(do) != Exit && Action(do) != Pause {
-		return errors.Errorf("inject: not exit:STEP or pause:STEP: %q", text)
+// UnmarshalText parses ACTION:STEP, as in exit:side_handed.
+func (f *Fault) UnmarshalText(text []byte) error {
+	action, point, found := strings.Cut(string(text), ":")
+	if !found || Action(action) != Exit && Action(action) != Pause {
+		return errors.Errorf("inject: fault is not exit:STEP or pause:STEP: %q", text)
 	}
 	for _, s := range append(EntryPoints(), SidePoints()...) {
-		if s == Point(at) {
-			*d = Fault{Action: Action(do), Point: s}
+		if s == Point(point) {
+			*f = Fault{Action: Action(action), Point: s}
 			return nil
 		}
 	}
-	return errors.Errorf("inject: no step %q", at)
+	return errors.Errorf("inject: unknown step %q", point)
 }
 
-// Hook gives the drill as a hook; nil for the zero value.
-func (d Fault) Hook() Hook {
-	if d.Point == "" {
+// Hook returns a hook that performs the fault; nil for the zero value.
+func (f Fault) Hook() Hook {
+	if f.Point == "" {
 		return nil
 	}
-	var done atomic.Bool
+	var triggered atomic.Bool
 	return func(s Point) {
-		if s != d.Point || done.Swap(true) {
+		if s != f.Point || triggered.Swap(true) {
 			return
 		}
-		if d.Action == Exit {
+		if f.Action == Exit {
 			os.Exit(exitCode)
 		}
 		_ = syscall.Kill(os.Getpid(), syscall.SIGSTOP)
