--- a/domain/domain.go
+++ b/domain/domain.go
@@ -1,13 +1,14 @@
-// Package domain holds the words that every other package shares: the names of
-// hosts, availability zones, callers and kinds of work, and the account that is
-// given of a request. It imports no network.
+// Package domain defines the terms that all other packages share: the names of hosts,
+// availability zones, callers and kinds of requests, the execution of a request, and its
+// refusal. It performs no network calls.
 //
 // # Usage
 //
 //	r := domain.Refusal{RequestID: id, Reason: domain.ReasonNoRoom, Ran: domain.NotRun}
 //	http.Error(w, r.Error(), r.Reason.Status())
 //
-// A refusal's Ran is a promise: NotRun is said only by a process that knows it.
+// The Ran field of a refusal is a guarantee: a process sets NotRun only if it is certain
+// that the request did not run.
 package domain
 
 import (
@@ -19,32 +20,32 @@
 	"jacinthworks/check"
 )
 
-// Host names one process of ours on its host, unique within a deployment.
+// Host names one process of this project on its host. It is unique within a deployment.
 type Host string
 
 // Zone names an availability zone.
 type Zone string
 
-// Service names a model or a plain service that callers ask for.
+// Service names a model or a plain service that callers request.
 type Service string
 
-// Kind names a kind of work in the table, as given in Request-Kind.
+// Kind names a kind of request in the table, as the header Request-Kind carries it.
 type Kind string
 
 // Account names the caller that a bearer token belongs to.
 type Account string
 
-// RequestID names one accepted request. It starts with the entry's name and
-// incarnation, so that its story can be found: <entry>.<incarnation>.<number>.
+// RequestID identifies one accepted request: <entry>.<incarnation>.<number>. The entry's
+// name and incarnation serve to find the request's trace.
 type RequestID string
 
-// Attempt numbers the tries of one request, from 1.
+// Attempt numbers the attempts of one request, from 1.
 type Attempt uint32
 
-// Incarnation tells one life of a process from the next under the same name.
+// Incarnation distinguishes the runs of a process under one name.
 type Incarnation uint64
 
-// Role says what a side's upstream does.
+// Role is the role of a side's upstream.
 type Role string
 
 // The roles.
@@ -54,20 +55,20 @@
 	RoleApp     Role = "app"
 )
 
-// Execution is the account given of whether a request ran on an upstream.
+// Execution reports whether a request ran on an upstream.
 type Execution string
 
-// The three accounts. Silence is Unknown.
+// The values of Execution. Without a reply from the upstream, it is Unknown.
 const (
 	NotRun  Execution = "not_run"
 	DidRun  Execution = "ran"
 	Unknown Execution = "unknown"
 )
 
-// Reason says why a request was refused.
+// Reason is the reason for which a request was refused.
 type Reason string
 
-// The reasons; docs/OPERATING.md says what to do about each.
+// The reasons; docs/OPERATING.md describes what to do about each.
 const (
 	ReasonBadInput    Reason = "bad_input"
 	ReasonTooLarge    Reason = "too_large"
@@ -93,7 +94,7 @@
 	ReasonCallerGone  Reason = "caller_gone"
 )
 
-// Status gives the HTTP status that carries the reason.
+// Status returns the HTTP status of a response with this reason.
 func (r Reason) Status() int {
 	switch r {
 	case ReasonBadInput, ReasonNoKind:
@@ -120,28 +121,30 @@
 	return 503
 }
 
-// Refusal is the end of a request that is not answered (RFC 9457 problem).
+// Refusal is the result of a request that was not answered. Problem converts it to an RFC
+// 9457 problem.
 type Refusal struct {
 	RequestID RequestID `json:"request_id"`
 	Reason    Reason    `json:"reason"`
 	Ran       Execution `json:"ran"`
-	// Detail is one sentence for a person.
+	// Detail is one sentence for a human reader.
 	Detail string `json:"detail,omitempty"`
-	// RetryAfter says when a return makes sense; zero when it does not.
+	// RetryAfter is the delay after which the caller should retry; zero if a retry is not
+	// useful.
 	RetryAfter time.Duration `json:"-"`
-	// Findings are the places of bad input.
+	// Findings lists what is wrong with invalid input, and where.
 	Findings check.Findings `json:"findings,omitempty"`
 }
 
-// Error gives reason, account and detail in one line.
+// Error returns reason, execution and detail in one line.
 func (r *Refusal) Error() string {
 	return fmt.Sprintf("refused: %s (%s) %s", r.Reason, r.Ran, r.Detail)
 }
 
-// NewIncarnation gives a number that no earlier life of a process had. It is
-// random, since a clock may have been set back; 52 bits stay exact in JSON.
+// NewIncarnation returns a number that no earlier run of the process had. The number is
+// random, because the clock may have been set back; 52 bits stay exact as a JSON number.
 func NewIncarnation() Incarnation {
-	var b [8]byte
-	_, _ = rand.Read(b[:])
-	return Incarnation(binary.BigEndian.Uint64(b[:]) >> 12)
+	var random [8]byte
+	_, _ = rand.Read(random[:])
+	return Incarnation(binary.BigEndian.Uint64(random[:]) >> 12)
 }
--- a/domain/account.go
+++ b/domain/execution.go
@@ -6,16 +6,15 @@
 	"github.com/pkg/errors"
 )
 
-// Merge gives the account that admits more of the two: that it ran, then that
-// it may have.
+// Merge returns the more severe of two executions: DidRun, then Unknown, then NotRun.
 func (r Execution) Merge(o Execution) Execution {
-	if o.admits() > r.admits() {
+	if o.severity() > r.severity() {
 		return o
 	}
 	return r
 }
 
-func (r Execution) admits() int {
+func (r Execution) severity() int {
 	switch r {
 	case NotRun:
 		return 0
@@ -25,7 +24,7 @@
 	return 1
 }
 
-// ReasonOf says why a request's context ended.
+// ReasonOf returns the reason for a request whose context has ended.
 func ReasonOf(ctx context.Context) Reason {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return ReasonDeadline
--- a/domain/problem.go
+++ b/domain/problem.go
@@ -6,8 +6,8 @@
 	"jacinthworks/check"
 )
 
-// Problem is a refusal as the RFC 9457 problem that callers get, with our
-// account of the request.
+// Problem is a refusal in the form in which callers receive it: an RFC 9457 problem,
+// extended by the request's ID, reason and execution.
 type Problem struct {
 	Type       string         `json:"type"`
 	Title      string         `json:"title"`
@@ -20,7 +20,7 @@
 	Findings   check.Findings `json:"findings,omitempty"`
 }
 
-// Problem gives the refusal as a problem.
+// Problem returns the refusal as an RFC 9457 problem.
 func (r *Refusal) Problem() Problem {
 	return Problem{
 		Type: "about:blank", Title: strings.ReplaceAll(string(r.Reason), "_", " "), Status: r.Reason.Status(),
