--- a/claim/failures_test.go
+++ b/claim/failures_test.go
@@ -30,6 +30,7 @@
 	require.Equal(t, domain.ReasonAnswered, r.Reason())
 }
 
+// errorOf returns the error of a call that also returns a value.
 func errorOf[A any](_ A, err error) error { return err }
 
 // An entry dies while its key is in progress, and the caller sends the key again. The
@@ -270,10 +271,11 @@
 	require.NoError(t, err)
 }
 
+// advance moves the clock forward and expires keys on all ledgers.
 func (f *fleet) advance(d time.Duration) {
 	f.now = f.now.Add(d)
-	for _, b := range f.ledgers {
-		b.Expire(f.now)
+	for _, l := range f.ledgers {
+		l.Expire(f.now)
 	}
 }
 
--- a/claim/fleet_test.go
+++ b/claim/fleet_test.go
@@ -46,6 +46,7 @@
 	return f
 }
 
+// ledger returns an empty ledger for a member.
 func (f *fleet) ledger(m Member) *Ledger {
 	return &Ledger{Self: m.Process(), Live: func(p Process) bool { return !f.unreachable[p.Host] }}
 }
@@ -82,13 +83,14 @@
 	f.publish(next)
 }
 
+// deliver passes messages to their receivers and delivers the messages that result.
 func (f *fleet) deliver(out Outbox) {
 	for _, o := range out.Fences {
-		b := f.ledgers[o.To.Host]
+		l := f.ledgers[o.To.Host]
 		if f.unreachable[o.To.Host] || f.unreachable[o.Owner.Host] {
 			continue
 		}
-		if reply, err := b.Fence(o, f.now); err == nil {
+		if reply, err := l.Fence(o, f.now); err == nil {
 			next, err := f.ledgers[o.Owner.Host].Fenced(reply, f.now)
 			require.NoError(f.t, err)
 			f.deliver(next)
@@ -99,17 +101,17 @@
 			continue
 		}
 		if reply, err := f.ledgers[o.To.Host].Restore(o, f.now); err == nil {
-			for _, b := range f.ledgers {
-				require.NoError(f.t, b.Restored(reply))
+			for _, l := range f.ledgers {
+				require.NoError(f.t, l.Restored(reply))
 			}
 		}
 	}
 	for _, h := range out.Handovers {
 		next, accepted, err := f.ledgers[h.To.Host].AcceptHandover(h, f.now)
 		require.NoError(f.t, err)
-		for _, b := range f.ledgers {
-			if accepted && b.Self != h.To {
-				require.NoError(f.t, b.Delivered(h.Shard))
+		for _, l := range f.ledgers {
+			if accepted && l.Self != h.To {
+				require.NoError(f.t, l.Delivered(h.Shard))
 			}
 		}
 		f.deliver(next)
@@ -120,10 +122,10 @@
 func (f *fleet) owner(s Shard) *Ledger {
 	var best *Ledger
 	var newest Epoch
-	for host, b := range f.ledgers {
-		for _, o := range b.Owned() {
+	for host, l := range f.ledgers {
+		for _, o := range l.Owned() {
 			if o.Shard == s && !f.unreachable[host] && newest.Less(o.Epoch) {
-				best, newest = b, o.Epoch
+				best, newest = l, o.Epoch
 			}
 		}
 	}
@@ -147,6 +149,7 @@
 	return g, f.accept(g, body)
 }
 
+// accept dispatches a granted request to its runner.
 func (f *fleet) accept(g Grant, body Body) error {
 	d := Dispatch{Token: g.Token, Try: g.Try, Body: body, To: g.Runner}
 	return f.ledgers[g.Runner.Host].Accept(d, f.now)
@@ -163,6 +166,7 @@
 	return AttemptID{Request: domain.RequestID(fmt.Sprintf("entry-1.7.%d", n)), Attempt: 1}
 }
 
+// requireCode requires that err is a Refusal with the code, and returns the refusal.
 func requireCode(t require.TestingT, want Code, err error) *Refusal {
 	var r *Refusal
 	require.ErrorAs(t, err, &r)
--- a/claim/key_table.go
+++ b/claim/key_table.go
@@ -16,14 +16,14 @@
 }
 
 // toEntry returns the key in the form in which messages carry it.
-func (r storedKey) toEntry(k Key, now time.Time) Entry {
-	return Entry{Key: k, Try: r.attempt, Body: r.body, Runner: r.runner, State: r.state,
-		Age: max(0, now.Sub(r.at))}
+func (k storedKey) toEntry(key Key, now time.Time) Entry {
+	return Entry{Key: key, Try: k.attempt, Body: k.body, Runner: k.runner, State: k.state,
+		Age: max(0, now.Sub(k.at))}
 }
 
 // execution returns what a caller may be told about a remembered key.
-func (r storedKey) execution() domain.Execution {
-	if r.state == StateRan {
+func (k storedKey) execution() domain.Execution {
+	if k.state == StateRan {
 		return domain.DidRun
 	}
 	return domain.Unknown
@@ -32,8 +32,8 @@
 // expired reports whether the key may be forgotten. A granted key never expires: its
 // request may still be running after any time, and a forgotten key would let a repeated
 // request run beside it.
-func (r storedKey) expired(now time.Time, keep time.Duration) bool {
-	return r.state != StateGranted && now.Sub(r.at) > keep
+func (k storedKey) expired(now time.Time, keep time.Duration) bool {
+	return k.state != StateGranted && now.Sub(k.at) > keep
 }
 
 // keyTable holds the remembered keys of one shard. The zero value is empty.
@@ -62,6 +62,7 @@
 		at: now.Add(-max(0, e.Age))}
 }
 
+// severity orders states by how much they forbid: ran, then unknown, then granted.
 func severity(s State) int {
 	switch s {
 	case StateRan:
--- a/claim/ledger.go
+++ b/claim/ledger.go
@@ -28,6 +28,7 @@
 	shards [Shards]shard
 }
 
+// shard is the owner and the runner of one shard.
 type shard struct {
 	mu     sync.Mutex
 	owner  Owner
@@ -209,6 +210,7 @@
 	return owned, run
 }
 
+// forEach calls visit with each shard while the shard's mu is held.
 func (l *Ledger) forEach(visit func(*shard)) {
 	for i := range l.shards {
 		s, err := l.lockShard(Shard(i))
@@ -220,6 +222,7 @@
 	}
 }
 
+// add appends the messages of another outbox.
 func (o *Outbox) add(other Outbox) {
 	o.Fences = append(o.Fences, other.Fences...)
 	o.Restores = append(o.Restores, other.Restores...)
--- a/claim/model_intern_test.go
+++ b/claim/model_intern_test.go
@@ -6,6 +6,7 @@
 	"slices"
 )
 
+// internSet returns the index of a sorted set of message IDs.
 func (c *checker) internSet(ids []uint16) int32 {
 	text := make([]byte, 0, 2*len(ids))
 	for _, id := range ids {
@@ -97,6 +98,7 @@
 	return set
 }
 
+// without removes from the set the stale messages to the host.
 func (c *checker) without(set int32, host int, n *node) int32 {
 	ids := c.sets[set]
 	isStale := func(id uint16) bool {
@@ -109,6 +111,8 @@
 	return c.internSet(slices.DeleteFunc(slices.Clone(ids), isStale))
 }
 
+// stale reports whether the message can no longer change the node. While a guard is disabled no
+// message counts as stale.
 func (c *checker) stale(n *node, message any) bool {
 	if c.disabled != (disabledGuards{}) {
 		return false
--- a/claim/model_scenarios_test.go
+++ b/claim/model_scenarios_test.go
@@ -7,7 +7,7 @@
 
 // states bounds each search that must find no violation. The default fits CI under the race
 // detector; docs/claims.md lists the runs that ended before they reached the bound.
-var states = flag.Int("claim.states", 40_000, "states to visit in each walk of the claim model")
+var states = flag.Int("claim.states", 40_000, "states to visit in each search of the claim model")
 
 var (
 	stable    = members(1, 1, 1)
@@ -71,7 +71,7 @@
 		// A dispatch arrives after its runner reported the attempt as "not run".
 		{name: "refusal", disabled: disabledGuards{block: true}, records: recordsOf(stable), takeoverHosts: []int{1}},
 		// A successor grants the key before the runner that lists it has replied.
-		{name: "view", disabled: disabledGuards{view: true}, records: recordsOf(stable), takeoverHosts: []int{1}},
+		{name: "view", disabled: disabledGuards{allReplies: true}, records: recordsOf(stable), takeoverHosts: []int{1}},
 		// A restarted runner's empty list counts as complete.
 		{name: "vouched", disabled: disabledGuards{restored: true}, records: restarted, restarts: []int{2}, takeoverHosts: []int{1}},
 		// A restarted runner answers a message to its earlier incarnation.
--- a/claim/model_steps_test.go
+++ b/claim/model_steps_test.go
@@ -40,10 +40,10 @@
 	if newestRead < 0 {
 		return list
 	}
-	for _, starter := range c.takeoverHosts {
+	for _, takeoverHost := range c.takeoverHosts {
 		n := c.copyNode(v.node)
 		rounds := uint32(c.rounds+1) * uint32(len(c.records[newestRead].Members))
-		if starter == host && n.owner.Start(c.records[newestRead], modelNow) == nil && n.owner.epoch.Turn < rounds {
+		if takeoverHost == host && n.owner.Start(c.records[newestRead], modelNow) == nil && n.owner.epoch.Turn < rounds {
 			list = append(list, c.finishEffect(&effect{what: fmt.Sprintf("%c takes over", 'a'+host)}, n))
 		}
 	}
@@ -66,6 +66,7 @@
 	return []effect{c.finishEffect(&effect{what: fmt.Sprintf("%c reads record %d", 'a'+host, record+1)}, n)}
 }
 
+// retireStep hands the table over to any member at its next turn.
 func (c *checker) retireStep(v event, host int) []effect {
 	var list []effect
 	record := c.records[c.nodes[v.node].record]
@@ -75,13 +76,14 @@
 		if !may || int(at.Turn) >= (c.rounds+1)*len(record.Members) {
 			continue
 		}
-		if _, given := n.owner.Retire(m.Process(), at, modelNow); given {
+		if _, ok := n.owner.Retire(m.Process(), at, modelNow); ok {
 			list = append(list, c.finishEffect(&effect{what: fmt.Sprintf("%c retires for %s", 'a'+host, m.Host)}, n))
 		}
 	}
 	return list
 }
 
+// claimSteps claims the next attempt for each runner that entries select.
 func (c *checker) claimSteps(v event, host int) []effect {
 	var list []effect
 	if int(v.claims) >= c.attempts {
@@ -104,10 +106,11 @@
 	return list
 }
 
+// settleSteps ends the attempt that runs on the host, as not run or as run.
 func (c *checker) settleSteps(v event, host int) []effect {
 	var list []effect
-	k, listed := c.nodes[v.node].runner.keys[modelKey]
-	if !listed || k.state != StateGranted {
+	stored, listed := c.nodes[v.node].runner.keys[modelKey]
+	if !listed || stored.state != StateGranted {
 		return nil
 	}
 	for _, state := range []State{StateNotRun, StateRan} {
@@ -115,13 +118,13 @@
 			continue
 		}
 		n := c.copyNode(v.node)
-		resolution, err := n.runner.Settle(modelKey, k.attempt, state, modelNow)
+		resolution, err := n.runner.Settle(modelKey, stored.attempt, state, modelNow)
 		if err != nil {
 			continue
 		}
-		e := effect{what: fmt.Sprintf("%c settles %s %s", 'a'+host, k.attempt, state)}
+		e := effect{what: fmt.Sprintf("%c settles %s %s", 'a'+host, stored.attempt, state)}
 		if state == StateNotRun {
-			e.ended = attemptBit(k.attempt)
+			e.ended = attemptBit(stored.attempt)
 		}
 		c.sendResolution(&e, resolution)
 		list = append(list, c.finishEffect(&e, n))
@@ -199,6 +202,7 @@
 // superseded is a runner's refusal of a fence request, on its way to the owner.
 type superseded struct{ epoch Epoch }
 
+// dispatchStep delivers a dispatch to its runner.
 func (c *checker) dispatchStep(v event, e effect, d Dispatch) effect {
 	n := c.copyNode(v.node)
 	err := n.runner.Accept(d, modelNow)
--- a/claim/model_test.go
+++ b/claim/model_test.go
@@ -40,10 +40,10 @@
 type world struct {
 	nodes      [3]int32
 	messages   int32
-	record     int8 // index of the newest record in the platform
-	restarts   int8 // number of scenario.restarts that have happened
-	claims     int8 // number of attempts that were claimed
-	handedOver uint8
+	record     int8  // index of the newest record in the platform
+	restarts   int8  // number of scenario.restarts that have happened
+	claims     int8  // number of attempts that were claimed
+	handedOver uint8 // attempts handed to an upstream and not ended as not run
 	notRun     uint8 // attempts that were reported as "not run"
 }
 
@@ -78,6 +78,7 @@
 	notRun     uint8 // attempts reported as "not run"
 }
 
+// step is how a state was first reached: from the state with index parent, by the event what.
 type step struct {
 	parent int32
 	what   string
@@ -91,6 +92,8 @@
 	record, claims int8
 }
 
+// checker visits the states of a scenario. It interns nodes, messages and sets of messages, and
+// caches the effects of events and the results of set operations.
 type checker struct {
 	scenario
 	shard         Shard
@@ -110,6 +113,7 @@
 	violatingStep step
 }
 
+// members returns members a, b and c in zones of their own; incarnation 0 leaves a member out.
 func members(incarnations ...domain.Incarnation) []Member {
 	var list []Member
 	for i, n := range incarnations {
@@ -178,12 +182,14 @@
 	}
 }
 
+// newNode returns a process that has read no record.
 func (c *checker) newNode(p Process) node {
 	return node{record: -1,
 		owner:  Owner{Self: p, Shard: c.shard, disabled: c.disabled},
 		runner: Runner{Self: p, Shard: c.shard, disabled: c.disabled}}
 }
 
+// push adds a state to the queue unless it was seen before.
 func (c *checker) push(w world, parent int32, what string) {
 	if c.violation != "" || c.seen[w] {
 		return
@@ -196,14 +202,14 @@
 // finishEffect stores the changed node in the effect, with the messages that its owner has
 // to send.
 func (c *checker) finishEffect(e *effect, n node) effect {
-	out := n.owner.Pending(modelNow)
-	for _, m := range out.Fences {
+	outbox := n.owner.Pending(modelNow)
+	for _, m := range outbox.Fences {
 		c.send(e, index(m.To), m)
 	}
-	for _, m := range out.Restores {
+	for _, m := range outbox.Restores {
 		c.send(e, index(m.To), m)
 	}
-	for _, m := range out.Handovers {
+	for _, m := range outbox.Handovers {
 		c.send(e, index(m.To), m)
 	}
 	e.node = c.intern(n)
@@ -234,12 +240,14 @@
 	c.push(w, parent, e.what)
 }
 
+// index returns the index of the process's host: 0 for host a.
 func index(p Process) int { return int(p.Host[0] - 'a') }
 
 func modelAttempt(i int) AttemptID {
 	return AttemptID{Request: domain.RequestID(rune('0' + i)), Attempt: 1}
 }
 
+// attemptBit returns the bit that stands for an attempt in the sets of world and effect.
 func attemptBit(t AttemptID) uint8 { return 1 << (t.Request[0] - '0') }
 
 // run searches until there is no new state, a violation is found or the bound is reached.
@@ -273,6 +281,7 @@
 	}
 }
 
+// effectsOf returns the effects of an event, without those that change nothing.
 func (c *checker) effectsOf(v event, host int) []effect {
 	list, cached := c.effects[v]
 	if cached {
@@ -293,6 +302,7 @@
 	return list
 }
 
+// recordViolation keeps the first violation and the step that led to it.
 func (c *checker) recordViolation(parent int32, what, why string) {
 	if c.violation == "" {
 		c.violation, c.violatingStep = why, step{parent, what}
@@ -309,6 +319,7 @@
 	return strings.Join(list, "\n")
 }
 
+// requireSafe requires that the search finds no violation.
 func requireSafe(t *testing.T, s scenario) {
 	t.Helper()
 	c := newChecker(s)
@@ -317,6 +328,7 @@
 	require.Empty(t, c.violation, "%s", c.trace())
 }
 
+// requireCaught requires that the search finds a violation.
 func requireCaught(t *testing.T, s scenario) {
 	t.Helper()
 	c := newChecker(s)
--- a/claim/owner.go
+++ b/claim/owner.go
@@ -12,15 +12,15 @@
 
 const (
 	phaseNone     phase = iota // does not own the shard
-	phaseBarrier               // fences runners; the table is not complete
+	phaseFencing               // fences runners; the table is not complete
 	phaseComplete              // grants keys
 	phaseRetired               // handed the table over; grants nothing more
 )
 
 // runnerState is what a runner replied to this epoch's fence and restore requests.
 type runnerState struct {
-	previousFence   Epoch
-	restoredVersion uint64
+	previousFence   Epoch  // where the runner's fence stood before this epoch
+	restoredVersion uint64 // record version up to which the runner's list is complete
 }
 
 // Owner is the part of one shard that decides which keys may run. Self must be set; the
@@ -40,11 +40,11 @@
 	phase         phase
 	runnerSets    []runnerSet // eligible runners, newest version first
 	replies       map[Process]runnerState
-	ended         map[Process]time.Time
-	keys          keyTable // in use, or being collected from the runners' lists
-	inherited     keyTable // the table of epoch inheritedFrom, not validated for this epoch yet
-	inheritedFrom Epoch    // zero if there is no inherited table
-	handover      Handover // what Retire assigned, without its entries
+	ended         map[Process]time.Time // when MarkLost first recorded the end of a process
+	keys          keyTable              // in use, or being collected from the runners' lists
+	inherited     keyTable              // the table of epoch inheritedFrom, not validated for this epoch yet
+	inheritedFrom Epoch                 // zero if there is no inherited table
+	handover      Handover              // what Retire assigned, without its entries
 	disabled      disabledGuards
 }
 
@@ -55,7 +55,7 @@
 // of the same attempt is refused as in progress: ask the runner for the attempt's status,
 // then claim the next attempt.
 func (o *Owner) Claim(request Request, now time.Time) (Grant, error) {
-	o.completeView(now)
+	o.completeTable(now)
 	if !o.owns() {
 		return Grant{}, o.refuse(CodeNotOwner)
 	}
@@ -79,8 +79,8 @@
 	}
 	o.keys[request.Key] = storedKey{attempt: request.Try, body: request.Body, runner: request.Runner,
 		state: StateGranted, at: now}
-	stamp := Token{Shard: o.Shard, Key: request.Key, Epoch: o.epoch, Owner: o.Self}
-	return Grant{Token: stamp, Try: request.Try, Runner: request.Runner}, nil
+	token := Token{Shard: o.Shard, Key: request.Key, Epoch: o.epoch, Owner: o.Self}
+	return Grant{Token: token, Try: request.Try, Runner: request.Runner}, nil
 }
 
 // refuseListed returns the refusal of a key that the table lists.
@@ -133,8 +133,8 @@
 }
 
 // Superseded records that a runner reported a newer epoch. It saves callers a round trip;
-// the fences are safe without it. A table that was assigned to an heir is kept for the
-// heir.
+// safety does not depend on it, as the fences hold without it. A table that was assigned to
+// an heir is kept for the heir.
 func (o *Owner) Superseded(e Epoch) {
 	if o.observed.Less(e) {
 		o.observed = e
@@ -170,4 +170,4 @@
 }
 
 // owns reports whether the process acts as the shard's owner, with a complete table or not.
-func (o *Owner) owns() bool { return o.phase == phaseBarrier || o.phase == phaseComplete }
+func (o *Owner) owns() bool { return o.phase == phaseFencing || o.phase == phaseComplete }
--- a/claim/record.go
+++ b/claim/record.go
@@ -112,6 +112,7 @@
 	return ranked
 }
 
+// score is the rendezvous hash of a host for a shard.
 func score(h domain.Host, s Shard) uint64 {
 	return xxhash.Sum64String(string(h) + "\x00" + string(rune(s)))
 }
--- a/claim/reference_test.go
+++ b/claim/reference_test.go
@@ -20,14 +20,15 @@
 	ran   bool
 }
 
-func (n referenceModel) expectedCode(k Key, body Body) Code {
-	old, listed := n[k]
+// expectedCode returns the code with which a claim must be refused; empty if it must be granted.
+func (m referenceModel) expectedCode(k Key, body Body) Code {
+	known, listed := m[k]
 	switch {
 	case !listed:
 		return ""
-	case old.body != body:
+	case known.body != body:
 		return CodeOtherBody
-	case old.ran:
+	case known.ran:
 		return CodeAlreadyRan
 	}
 	return CodeInProgress
--- a/claim/refusal.go
+++ b/claim/refusal.go
@@ -12,18 +12,30 @@
 // The codes. Owner.Claim returns the first six, CodeOtherRunner and CodeFull; the methods of
 // Runner return the last five.
 const (
-	CodeOtherBody   Code = "other_body"
-	CodeInProgress  Code = "in_progress"
-	CodeAlreadyRan  Code = "already_ran"
-	CodeMayHaveRun  Code = "may_have_run"
+	// CodeOtherBody: the key was claimed for a request with another body.
+	CodeOtherBody Code = "other_body"
+	// CodeInProgress: an attempt of the key is granted and has not ended.
+	CodeInProgress Code = "in_progress"
+	// CodeAlreadyRan: an attempt of the key ran.
+	CodeAlreadyRan Code = "already_ran"
+	// CodeMayHaveRun: an attempt of the key may have run.
+	CodeMayHaveRun Code = "may_have_run"
+	// CodeNotRestored: the table is not complete and does not list the key.
 	CodeNotRestored Code = "unvouched"
-	CodeNotOwner    Code = "not_owner"
+	// CodeNotOwner: this process does not own the shard.
+	CodeNotOwner Code = "not_owner"
 
-	CodeFenced      Code = "fenced"
-	CodeKeyTaken    Code = "key_taken"
-	CodeRefused     Code = "refused_beforehand"
+	// CodeFenced: the message is of an older epoch than the runner's fence.
+	CodeFenced Code = "fenced"
+	// CodeKeyTaken: the runner lists the key already.
+	CodeKeyTaken Code = "key_taken"
+	// CodeRefused: the attempt was blocked before its dispatch arrived.
+	CodeRefused Code = "refused_beforehand"
+	// CodeOtherRunner: the named runner is not eligible, is another incarnation, or did not
+	// accept the attempt.
 	CodeOtherRunner Code = "other_runner"
 
+	// CodeFull: the shard remembers as many keys as MaxKeys allows.
 	CodeFull Code = "full"
 )
 
--- a/claim/runner.go
+++ b/claim/runner.go
@@ -23,13 +23,14 @@
 	// Limits bounds what the runner remembers.
 	Limits Limits
 
-	fence           Epoch // dispatches of older epochs are refused
-	previousFence   Epoch // where the fence stood before it was raised to its present epoch
-	restoredVersion uint64
+	fence           Epoch    // dispatches of older epochs are refused
+	previousFence   Epoch    // where the fence stood before it was raised to its present epoch
+	restoredVersion uint64   // record version up to which the lists of this runner are complete
 	keys            keyTable // keys that were dispatched to this runner
 	// restored holds the keys that removed runners may have run. It is separate from keys,
 	// because Status and Settle apply to this runner's own attempts only.
 	restored keyTable
+	// blocked holds the attempts that must not be accepted, and when each was blocked.
 	blocked  map[keyAttempt]time.Time
 	disabled disabledGuards
 }
@@ -81,8 +82,8 @@
 }
 
 // refuseListed refuses a dispatch of a key that the runner already lists. The refusal says
-// nothing new about the listed attempt. Another attempt of the key is blocked permanently,
-// so that a repeated dispatch of it is not accepted after the refusal reported "not run".
+// nothing new about the listed attempt. Another attempt of the key is blocked, so that a
+// repeated dispatch of it is not accepted after the refusal reported "not run".
 func (r *Runner) refuseListed(dispatch Dispatch, stored storedKey, now time.Time) error {
 	refusal := &Refusal{Code: CodeKeyTaken, Ran: stored.execution(), Epoch: r.fence, Try: stored.attempt, Runner: stored.runner}
 	if stored.attempt != dispatch.Try {
@@ -117,6 +118,7 @@
 		RestoredVersion: r.restoredVersion, Entries: append(r.keys.entries(now, nil), r.restored.entries(now, nil)...)}, nil
 }
 
+// raiseFence moves the fence to e if e is newer.
 func (r *Runner) raiseFence(e Epoch) {
 	if r.fence.Less(e) {
 		r.previousFence, r.fence = r.fence, e
@@ -209,17 +211,19 @@
 	keep := r.Limits.retention()
 	r.keys.expire(now, keep)
 	r.restored.expire(now, keep)
-	for kt, at := range r.blocked {
+	for id, at := range r.blocked {
 		if now.Sub(at) > keep {
-			delete(r.blocked, kt)
+			delete(r.blocked, id)
 		}
 	}
 }
 
+// full reports whether the runner remembers as much as MaxKeys allows.
 func (r *Runner) full() bool {
 	return r.size() >= r.Limits.maxKeys()
 }
 
+// size returns the number of keys and blocked attempts that the runner remembers.
 func (r *Runner) size() int {
 	return len(r.keys) + len(r.restored) + len(r.blocked)
 }
--- a/claim/view.go
+++ b/claim/view.go
@@ -43,11 +43,13 @@
 	}
 }
 
+// startEpoch begins an ownership at the given epoch, with an empty table and no replies. A table
+// that may still be valid becomes the inherited table.
 func (o *Owner) startEpoch(record Record, next Epoch, now time.Time) {
 	switch {
 	case o.phase == phaseComplete:
 		o.inheritedFrom, o.inherited = o.epoch, o.keys
-	case o.phase == phaseBarrier && o.inheritedFrom != Epoch{}:
+	case o.phase == phaseFencing && o.inheritedFrom != Epoch{}:
 		// The inherited table was not used at the epoch that ends here and stays a
 		// candidate.
 	default:
@@ -55,9 +57,9 @@
 	}
 	o.keys = keyTable{}
 	o.handover = Handover{}
-	o.epoch, o.phase, o.runnerSets = next, phaseBarrier, record.runnerSets(o.Shard)
+	o.epoch, o.phase, o.runnerSets = next, phaseFencing, record.runnerSets(o.Shard)
 	o.replies = map[Process]runnerState{}
-	o.completeView(now)
+	o.completeTable(now)
 }
 
 // Fenced processes a runner's reply to this epoch's fence request.
@@ -74,15 +76,15 @@
 	for _, e := range reply.Entries {
 		o.keys.merge(e, now)
 	}
-	o.completeView(now)
+	o.completeTable(now)
 }
 
 // completeView completes the table as soon as that is safe. Only one of the two tables is
 // used: a valid inherited table lists every key, and the runners' lists, which may predate
 // the freeing of a key, must not add that key again; an inherited table that was superseded
 // would add keys that later owners have freed since.
-func (o *Owner) completeView(now time.Time) {
-	if o.phase != phaseBarrier {
+func (o *Owner) completeTable(now time.Time) {
+	if o.phase != phaseFencing {
 		return
 	}
 	switch {
@@ -104,7 +106,7 @@
 // w are restored up to w, each of them lists these keys, and every other key is listed by
 // its own runner.
 func (o *Owner) listsComplete(now time.Time) bool {
-	if o.disabled.view {
+	if o.disabled.allReplies {
 		return len(o.replies) > 0
 	}
 	for _, s := range o.runnerSets {
@@ -126,6 +128,8 @@
 	return false
 }
 
+// retentionElapsed reports whether the process ended so long ago that every key it ran may be
+// forgotten.
 func (o *Owner) retentionElapsed(p Process, now time.Time) bool {
 	at, ended := o.ended[p]
 	return ended && now.Sub(at) > o.Limits.retention()
@@ -195,14 +199,14 @@
 	if handover.To != o.Self || handover.Epoch != o.epoch {
 		return o.phase != phaseNone && handover.Epoch.Less(o.epoch)
 	}
-	if o.phase != phaseBarrier || !o.inheritedFrom.Less(handover.From) {
+	if o.phase != phaseFencing || !o.inheritedFrom.Less(handover.From) {
 		return true
 	}
 	o.inheritedFrom, o.inherited = handover.From, keyTable{}
 	for _, e := range handover.Entries {
 		o.inherited.merge(e, now)
 	}
-	o.completeView(now)
+	o.completeTable(now)
 	return true
 }
 
@@ -213,7 +217,7 @@
 func (o *Owner) Pending(now time.Time) Outbox {
 	var out Outbox
 	switch o.phase {
-	case phaseBarrier:
+	case phaseFencing:
 		for _, p := range o.unacknowledged() {
 			out.Fences = append(out.Fences, FenceRequest{Shard: o.Shard, Epoch: o.epoch, Owner: o.Self, To: p})
 		}
@@ -227,6 +231,8 @@
 	return out
 }
 
+// unacknowledged returns the eligible runners of all versions that have not acknowledged the
+// fence with a restored version.
 func (o *Owner) unacknowledged() []Process {
 	var list []Process
 	for _, s := range o.runnerSets {
