--- a/fence/fence.go
+++ b/fence/fence.go
@@ -83,6 +83,7 @@
 // sequenceBits allows a million orders in one term of the lease.
 const sequenceBits = 20
 
+// newToken combines a term and the number of an order in this term.
 func newToken(term, sequence uint64) Token { return Token(term<<sequenceBits | sequence) }
 
 // Term returns the part of the token that identifies the holder's term. It increases with
@@ -119,6 +120,7 @@
 	Until   time.Time
 }
 
+// leaseState is what a Guard has learned about the lease.
 type leaseState int
 
 const (
@@ -146,13 +148,13 @@
 	renewed   time.Time      // when the write that last renewed the lease was sent
 	term      uint64         // term of the version at which this process acquired the lease
 	issued    uint64         // orders issued in this term
-	highest   Token
-	nonce     uint64
+	highest   Token          // the highest token issued
+	nonce     uint64         // of this process's last write
 	// hasRead reports that the record was read; firstEra is the era of the first read.
 	hasRead     bool
 	firstEra    uint64
 	unconfirmed map[uint64]time.Time // send times of this process's writes with unknown outcome, by nonce
-	retryAt     time.Time
+	retryAt     time.Time            // no request is sent before
 }
 
 // Next returns the action to perform now.
@@ -178,10 +180,11 @@
 	case g.state == holding && now.Before(g.renewed.Add(RenewInterval)):
 		return Action{Kind: Wait, Until: g.renewed.Add(RenewInterval)}
 	}
-	return g.write(now)
+	return g.newWrite(now)
 }
 
-func (g *Guard) write(now time.Time) Action {
+// newWrite returns a write of this process's record with a new nonce.
+func (g *Guard) newWrite(now time.Time) Action {
 	g.nonce++
 	if g.unconfirmed == nil {
 		g.unconfirmed = make(map[uint64]time.Time)
@@ -272,7 +275,7 @@
 		return Action{}, false
 	}
 	g.term, g.state = 0, unread
-	release := g.write(now)
+	release := g.newWrite(now)
 	release.Record.Released = true
 	return release, true
 }
@@ -291,6 +294,7 @@
 	g.state = unread
 }
 
+// confirmWrite records that a write sent at the given time took effect: the lease lasts from then.
 func (g *Guard) confirmWrite(sent time.Time, version epoch.Position) {
 	// A new term starts whenever another process may have held the lease in between.
 	continued := g.term != 0 && sent.Before(g.renewed.Add(shortenByDrift(TTL)))
@@ -332,9 +336,14 @@
 // the earliest time at which another process may start.
 func (g *Guard) issueUntil() time.Time { return g.renewed.Add(shortenByDrift(TTL) - OrderTimeout) }
 
+// shortenByDrift returns the duration that this clock shows at the earliest when d has passed on
+// another clock.
 func shortenByDrift(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (1 - MaxClockDrift))
 }
+
+// lengthenByDrift returns the duration that this clock shows at the latest when d has passed on
+// another clock.
 func lengthenByDrift(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (1 + MaxClockDrift))
 }
--- a/fence/fence_test.go
+++ b/fence/fence_test.go
@@ -50,21 +50,22 @@
 }
 
 // position returns the record's position as the adapter returns it.
-func (w *simulation) position() epoch.Position { return epoch.New(w.era, w.version) }
+func (s *simulation) position() epoch.Position { return epoch.New(s.era, s.version) }
 
 // restore replaces the store by a snapshot of the given age.
-func (w *simulation) restore(age time.Duration) {
-	w.era++
-	w.record, w.version = Record{}, 0
-	for n, c := range w.history {
-		if c.at.After(w.now.Add(-age)) {
-			w.history = w.history[:n]
+func (s *simulation) restore(age time.Duration) {
+	s.era++
+	s.record, s.version = Record{}, 0
+	for n, c := range s.history {
+		if c.at.After(s.now.Add(-age)) {
+			s.history = s.history[:n]
 			break
 		}
-		w.record, w.version = c.record, c.version
+		s.record, s.version = c.record, c.version
 	}
 }
 
+// order is an order on its way to the engine.
 type order struct {
 	token    Token
 	effectAt time.Time
@@ -93,38 +94,41 @@
 	holders         map[domain.Host]bool
 }
 
-func (w *simulation) randomTime(maxDelay time.Duration) time.Time {
-	return w.now.Add(time.Duration(w.random.Int64N(int64(maxDelay))))
+// randomTime returns a time within maxDelay from now.
+func (s *simulation) randomTime(maxDelay time.Duration) time.Time {
+	return s.now.Add(time.Duration(s.random.Int64N(int64(maxDelay))))
 }
 
+// localTime returns the time by the host's clock.
 func (h *host) localTime(now time.Time) time.Time {
 	return start.Add(time.Duration(float64(now.Sub(start)) * h.rate))
 }
 
-func (w *simulation) runHost(h *host) {
-	now := h.localTime(w.now)
-	if w.random.IntN(400) == 0 {
-		h.paused = w.randomTime(40 * time.Second)
+// runHost runs one step of a host: pauses, requests to the platform and orders.
+func (s *simulation) runHost(h *host) {
+	now := h.localTime(s.now)
+	if s.random.IntN(400) == 0 {
+		h.paused = s.randomTime(40 * time.Second)
 	}
-	if w.now.Before(h.paused) {
+	if s.now.Before(h.paused) {
 		return
 	}
 	if h.call != nil {
-		w.deliverReply(h, now)
+		s.deliverReply(h, now)
 	}
 	if h.call == nil {
-		w.sendNext(h, now)
+		s.sendNext(h, now)
 	}
-	if w.random.IntN(20) == 0 {
+	if s.random.IntN(20) == 0 {
 		h.guard.Invalidate()
 	}
-	if w.random.IntN(600) == 0 && !h.unguarded && h.call == nil {
-		if a, ok := h.guard.Release(now); ok {
-			h.call = &call{action: a, sent: now, effectAt: w.randomTime(tick / 2), released: true}
+	if s.random.IntN(600) == 0 && !h.unguarded && h.call == nil {
+		if release, ok := h.guard.Release(now); ok {
+			h.call = &call{action: release, sent: now, effectAt: s.randomTime(tick / 2), released: true}
 			h.call.replyAt = h.call.effectAt
 		}
 	}
-	if w.random.IntN(3) != 0 {
+	if s.random.IntN(3) != 0 {
 		return
 	}
 	token, err := h.guard.Issue(now)
@@ -133,59 +137,61 @@
 		token, err = newToken(h.guard.term, h.guard.issued), nil
 	}
 	if err == nil {
-		effectAt := w.randomTime(OrderTimeout)
-		if w.random.IntN(2) == 0 { // the maximum delay that the adapter's timeout allows
-			effectAt = w.now.Add(OrderTimeout - 1)
+		effectAt := s.randomTime(OrderTimeout)
+		if s.random.IntN(2) == 0 { // the maximum delay that the adapter's timeout allows
+			effectAt = s.now.Add(OrderTimeout - 1)
 		}
-		w.orders = append(w.orders, order{token, effectAt})
-		if by, given := w.issuedBy[token]; given && by != h.guard.Holder {
-			w.duplicateTokens++
+		s.orders = append(s.orders, order{token, effectAt})
+		if holder, issued := s.issuedBy[token]; issued && holder != h.guard.Holder {
+			s.duplicateTokens++
 		}
-		w.issuedBy[token] = h.guard.Holder
-		w.holders[h.guard.Holder] = true
+		s.issuedBy[token] = h.guard.Holder
+		s.holders[h.guard.Holder] = true
 	}
 }
 
-func (w *simulation) sendNext(h *host, now time.Time) {
-	a := h.guard.Next(now)
-	if a.Kind == Wait {
+// sendNext sends the guard's next request to the platform, with random delay and loss.
+func (s *simulation) sendNext(h *host, now time.Time) {
+	action := h.guard.Next(now)
+	if action.Kind == Wait {
 		return
 	}
 	maxDelay := tick / 2
-	if w.random.IntN(10) == 0 {
+	if s.random.IntN(10) == 0 {
 		maxDelay = 20 * time.Second
 	}
-	c := &call{action: a, sent: now, effectAt: w.randomTime(maxDelay), replyLost: w.random.IntN(8) == 0}
-	c.replyAt = c.effectAt.Add(c.effectAt.Sub(w.now))
+	c := &call{action: action, sent: now, effectAt: s.randomTime(maxDelay), replyLost: s.random.IntN(8) == 0}
+	c.replyAt = c.effectAt.Add(c.effectAt.Sub(s.now))
 	h.call = c
 }
 
 // applyCall executes a request at the platform when it is due, also while its caller is
 // paused.
-func (w *simulation) applyCall(c *call) {
-	if c == nil || c.done || w.now.Before(c.effectAt) {
+func (s *simulation) applyCall(c *call) {
+	if c == nil || c.done || s.now.Before(c.effectAt) {
 		return
 	}
 	c.done = true
 	if c.action.Kind == Read {
-		c.record, c.version = w.record, w.position()
+		c.record, c.version = s.record, s.position()
 		return
 	}
 	// The platform compares revisions, which are reused after a restore.
-	if c.action.Version.Revision() != w.version {
+	if c.action.Version.Revision() != s.version {
 		c.conflict = true
 		return
 	}
-	w.version++
-	w.record, c.version = c.action.Record, w.position()
+	s.version++
+	s.record, c.version = c.action.Record, s.position()
 	// The adapter treats a reply of another era as lost.
-	c.replyLost = c.replyLost || c.action.Version != 0 && c.action.Version.Era() != w.era
-	w.history = append(w.history, snapshot{w.now, w.record, w.version})
+	c.replyLost = c.replyLost || c.action.Version != 0 && c.action.Version.Era() != s.era
+	s.history = append(s.history, snapshot{s.now, s.record, s.version})
 }
 
-func (w *simulation) deliverReply(h *host, now time.Time) {
+// deliverReply passes the reply of the host's request to its guard.
+func (s *simulation) deliverReply(h *host, now time.Time) {
 	c := h.call
-	if !c.done || w.now.Before(c.replyAt) {
+	if !c.done || s.now.Before(c.replyAt) {
 		return
 	}
 	h.call = nil
@@ -203,35 +209,37 @@
 	}
 }
 
-func (w *simulation) executeOrders() {
-	rest := w.orders[:0]
-	for _, o := range w.orders {
-		if w.now.Before(o.effectAt) {
+// executeOrders executes the orders that have reached the engine and counts the stale ones.
+func (s *simulation) executeOrders() {
+	rest := s.orders[:0]
+	for _, o := range s.orders {
+		if s.now.Before(o.effectAt) {
 			rest = append(rest, o)
 			continue
 		}
-		w.executedOrders++
-		if o.token.Term() < w.newestExecuted.Term() {
-			w.staleOrders++
+		s.executedOrders++
+		if o.token.Term() < s.newestExecuted.Term() {
+			s.staleOrders++
 		}
-		w.newestExecuted = max(w.newestExecuted, o.token)
+		s.newestExecuted = max(s.newestExecuted, o.token)
 	}
-	w.orders = rest
+	s.orders = rest
 }
 
+// simulate runs three hosts with different clock rates for a number of steps.
 func simulate(seed uint64, unguarded bool, steps, restoreInterval int) *simulation {
-	w := newSimulation(seed)
-	w.restoreInterval = restoreInterval
+	s := newSimulation(seed)
+	s.restoreInterval = restoreInterval
 	for i, rate := range []float64{1, 0.996, 1.004} {
 		h := &host{rate: rate, unguarded: unguarded}
 		h.guard.Fresh = true
 		h.guard.Holder, h.guard.Incarnation = domain.Host([]string{"a", "b", "c"}[i]), 1
-		w.hosts = append(w.hosts, h)
+		s.hosts = append(s.hosts, h)
 	}
 	for range steps {
-		w.advance()
+		s.advance()
 	}
-	return w
+	return s
 }
 
 func newSimulation(seed uint64) *simulation {
@@ -241,17 +249,17 @@
 }
 
 // advance moves the simulation forward by one tick.
-func (w *simulation) advance() {
-	w.now = w.now.Add(tick)
-	if w.restoreInterval > 0 && w.random.IntN(w.restoreInterval) == 0 {
-		w.restore(w.randomTime(10 * time.Second).Sub(w.now))
+func (s *simulation) advance() {
+	s.now = s.now.Add(tick)
+	if s.restoreInterval > 0 && s.random.IntN(s.restoreInterval) == 0 {
+		s.restore(s.randomTime(10 * time.Second).Sub(s.now))
 	}
-	for _, h := range w.hosts {
-		w.applyCall(h.call)
+	for _, h := range s.hosts {
+		s.applyCall(h.call)
 	}
-	w.executeOrders()
-	for _, h := range w.hosts {
-		w.runHost(h)
+	s.executeOrders()
+	for _, h := range s.hosts {
+		s.runHost(h)
 	}
 }
 
