--- a/lease/lease.go
+++ b/lease/lease.go
@@ -55,6 +55,7 @@
 	return time.Unix(now.Unix())
 }
 
+// now returns the time by the keeper's clock.
 func (k *Keeper) now() time.Time {
 	if k.Now != nil {
 		return k.Now()
@@ -121,6 +122,7 @@
 	return err == nil
 }
 
+// readRecord reads the record and passes it to the guard.
 func (k *Keeper) readRecord(ctx context.Context) {
 	object, err := k.Records.Get(ctx, k.Name)
 	if errors.Is(err, infra.ErrNotFound) {
@@ -141,6 +143,7 @@
 	k.Guard.Observe(k.now(), record, epoch.Position(object.Version))
 }
 
+// writeRecord writes the record by conditional update and passes the outcome to the guard.
 func (k *Keeper) writeRecord(ctx context.Context, action fence.Action) {
 	sent := k.now()
 	text, err := json.Marshal(action.Record)
