--- a/member/member.go
+++ b/member/member.go
@@ -110,6 +110,7 @@
 // generations costs availability after many losses at once, but never safety.
 const maxPastMembers = 4096
 
+// dropOldGenerations removes the oldest generations beyond maxPastMembers.
 func dropOldGenerations(past []claim.Generation) []claim.Generation {
 	count := 0
 	for i, g := range past {
