--- a/peers/peers.go
+++ b/peers/peers.go
@@ -68,6 +68,7 @@
 	once    sync.Once
 }
 
+// init prepares the channel that makes Apply and Dial wait for Run.
 func (d *Directory) init() {
 	d.once.Do(func() { d.ready = make(chan struct{}) })
 }
@@ -111,6 +112,7 @@
 	}
 }
 
+// dropClosed drops removed members whose connection has closed and returns them.
 func (d *Directory) dropClosed() []member.Member {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -157,6 +159,7 @@
 	return true
 }
 
+// connect starts a link to the member and stops an earlier link to its host. d.mu must be held.
 func (d *Directory) connect(m member.Member) {
 	if previous := d.byHost[m.Host]; previous != nil {
 		previous.stop()
