--- a/domain/execution.go
+++ b/domain/execution.go
@@ -14,6 +14,7 @@
 	return r
 }
 
+// severity orders executions for Merge.
 func (r Execution) severity() int {
 	switch r {
 	case NotRun:
