--- a/entry/accounts.go
+++ b/entry/accounts.go
@@ -7,15 +7,15 @@
 	"jacinthworks/domain"
 )
 
-// accounts finds the caller that a bearer token belongs to. The settings see
-// to it that no two callers have one token.
+// accounts maps the digest of a bearer token to the caller's account. The settings check
+// that no two callers have the same token.
 //
-// The failure: comparing a secret byte by byte, the time taken tells how much
-// of a guess is right. It shows as a token that can be guessed a character at a
-// time. Looking up by digest holds, since the time depends only on the digests,
-// and to come nearer to one by its bits takes a token whose digest is known
-// already. Comparing with each token in constant time does as well, but hashes
-// 2,100 tokens for each request at the size that is planned for.
+// Comparing a secret byte by byte takes a time that depends on how much of a guess is
+// right, so that a token could be guessed one character at a time. The time of a look-up
+// by digest depends only on the digests, and constructing a token whose digest shares
+// more bits with a stored digest requires knowing that digest. Comparing with each token
+// in constant time is as safe, but computes 2,100 hashes for each request at the planned
+// number of callers.
 type accounts map[[sha256.Size]byte]domain.Account
 
 func newAccounts(callers []conf.Caller) accounts {
@@ -26,8 +26,8 @@
 	return a
 }
 
-// find gives the account of a token; false if there is none.
+// find returns the account of a token, and false if no caller has the token.
 func (a accounts) find(token string) (domain.Account, bool) {
-	account, known := a[sha256.Sum256([]byte(token))]
-	return account, known
+	account, found := a[sha256.Sum256([]byte(token))]
+	return account, found
 }
--- a/entry/accounts_test.go
+++ b/entry/accounts_test.go
@@ -12,7 +12,7 @@
 	"jacinthworks/domain"
 )
 
-func callersOf(count int) []conf.Caller {
+func testCallers(count int) []conf.Caller {
 	var all []conf.Caller
 	for n := range count {
 		all = append(all, conf.Caller{
@@ -22,8 +22,8 @@
 	return all
 }
 
-// naiveAccount compares with every token.
-func naiveAccount(callers []conf.Caller, token string) (account domain.Account, known bool) {
+// accountByComparison finds the account by comparing the token with every caller's token.
+func accountByComparison(callers []conf.Caller, token string) (account domain.Account, known bool) {
 	given := sha256.Sum256([]byte(token))
 	for _, c := range callers {
 		want := sha256.Sum256([]byte(string(c.Token)))
@@ -34,15 +34,15 @@
 	return account, known
 }
 
-func TestAccountsAreFoundAsByComparingWithEach(t *testing.T) {
-	callers := callersOf(50)
+func TestAccountsFindMatchesTokenComparison(t *testing.T) {
+	callers := testCallers(50)
 	a := newAccounts(callers)
 	tokens := []string{"", "token-of-the-stud-", "token-of-the-stud-0007 ", "TOKEN-OF-THE-STUD-0007", "token-of-the-stud-0050"}
 	for _, c := range callers {
 		tokens = append(tokens, string(c.Token))
 	}
 	for _, token := range tokens {
-		want, known := naiveAccount(callers, token)
+		want, known := accountByComparison(callers, token)
 		got, found := a.find(token)
 		require.Equal(t, known, found, token)
 		require.Equal(t, want, got, token)
@@ -51,15 +51,15 @@
 	require.False(t, found)
 }
 
-// BenchmarkAccount gives what a request pays to be told apart from the other
-// accounts.
+// BenchmarkAccount measures the time to find a request's account, by comparison with
+// every token and by digest.
 func BenchmarkAccount(b *testing.B) {
 	for _, count := range []int{2, 2100} {
-		callers := callersOf(count)
+		callers := testCallers(count)
 		a := newAccounts(callers)
 		b.Run(fmt.Sprintf("naive/accounts=%d", count), func(b *testing.B) {
 			for b.Loop() {
-				naiveAccount(callers, "token-of-the-stud-0001")
+				accountByComparison(callers, "token-of-the-stud-0001")
 			}
 		})
 		b.Run(fmt.Sprintf("digest/accounts=%d", count), func(b *testing.B) {
--- a/entry/admin.go
+++ b/entry/admin.go
@@ -22,11 +22,11 @@
 	"jacinthworks/wire"
 )
 
-// adminHandler serves operators, and metrics.
+// adminHandler serves the operators' API, metrics and readiness.
 func (e *Entry) adminHandler() http.Handler {
 	s := admin.Server{
 		Operators: e.Settings.Operators, Tables: &e.tables, Status: e, Traces: e, Drainer: e, Orderer: e, Log: e.Log,
-		Editor:  &editor.Editor{Objects: e.Objects, Holder: &e.tables, Replicate: e.spread},
+		Editor:  &editor.Editor{Objects: e.Objects, Holder: &e.tables, Replicate: e.replicateTable},
 		MaxBody: e.Settings.Limits.MaxBody,
 	}
 	m := http.NewServeMux()
@@ -36,7 +36,7 @@
 	return m
 }
 
-// serveVars gives the entry's metrics in expvar's form.
+// serveVars writes the entry's metrics in the format of package expvar.
 func (e *Entry) serveVars(w http.ResponseWriter, _ *http.Request) {
 	c := e.recorder.Counts()
 	var v expvar.Map
@@ -56,11 +56,12 @@
 	fmt.Fprintln(w, v.String())
 }
 
-// Status gives the hosts as this entry knows them.
+// Status returns the state of all hosts that this entry has in its records, and the
+// newest table version among the entries.
 func (e *Entry) Status(ctx context.Context) (admin.Status, error) {
 	own := e.state()
 	s := admin.Status{Host: e.Settings.Name, Version: e.tables.Version(), Hosts: []admin.HostStatus{hostStatus(own, time.Now())}}
-	for _, h := range e.askEntries(ctx) {
+	for _, h := range e.entryStatuses(ctx) {
 		s.Version = max(s.Version, h.Version)
 		s.Hosts = append(s.Hosts, h)
 	}
@@ -71,18 +72,18 @@
 	return s, nil
 }
 
-// state is what this entry says of itself.
+// state returns the state that this entry reports of itself.
 func (e *Entry) state() wire.State {
 	return wire.State{
 		Host: e.Settings.Name, Zone: e.Settings.Zone, Version: uint64(e.tables.Version()), Since: e.tables.Since(),
-		Draining: e.draining.Load() || e.leaving.Load(), Stale: !e.inTouch(time.Now()), InFlight: int(e.recorder.Counts().Open),
+		Draining: e.draining.Load() || e.leaving.Load(), Stale: !e.tableFresh(time.Now()), InFlight: int(e.recorder.Counts().Open),
 	}
 }
 
-func hostStatus(s wire.State, heard time.Time) admin.HostStatus {
+func hostStatus(s wire.State, lastSeen time.Time) admin.HostStatus {
 	h := admin.HostStatus{
 		Host: s.Host, Zone: s.Zone, Role: "entry", State: admin.HostServing,
-		Version: table.Version(s.Version), Since: s.Since, InFlight: s.InFlight, LastSeen: heard,
+		Version: table.Version(s.Version), Since: s.Since, InFlight: s.InFlight, LastSeen: lastSeen,
 	}
 	switch {
 	case s.Draining:
@@ -93,14 +94,14 @@
 	return h
 }
 
-// askEntries asks every other entry in the record.
-func (e *Entry) askEntries(ctx context.Context) []admin.HostStatus {
-	ctx, cancel := context.WithTimeout(ctx, callWithin)
+// entryStatuses requests the state of every other entry in the record.
+func (e *Entry) entryStatuses(ctx context.Context) []admin.HostStatus {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	others := e.entries.ForService(member.EntryService)
-	answers := make(chan admin.HostStatus, len(others))
-	for _, l := range others {
-		e.work.Go(ctx, "status", func(ctx context.Context) error {
+	entries := e.entries.ForService(member.EntryService)
+	answers := make(chan admin.HostStatus, len(entries))
+	for _, l := range entries {
+		e.background.Go(ctx, "status", func(ctx context.Context) error {
 			var s wire.State
 			if err := l.Call(ctx, wire.MethodState, struct{}{}, &s); err != nil {
 				answers <- admin.HostStatus{Host: l.Member.Host, Zone: l.Member.Zone, Role: "entry", State: admin.HostUnreachable}
@@ -110,8 +111,8 @@
 			return nil
 		})
 	}
-	found := make([]admin.HostStatus, 0, len(others))
-	for range others {
+	found := make([]admin.HostStatus, 0, len(entries))
+	for range entries {
 		found = append(found, <-answers)
 	}
 	return found
@@ -125,8 +126,8 @@
 	if p == nil {
 		return h
 	}
-	b, heard := p.LastHeartbeat()
-	if !heard {
+	b, received := p.LastHeartbeat()
+	if !received {
 		return h
 	}
 	h.State, h.LastSeen = admin.HostServing, b.NotBefore
@@ -139,7 +140,8 @@
 	return h
 }
 
-// Drain makes this entry, another, or a side take no new work.
+// Drain makes the host take no new work: this entry, another entry or a side. It returns
+// admin.ErrUnknownHost if there is no such host.
 func (e *Entry) Drain(ctx context.Context, host domain.Host, by string) error {
 	e.Log.Info("drain", "target", host, "by", by)
 	if host == e.Settings.Name {
@@ -156,8 +158,9 @@
 	return errors.Wrapf(l.Call(ctx, wire.MethodDrain, struct{}{}, nil), "entry: drain %s", host)
 }
 
-// SendOrder passes an order to the side of an engine whose service the operator's
-// teams have rows of.
+// SendOrder sends an order to the side of an engine. It returns admin.ErrNotTeamMember
+// unless the table has a row for the engine's service that belongs to one of the
+// operator's teams.
 func (e *Entry) SendOrder(ctx context.Context, o admin.OrderRequest, by table.Operator) (admin.OrderReply, error) {
 	l := e.sides.Find(o.Host)
 	if l == nil {
@@ -167,20 +170,20 @@
 	if !slices.ContainsFunc(e.tables.Table().Rows(), owns) {
 		return admin.OrderReply{}, admin.ErrNotTeamMember
 	}
-	var given wire.OrderReply
-	err := l.Call(ctx, wire.MethodOrder, wire.Order{Kind: o.Kind, Value: o.Value, By: by.Name, Within: admin.DefaultOrderTimeout}, &given)
-	return admin.OrderReply{OrderRequest: o, Fence: given.Fence}, errors.Wrapf(err, "entry: order to %s", o.Host)
+	var reply wire.OrderReply
+	err := l.Call(ctx, wire.MethodOrder, wire.Order{Kind: o.Kind, Value: o.Value, By: by.Name, Within: admin.DefaultOrderTimeout}, &reply)
+	return admin.OrderReply{OrderRequest: o, Fence: reply.Fence}, errors.Wrapf(err, "entry: order to %s", o.Host)
 }
 
-// secure wraps a listener in TLS where the settings give a certificate.
-func (e *Entry) secure(l net.Listener) (net.Listener, error) {
+// withTLS wraps the listener in TLS where the settings name a certificate.
+func (e *Entry) withTLS(l net.Listener) (net.Listener, error) {
 	files := e.Settings.TLS
 	if files.CertFile == "" {
 		return l, nil
 	}
-	pair, err := tls.LoadX509KeyPair(files.CertFile, files.KeyFile)
+	certificate, err := tls.LoadX509KeyPair(files.CertFile, files.KeyFile)
 	if err != nil {
-		return nil, errors.Wrap(err, "entry: tls")
+		return nil, errors.Wrap(err, "entry: load the TLS certificate")
 	}
-	return tls.NewListener(l, &tls.Config{Certificates: []tls.Certificate{pair}, MinVersion: tls.VersionTLS12}), nil
+	return tls.NewListener(l, &tls.Config{Certificates: []tls.Certificate{certificate}, MinVersion: tls.VersionTLS12}), nil
 }
--- a/entry/cache_test.go
+++ b/entry/cache_events_test.go
@@ -12,17 +12,17 @@
 	"jacinthworks/wire"
 )
 
-// Sellers ask about one stud through several entries. An entry that sent none of
-// it before must know from the engine's events who holds the pedigree's head, or
-// it fills that prompt anew elsewhere.
-func TestCacheEventsReachTheChoice(t *testing.T) {
+// Requests about one stud arrive at several entries. An entry that sent none of the
+// earlier requests must learn from the engine's cache events which engine holds the
+// prompt prefix; otherwise it would prefill the prefix again elsewhere.
+func TestCacheEventsReachEngineSelector(t *testing.T) {
 	var e Entry
 	from := wire.Hello{Host: "prefill-1", Zone: "salt-lake", Service: "appraiser-lm", Role: "prefill"}
 	params, err := json.Marshal(wire.Cache{Events: []engine.CacheEvent{{Seq: 1, Prefix: 7, Tokens: 200}}})
 	require.NoError(t, err)
-	s := e.schedulers.of(from.Service)
+	s := e.schedulers.get(from.Service)
 	job := route.Job{PromptTokens: 500, Prefix: 7, PrefixTokens: 250}
 	require.Zero(t, s.model.Cached(time.Now(), job), "before the event")
-	e.takeCache(from, params)
+	e.handleCacheEvents(from, params)
 	require.InDelta(t, 200, s.model.Cached(time.Now(), job), 2)
 }
--- a/entry/call.go
+++ b/entry/call.go
@@ -9,18 +9,19 @@
 	"jacinthworks/wire"
 )
 
-// plain runs a call on an application server and leaves its answer in r.
-func (e *Entry) plain(ctx context.Context, r *request) *failure {
+// runCall runs a plain call on an application server and stores the response in
+// r.response.
+func (e *Entry) runCall(ctx context.Context, r *request) *failure {
 	return e.attempts(ctx, r, func(ctx context.Context) *failure { return e.tryCall(ctx, r) })
 }
 
 func (e *Entry) tryCall(ctx context.Context, r *request) *failure {
 	t := e.newTurn(r)
-	got, f := e.takeTurn(ctx, r, t)
+	got, f := e.waitTurn(ctx, r, t)
 	if f != nil {
 		return f
 	}
-	defer e.schedulers.of(r.service).finished(t, got)
+	defer e.schedulers.get(r.service).finish(t, got)
 	e.logApp(r, got)
 	s := e.sides.Find(got.app)
 	if s == nil {
@@ -32,20 +33,20 @@
 	}
 	e.FaultHook.Reach(inject.EntryClaimed)
 	began := time.Now()
-	out := e.stage(ctx, s, wire.Run{
+	out := e.runStage(ctx, s, wire.Run{
 		AttemptRef: wire.AttemptRef{Request: r.id, Attempt: r.attempt, Stage: wire.StageCall}, Account: r.account, Kind: r.kind, Identity: r.identity,
 		Within: e.timeLeft(r), Call: r.call, Dispatch: d, Idempotent: r.row.Idempotent,
 	}, nil)
 	if out.Reason == "" && out.Answer != nil {
 		f = nil
-		r.answer = out.Answer
+		r.response = out.Answer
 		took := time.Since(began)
-		e.schedulers.of(r.service).observe(r, took, took)
+		e.schedulers.get(r.service).observe(r, took, took)
 	} else {
-		f = failed(out)
-		r.pass(s, f)
+		f = failureOf(out)
+		r.avoidHost(s, f)
 	}
-	e.judge(s, time.Since(began), 0, f)
+	e.recordHealth(s, time.Since(began), 0, f)
 	e.resolve(r, d, f)
 	return f
 }
--- a/entry/crashes.go
+++ b/entry/crashes.go
@@ -10,21 +10,21 @@
 	"jacinthworks/wire"
 )
 
-// mayRetry says whether a failed attempt may be followed by another.
+// mayRetry reports whether the failed attempt may be retried, and logs the decision.
 func (e *Entry) mayRetry(r *request, f *failure) bool {
-	if f.final || f.begun {
+	if f.final || f.answerBegun {
 		return false
 	}
 	v := e.retries.Decide(time.Now(), retry.Failure{
-		Attempt: r.attempt - r.bounces, Ran: f.ran, Idempotent: r.row.Idempotent, Deadline: r.accepted.Add(time.Duration(r.row.Deadline)),
+		Attempt: r.attempt - r.unsentAttempts, Ran: f.ran, Idempotent: r.row.Idempotent, Deadline: r.accepted.Add(time.Duration(r.row.Deadline)),
 	})
 	e.Log.Info("decision", "request", r.id, "attempt", r.attempt, "retry", v, "ran", f.ran, "reason", f.reason)
 	return v == retry.Allowed
 }
 
-// stopped refuses a request that has crashed two upstreams, whoever sends it
-// and under whatever request id.
-func (e *Entry) stopped(r *request) *failure {
+// refuseCrashing returns a failure if the request has crashed two upstreams, whichever
+// caller sent it and under whichever request id; otherwise nil.
+func (e *Entry) refuseCrashing(r *request) *failure {
 	if e.crashes.Suspicion(time.Now(), r.identity) != retry.Blocked {
 		return nil
 	}
@@ -34,9 +34,10 @@
 	}
 }
 
-// blame takes the evidence of an attempt during which its upstream died, and
-// passes it on at once: the next attempt may come from another entry.
-func (e *Entry) blame(s *peers.Link, d *retry.Death) {
+// recordDeath records that an upstream died during an attempt, and sends the evidence at
+// once to the sides of the service and to the other entries: the next attempt of the same
+// request may come from another entry. It does nothing if d is nil.
+func (e *Entry) recordDeath(s *peers.Link, d *retry.Death) {
 	if d == nil {
 		return
 	}
@@ -52,8 +53,8 @@
 	}
 }
 
-// takeEvidence takes evidence from a side or another entry.
-func (e *Entry) takeEvidence(params json.RawMessage) {
+// mergeEvidence merges the evidence that a side or another entry has sent.
+func (e *Entry) mergeEvidence(params json.RawMessage) {
 	var r retry.Record
 	if json.Unmarshal(params, &r) == nil {
 		e.crashes.Merge(time.Now(), r)
--- a/entry/health.go
+++ b/entry/health.go
@@ -8,14 +8,15 @@
 	"jacinthworks/peers"
 )
 
-// evaluateEvery is how often pools are compared, as eject asks.
-const evaluateEvery = time.Second
+// evaluateInterval is how often the upstreams of a pool are compared; package eject
+// requires an interval of this length.
+const evaluateInterval = time.Second
 
-// health compares the upstreams of a service with their peers, by role. The
-// zero value is ready to use.
+// health compares the upstreams of a service with the other upstreams of the same role.
+// The zero value is ready to use.
 type health struct{ prefill, decode, app eject.Pool }
 
-func (h *health) of(r domain.Role) *eject.Pool {
+func (h *health) pool(r domain.Role) *eject.Pool {
 	switch r {
 	case domain.RolePrefill:
 		return &h.prefill
@@ -25,11 +26,12 @@
 	return &h.app
 }
 
-// judge reports how long one stage took, or that it failed. What the upstream
-// refused or never had says nothing about its speed; a lost connection says
-// nothing before a fresh dial has failed as well.
-func (e *Entry) judge(s *peers.Link, took time.Duration, tokens int, f *failure) {
-	p := e.schedulers.of(s.Member.Service).health.of(s.Member.Role)
+// recordHealth records how long a stage took at an upstream, or that it failed. A stage
+// that the upstream refused or never received is not recorded, since it does not show the
+// upstream's speed. A lost connection counts towards an ejection only once a new dial has
+// failed too.
+func (e *Entry) recordHealth(s *peers.Link, took time.Duration, tokens int, f *failure) {
+	p := e.schedulers.get(s.Member.Service).health.pool(s.Member.Role)
 	now := time.Now()
 	switch {
 	case f == nil:
@@ -43,28 +45,29 @@
 	}
 }
 
-// evaluate ejects and lets back, and gives each host its share of new work.
+// evaluate ejects and readmits upstreams, and applies the share of new work of each host.
 func (e *Entry) evaluate(now time.Time) {
 	for _, service := range e.services() {
-		s := e.schedulers.of(service)
+		s := e.schedulers.get(service)
 		for _, role := range []domain.Role{domain.RolePrefill, domain.RoleDecode, domain.RoleApp} {
 			hosts := e.sides.Members(service, role)
-			p := s.health.of(role)
+			p := s.health.pool(role)
 			changes := append(p.SetMembers(now, hosts), p.Evaluate(now)...)
 			for _, c := range changes {
 				e.Log.Warn("ejection", "service", service, "host", c.Host, "ejected", c.Ejected, "until", c.Until, "grounds", c.Reason)
 			}
-			s.share(now, role, hosts)
+			s.applyWeights(now, role, hosts)
 		}
 	}
 }
 
-// share takes each host's weight over into the choice.
-func (s *scheduler) share(now time.Time, r domain.Role, hosts []domain.Host) {
+// applyWeights sets each host's traffic share in the upstream selection to its current
+// weight.
+func (s *scheduler) applyWeights(now time.Time, r domain.Role, hosts []domain.Host) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, h := range hosts {
-		w := s.health.of(r).Weight(now, h)
+		w := s.health.pool(r).Weight(now, h)
 		switch r {
 		case domain.RolePrefill:
 			s.model.Prefills.SetTrafficShare(h, w)
--- a/entry/hosts.go
+++ b/entry/hosts.go
@@ -9,24 +9,24 @@
 	"jacinthworks/infra"
 )
 
-// How often the host list is read. It only confirms, late, what a side says
-// itself by its heartbeat; its use is a host whose side cannot say so any more.
-// The time grows with the number of entries, so that all together read it at
-// most a hundred times a second.
+// The interval at which an entry reads the platform's host list. The list only confirms,
+// later, what a side reports in its heartbeat; it matters for a host whose side can no
+// longer send one. The interval grows with the number of entries, so that all of them
+// together read the list at most a hundred times a second.
 const (
-	hostsEvery    = 2 * time.Second
-	hostsPerEntry = 10 * time.Millisecond
+	hostsInterval         = 2 * time.Second
+	hostsIntervalPerEntry = 10 * time.Millisecond
 )
 
-// watchHosts keeps new work from hosts that the platform lists as leaving.
+// watchHosts stops new work for hosts that the platform lists as leaving.
 func (e *Entry) watchHosts(ctx context.Context) error {
 	for ctx.Err() == nil {
-		group.Sleep(ctx, max(hostsEvery, time.Duration(len(e.entries.All()))*hostsPerEntry))
-		read, cancel := context.WithTimeout(ctx, callWithin)
-		listed, err := e.Hosts.Hosts(read)
+		group.Sleep(ctx, max(hostsInterval, time.Duration(len(e.entries.All()))*hostsIntervalPerEntry))
+		readCtx, cancel := context.WithTimeout(ctx, callTimeout)
+		listed, err := e.Hosts.Hosts(readCtx)
 		cancel()
 		if err != nil {
-			continue // an old list says nothing worth keeping work away for
+			continue // an outdated list is no reason to stop new work for a host
 		}
 		leaving := make(map[domain.Host]bool)
 		for _, h := range listed {
@@ -37,7 +37,7 @@
 				e.Log.Info("host list", "host", l.Member.Host, "leaving", !was)
 			}
 			if leaving[l.Member.Host] {
-				e.schedulers.of(l.Member.Service).shut(l.Member.Host)
+				e.schedulers.get(l.Member.Service).setDraining(l.Member.Host)
 			}
 		}
 	}
--- a/entry/http.go
+++ b/entry/http.go
@@ -13,7 +13,7 @@
 	"jacinthworks/trace"
 )
 
-// The headers of the callers' interface.
+// Headers of the callers' API, and the maximum length of an idempotency key in bytes.
 const (
 	headerKind  = "Request-Kind"
 	headerKey   = "Idempotency-Key"
@@ -35,54 +35,57 @@
 	return m
 }
 
-// serveReady answers the platform's balancer.
+// serveReady handles the readiness probe of the platform's balancer.
 func (e *Entry) serveReady(w http.ResponseWriter, _ *http.Request) {
-	if e.leaving.Load() || e.draining.Load() || !e.inTouch(time.Now()) || !e.settled(time.Now()) {
+	if e.leaving.Load() || e.draining.Load() || !e.tableFresh(time.Now()) || !e.startupComplete(time.Now()) {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	w.WriteHeader(http.StatusOK)
 }
 
-// settleWithin is how long a fresh entry stays unready while some service has
-// no side that may be given work, or keys that nobody grants: time for a record
-// to be read, a dial and a heartbeat, several times over. Later a service
-// without sides is refused by name, and the entry goes on serving the others.
-const settleWithin = 5 * time.Second
-
-// settled says whether a fresh entry has met its sides.
-func (e *Entry) settled(now time.Time) bool {
-	if e.met.Load() || now.Sub(e.started) > settleWithin {
+// startupTimeout is how long a starting entry stays not ready while some service lacks a
+// usable side for a role, or has a shard of keys without an owner that grants claims. It
+// covers several times the read of a record, a dial and a heartbeat. After it, requests
+// for a service without sides are refused with that reason, and the entry serves the
+// other services.
+const startupTimeout = 5 * time.Second
+
+// startupComplete reports whether every service has its sides and shard owners, or
+// startupTimeout has passed. Once every service had them, it stays true.
+func (e *Entry) startupComplete(now time.Time) bool {
+	if e.startupDone.Load() || now.Sub(e.started) > startupTimeout {
 		return true
 	}
 	for _, s := range e.services() {
-		if !e.sides.HasEveryRole(s) || !e.owners.served(s) {
+		if !e.sides.HasEveryRole(s) || !e.owners.complete(s) {
 			return false
 		}
 	}
-	e.met.Store(true)
+	e.startupDone.Store(true)
 	return true
 }
 
-// reader fills a request in from its HTTP form.
-type reader func(r *request, h *http.Request, body []byte) check.Findings
+// readFunc fills in a request from its HTTP form and returns what is invalid in it.
+type readFunc func(r *request, h *http.Request, body []byte) check.Findings
 
-// server answers a request that was accepted. It ends its story.
-type server func(ctx context.Context, r *request, w http.ResponseWriter)
+// answerFunc runs an accepted request, writes its answer or refusal, and ends its trace.
+type answerFunc func(ctx context.Context, r *request, w http.ResponseWriter)
 
-// serve accepts a request and either refuses it or has it answered.
-func (e *Entry) serve(read reader, answer server) http.HandlerFunc {
+// serve returns a handler that accepts a request and either refuses it or runs it with
+// answer.
+func (e *Entry) serve(read readFunc, answer answerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, h *http.Request) {
 		r := &request{id: e.nextID(), accepted: time.Now(), kind: defaultKind}
 		w.Header().Set(headerID, string(r.id))
 		f := e.read(r, w, h, read)
-		e.accept(r)
+		e.recordAccepted(r)
 		e.FaultHook.Reach(inject.EntryAccepted)
 		if f == nil {
-			f = e.mayAccept(h.Context(), r)
+			f = e.checkAdmission(h.Context(), r)
 		}
 		if f != nil {
-			e.refuse(w, r, f)
+			e.writeRefusal(w, r, f)
 			return
 		}
 		ctx, cancel := context.WithTimeout(h.Context(), e.timeLeft(r))
@@ -91,8 +94,8 @@
 	}
 }
 
-// read fills the request in; every finding is reported together.
-func (e *Entry) read(r *request, w http.ResponseWriter, h *http.Request, read reader) *failure {
+// read fills in the request from its HTTP form. It returns one failure with all findings.
+func (e *Entry) read(r *request, w http.ResponseWriter, h *http.Request, read readFunc) *failure {
 	account, known := e.accountOf(h)
 	if !known {
 		return &failure{ran: domain.NotRun, reason: domain.ReasonNoToken, detail: "no caller's bearer token"}
@@ -113,17 +116,17 @@
 	if len(found) > 0 {
 		return &failure{ran: domain.NotRun, reason: domain.ReasonBadInput, detail: "the request cannot be read", findings: found}
 	}
-	r.body = hashOf(h.Method, h.URL.RequestURI(), string(body))
+	r.bodyHash = hashParts(h.Method, h.URL.RequestURI(), string(body))
 	r.identity = retry.Identify(r.account, r.service, []byte(h.URL.RequestURI()), body)
 	r.row, _ = e.lookup(r.service, r.kind)
 	return nil
 }
 
-// findRow refuses a request that the table has no row for.
+// findRow returns a failure if the table has no row for the request.
 func (e *Entry) findRow(r *request) *failure {
-	_, known := e.lookup(r.service, r.kind)
+	_, found := e.lookup(r.service, r.kind)
 	switch {
-	case known:
+	case found:
 		return nil
 	case e.servesService(r.service):
 		return &failure{ran: domain.NotRun, reason: domain.ReasonNoKind, detail: "the table has no such kind for the service"}
@@ -131,15 +134,17 @@
 	return &failure{ran: domain.NotRun, reason: domain.ReasonNoService, detail: "the table has no such service"}
 }
 
-// mayAccept refuses what this entry must not take now.
-func (e *Entry) mayAccept(ctx context.Context, r *request) *failure {
+// checkAdmission returns a failure if this entry must not run the request now: it is
+// stopping, its table is outdated, the table has no row for the request, or the caller is
+// over its rate.
+func (e *Entry) checkAdmission(ctx context.Context, r *request) *failure {
 	if e.draining.Load() {
 		return &failure{ran: domain.NotRun, reason: domain.ReasonDraining, detail: "this entry is stopping", retryAfter: time.Second}
 	}
-	// The failure: an edit came into force while this entry heard nobody. It
-	// shows as work under rows that no longer hold. Taking nothing new holds,
-	// since an edit is accepted no sooner than others have it.
-	if !e.inTouch(time.Now()) {
+	// While this entry is cut off from the platform and the other entries, an edit may come
+	// into force, and its rows may be outdated. Refusing new requests is sufficient: an edit
+	// is accepted only once other entries have it.
+	if !e.tableFresh(time.Now()) {
 		return &failure{ran: domain.NotRun, reason: domain.ReasonStale, detail: "this entry hears neither the platform nor another entry", retryAfter: time.Second}
 	}
 	if f := e.findRow(r); f != nil {
@@ -151,51 +156,53 @@
 	return nil
 }
 
-// accountOf finds the caller by bearer token.
+// accountOf returns the caller's account by the request's bearer token, and false if
+// there is none.
 func (e *Entry) accountOf(h *http.Request) (domain.Account, bool) {
-	given, found := strings.CutPrefix(h.Header.Get("Authorization"), "Bearer ")
+	bearer, found := strings.CutPrefix(h.Header.Get("Authorization"), "Bearer ")
 	if !found {
 		return "", false
 	}
-	return e.accounts.find(given)
+	return e.accounts.find(bearer)
 }
 
-// serveModel answers a completion, streamed or whole.
+// serveModel runs a completion request and writes the completion, streamed or as one
+// body.
 func (e *Entry) serveModel(ctx context.Context, r *request, w http.ResponseWriter) {
-	to := newAnswer(r, w, e.Settings.Limits.WriteTimeout)
-	f := e.model(ctx, r, to)
+	writer := newCompletionWriter(r, w, e.Settings.Limits.WriteTimeout)
+	f := e.runModel(ctx, r, writer)
 	if f == nil {
 		e.FaultHook.Reach(inject.EntryRan)
-		f = to.finish()
+		f = writer.finish()
 	}
 	if f == nil {
 		e.FaultHook.Reach(inject.EntryAnswered)
-		e.answered(r)
+		e.recordAnswered(r)
 		return
 	}
-	if to.begun() {
-		to.breakOff(e.refusal(r, f))
+	if writer.hasBegun() {
+		writer.writeError(e.recordRefusal(r, f))
 		return
 	}
-	e.refuse(w, r, f)
+	e.writeRefusal(w, r, f)
 }
 
-// serveCall answers a plain call.
+// serveCall runs a plain call and writes its response.
 func (e *Entry) serveCall(ctx context.Context, r *request, w http.ResponseWriter) {
-	if f := e.plain(ctx, r); f != nil {
-		e.refuse(w, r, f)
+	if f := e.runCall(ctx, r); f != nil {
+		e.writeRefusal(w, r, f)
 		return
 	}
 	e.FaultHook.Reach(inject.EntryRan)
-	for name, values := range r.answer.Header {
+	for name, values := range r.response.Header {
 		w.Header()[name] = values
 	}
 	w.Header().Set(headerID, string(r.id))
-	deadline(w, e.Settings.Limits.WriteTimeout)
-	w.WriteHeader(r.answer.Status)
-	if _, err := w.Write(r.answer.Body); err != nil {
-		e.tell(r, trace.Event{Kind: trace.CallerGone, Detail: err.Error()})
+	setWriteDeadline(w, e.Settings.Limits.WriteTimeout)
+	w.WriteHeader(r.response.Status)
+	if _, err := w.Write(r.response.Body); err != nil {
+		e.recordEvent(r, trace.Event{Kind: trace.CallerGone, Detail: err.Error()})
 	}
 	e.FaultHook.Reach(inject.EntryAnswered)
-	e.answered(r)
+	e.recordAnswered(r)
 }
--- a/entry/keys.go
+++ b/entry/keys.go
@@ -13,33 +13,34 @@
 	"jacinthworks/wire"
 )
 
-// Waits of claims. A shard whose owner was lost has a new one within about
-// two seconds; a claim waits for that and a little more, so that a lost side
-// refuses nobody who may wait that long.
+// Times of claims. A shard whose owner has failed gets a new owner within about two
+// seconds. A claim is retried for somewhat longer, so that the loss of a side refuses no
+// request whose deadline allows the wait.
 const (
-	claimWithin   = 4 * time.Second
-	claimPoll     = 50 * time.Millisecond
-	resolveWithin = 10 * time.Second
+	claimTimeout       = 4 * time.Second
+	claimRetryInterval = 50 * time.Millisecond
+	resolveTimeout     = 10 * time.Second
 )
 
-// keyed says whether the request is claimed before it runs.
-func (r *request) keyed() bool { return r.key != "" }
+// hasKey reports whether the request has an idempotency key, which must be claimed before
+// the request runs.
+func (r *request) hasKey() bool { return r.key != "" }
 
 func (r *request) claimKey() claim.Key { return claim.Key{Account: r.account, Name: r.key} }
 
-// eligible gives a filter for the hosts that may run the request: those that
-// its key's shard allows under the newest record, or nil when it has no key.
+// eligible returns a filter for the hosts that the shard of the request's key allows
+// under the newest record, or nil if the request has no key.
 func (e *Entry) eligible(r *request) func(domain.Host) bool {
-	if !r.keyed() {
+	if !r.hasKey() {
 		return nil
 	}
-	var known infra.Version
+	var version infra.Version
 	hosts := make(map[domain.Host]bool)
 	return func(h domain.Host) bool {
-		if now := e.sides.Record(r.service); now.Version != known {
-			known = now.Version
+		if record := e.sides.Record(r.service); record.Version != version {
+			version = record.Version
 			clear(hosts)
-			for _, p := range now.Claims.Eligible(r.claimKey().Shard()) {
+			for _, p := range record.Claims.Eligible(r.claimKey().Shard()) {
 				hosts[p.Host] = true
 			}
 		}
@@ -47,104 +48,106 @@
 	}
 }
 
-// claim claims the request's key for its present attempt at a runner. It gives
-// nil for a request without a key.
+// claim claims the request's key for the current attempt and the given runner. It returns
+// nil and no failure for a request without a key.
 func (e *Entry) claim(ctx context.Context, r *request, runner *peers.Link) (*claim.Dispatch, *failure) {
-	if !r.keyed() {
+	if !r.hasKey() {
 		return nil, nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, claimWithin)
+	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	last := &failure{
 		ran: domain.NotRun, reason: domain.ReasonNoClaim, detail: "no owner of the key's shard answers", final: true, retryAfter: time.Second,
 	}
 	for ctx.Err() == nil {
-		got, err := e.askOwner(ctx, r, runner)
+		got, err := e.sendClaim(ctx, r, runner)
 		switch {
 		case err != nil:
-			// The answer may be lost, and the try granted. Nothing was
-			// dispatched under it, and nothing will be: the next try is
-			// another one, and this one is settled below when it shows.
+			// The claim may have been granted and the reply lost. Nothing was dispatched
+			// under it and nothing will be: the next claim has a new number, and if the
+			// lost claim blocks it, settleEarlier resolves the lost one.
 		case got.Grant != nil:
-			e.tell(r, trace.Event{Kind: trace.Claimed, Upstream: runner.Member.Host, Detail: "granted at epoch " + got.Grant.Token.Epoch.String()})
-			return &claim.Dispatch{Token: got.Grant.Token, Try: got.Grant.Try, Body: claim.Body(r.body), To: got.Grant.Runner}, nil
+			e.recordEvent(r, trace.Event{Kind: trace.Claimed, Upstream: runner.Member.Host, Detail: "granted at epoch " + got.Grant.Token.Epoch.String()})
+			return &claim.Dispatch{Token: got.Grant.Token, Try: got.Grant.Try, Body: claim.Body(r.bodyHash), To: got.Grant.Runner}, nil
 		case got.Refusal != nil:
-			f, again := e.claimRefused(ctx, r, got.Refusal)
-			if !again {
+			f, retryClaim := e.handleClaimRefusal(ctx, r, got.Refusal)
+			if !retryClaim {
 				return nil, f
 			}
 			last = f
 		}
-		group.Sleep(ctx, claimPoll)
+		group.Sleep(ctx, claimRetryInterval)
 	}
-	e.tell(r, trace.Event{Kind: trace.Claimed, Detail: "not granted: " + last.detail})
+	e.recordEvent(r, trace.Event{Kind: trace.Claimed, Detail: "not granted: " + last.detail})
 	return nil, last
 }
 
-// askOwner sends one claim under a try of its own.
-func (e *Entry) askOwner(ctx context.Context, r *request, runner *peers.Link) (wire.ClaimReply, error) {
+// sendClaim sends one claim to the owner of the key's shard, under a new claim number.
+func (e *Entry) sendClaim(ctx context.Context, r *request, runner *peers.Link) (wire.ClaimReply, error) {
 	var got wire.ClaimReply
 	owner := e.ownerOf(r)
 	if owner == nil {
 		return got, wire.ErrNotSent
 	}
-	r.tries++
-	ctx, cancel := context.WithTimeout(ctx, callWithin)
+	r.claimTries++
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	err := owner.Call(ctx, wire.MethodClaim, claim.Request{
-		Key: r.claimKey(), Try: claim.AttemptID{Request: r.id, Attempt: r.tries}, Body: claim.Body(r.body), Runner: runner.Member.Process(),
+		Key: r.claimKey(), Try: claim.AttemptID{Request: r.id, Attempt: r.claimTries}, Body: claim.Body(r.bodyHash), Runner: runner.Member.Process(),
 	}, &got)
 	return got, err
 }
 
-// claimRefused says what a refused claim means for the request, and whether to
-// claim again.
-func (e *Entry) claimRefused(ctx context.Context, r *request, refused *claim.Refusal) (*failure, bool) {
-	f := &failure{ran: refused.Ran, reason: refused.Reason(), detail: refused.Error(), final: true, retryAfter: time.Second}
-	switch refused.Code {
+// handleClaimRefusal returns the failure that a refused claim means for the request, and
+// reports whether to retry the claim.
+func (e *Entry) handleClaimRefusal(ctx context.Context, r *request, refusal *claim.Refusal) (*failure, bool) {
+	f := &failure{ran: refusal.Ran, reason: refusal.Reason(), detail: refusal.Error(), final: true, retryAfter: time.Second}
+	switch refusal.Code {
 	case claim.CodeNotOwner, claim.CodeNotRestored:
 		return f, true
 	case claim.CodeOtherRunner, claim.CodeFenced:
-		// The owner goes by another version of the record than this entry.
-		// Both will soon hold the newer: choose the runner again then.
-		return &failure{ran: domain.NotRun, reason: domain.ReasonNoRoom, detail: refused.Error()}, false
+		// The owner has another version of the record than this entry. Both will soon
+		// have the newer version; the runner is then selected again.
+		return &failure{ran: domain.NotRun, reason: domain.ReasonNoRoom, detail: refusal.Error()}, false
 	case claim.CodeInProgress:
-		if refused.Try.Request != r.id && e.isOpen(ctx, refused.Try.Request) {
+		if refusal.Try.Request != r.id && e.isOpen(ctx, refusal.Try.Request) {
 			return f, false
 		}
-		return f, e.settleEarlier(ctx, r, refused)
+		return f, e.settleEarlier(ctx, r, refusal)
 	case claim.CodeAlreadyRan, claim.CodeOtherBody:
 		f.retryAfter = 0
 	}
 	return f, false
 }
 
-// settleEarlier finds out what became of an earlier try whose entry does not
-// have it any more, by asking the runner. It reports whether to claim again.
+// settleEarlier asks the runner of an earlier attempt, which its entry no longer has
+// open, how the attempt ended, and passes the state on to the owner. It reports whether
+// to retry the claim.
 func (e *Entry) settleEarlier(ctx context.Context, r *request, refused *claim.Refusal) bool {
 	runner := e.sides.Find(refused.Runner.Host)
 	if runner == nil {
 		return false
 	}
-	try, cancel := context.WithTimeout(ctx, callWithin)
+	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	var found claim.Resolution
 	order := claim.StatusRequest{Key: r.claimKey(), Try: refused.Try, To: refused.Runner}
-	if runner.Call(try, wire.MethodAsk, order, &found) != nil {
+	if runner.Call(callCtx, wire.MethodAsk, order, &found) != nil {
 		return false
 	}
 	if found.State == claim.StateGranted || found.State == 0 {
 		return false
 	}
-	e.tell(r, trace.Event{Kind: trace.Claimed, Upstream: runner.Member.Host, Detail: "earlier send " + string(refused.Try.Request) + " is settled: " + found.State.String()})
+	e.recordEvent(r, trace.Event{Kind: trace.Claimed, Upstream: runner.Member.Host, Detail: "earlier send " + string(refused.Try.Request) + " is settled: " + found.State.String()})
 	owner := e.ownerOf(r)
-	if owner == nil || owner.Call(try, wire.MethodResolve, found, nil) != nil {
+	if owner == nil || owner.Call(callCtx, wire.MethodResolve, found, nil) != nil {
 		return false
 	}
-	return true // the owner now says what that means
+	return true // the owner now decides by the resolved state
 }
 
-// isOpen says whether the entry that accepted a request still has it open.
+// isOpen reports whether the entry that accepted the request still has it open. An entry
+// that is connected but fails to reply counts as having it open.
 func (e *Entry) isOpen(ctx context.Context, id domain.RequestID) bool {
 	if own, found := e.recorder.Get(id); found {
 		return own.Open
@@ -158,56 +161,57 @@
 		if p == nil || p.RemoteHello().Host != parts.Entry || p.RemoteHello().Incarnation != parts.Incarnation {
 			continue
 		}
-		try, cancel := context.WithTimeout(ctx, callWithin)
+		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
 		var s trace.Span
-		if l.Call(try, wire.MethodTrace, wire.TraceRequest{Request: id}, &s) != nil {
-			return true // it lives and does not say: its request may be open
+		if l.Call(callCtx, wire.MethodTrace, wire.TraceRequest{Request: id}, &s) != nil {
+			return true // connected but without a reply: the request may be open
 		}
 		return s.Open
 	}
 	return false
 }
 
-// resolve tells the key's owner how the attempt ended. It waits for the answer
-// only where the caller is told to come back with the same key.
+// resolve reports to the owner of the key how the attempt ended. Only after a failure it
+// waits for the owner's reply, at most callTimeout: the caller may then retry with the
+// same key.
 func (e *Entry) resolve(r *request, d *claim.Dispatch, f *failure) {
 	if d == nil {
 		return
 	}
-	res := claim.Resolution{Key: d.Token.Key, Try: d.Try, State: stateAfter(r, f)}
+	res := claim.Resolution{Key: d.Token.Key, Try: d.Try, State: keyState(r, f)}
 	if res.State == claim.StateUnknown && (f.reason == domain.ReasonCallerGone || f.reason == domain.ReasonDeadline) {
-		return // it runs on: its runner knows the end, and is asked when the key is sent again
+		return // the work may still run; its runner is asked for the result when the key is used again
 	}
 	done := make(chan struct{})
-	started := e.work.Go(e.workCtx, "resolve", func(ctx context.Context) error {
+	started := e.background.Go(e.backgroundCtx, "resolve", func(ctx context.Context) error {
 		defer close(done)
-		ctx, cancel := context.WithTimeout(ctx, resolveWithin)
+		ctx, cancel := context.WithTimeout(ctx, resolveTimeout)
 		defer cancel()
 		for ctx.Err() == nil {
-			try, stop := context.WithTimeout(ctx, callWithin)
+			callCtx, stop := context.WithTimeout(ctx, callTimeout)
 			owner := e.ownerOf(r)
-			sent := owner != nil && owner.Call(try, wire.MethodResolve, res, nil) == nil
+			sent := owner != nil && owner.Call(callCtx, wire.MethodResolve, res, nil) == nil
 			stop()
 			if sent {
 				return nil
 			}
-			group.Sleep(ctx, claimPoll)
+			group.Sleep(ctx, claimRetryInterval)
 		}
 		return ctx.Err()
 	})
 	if started && f != nil {
 		select {
 		case <-done:
-		case <-time.After(callWithin):
+		case <-time.After(callTimeout):
 		}
 	}
 }
 
-// stateAfter gives the state in which an attempt leaves its key. Idempotent
-// work that was not answered frees it: this entry alone could have delivered
-// that attempt's answer, and did not.
-func stateAfter(r *request, f *failure) claim.State {
+// keyState returns the state in which an attempt leaves its key. Idempotent work that was
+// not answered frees the key: only this entry could have delivered the attempt's answer,
+// and it did not.
+func keyState(r *request, f *failure) claim.State {
 	switch {
 	case f == nil:
 		return claim.StateRan
--- a/entry/keys_test.go
+++ b/entry/keys_test.go
@@ -14,7 +14,8 @@
 	"jacinthworks/wire"
 )
 
-// fencedOutcome is how a side answers a grant of an owner that another has followed.
+// fencedOutcome returns a side's outcome for a grant of an owner that has been
+// superseded.
 func fencedOutcome(epoch claim.Epoch) wire.Outcome {
 	return wire.Outcome{
 		Ran: domain.NotRun, Reason: domain.ReasonNoClaim,
@@ -22,9 +23,9 @@
 	}
 }
 
-// Guards against a request that spends all its attempts within milliseconds on grants of an
-// owner that another one is just taking over from.
-func TestGrantsOfAFormerOwnerCostNoAttempts(t *testing.T) {
+// Guards against a request that uses up all its attempts within milliseconds on grants of
+// a shard owner that is being superseded.
+func TestFencedGrantsDoNotUseAttempts(t *testing.T) {
 	e := &Entry{Log: hclog.NewNullLogger()}
 	r := &request{accepted: time.Now(), key: "k"}
 	r.row.Deadline = table.Duration(10 * time.Second)
@@ -32,7 +33,7 @@
 	tries := 0
 	f := e.attempts(t.Context(), r, func(context.Context) *failure {
 		if tries++; tries <= former {
-			return failed(fencedOutcome(claim.Epoch{Version: 3, Turn: 1}))
+			return failureOf(fencedOutcome(claim.Epoch{Version: 3, Turn: 1}))
 		}
 		return nil
 	})
@@ -40,15 +41,16 @@
 	require.Equal(t, former+1, tries)
 }
 
-// Guards against a request that is held to its end where no successor makes itself known.
-func TestTheWaitForAnOwnerIsBounded(t *testing.T) {
+// Guards against a request that waits until its deadline although no new owner of the
+// shard is reported.
+func TestAwaitsOwnerUntilClaimTimeout(t *testing.T) {
 	now := time.Now()
 	var r request
-	f := failed(fencedOutcome(claim.Epoch{Version: 3, Turn: 1}))
+	f := failureOf(fencedOutcome(claim.Epoch{Version: 3, Turn: 1}))
 	require.True(t, r.awaitsOwner(f, now))
-	require.True(t, r.awaitsOwner(f, now.Add(claimWithin-time.Millisecond)))
-	require.False(t, r.awaitsOwner(f, now.Add(claimWithin)))
+	require.True(t, r.awaitsOwner(f, now.Add(claimTimeout-time.Millisecond)))
+	require.False(t, r.awaitsOwner(f, now.Add(claimTimeout)))
 	mayHaveRun := fencedOutcome(claim.Epoch{Version: 3, Turn: 1})
 	mayHaveRun.Claim.TryNotRun = false
-	require.False(t, (&request{}).awaitsOwner(failed(mayHaveRun), now))
+	require.False(t, (&request{}).awaitsOwner(failureOf(mayHaveRun), now))
 }
--- a/entry/members.go
+++ b/entry/members.go
@@ -10,18 +10,18 @@
 	"jacinthworks/wire"
 )
 
-// Waits of the watches: one long wait at the platform, and a rest after a
-// failed one.
+// Times of the watches: how long one watch waits at the platform, and the delay after a
+// watch that failed.
 const (
-	watchWait = member.WatchWait
-	watchRest = member.WatchRetryDelay
+	watchTimeout    = member.WatchWait
+	watchRetryDelay = member.WatchRetryDelay
 )
 
-// watchMembers follows the record of each service in the table.
+// watchMembers watches the record of each service in the table.
 func (e *Entry) watchMembers(ctx context.Context) error {
 	var g group.Group
 	watched := make(map[domain.Service]bool)
-	t := time.NewTicker(watchRest)
+	t := time.NewTicker(watchRetryDelay)
 	defer t.Stop()
 	for ctx.Err() == nil {
 		for _, s := range e.services() {
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// watchRecord follows one service's record.
+// watchRecord watches the record of one service and passes each newer version to apply.
 func (e *Entry) watchRecord(ctx context.Context, s domain.Service, apply func(member.Record) bool) error {
 	return member.Watch(ctx, e.Objects, s, func(r member.Record) bool {
 		taken := apply(r)
@@ -51,14 +51,14 @@
 	}, func(ctx context.Context, at member.Record) member.Record { return e.recordFromPeers(ctx, s, at, apply) })
 }
 
-// recordFromPeers asks the other entries for a record while the platform does
-// not give it, and gives the newest known. An entry that starts during an
-// outage learns its sides this way.
+// recordFromPeers requests a record from the other entries while the platform does not
+// return it, and returns the newest version. An entry that starts during an outage of the
+// platform finds its sides this way.
 func (e *Entry) recordFromPeers(ctx context.Context, s domain.Service, at member.Record, apply func(member.Record) bool) member.Record {
 	for _, l := range e.entries.Connected() {
 		var got member.Record
-		try, cancel := context.WithTimeout(ctx, callWithin)
-		err := l.Call(try, wire.MethodMembers, wire.MembersRequest{Service: s, Have: uint64(at.Version)}, &got)
+		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
+		err := l.Call(callCtx, wire.MethodMembers, wire.MembersRequest{Service: s, Have: uint64(at.Version)}, &got)
 		cancel()
 		if err == nil && got.Version > at.Version && apply(got) {
 			e.Log.Info("members", "service", s, "version", got.Version, "count", len(got.Members), "from", l.Member.Host)
--- a/entry/model.go
+++ b/entry/model.go
@@ -17,24 +17,24 @@
 	"jacinthworks/wire"
 )
 
-// sink takes the tokens of an answer for the caller.
+// sink receives the tokens of an answer for the caller.
 type sink interface {
-	// put passes tokens on; an error says that the caller takes no more.
-	put(tokens []string) error
-	// restart drops what an earlier attempt put and the caller has not seen.
-	restart()
-	// begun says whether the caller has seen part of the answer.
-	begun() bool
+	// add writes or buffers tokens; an error means that the caller can't receive more.
+	add(tokens []string) error
+	// discard drops tokens of an earlier attempt that were not sent to the caller.
+	discard()
+	// hasBegun reports whether part of the answer was sent to the caller.
+	hasBegun() bool
 }
 
-// model runs a request on a prefill and a decode engine.
-func (e *Entry) model(ctx context.Context, r *request, to sink) *failure {
+// runModel runs a request on a prefill and a decode engine.
+func (e *Entry) runModel(ctx context.Context, r *request, to sink) *failure {
 	return e.attempts(ctx, r, func(ctx context.Context) *failure {
-		to.restart()
+		to.discard()
 		r.tokens = 0
 		f := e.tryModel(ctx, r, to)
 		if f != nil {
-			f.begun = to.begun()
+			f.answerBegun = to.hasBegun()
 		}
 		return f
 	})
@@ -48,7 +48,7 @@
 	if f != nil {
 		return f
 	}
-	defer e.schedulers.of(r.service).finished(t, got)
+	defer e.schedulers.get(r.service).finish(t, got)
 	e.FaultHook.Reach(inject.EntryReserved)
 	held := wire.AttemptRef{Request: r.id, Attempt: r.attempt, Stage: wire.StageDecode}
 	release := func() { e.cancel(p.decode, held) }
@@ -59,7 +59,7 @@
 		return f
 	}
 	e.FaultHook.Reach(inject.EntryClaimed)
-	f = e.stages(ctx, r, p, d, to)
+	f = e.runStages(ctx, r, p, d, to)
 	if f != nil {
 		release()
 	}
@@ -67,37 +67,37 @@
 	return f
 }
 
-// stages runs prefill and decode under the claim.
-func (e *Entry) stages(ctx context.Context, r *request, p pair, d *claim.Dispatch, to sink) *failure {
+// runStages runs prefill and then decode under the claim.
+func (e *Entry) runStages(ctx context.Context, r *request, p pair, d *claim.Dispatch, to sink) *failure {
 	started := time.Now()
 	began := started
 	kv, f := e.prefill(ctx, r, p)
-	e.judge(p.prefill, time.Since(began), r.promptTokens, f)
+	e.recordHealth(p.prefill, time.Since(began), r.promptTokens, f)
 	if f != nil {
-		r.pass(p.prefill, f)
+		r.avoidHost(p.prefill, f)
 		return f
 	}
 	e.FaultHook.Reach(inject.EntryPrefilled)
-	e.schedulers.of(r.service).sawLife(kv.Life)
+	e.schedulers.get(r.service).setKVLifetime(kv.Life)
 	began = time.Now()
 	f = e.decode(ctx, r, p, kv, d, to)
-	if f != nil { // the cache may not have been fetched: it must not wait for its end
+	if f != nil { // decode may not have fetched the KV cache: free it now, not at the end of its lifetime
 		e.cancel(p.prefill, wire.AttemptRef{Request: r.id, Attempt: r.attempt, Stage: wire.StagePrefill})
 	}
 	if f == nil {
-		e.schedulers.of(r.service).observe(r, r.firstToken.Sub(started), time.Since(started))
+		e.schedulers.get(r.service).observe(r, r.firstToken.Sub(started), time.Since(started))
 	}
-	e.judge(p.decode, time.Since(began), r.tokens, f)
-	r.pass(p.decode, f)
+	e.recordHealth(p.decode, time.Since(began), r.tokens, f)
+	r.avoidHost(p.decode, f)
 	return f
 }
 
-// prefill fills the cache while the decode room is kept.
+// prefill fills the KV cache, and renews the reservation at the decode engine meanwhile.
 func (e *Entry) prefill(ctx context.Context, r *request, p pair) (engine.KV, *failure) {
-	keep, stop := context.WithCancel(ctx)
+	renewCtx, stop := context.WithCancel(ctx)
 	defer stop()
-	e.work.Go(keep, "keep room", func(ctx context.Context) error { return e.keepRoom(ctx, r, p.decode) })
-	out := e.stage(ctx, p.prefill, wire.Run{
+	e.background.Go(renewCtx, "renew reservation", func(ctx context.Context) error { return e.renewReservation(ctx, r, p.decode) })
+	out := e.runStage(ctx, p.prefill, wire.Run{
 		AttemptRef: wire.AttemptRef{Request: r.id, Attempt: r.attempt, Stage: wire.StagePrefill}, Account: r.account, Kind: r.kind, Identity: r.identity,
 		Within: e.timeLeft(r),
 		Prefill: &engine.PrefillOrder{
@@ -107,14 +107,14 @@
 	}, nil)
 	r.prefilled = r.prefilled || out.Ran != domain.NotRun
 	if out.Reason != "" || out.KV == nil {
-		return engine.KV{}, failed(out)
+		return engine.KV{}, failureOf(out)
 	}
-	e.tell(r, trace.Event{Kind: trace.PrefillDone, Upstream: p.prefill.Member.Host, Tokens: r.promptTokens})
+	e.recordEvent(r, trace.Event{Kind: trace.PrefillDone, Upstream: p.prefill.Member.Host, Tokens: r.promptTokens})
 	return *out.KV, nil
 }
 
-// keepRoom renews the reservation at the decode side until ctx ends.
-func (e *Entry) keepRoom(ctx context.Context, r *request, s *peers.Link) error {
+// renewReservation renews the reservation at the decode side until ctx ends.
+func (e *Entry) renewReservation(ctx context.Context, r *request, s *peers.Link) error {
 	for {
 		group.Sleep(ctx, admit.ReservationTTL/3)
 		if ctx.Err() != nil {
@@ -124,16 +124,16 @@
 	}
 }
 
-// decode runs the decode and passes its tokens on as they come.
+// decode runs the decode stage and forwards its tokens to the caller as they arrive.
 func (e *Entry) decode(ctx context.Context, r *request, p pair, kv engine.KV, d *claim.Dispatch, to sink) *failure {
 	ref := wire.AttemptRef{Request: r.id, Attempt: r.attempt, Stage: wire.StageDecode}
 	st := e.streams.open(ref)
-	defer e.streams.shut(ref)
+	defer e.streams.close(ref)
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	ended := make(chan wire.Outcome, 1)
-	e.work.Go(ctx, "decode", func(ctx context.Context) error {
-		ended <- e.stage(ctx, p.decode, wire.Run{
+	e.background.Go(ctx, "decode", func(ctx context.Context) error {
+		ended <- e.runStage(ctx, p.decode, wire.Run{
 			AttemptRef: ref, Account: r.account, Kind: r.kind, Identity: r.identity, Within: e.timeLeft(r), Tokens: r.promptTokens + r.maxTokens,
 			Decode: &engine.DecodeOrder{
 				Request: r.id, Attempt: r.attempt, KV: kv, MaxTokens: r.maxTokens, Priority: r.row.Priority,
@@ -142,52 +142,53 @@
 		}, st)
 		return nil
 	})
-	var gone error
+	var callerErr error
 	for {
 		select {
 		case <-st.changed:
-			gone = e.pass(r, st, to, gone)
-			if gone != nil {
+			callerErr = e.forwardTokens(r, st, to, callerErr)
+			if callerErr != nil {
 				stop()
 			}
 			continue
 		case out := <-ended:
-			if gone == nil {
-				gone = e.pass(r, st, to, nil)
+			if callerErr == nil {
+				callerErr = e.forwardTokens(r, st, to, nil)
 			}
-			if gone != nil {
-				return &failure{ran: domain.DidRun, reason: domain.ReasonCallerGone, detail: gone.Error()}
+			if callerErr != nil {
+				return &failure{ran: domain.DidRun, reason: domain.ReasonCallerGone, detail: callerErr.Error()}
 			}
 			if out.Reason != "" {
-				return failed(out)
+				return failureOf(out)
 			}
 			return nil
 		}
 	}
 }
 
-// pass gives fresh tokens to the caller.
-func (e *Entry) pass(r *request, st *stream, to sink, gone error) error {
-	fresh := st.take()
-	if gone != nil || len(fresh) == 0 {
-		return gone
+// forwardTokens writes the tokens that arrived since the last call to the caller. It
+// drops them if an earlier write failed with callerErr, and returns the first error.
+func (e *Entry) forwardTokens(r *request, st *stream, to sink, callerErr error) error {
+	fresh := st.takeNew()
+	if callerErr != nil || len(fresh) == 0 {
+		return callerErr
 	}
 	if r.tokens == 0 {
 		r.firstToken = time.Now()
-		e.tell(r, trace.Event{Kind: trace.FirstToken})
+		e.recordEvent(r, trace.Event{Kind: trace.FirstToken})
 	}
 	r.tokens += len(fresh)
-	return errors.Wrap(to.put(fresh), "entry: caller")
+	return errors.Wrap(to.add(fresh), "entry: caller")
 }
 
-// timeLeft is the time to the request's deadline.
+// timeLeft returns the time until the request's deadline.
 func (e *Entry) timeLeft(r *request) time.Duration {
 	return time.Until(r.accepted.Add(time.Duration(r.row.Deadline)))
 }
 
-// prefixOf hashes the head of a prompt, which engines may have cached.
-func prefixOf(prompt string) uint64 { return hashOf(prompt[:min(len(prompt), prefixBytes)]) }
+// prefixOf hashes the start of a prompt, whose KV cache engines may already hold.
+func prefixOf(prompt string) uint64 { return hashParts(prompt[:min(len(prompt), prefixBytes)]) }
 
-// prefixBytes is the length of prompt taken as a shared prefix: instructions
-// and the head of a pedigree or a wall's history, about 250 tokens.
+// prefixBytes is the length of the prompt start that is treated as a shared prefix: the
+// instructions and the start of a pedigree or of a wall's history, about 250 tokens.
 const prefixBytes = 1024
--- a/entry/read.go
+++ b/entry/parse_request.go
@@ -13,16 +13,17 @@
 	"jacinthworks/engine"
 )
 
-// Bounds of a completion. Four bytes a token is the usual figure for English
-// text; it is only used to weigh requests, engines count for themselves.
+// Limits and defaults of a completion. Four bytes per token is the usual figure for
+// English text. It is used only to estimate the cost of requests; engines count the
+// tokens themselves.
 const (
 	bytesPerToken    = 4
 	defaultMaxTokens = 256
-	mostMaxTokens    = 32768
+	maxTokensLimit   = 32768
 )
 
-// completion is the body of /v1/completions and /v1/chat/completions.
-type completion struct {
+// completionRequest is the body of /v1/completions and /v1/chat/completions.
+type completionRequest struct {
 	Model     domain.Service `json:"model"`
 	Prompt    string         `json:"prompt"`
 	Messages  []message      `json:"messages"`
@@ -35,7 +36,7 @@
 	Content string `json:"content"`
 }
 
-// readBody reads the body, bounded.
+// readBody reads the request body up to the configured limit.
 func (e *Entry) readBody(w http.ResponseWriter, h *http.Request) ([]byte, *failure) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, h.Body, e.Settings.Limits.MaxBody))
 	if errors.As(err, new(*http.MaxBytesError)) {
@@ -48,17 +49,17 @@
 }
 
 func readCompletion(r *request, _ *http.Request, body []byte) check.Findings {
-	c, found := parse(r, body)
+	c, found := parseCompletion(r, body)
 	if len(found) == 0 && c.Prompt == "" {
 		found.Add("/prompt", "is empty")
 	}
 	r.prompt = c.Prompt
-	r.weigh()
+	r.estimateTokens()
 	return found
 }
 
 func readChat(r *request, _ *http.Request, body []byte) check.Findings {
-	c, found := parse(r, body)
+	c, found := parseCompletion(r, body)
 	if len(found) == 0 && len(c.Messages) == 0 {
 		found.Add("/messages", "is empty")
 	}
@@ -67,12 +68,12 @@
 		text.WriteString(m.Role + ": " + m.Content + "\n")
 	}
 	r.prompt, r.chat = text.String(), true
-	r.weigh()
+	r.estimateTokens()
 	return found
 }
 
-func parse(r *request, body []byte) (completion, check.Findings) {
-	var c completion
+func parseCompletion(r *request, body []byte) (completionRequest, check.Findings) {
+	var c completionRequest
 	var found check.Findings
 	if err := json.Unmarshal(body, &c); err != nil {
 		found.Add("body", "is not JSON of a completion: %v", err)
@@ -81,8 +82,8 @@
 	if c.Model == "" {
 		found.Add("/model", "is empty")
 	}
-	if c.MaxTokens < 0 || c.MaxTokens > mostMaxTokens {
-		found.Add("/max_tokens", "is not between 0 and %d: %d", mostMaxTokens, c.MaxTokens)
+	if c.MaxTokens < 0 || c.MaxTokens > maxTokensLimit {
+		found.Add("/max_tokens", "is not between 0 and %d: %d", maxTokensLimit, c.MaxTokens)
 	}
 	if c.MaxTokens == 0 {
 		c.MaxTokens = defaultMaxTokens
@@ -91,10 +92,10 @@
 	return c, found
 }
 
-func (r *request) weigh() { r.promptTokens = max(1, len(r.prompt)/bytesPerToken) }
+func (r *request) estimateTokens() { r.promptTokens = max(1, len(r.prompt)/bytesPerToken) }
 
-// hopHeaders belong to one connection and are not passed on. Authorization is
-// the caller's to us; it opens nothing at an upstream.
+// hopHeaders apply to one connection and are not forwarded. Authorization authenticates
+// the caller to the entry and is of no use to an upstream.
 var hopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Authorization", "Content-Length",
--- a/entry/rates.go
+++ b/entry/rates.go
@@ -12,91 +12,94 @@
 )
 
 const (
-	// rateWithin bounds a call for a caller's rate: a round trip, and a host that waits
-	// for its share of a processor.
-	rateWithin = 80 * time.Millisecond
-	// rateTries is how many entries are asked in turn.
-	rateTries = 2
+	// rateTimeout bounds one call to the owner of a caller's rate: a round trip, and a
+	// delay before the remote host gets a processor.
+	rateTimeout = 80 * time.Millisecond
+	// maxRateCalls is how many connected entries are called, one after the other.
+	maxRateCalls = 2
 )
 
-// rates are what this entry counts of callers for all entries, what it counts for itself
-// while it reaches none that counts, and whom it was told to refuse. The zero value is
-// ready to use; it must not be copied. Its lock is a leaf.
+// rates holds the token buckets of the callers whose rate this entry owns, the buckets
+// that it uses on its own while it reaches no owner, and the refusals that it has
+// received. The zero value is ready to use; it must not be copied. Its lock is a leaf
+// lock: no other lock is acquired while it is held.
 type rates struct {
-	mu    sync.Mutex
-	all   limit.Limiter
-	alone limit.Limiter
-	told  limit.DenialCache
+	mu     sync.Mutex
+	owned  limit.Limiter
+	local  limit.Limiter
+	denied limit.DenialCache
 }
 
-// begin notes the start of the process.
-func (r *rates) begin(now time.Time) {
+// start sets the start time of the process.
+func (r *rates) start(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.all.Start = now
+	r.owned.Start = now
 }
 
-// count counts a request for all entries.
-func (r *rates) count(now time.Time, a wire.RateRequest) wire.RateReply {
+// take takes a token from the bucket that this entry keeps for a caller on behalf of all
+// entries. A standby, which replaces an unreachable owner, has a smaller burst.
+func (r *rates) take(now time.Time, a wire.RateRequest) wire.RateReply {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	burst := limit.Burst
 	if a.Standby {
 		burst = limit.StandbyBurst
 	}
-	wait, ok := r.all.Take(now, a.Of, a.Rate, burst)
+	wait, ok := r.owned.Take(now, a.Of, a.Rate, burst)
 	return wire.RateReply{Granted: ok, Wait: wait}
 }
 
-// countAlone counts a request against this entry's share, among so many entries.
-func (r *rates) countAlone(now time.Time, a wire.RateRequest, entries int) wire.RateReply {
+// takeLocal takes a token from a bucket with this entry's share of the rate: the rate
+// divided by the number of entries, with the burst of a standby.
+func (r *rates) takeLocal(now time.Time, a wire.RateRequest, entries int) wire.RateReply {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	wait, ok := r.alone.Take(now, a.Of, a.Rate/float64(max(entries, 1)), limit.StandbyBurst)
+	wait, ok := r.local.Take(now, a.Of, a.Rate/float64(max(entries, 1)), limit.StandbyBurst)
 	return wire.RateReply{Granted: ok, Wait: wait}
 }
 
-// known gives how long the caller is known to have nothing.
-func (r *rates) known(now time.Time, of limit.Key) time.Duration {
+// deniedWait returns the remaining wait of a cached refusal, or zero.
+func (r *rates) deniedWait(now time.Time, of limit.Key) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.told.Wait(now, of)
+	return r.denied.Wait(now, of)
 }
 
-// note remembers a caller that has to wait.
-func (r *rates) note(now time.Time, of limit.Key, wait time.Duration) {
+// addDenial caches the refusal of a caller for the given wait.
+func (r *rates) addDenial(now time.Time, of limit.Key, wait time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.told.Add(now, of, wait)
+	r.denied.Add(now, of, wait)
 }
 
-// takeRate counts a request against its caller's rate for the row, over all entries.
-//
-// Failure: each entry counts for itself, and a caller that uses all of them has its rate
-// as many times.
+// takeRate takes a token from the caller's bucket for the row, and returns how long to
+// wait if there is none. The bucket is shared by all entries: were each entry to limit
+// the rate on its own, a caller that uses all of them would get the rate once from each.
 func (e *Entry) takeRate(ctx context.Context, r *request) (wait time.Duration, ok bool) {
 	if r.row.CallerRate <= 0 {
 		return 0, true
 	}
 	now := time.Now()
-	ask := wire.RateRequest{Of: limit.Key{Account: r.account, Service: r.service, Kind: r.kind}, Rate: r.row.CallerRate}
-	by, rated := "known", wire.RateReply{Wait: e.rates.known(now, ask.Of)}
-	if rated.Wait <= 0 {
-		rated, by = e.askRate(ctx, now, ask)
+	rateRequest := wire.RateRequest{Of: limit.Key{Account: r.account, Service: r.service, Kind: r.kind}, Rate: r.row.CallerRate}
+	by, reply := "known", wire.RateReply{Wait: e.rates.deniedWait(now, rateRequest.Of)}
+	if reply.Wait <= 0 {
+		reply, by = e.rateFromOwner(ctx, now, rateRequest)
 	}
-	if rated.Granted {
+	if reply.Granted {
 		return 0, true
 	}
-	e.rates.note(now, ask.Of, rated.Wait)
+	e.rates.addDenial(now, rateRequest.Of, reply.Wait)
 	e.Log.Info("over rate", "request", r.id, "account", r.account, "service", r.service, "kind", r.kind,
-		"rate", ask.Rate, "wait", rated.Wait, "by", by)
-	return rated.Wait, false
+		"rate", rateRequest.Rate, "wait", reply.Wait, "by", by)
+	return reply.Wait, false
 }
 
-// askRate asks the entry that counts, or the next one, or counts here where that is this
-// one. It says by whom the answer is.
-func (e *Entry) askRate(ctx context.Context, now time.Time, ask wire.RateRequest) (rated wire.RateReply, by string) {
-	all := e.entriesRecord().Members
+// rateFromOwner takes a token at the owner of the rate, at the next entry in the order if
+// the owner is unreachable, or here where that is this entry. It also returns the name of
+// the entry that replied, or "self" or "alone".
+func (e *Entry) rateFromOwner(ctx context.Context, now time.Time, rateRequest wire.RateRequest) (reply wire.RateReply, by string) {
+	all := e.currentEntries().Members
 	order := make([]domain.Host, 0, len(all)+1)
 	self := false
 	for _, m := range all {
@@ -106,35 +109,35 @@
 	if !self {
 		order = append(order, e.Settings.Name)
 	}
-	relay.RendezvousSort(ask.Of.OwnerKey(), order, func(h domain.Host) domain.Host { return h })
+	relay.RendezvousSort(rateRequest.Of.OwnerKey(), order, func(h domain.Host) domain.Host { return h })
 	tries := 0
 	for n, h := range order {
-		ask.Standby = n > 0
+		rateRequest.Standby = n > 0
 		if h == e.Settings.Name {
-			return e.rates.count(now, ask), "self"
+			return e.rates.take(now, rateRequest), "self"
 		}
 		l := e.entries.Find(h)
 		if l == nil || l.Peer() == nil {
-			continue // it is known not to answer
+			continue // not connected
 		}
-		if tries++; tries > rateTries {
+		if tries++; tries > maxRateCalls {
 			break
 		}
-		call, cancel := context.WithTimeout(ctx, rateWithin)
-		err := l.Peer().Call(call, wire.MethodRate, ask, &rated)
+		callCtx, cancel := context.WithTimeout(ctx, rateTimeout)
+		err := l.Peer().Call(callCtx, wire.MethodRate, rateRequest, &reply)
 		cancel()
 		if err == nil {
-			return rated, string(h)
+			return reply, string(h)
 		}
-		e.Log.Info("rate not counted there", "entry", h, "account", ask.Of.Account, "err", err)
+		e.Log.Info("caller rate request failed", "entry", h, "account", rateRequest.Of.Account, "err", err)
 	}
-	return e.rates.countAlone(now, ask, len(order)), "alone"
+	return e.rates.takeLocal(now, rateRequest, len(order)), "alone"
 }
 
-// giveRate answers another entry.
-func (e *Entry) giveRate(a wire.RateRequest) (any, error) {
+// handleRateRequest handles another entry's request for a token of a caller's rate.
+func (e *Entry) handleRateRequest(a wire.RateRequest) (any, error) {
 	if a.Rate <= 0 || a.Of.Account == "" {
 		return nil, &wire.RefusalError{Reason: domain.ReasonBadInput, Ran: domain.NotRun, Detail: "no rate of an account"}
 	}
-	return e.rates.count(time.Now(), a), nil
+	return e.rates.take(time.Now(), a), nil
 }
--- a/entry/rates_test.go
+++ b/entry/rates_test.go
@@ -10,13 +10,13 @@
 	"jacinthworks/wire"
 )
 
-// Guards against a second burst where the entry that counts for a caller is lost, and
-// against a first one at each start of it.
-func TestAStandbyGrantsNoBurst(t *testing.T) {
+// Guards against a second burst when another entry takes over a caller's rate from its
+// owner, and against a burst after each restart of the owner.
+func TestRatesStandbyAndFreshOwnerGrantNoBurst(t *testing.T) {
 	now := time.Now()
 	granted := func(r *rates, a wire.RateRequest) (n int) {
 		for range 20 {
-			if r.count(now, a).Granted {
+			if r.take(now, a).Granted {
 				n++
 			}
 		}
@@ -28,19 +28,20 @@
 	ask.Standby = true
 	require.Equal(t, 1, granted(&standby, ask))
 	ask.Standby = false
-	fresh.begin(now)
+	fresh.start(now)
 	require.Zero(t, granted(&fresh, ask))
-	fresh.countAlone(now, ask, 4) // one may be saved up
-	require.False(t, fresh.countAlone(now, ask, 4).Granted)
+	fresh.takeLocal(now, ask, 4) // the bucket may hold one accumulated token
+	require.False(t, fresh.takeLocal(now, ask, 4).Granted)
 }
 
-// Guards against a call for each refusal of a caller that does not wait.
-func TestACallerThatWasToldToWaitIsRefusedHere(t *testing.T) {
+// Guards against a call to the owner of the rate for each request of a caller that does
+// not wait.
+func TestRatesCacheDenialUntilItExpires(t *testing.T) {
 	var r rates
 	now := time.Now()
 	of := limit.Key{Account: "loop"}
-	r.note(now, of, time.Second)
-	require.Equal(t, 400*time.Millisecond, r.known(now.Add(600*time.Millisecond), of))
-	require.Zero(t, r.known(now.Add(time.Second), of))
-	require.Zero(t, r.known(now, limit.Key{Account: "other"}))
+	r.addDenial(now, of, time.Second)
+	require.Equal(t, 400*time.Millisecond, r.deniedWait(now.Add(600*time.Millisecond), of))
+	require.Zero(t, r.deniedWait(now.Add(time.Second), of))
+	require.Zero(t, r.deniedWait(now, limit.Key{Account: "other"}))
 }
--- a/entry/request.go
+++ b/entry/request.go
@@ -18,7 +18,7 @@
 	"jacinthworks/wire"
 )
 
-// request is one accepted request until its end.
+// request is an accepted request until its end.
 type request struct {
 	id       domain.RequestID
 	account  domain.Account
@@ -26,56 +26,58 @@
 	kind     domain.Kind
 	row      table.Row
 	key      string
-	body     uint64
+	bodyHash uint64
 	identity retry.Identity
 	accepted time.Time
-	// firstToken is when the present attempt's first token came.
-	firstToken time.Time
-	attempt    domain.Attempt
-	bounces    domain.Attempt // attempts that no side took
-	// fencedAt is when an attempt first came with the grant of a former owner.
-	fencedAt time.Time
-	tries    domain.Attempt // of claims, each with a number of its own
-	tokens   int
-	// prefilled says that an engine has begun a prefill of it, whatever came
-	// of the decode: it cannot be called not_run any more.
+	// firstToken is when the first token of the current attempt arrived.
+	firstToken     time.Time
+	attempt        domain.Attempt
+	unsentAttempts domain.Attempt // attempts that use no retry; see attempts
+	// firstFenced is when a side first rejected an attempt because a former owner had
+	// granted its claim.
+	firstFenced time.Time
+	claimTries  domain.Attempt // number of the latest claim; each claim has a new number
+	tokens      int
+	// prefilled is set once an engine has begun a prefill for the request, however the
+	// decode ended: the request can't be reported as not_run any more.
 	prefilled bool
-	// avoid holds the hosts that failed this request.
-	avoid map[domain.Host]bool
-	// Of model work:
+	// failedHosts holds the hosts at which an attempt of the request failed.
+	failedHosts map[domain.Host]bool
+	// Only for completions:
 	prompt       string
 	promptTokens int
 	maxTokens    int
 	stream       bool
 	chat         bool
-	// Of a plain call:
-	call   *engine.Call
-	answer *engine.Response
+	// Only for plain calls:
+	call     *engine.Call
+	response *engine.Response
 }
 
-// failure is an attempt that did not end in an answer.
+// failure is the result of an attempt that did not end in an answer.
 type failure struct {
 	ran    domain.Execution
 	reason domain.Reason
 	detail string
 	death  *retry.Death
-	// begun says that the caller has seen part of the answer.
-	begun bool
-	// final says that no other attempt may follow.
+	// answerBegun is set if part of the answer was sent to the caller.
+	answerBegun bool
+	// final is set if the attempt must not be retried.
 	final bool
-	// fenced says that the grant was of an owner that another one has followed.
+	// fenced is set if a side rejected the claim's grant because the shard has a newer
+	// owner.
 	fenced bool
-	// retryAfter is set when a return makes sense.
+	// retryAfter is the Retry-After delay for the caller; zero if a retry is of no use.
 	retryAfter time.Duration
 	findings   check.Findings
 }
 
 func (e *Entry) nextID() domain.RequestID {
-	return trace.ID{Entry: e.Settings.Name, Incarnation: e.incarnation, Number: e.numbers.Add(1)}.RequestID()
+	return trace.ID{Entry: e.Settings.Name, Incarnation: e.incarnation, Number: e.requestCount.Add(1)}.RequestID()
 }
 
-// hashOf identifies a body.
-func hashOf(parts ...string) uint64 {
+// hashParts returns a hash of the parts, which identifies a body or a prompt prefix.
+func hashParts(parts ...string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
 	for _, p := range parts {
@@ -85,8 +87,9 @@
 	return d.Sum64()
 }
 
-// accept opens the request's story.
-func (e *Entry) accept(r *request) {
+// recordAccepted adds the first event to the request's trace, and adds to the retry
+// budget.
+func (e *Entry) recordAccepted(r *request) {
 	e.retries.Budget.Accepted()
 	e.recorder.Record(trace.Event{
 		Kind: trace.Accepted, Time: r.accepted, Host: e.Settings.Name, Request: r.id,
@@ -94,8 +97,8 @@
 	})
 }
 
-// tell adds an event to the request's story.
-func (e *Entry) tell(r *request, v trace.Event) {
+// recordEvent adds an event to the request's trace.
+func (e *Entry) recordEvent(r *request, v trace.Event) {
 	v.Time, v.Host, v.Request = time.Now(), e.Settings.Name, r.id
 	if v.Attempt == 0 && v.Kind != trace.Queued {
 		v.Attempt = r.attempt
@@ -103,27 +106,27 @@
 	e.recorder.Record(v)
 }
 
-// answered ends the request's story with its answer.
-func (e *Entry) answered(r *request) {
-	e.tell(r, trace.Event{Kind: trace.Answered, Ran: domain.DidRun, Tokens: r.tokens})
+// recordAnswered ends the request's trace with an answer.
+func (e *Entry) recordAnswered(r *request) {
+	e.recordEvent(r, trace.Event{Kind: trace.Answered, Ran: domain.DidRun, Tokens: r.tokens})
 	e.Log.Info("answered", "request", r.id, "kind", r.kind, "account", r.account,
 		"attempts", r.attempt, "tokens", r.tokens, "took", time.Since(r.accepted))
 }
 
-// refusal ends the request's story with a refusal, and gives it.
-func (e *Entry) refusal(r *request, f *failure) *domain.Refusal {
-	e.tell(r, trace.Event{Kind: trace.Refused, Ran: f.ran, Reason: f.reason, Detail: f.detail, Tokens: r.tokens})
+// recordRefusal ends the request's trace with a refusal, and returns the refusal.
+func (e *Entry) recordRefusal(r *request, f *failure) *domain.Refusal {
+	e.recordEvent(r, trace.Event{Kind: trace.Refused, Ran: f.ran, Reason: f.reason, Detail: f.detail, Tokens: r.tokens})
 	e.Log.Info("refused", "request", r.id, "kind", r.kind, "account", r.account,
 		"attempts", r.attempt, "reason", f.reason, "ran", f.ran, "took", time.Since(r.accepted))
 	return &domain.Refusal{RequestID: r.id, Reason: f.reason, Ran: f.ran, Detail: f.detail, RetryAfter: f.retryAfter, Findings: f.findings}
 }
 
-// failed turns an outcome into a failure.
-func failed(out wire.Outcome) *failure {
+// failureOf converts the outcome of a failed stage to a failure.
+func failureOf(out wire.Outcome) *failure {
 	f := &failure{ran: out.Ran, reason: out.Reason, detail: out.Detail, death: out.Death}
 	if c := out.Claim; c != nil && (c.Code == claim.CodeKeyTaken || !c.TryNotRun) {
-		// This attempt did not run, but another under its key may have: a
-		// side that was paused wakes and runs what was given up meanwhile.
+		// This attempt did not run, but another attempt with the same key may have: a
+		// side that was suspended resumes and runs work that was abandoned meanwhile.
 		f.ran, f.final = c.Ran.Merge(domain.Unknown), true
 	} else if c != nil {
 		f.fenced = c.Code == claim.CodeFenced
@@ -131,11 +134,11 @@
 	return f
 }
 
-// attempts runs try until it succeeds or must not be repeated.
+// attempts runs try until it succeeds or must not be retried.
 func (e *Entry) attempts(ctx context.Context, r *request, try func(context.Context) *failure) *failure {
 	worst := domain.NotRun
 	for {
-		if f := e.stopped(r); f != nil {
+		if f := e.refuseCrashing(r); f != nil {
 			f.ran = worst
 			return f
 		}
@@ -144,7 +147,7 @@
 		if f == nil {
 			return nil
 		}
-		e.tell(r, trace.Event{Kind: trace.AttemptEnded, Ran: f.ran, Reason: f.reason, Detail: f.detail})
+		e.recordEvent(r, trace.Event{Kind: trace.AttemptEnded, Ran: f.ran, Reason: f.reason, Detail: f.detail})
 		// An earlier attempt may have run although the last one did not.
 		worst = worst.Merge(f.ran)
 		if r.prefilled {
@@ -153,9 +156,9 @@
 		if ctx.Err() != nil {
 			f.reason = domain.ReasonOf(ctx)
 		}
-		if ctx.Err() == nil && (f.bounced() || r.awaitsOwner(f, time.Now())) {
-			r.bounces++
-			group.Sleep(ctx, bouncePause)
+		if ctx.Err() == nil && (f.notAccepted() || r.awaitsOwner(f, time.Now())) {
+			r.unsentAttempts++
+			group.Sleep(ctx, bounceDelay)
 			continue
 		}
 		if ctx.Err() != nil || !e.mayRetry(r, f) {
@@ -165,38 +168,40 @@
 	}
 }
 
-// bouncePause is the wait before a request that a side did not take is queued
-// again; a heartbeat or a record that says why is on its way.
-const bouncePause = 20 * time.Millisecond
+// bounceDelay is the delay before a request that a side did not accept is queued again.
+// By then a heartbeat or a record that shows the reason should have arrived.
+const bounceDelay = 20 * time.Millisecond
 
-// bounced says whether the attempt only met a side that takes no work. That
-// costs nothing and is no failure: the queue decides how long it goes on.
-func (f *failure) bounced() bool {
+// notAccepted reports whether the attempt ended only because a side takes no new work.
+// Such an attempt costs no work and uses no retry: the queue decides how long the request
+// waits.
+func (f *failure) notAccepted() bool {
 	return !f.final && f.ran == domain.NotRun && (f.reason == domain.ReasonDraining || f.reason == domain.ReasonNoRoom)
 }
 
-// awaitsOwner says whether the attempt came with the grant of a former owner, whose
-// successor makes itself known soon: it is no failure for as long as a claim may wait.
-//
-// Failure: two members take a shard over at about the same time, and within
-// milliseconds all attempts of a request are spent on grants of the first.
+// awaitsOwner reports whether the attempt had a grant of a former owner of the shard,
+// whose successor will be reported soon. For up to claimTimeout such an attempt uses no
+// retry. Without this rule, when two members take over a shard at about the same time, a
+// request would use up all its attempts within milliseconds on grants of the former
+// owner.
 func (r *request) awaitsOwner(f *failure, now time.Time) bool {
 	if !f.fenced || f.final || f.ran != domain.NotRun {
 		return false
 	}
-	if r.fencedAt.IsZero() {
-		r.fencedAt = now
+	if r.firstFenced.IsZero() {
+		r.firstFenced = now
 	}
-	return now.Sub(r.fencedAt) < claimWithin
+	return now.Sub(r.firstFenced) < claimTimeout
 }
 
-// pass notes the side of a failed attempt, so that the next goes elsewhere.
-func (r *request) pass(s *peers.Link, f *failure) {
+// avoidHost records the host of a failed attempt, so that the next attempt prefers
+// another host. It does nothing if f is nil.
+func (r *request) avoidHost(s *peers.Link, f *failure) {
 	if f == nil {
 		return
 	}
-	if r.avoid == nil {
-		r.avoid = make(map[domain.Host]bool)
+	if r.failedHosts == nil {
+		r.failedHosts = make(map[domain.Host]bool)
 	}
-	r.avoid[s.Member.Host] = true
+	r.failedHosts[s.Member.Host] = true
 }
--- a/entry/answer_test.go
+++ b/entry/response_test.go
@@ -19,8 +19,8 @@
 	"jacinthworks/table"
 )
 
-// reasons gives the status of each reason there is.
-var reasons = map[domain.Reason]int{
+// statusByReason holds the HTTP status of every reason.
+var statusByReason = map[domain.Reason]int{
 	domain.ReasonBadInput: 400, domain.ReasonTooLarge: 413, domain.ReasonNoToken: 401, domain.ReasonNoKind: 400,
 	domain.ReasonNoService: 404, domain.ReasonCallerShare: 429, domain.ReasonNoRoom: 503, domain.ReasonTooLate: 503,
 	domain.ReasonInProgress: 409, domain.ReasonAnswered: 409, domain.ReasonOtherBody: 422, domain.ReasonKeyUnknown: 409,
@@ -29,9 +29,9 @@
 	domain.ReasonCallerGone: 499,
 }
 
-// events reads a stream as its caller does: the text of its chunks, and whether
-// it looks complete.
-func events(t require.TestingT, body string) (text string, done, failed bool) {
+// readStream parses a stream as a caller does. It returns the text of the chunks, whether
+// the stream looks complete, and whether it has an error event.
+func readStream(t require.TestingT, body string) (text string, done, failed bool) {
 	for _, line := range strings.Split(body, "\n") {
 		failed = failed || line == "event: error"
 		data, found := strings.CutPrefix(line, "data: ")
@@ -49,39 +49,38 @@
 	return text, done, failed
 }
 
-// The story: a breeder takes half an appraisal for the whole, or reads a dead
-// engine's words before those of the next. Engines die in mid-answer, the
-// request is tried again or broken off. The cause would be an answer that keeps
-// what an attempt left behind, or a stream that ends as a whole one does.
-func TestAnswerOfSeveralAttempts(t *testing.T) {
+// An engine may die during a completion; the request is then retried, or its stream ends
+// with an error. The caller must not receive tokens of an earlier attempt, nor a stream
+// that failed but looks complete.
+func TestCompletionWriterKeepsOnlyLastAttempt(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := &request{id: "entry-1.7.1", service: "appraiser-lm", stream: rapid.Bool().Draw(t, "stream")}
 		w := httptest.NewRecorder()
-		a := newAnswer(r, w, time.Second)
+		a := newCompletionWriter(r, w, time.Second)
 		var last string
 		for {
-			a.restart()
+			a.discard()
 			last = ""
 			for _, part := range rapid.SliceOfN(rapid.StringMatching(`[a-z]{1,3} `), 0, 3).Draw(t, "tokens") {
-				require.NoError(t, a.put([]string{part}))
+				require.NoError(t, a.add([]string{part}))
 				last += part
 			}
-			if a.begun() || rapid.Bool().Draw(t, "last attempt") {
-				break // one that the caller has seen part of is not tried again
+			if a.hasBegun() || rapid.Bool().Draw(t, "last attempt") {
+				break // a completion is not retried once the caller has received part of it
 			}
 		}
-		require.Equal(t, r.stream && last != "", a.begun())
-		if a.begun() && rapid.Bool().Draw(t, "dies") {
-			a.breakOff(&domain.Refusal{RequestID: r.id, Reason: domain.ReasonLost, Ran: domain.DidRun})
-			text, done, failed := events(t, w.Body.String())
+		require.Equal(t, r.stream && last != "", a.hasBegun())
+		if a.hasBegun() && rapid.Bool().Draw(t, "dies") {
+			a.writeError(&domain.Refusal{RequestID: r.id, Reason: domain.ReasonLost, Ran: domain.DidRun})
+			text, done, failed := readStream(t, w.Body.String())
 			require.Equal(t, last, text)
 			require.True(t, failed)
-			require.False(t, done, "a stream that broke off looks complete")
+			require.False(t, done, "a stream that failed must not look complete")
 			return
 		}
 		require.Nil(t, a.finish())
 		if r.stream {
-			text, done, failed := events(t, w.Body.String())
+			text, done, failed := readStream(t, w.Body.String())
 			require.Equal(t, last, text)
 			require.True(t, done && !failed)
 			return
@@ -92,15 +91,15 @@
 	})
 }
 
-// gone is a caller that has hung up.
-type gone struct{ *httptest.ResponseRecorder }
+// disconnectedWriter is the response writer of a caller whose connection is closed.
+type disconnectedWriter struct{ *httptest.ResponseRecorder }
 
-func (gone) Write([]byte) (int, error) { return 0, errors.New("broken pipe") }
+func (disconnectedWriter) Write([]byte) (int, error) { return 0, errors.New("broken pipe") }
 
-// An answer that its caller did not take is not told as answered.
-func TestFinishToACallerThatIsGone(t *testing.T) {
+// A completion that could not be written to its caller must not be recorded as answered.
+func TestCompletionWriterFinishReportsDisconnectedCaller(t *testing.T) {
 	for _, stream := range []bool{true, false} {
-		a := newAnswer(&request{stream: stream}, gone{httptest.NewRecorder()}, time.Second)
+		a := newCompletionWriter(&request{stream: stream}, disconnectedWriter{httptest.NewRecorder()}, time.Second)
 		f := a.finish()
 		require.NotNil(t, f)
 		require.Equal(t, domain.ReasonCallerGone, f.reason)
@@ -108,16 +107,16 @@
 	}
 }
 
-// Every refusal reaches its caller with the status that fits, a true account,
-// and a time to return that is never sooner than meant.
-func TestEveryReasonIsAProblem(t *testing.T) {
+// Every refusal must have the HTTP status of its reason, the reason and execution in the
+// problem, and a Retry-After that is never shorter than the delay asked for.
+func TestWriteRefusalMapsEveryReasonToProblem(t *testing.T) {
 	e := &Entry{Log: hclog.NewNullLogger()}
-	for reason, status := range reasons {
+	for reason, status := range statusByReason {
 		for _, after := range []time.Duration{0, 300 * time.Millisecond, 2 * time.Second, 2001 * time.Millisecond} {
 			r := &request{id: e.nextID(), accepted: time.Now()}
-			e.accept(r)
+			e.recordAccepted(r)
 			w := httptest.NewRecorder()
-			e.refuse(w, r, &failure{ran: domain.Unknown, reason: reason, retryAfter: after})
+			e.writeRefusal(w, r, &failure{ran: domain.Unknown, reason: reason, retryAfter: after})
 			require.Equal(t, status, w.Code, reason)
 			var p domain.Problem
 			require.NoError(t, json.Unmarshal(w.Body.Bytes(), &p))
@@ -132,32 +131,32 @@
 			require.Equal(t, want, w.Header().Get("Retry-After"))
 			require.Equal(t, reason == domain.ReasonNoToken, w.Header().Get("WWW-Authenticate") != "")
 			s, found := e.recorder.Get(r.id)
-			require.True(t, found && !s.Open, "the story is ended")
+			require.True(t, found && !s.Open, "the trace has its final event")
 		}
 	}
 }
 
-// Of two accounts the one that admits more is told; the order is total.
-func TestWorse(t *testing.T) {
+// Merge must return the execution that admits more, and its order must be total.
+func TestExecutionMergeKeepsWorst(t *testing.T) {
 	order := []domain.Execution{domain.NotRun, domain.Unknown, domain.DidRun}
 	for i, a := range order {
 		for j, b := range order {
 			require.Equal(t, order[max(i, j)], a.Merge(b))
 		}
 	}
-	require.Equal(t, domain.Execution(""), domain.Execution("").Merge(domain.NotRun), "an account that is missing is not a promise")
+	require.Equal(t, domain.Execution(""), domain.Execution("").Merge(domain.NotRun), "a missing execution must not count as not_run")
 }
 
-// A key is freed only by work that did not run, or that may run again.
-func TestStateAfter(t *testing.T) {
+// Only work that did not run, or that is idempotent, may free its key.
+func TestKeyStateByExecutionAndIdempotence(t *testing.T) {
 	want := map[domain.Execution]claim.State{
 		domain.NotRun: claim.StateNotRun, domain.DidRun: claim.StateRan, domain.Unknown: claim.StateUnknown, "": claim.StateUnknown,
 	}
 	for ran, state := range want {
-		require.Equal(t, state, stateAfter(&request{}, &failure{ran: ran}))
+		require.Equal(t, state, keyState(&request{}, &failure{ran: ran}))
 		idempotent := &request{row: table.Row{Idempotent: true}}
-		require.Equal(t, claim.StateNotRun, stateAfter(idempotent, &failure{ran: ran}))
-		require.Equal(t, claim.StateRan, stateAfter(idempotent, nil))
+		require.Equal(t, claim.StateNotRun, keyState(idempotent, &failure{ran: ran}))
+		require.Equal(t, claim.StateRan, keyState(idempotent, nil))
 	}
-	require.Equal(t, claim.StateRan, stateAfter(&request{}, nil))
+	require.Equal(t, claim.StateRan, keyState(&request{}, nil))
 }
--- a/entry/stage.go
+++ b/entry/stage.go
@@ -12,26 +12,26 @@
 	"jacinthworks/wire"
 )
 
-// How long the entry tries to take up work whose connection was lost, and how
-// long it tries to bring a cancel order through. Both end after the side's own
-// sweep would have freed the work.
+// Times of calls to sides: how long the entry tries to reattach to work whose connection
+// was lost, and how long it repeats a cancel order. Both end after the side's own sweep
+// would have freed the work.
 const (
-	attachWithin = 1500 * time.Millisecond
-	cancelWithin = 2 * time.Second
-	callWithin   = 500 * time.Millisecond
-	redialPoll   = 20 * time.Millisecond
+	attachTimeout  = 1500 * time.Millisecond
+	cancelTimeout  = 2 * time.Second
+	callTimeout    = 500 * time.Millisecond
+	redialInterval = 20 * time.Millisecond
 )
 
-// stage runs one stage at a side and gives its outcome. It always gives one: a
-// lost connection is taken up again on a fresh one, and when that fails too
-// the attempt is settled or called unknown.
-func (e *Entry) stage(ctx context.Context, s *peers.Link, r wire.Run, st *stream) wire.Outcome {
-	out := e.runStage(ctx, s, r, st)
-	e.blame(s, out.Death)
+// runStage runs one stage at a side and returns its outcome. It always returns an
+// outcome: if the connection is lost it reattaches over a new connection, and if that
+// fails too the execution of the attempt is settled with the side or reported as unknown.
+func (e *Entry) runStage(ctx context.Context, s *peers.Link, r wire.Run, st *stream) wire.Outcome {
+	out := e.callStage(ctx, s, r, st)
+	e.recordDeath(s, out.Death)
 	return out
 }
 
-func (e *Entry) runStage(ctx context.Context, s *peers.Link, r wire.Run, st *stream) wire.Outcome {
+func (e *Entry) callStage(ctx context.Context, s *peers.Link, r wire.Run, st *stream) wire.Outcome {
 	var out wire.Outcome
 	err := s.Call(ctx, wire.MethodRun, r, &out)
 	if err == nil && complete(out, st) {
@@ -41,33 +41,32 @@
 	switch {
 	case errors.As(err, &refused):
 		if refused.Reason == domain.ReasonDraining {
-			e.schedulers.of(s.Member.Service).shut(s.Member.Host) // until its next heartbeat says so too
+			e.schedulers.get(s.Member.Service).setDraining(s.Member.Host) // until its next heartbeat, which reports it too
 		}
 		return wire.Outcome{AttemptRef: r.AttemptRef, Ran: refused.Ran, Reason: refused.Reason, Detail: refused.Detail}
 	case errors.Is(err, wire.ErrNotSent):
 		return wire.Outcome{AttemptRef: r.AttemptRef, Ran: domain.NotRun, Reason: domain.ReasonNoUpstream, Detail: "no connection to the side"}
 	case ctx.Err() != nil:
-		return e.giveUp(ctx, s, r)
+		return e.abandon(ctx, s, r)
 	}
-	return e.takeUp(ctx, s, r, st)
+	return e.reattach(ctx, s, r, st)
 }
 
-// complete says whether every token of a whole answer has come.
+// complete reports whether every token of the answer has been received.
 func complete(out wire.Outcome, st *stream) bool {
-	return st == nil || out.Reason != "" || st.next() == out.Tokens
+	return st == nil || out.Reason != "" || st.nextOffset() == out.Tokens
 }
 
-// takeUp attaches to work whose connection was lost. The failure: a
-// connection that is silent for good, or cut, while both ends live. It shows
-// as a call without an answer. Attaching on a fresh connection, from the next
-// token wanted, holds because the side keeps the work and its tokens for as
-// long as this takes.
-func (e *Entry) takeUp(ctx context.Context, s *peers.Link, r wire.Run, st *stream) wire.Outcome {
-	until := time.Now().Add(attachWithin)
+// reattach resumes work whose connection was lost. A connection can be cut, or stop
+// delivering messages for good, while both of its ends live; the call then gets no reply.
+// reattach requests the work over a new connection, from the next token on. The side
+// keeps the work and its tokens for longer than reattach tries.
+func (e *Entry) reattach(ctx context.Context, s *peers.Link, r wire.Run, st *stream) wire.Outcome {
+	until := time.Now().Add(attachTimeout)
 	for time.Now().Before(until) && ctx.Err() == nil {
 		a := wire.Attach{AttemptRef: r.AttemptRef}
 		if st != nil {
-			a.From = st.next()
+			a.From = st.nextOffset()
 		}
 		var out wire.Outcome
 		err := s.Call(ctx, wire.MethodAttach, a, &out)
@@ -76,12 +75,12 @@
 			return out
 		}
 		if err != nil && !errors.Is(err, wire.ErrNotSent) {
-			until = time.Now().Add(attachWithin)
+			until = time.Now().Add(attachTimeout)
 		}
-		group.Sleep(ctx, redialPoll)
+		group.Sleep(ctx, redialInterval)
 	}
 	if ctx.Err() != nil {
-		return e.giveUp(ctx, s, r)
+		return e.abandon(ctx, s, r)
 	}
 	return wire.Outcome{
 		AttemptRef: r.AttemptRef, Ran: domain.Unknown, Reason: domain.ReasonLost,
@@ -89,15 +88,16 @@
 	}
 }
 
-// giveUp ends an attempt that is no longer wanted, and says what is known of
-// it: the side's own account where it still answers.
-func (e *Entry) giveUp(ctx context.Context, s *peers.Link, r wire.Run) wire.Outcome {
+// abandon ends an attempt whose context has ended. It returns an outcome with the
+// execution that the side reports, if the side replies, and unknown otherwise. It cancels
+// completion work that may have run.
+func (e *Entry) abandon(ctx context.Context, s *peers.Link, r wire.Run) wire.Outcome {
 	out := wire.Outcome{AttemptRef: r.AttemptRef, Ran: domain.Unknown, Reason: domain.ReasonOf(ctx)}
-	settle, cancel := context.WithTimeout(context.WithoutCancel(ctx), callWithin)
+	settleCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout)
 	defer cancel()
-	var known wire.Outcome
-	if s.Call(settle, wire.MethodSettle, r.AttemptRef, &known) == nil {
-		out.Ran = known.Ran
+	var reported wire.Outcome
+	if s.Call(settleCtx, wire.MethodSettle, r.AttemptRef, &reported) == nil {
+		out.Ran = reported.Ran
 	}
 	if r.Stage != wire.StageCall && out.Ran != domain.NotRun {
 		e.cancel(s, r.AttemptRef)
@@ -105,19 +105,19 @@
 	return out
 }
 
-// cancel brings a cancel order through, past the end of the request. A lost
-// order is repeated until a side says that it has it; a side that is cut off
-// from here frees the work itself.
+// cancel sends a cancel order to a side in the background, also after the end of the
+// request. It repeats the order until a call succeeds or cancelTimeout has passed; a side
+// that is unreachable frees the work itself.
 func (e *Entry) cancel(s *peers.Link, r wire.AttemptRef) {
-	e.later("cancel", cancelWithin, func(ctx context.Context) error {
+	e.runInBackground("cancel", cancelTimeout, func(ctx context.Context) error {
 		for ctx.Err() == nil {
-			try, stop := context.WithTimeout(ctx, callWithin)
-			err := s.Call(try, wire.MethodCancel, r, nil)
+			callCtx, stop := context.WithTimeout(ctx, callTimeout)
+			err := s.Call(callCtx, wire.MethodCancel, r, nil)
 			stop()
 			if err == nil {
 				return nil
 			}
-			group.Sleep(ctx, redialPoll)
+			group.Sleep(ctx, redialInterval)
 		}
 		return ctx.Err()
 	})
--- a/entry/stream.go
+++ b/entry/stream.go
@@ -9,33 +9,34 @@
 	"jacinthworks/wire"
 )
 
-// stream takes the tokens of one attempt in their order.
+// stream collects the tokens of one attempt in order.
 type stream struct {
-	mu     sync.Mutex
-	tokens []string
-	taken  int
-	// changed has room for one word: there is more.
+	mu        sync.Mutex
+	tokens    []string
+	delivered int
+	// changed has capacity for one signal, which is sent when tokens have arrived.
 	changed chan struct{}
 }
 
-// take gives the tokens that came since the last take.
-func (s *stream) take() []string {
+// takeNew returns the tokens that arrived since the last call.
+func (s *stream) takeNew() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	fresh := s.tokens[s.taken:]
-	s.taken = len(s.tokens)
+	fresh := s.tokens[s.delivered:]
+	s.delivered = len(s.tokens)
 	return fresh
 }
 
-// next is the offset of the token wanted next.
-func (s *stream) next() int {
+// nextOffset returns the offset of the next expected token.
+func (s *stream) nextOffset() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.tokens)
 }
 
-// add takes a frame. What overlaps is skipped and what leaves a gap is
-// dropped; the gap is filled by attaching again from next.
+// add appends the tokens of a frame. Tokens that the stream already has are skipped. A
+// frame that starts after nextOffset is dropped; reattaching from nextOffset fills the
+// gap.
 func (s *stream) add(f wire.Frame) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -50,11 +51,10 @@
 	}
 }
 
-// streams finds the stream that a frame belongs to. The failure: a late frame
-// of an older attempt, or of another request. It shows as tokens that are not
-// of this answer. Looking frames up by request, attempt and stage holds, since
-// an attempt's entry is gone from the map once the attempt is given up. The
-// zero value is ready to use; its lock is taken before no other.
+// streams finds the stream of a frame by request, attempt and stage. A late frame of an
+// earlier attempt or of another request would otherwise add foreign tokens to an answer;
+// an abandoned attempt has no stream any more, so its frames are dropped. The zero value
+// is ready to use. Its lock is a leaf lock: no other lock is acquired while it is held.
 type streams struct {
 	mu  sync.Mutex
 	all map[wire.AttemptRef]*stream
@@ -71,7 +71,7 @@
 	return st
 }
 
-func (s *streams) shut(r wire.AttemptRef) {
+func (s *streams) close(r wire.AttemptRef) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.all, r)
@@ -83,21 +83,21 @@
 	return s.all[r]
 }
 
-// notice takes notifications from sides in the order of their arrival.
-func (e *Entry) notice(p *wire.Peer, method string, params json.RawMessage) {
+// handleNotification handles the notifications of sides, in the order of their arrival.
+func (e *Entry) handleNotification(p *wire.Peer, method string, params json.RawMessage) {
 	switch method {
 	case wire.MethodEvidence:
-		e.takeEvidence(params)
+		e.mergeEvidence(params)
 		return
 	case wire.MethodOwned:
-		e.takeOwned(p.RemoteHello().Host, params)
+		e.handleOwned(p.RemoteHello().Host, params)
 		return
 	case wire.MethodCache:
-		e.takeCache(p.RemoteHello(), params)
+		e.handleCacheEvents(p.RemoteHello(), params)
 		return
 	case wire.MethodFrame:
 	default:
-		e.hear(p)
+		e.handleHeartbeat(p)
 		return
 	}
 	var f wire.Frame
@@ -109,8 +109,8 @@
 	}
 }
 
-// hear passes a side's heartbeat to its service's scheduler.
-func (e *Entry) hear(p *wire.Peer) {
+// handleHeartbeat passes a side's heartbeat to the scheduler of its service.
+func (e *Entry) handleHeartbeat(p *wire.Peer) {
 	b, heard := p.LastHeartbeat()
 	if !heard {
 		return
@@ -119,16 +119,16 @@
 	if side == nil || side.Peer() != p {
 		return
 	}
-	e.schedulers.of(p.RemoteHello().Service).report(p.RemoteHello(), b, side.Leaving.Load())
+	e.schedulers.get(p.RemoteHello().Service).update(p.RemoteHello(), b, side.Leaving.Load())
 }
 
-// takeCache passes an engine's cache events to its service's scheduler.
-func (e *Entry) takeCache(from wire.Hello, params json.RawMessage) {
+// handleCacheEvents passes an engine's cache events to the scheduler of its service.
+func (e *Entry) handleCacheEvents(from wire.Hello, params json.RawMessage) {
 	var c wire.Cache
 	if json.Unmarshal(params, &c) != nil {
 		return
 	}
-	s := e.schedulers.of(from.Service)
+	s := e.schedulers.get(from.Service)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, v := range c.Events {
--- a/entry/stream_test.go
+++ b/entry/stream_test.go
@@ -16,14 +16,13 @@
 
 func TestMain(m *testing.M) { seeded.Main(m) }
 
-// token names one token of one attempt, so that none can pass for another.
+// token returns a text that is unique to one token of one attempt.
 func token(r wire.AttemptRef, n int) string { return fmt.Sprintf("%s/%d/%d ", r.Request, r.Attempt, n) }
 
-// The story: a seller reads an appraisal with another's words, or with a part
-// twice or missing. Frames come late from an attempt given up, and overlap or
-// leave gaps after a lost connection. The cause would be a stream that takes a
-// frame by its arrival.
-func TestStreamsTakeOnlyTheirOwnNextTokens(t *testing.T) {
+// Frames may arrive late from an abandoned attempt, and after a lost connection they
+// overlap or leave gaps. Guards against an answer that contains tokens of another request
+// or attempt, or has tokens twice or missing.
+func TestStreamsAcceptOnlyNextTokensOfOwnAttempt(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var e Entry
 		var refs []wire.AttemptRef
@@ -41,12 +40,12 @@
 			case 0:
 				open[r], want[r], got[r] = e.streams.open(r), 0, 0
 			case 1:
-				e.streams.shut(r)
-			case 2: // the caller's side takes what came
+				e.streams.close(r)
+			case 2: // the tokens that arrived are forwarded to the caller
 				if open[r] == nil {
 					break
 				}
-				for _, text := range open[r].take() {
+				for _, text := range open[r].takeNew() {
 					require.Equal(t, token(r, got[r]), text)
 					got[r]++
 				}
@@ -61,32 +60,31 @@
 				if e.streams.find(r) != nil && f.Offset <= want[r] {
 					want[r] = max(want[r], f.Offset+len(f.Tokens))
 				}
-				e.notice(nil, wire.MethodFrame, params)
+				e.handleNotification(nil, wire.MethodFrame, params)
 			}
 			if open[r] != nil {
-				require.Equal(t, want[r], open[r].next())
+				require.Equal(t, want[r], open[r].nextOffset())
 			}
 		}
 	})
 }
 
-// The story: a buyer's enquiry goes to the owner of its shard of a minute ago,
-// again and again, though the new one has said so. Lists of two owners cross.
-// The cause would be the list that came last taking the place of the newer.
-func TestOwnerOfTheNewestEpochCounts(t *testing.T) {
+// Lists of owned shards from a former and the current owner may arrive in either order.
+// Guards against claims that are sent to the former owner because its list arrived last.
+func TestOwnersKeepNewestEpoch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var o owners
 		best := make(map[claim.Shard]claim.Epoch)
 		for range rapid.IntRange(1, 20).Draw(t, "lists") {
 			shard := claim.Shard(rapid.IntRange(0, 2).Draw(t, "shard"))
 			epoch := claim.Epoch{Version: rapid.Uint64Range(1, 4).Draw(t, "version"), Turn: rapid.Uint32Range(0, 2).Draw(t, "rank")}
-			host := func(e claim.Epoch) domain.Host { return domain.Host("side-" + e.String()) } // an epoch is one process's
-			o.hear(host(epoch), wire.Owned{Service: "wallapp", Shards: []claim.Ownership{{Shard: shard, Epoch: epoch}}})
+			host := func(e claim.Epoch) domain.Host { return domain.Host("side-" + e.String()) } // each epoch belongs to one process
+			o.update(host(epoch), wire.Owned{Service: "wallapp", Shards: []claim.Ownership{{Shard: shard, Epoch: epoch}}})
 			if best[shard].Less(epoch) {
 				best[shard] = epoch
 			}
-			require.Equal(t, host(best[shard]), o.of("wallapp", shard))
-			require.Empty(t, o.of("marketplace-app", shard))
+			require.Equal(t, host(best[shard]), o.host("wallapp", shard))
+			require.Empty(t, o.host("marketplace-app", shard))
 		}
 	})
 }
--- a/entry/tables.go
+++ b/entry/tables.go
@@ -15,20 +15,19 @@
 	"jacinthworks/wire"
 )
 
-// How an entry stays in touch with the newest version. The platform's watch
-// brings changes; what is asked every confirmEvery shows that the entry still
-// hears somebody, and finds changes that a silent watch kept back. With
-// stale_after of 3 s three answers in a row may be lost. Three peers are
-// asked and not all: a version known to one entry of a zone reaches each of
-// the 15 in it within two rounds, and a node's cost does not grow with the
-// zone.
+// How an entry confirms that its table is the newest. The platform's watch returns
+// changes. In addition, the entry asks its peers or the platform every confirmInterval,
+// which shows that it is still connected and finds changes that a stalled watch
+// withholds. With a stale_after of 3 s, three replies in a row may be lost. Three peers
+// are asked rather than all: a version at one entry of a zone reaches each of its 15
+// entries within two rounds, and the cost per entry does not grow with the zone.
 const (
-	confirmEvery = 700 * time.Millisecond
-	confirmPeers = 3
-	spreadWithin = time.Second
+	confirmInterval  = 700 * time.Millisecond
+	confirmPeers     = 3
+	replicateTimeout = time.Second
 )
 
-// services lists the services in the table.
+// services returns the services in the table.
 func (e *Entry) services() []domain.Service {
 	var all []domain.Service
 	for _, r := range e.tables.Table().Rows() { // sorted by service
@@ -45,64 +44,65 @@
 
 func (e *Entry) servesService(s domain.Service) bool { return e.tables.Table().HasService(s) }
 
-// inTouch says whether the entry may take new work under its table.
-func (e *Entry) inTouch(now time.Time) bool {
+// tableFresh reports whether the table was confirmed within stale_after, which new work
+// requires.
+func (e *Entry) tableFresh(now time.Time) bool {
 	return e.tables.Fresh(now, e.Settings.Timings.StaleAfter)
 }
 
-// watchTable takes each new version from the platform.
+// watchTable applies each new version that the platform returns.
 func (e *Entry) watchTable(ctx context.Context) error {
 	for ctx.Err() == nil {
 		asked := time.Now()
-		o, err := e.Objects.Watch(ctx, editor.DefaultObjectName, infra.Version(e.tables.Version()), watchWait)
+		o, err := e.Objects.Watch(ctx, editor.DefaultObjectName, infra.Version(e.tables.Version()), watchTimeout)
 		if err == nil {
-			err = e.takeObject(o, asked)
+			err = e.applyObject(o, asked)
 		}
 		if err != nil {
-			group.Sleep(ctx, watchRest)
+			group.Sleep(ctx, watchRetryDelay)
 		}
 	}
 	return nil
 }
 
-func (e *Entry) takeObject(o infra.Object, asked time.Time) error {
+func (e *Entry) applyObject(o infra.Object, asked time.Time) error {
 	t, err := table.Decode(o.Value)
 	if err != nil {
 		return errors.Wrap(err, "entry: table")
 	}
-	e.offer(t.WithVersion(table.Version(o.Version)), asked, "platform")
+	e.updateTable(t.WithVersion(table.Version(o.Version)), asked, "platform")
 	return nil
 }
 
-func (e *Entry) offer(t table.Table, asked time.Time, from domain.Host) {
+func (e *Entry) updateTable(t table.Table, asked time.Time, from domain.Host) {
 	if e.tables.Update(t, asked) {
 		e.Log.Info("table in force", "version", t.Version(), "rows", t.Len(), "from", from)
 	}
 }
 
-// confirmTable asks a few peers, and the platform where no peer answered, for
-// the newest version they know.
+// confirmTable asks confirmPeers peers for their table version every confirmInterval, and
+// the platform if no peer replied.
 func (e *Entry) confirmTable(ctx context.Context) error {
-	turn := 0
+	firstPeer := 0
 	for ctx.Err() == nil {
-		heard := 0
-		peers := e.entries.Connected()
-		for i := range min(confirmPeers, len(peers)) {
-			if e.askPeer(ctx, peers[(turn+i)%len(peers)]) {
-				heard++
+		confirmed := 0
+		connected := e.entries.Connected()
+		for i := range min(confirmPeers, len(connected)) {
+			if e.confirmWithPeer(ctx, connected[(firstPeer+i)%len(connected)]) {
+				confirmed++
 			}
 		}
-		turn += confirmPeers
-		if heard == 0 {
-			e.askPlatform(ctx)
+		firstPeer += confirmPeers
+		if confirmed == 0 {
+			e.confirmWithPlatform(ctx)
 		}
-		group.Sleep(ctx, confirmEvery)
+		group.Sleep(ctx, confirmInterval)
 	}
 	return nil
 }
 
-func (e *Entry) askPeer(ctx context.Context, s *peers.Link) bool {
-	ctx, cancel := context.WithTimeout(ctx, callWithin)
+func (e *Entry) confirmWithPeer(ctx context.Context, s *peers.Link) bool {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	asked := time.Now()
 	var got wire.Table
@@ -115,15 +115,15 @@
 		if err != nil {
 			return false
 		}
-		e.offer(t.WithVersion(table.Version(got.Version)), asked, s.Member.Host)
+		e.updateTable(t.WithVersion(table.Version(got.Version)), asked, s.Member.Host)
 	}
 	e.tables.Confirm(table.Version(got.Version), asked)
 	return true
 }
 
-// askPlatform reads without waiting.
-func (e *Entry) askPlatform(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, callWithin)
+// confirmWithPlatform reads the table from the platform without waiting for a change.
+func (e *Entry) confirmWithPlatform(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	asked := time.Now()
 	have := infra.Version(e.tables.Version())
@@ -132,12 +132,13 @@
 	case errors.Is(err, infra.ErrUnchanged):
 		e.tables.Confirm(table.Version(have), asked)
 	case err == nil:
-		_ = e.takeObject(o, asked)
+		_ = e.applyObject(o, asked)
 	}
 }
 
-// giveTable answers a peer's question for the table.
-func (e *Entry) giveTable(a wire.TableRequest) (any, error) {
+// handleTableRequest replies to a peer's request for the table; the reply has the table
+// only if it is newer than the peer's.
+func (e *Entry) handleTableRequest(a wire.TableRequest) (any, error) {
 	t := e.tables.Table()
 	got := wire.Table{Version: uint64(t.Version())}
 	if got.Version <= a.Have {
@@ -151,8 +152,8 @@
 	return got, nil
 }
 
-// takeTable takes a table that a peer has just written.
-func (e *Entry) takeTable(got wire.Table, from domain.Host) (any, error) {
+// handleTableOffer applies a table that a peer has just written.
+func (e *Entry) handleTableOffer(got wire.Table, from domain.Host) (any, error) {
 	t, err := table.Decode(got.Value)
 	if err != nil {
 		return nil, &wire.RefusalError{Reason: domain.ReasonBadInput, Ran: domain.NotRun, Detail: err.Error()}
@@ -163,31 +164,30 @@
 	return wire.Table{Version: uint64(e.tables.Version())}, nil
 }
 
-// spread hands a table that was just written to every entry that is connected,
-// and gives nil once one other holds it: the edit then outlives its writer
-// even if the platform goes down now. An entry without others has nobody to
-// hand it to.
-func (e *Entry) spread(ctx context.Context, t table.Table) error {
+// replicateTable sends a table that was just written to every connected entry, and
+// returns nil once another entry holds it: the edit then survives this process even if
+// the platform fails now. It also returns nil if no other entry is connected.
+func (e *Entry) replicateTable(ctx context.Context, t table.Table) error {
 	text, err := t.Encode()
 	if err != nil {
 		return errors.Wrap(err, "entry: table")
 	}
-	e.offer(t, time.Now(), e.Settings.Name)
+	e.updateTable(t, time.Now(), e.Settings.Name)
 	others := e.entries.Connected()
 	if len(others) == 0 {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, spreadWithin)
+	ctx, cancel := context.WithTimeout(ctx, replicateTimeout)
 	defer cancel()
-	took := make(chan error, len(others))
+	results := make(chan error, len(others))
 	for _, o := range others {
-		e.work.Go(ctx, "spread", func(ctx context.Context) error {
-			took <- o.Call(ctx, wire.MethodOffer, wire.Table{Version: uint64(t.Version()), Value: text}, nil)
+		e.background.Go(ctx, "spread", func(ctx context.Context) error {
+			results <- o.Call(ctx, wire.MethodOffer, wire.Table{Version: uint64(t.Version()), Value: text}, nil)
 			return nil
 		})
 	}
 	for range others {
-		if err = <-took; err == nil {
+		if err = <-results; err == nil {
 			return nil
 		}
 	}
--- a/entry/turn.go
+++ b/entry/turn.go
@@ -16,35 +16,36 @@
 	"jacinthworks/wire"
 )
 
-// bytesPerKV is the size of a token's KV cache in bytes. Only its ratio to the
-// measured rate of links counts: sides measure that in tokens a second.
+// bytesPerKV is the size of a token's KV cache in the units of the selector's byte
+// counts. Sides measure link rates in tokens per second, so only the ratio of the two
+// matters.
 const bytesPerKV = 1
 
-// turnTries bounds how often one attempt is sent back to its queue because the
-// side had no room after all. Each time the choice has a newer report to go by.
-const turnTries = 8
+// maxReserveTries bounds how often one attempt is queued again because the decode side
+// had no capacity after all. Each selection uses newer reports.
+const maxReserveTries = 8
 
-// pair is the two sides of one model attempt.
+// pair is the two sides of one attempt of a completion.
 type pair struct{ prefill, decode *peers.Link }
 
 // newTurn describes a request to its scheduler.
 func (e *Entry) newTurn(r *request) *turn {
-	s := e.schedulers.of(r.service)
-	first, end, life := s.estimate(r)
-	t := &turn{kind: r.kind, plain: r.call != nil, got: make(chan sent, 1)}
+	s := e.schedulers.get(r.service)
+	first, end, kvLifetime := s.estimate(r)
+	t := &turn{kind: r.kind, plain: r.call != nil, result: make(chan turnResult, 1)}
 	t.item = queue.Item{
-		ID: r.id, Account: r.account, Key: r.body, Priority: r.row.Priority, PromptTokens: r.promptTokens, MaxOutputTokens: r.maxTokens,
+		ID: r.id, Account: r.account, Key: r.bodyHash, Priority: r.row.Priority, PromptTokens: r.promptTokens, MaxOutputTokens: r.maxTokens,
 		Deadline: r.accepted.Add(time.Duration(r.row.Deadline)), MayWait: r.row.MayWait,
 	}
-	t.mayRun = e.eligible(r)
-	last := domain.RoleDecode
+	t.mayRunKey = e.eligible(r)
+	runRole := domain.RoleDecode
 	if t.plain {
-		last = domain.RoleApp
+		runRole = domain.RoleApp
 	}
 	t.job = route.Job{
-		Weights:    e.weights(r),
-		MayPrefill: r.elsewhere(e.sides.Members(r.service, domain.RolePrefill), nil),
-		MayDecode:  r.elsewhere(e.sides.Members(r.service, last), t.mayRun),
+		Weights:    e.zoneWeights(r),
+		MayPrefill: r.preferUntried(e.sides.Members(r.service, domain.RolePrefill), nil),
+		MayDecode:  r.preferUntried(e.sides.Members(r.service, runRole), t.mayRunKey),
 	}
 	if t.plain {
 		t.item.TotalLatency = first
@@ -56,48 +57,50 @@
 	}
 	t.job.PromptTokens, t.job.MaxOutputTokens = r.promptTokens, r.maxTokens
 	t.job.Prefix, t.job.PrefixTokens = prefixOf(r.prompt), min(r.promptTokens, prefixBytes/bytesPerToken)
-	t.job.KVBytes, t.job.KVLifetime = int64(r.promptTokens)*bytesPerKV, life
+	t.job.KVBytes, t.job.KVLifetime = int64(r.promptTokens)*bytesPerKV, kvLifetime
 	t.job.FirstTokenTarget, t.job.TokenGapTarget = time.Duration(r.row.FirstToken), time.Duration(r.row.TokenGap)
 	t.job.MaxQueueWait, t.job.WastedPrefillWeight = admit.MaxPrefillQueueTime, r.row.WastedPrefillWeight
 	return t
 }
 
-// elsewhere gives a filter for hosts: those allowed, all if nil, but for those
-// that failed this request before, unless no other is left.
-func (r *request) elsewhere(hosts []domain.Host, allowed func(domain.Host) bool) func(domain.Host) bool {
-	fits := func(h domain.Host) bool { return allowed == nil || allowed(h) }
-	fresh := func(h domain.Host) bool { return fits(h) && !r.avoid[h] }
-	if slices.ContainsFunc(hosts, fresh) {
-		return fresh
+// preferUntried returns a filter for hosts: the allowed hosts, or all if allowed is nil,
+// without the hosts at which an attempt of this request failed, unless no other host
+// remains.
+func (r *request) preferUntried(hosts []domain.Host, allowed func(domain.Host) bool) func(domain.Host) bool {
+	permitted := func(h domain.Host) bool { return allowed == nil || allowed(h) }
+	untried := func(h domain.Host) bool { return permitted(h) && !r.failedHosts[h] }
+	if slices.ContainsFunc(hosts, untried) {
+		return untried
 	}
-	return fits
+	return permitted
 }
 
-// estimate gives how long a request like this takes once it has left the queue,
-// and the life of KV cache, zero while that is not known.
-func (s *scheduler) estimate(r *request) (first, end, life time.Duration) {
+// estimate returns the estimated times from leaving the queue to the first token and to
+// the end of the request, and the lifetime of KV cache, which is zero until an engine has
+// reported it.
+func (s *scheduler) estimate(r *request) (first, end, kvLifetime time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	first, end = s.pace.Estimate(r.promptTokens, r.maxTokens)
-	return first, end, s.kvLife
+	first, end = s.latency.Estimate(r.promptTokens, r.maxTokens)
+	return first, end, s.kvLifetime
 }
 
-// observe takes the times of a request that was answered.
+// observe records the times to the first token and to the end of an answered request.
 func (s *scheduler) observe(r *request, first, end time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.pace.Observe(r.promptTokens, r.tokens, first, end)
+	s.latency.Observe(r.promptTokens, r.tokens, first, end)
 }
 
-// sawLife takes the life that an engine gave a KV cache.
-func (s *scheduler) sawLife(d time.Duration) {
+// setKVLifetime records the lifetime that an engine reported for a KV cache.
+func (s *scheduler) setKVLifetime(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.kvLife = d
+	s.kvLifetime = d
 }
 
-// weights gives the zones' shares for the request's service and kind.
-func (e *Entry) weights(r *request) route.ZoneWeights {
+// zoneWeights returns the weight of each zone for the request's service and kind.
+func (e *Entry) zoneWeights(r *request) route.ZoneWeights {
 	t := e.tables.Table()
 	w := make(route.ZoneWeights)
 	for _, z := range e.sides.Zones(r.service) {
@@ -108,12 +111,13 @@
 	return w
 }
 
-// takeTurn waits until the request is sent somewhere.
-func (e *Entry) takeTurn(ctx context.Context, r *request, t *turn) (sent, *failure) {
+// waitTurn waits until the scheduler has chosen upstreams for the request, and returns a
+// failure if it refused the request.
+func (e *Entry) waitTurn(ctx context.Context, r *request, t *turn) (turnResult, *failure) {
 	began := time.Now()
-	got := e.schedulers.of(r.service).wait(ctx, t, r.row)
-	if took := time.Since(began); took > tickEvery || got.refused != nil {
-		e.tell(r, trace.Event{Kind: trace.Queued, Detail: "waited " + took.Round(time.Millisecond).String()})
+	got := e.schedulers.get(r.service).wait(ctx, t, r.row)
+	if took := time.Since(began); took > tickInterval || got.refused != nil {
+		e.recordEvent(r, trace.Event{Kind: trace.Queued, Detail: "waited " + took.Round(time.Millisecond).String()})
 	}
 	if got.refused == nil {
 		return got, nil
@@ -127,18 +131,18 @@
 	}
 	e.Log.Info("decision", "request", r.id, "outcome", "refused", "reason", f.reason, "detail", f.detail,
 		"wait", got.refused.Inputs.Wait, "rate", got.refused.Inputs.Rate, "waiting", got.refused.Inputs.Items)
-	return sent{}, f
+	return turnResult{}, f
 }
 
-// reservePair waits for a pair and reserves the decode room before any
-// prefill. The place it gives back must be returned by finished.
-func (e *Entry) reservePair(ctx context.Context, r *request, t *turn) (pair, sent, *failure) {
-	s := e.schedulers.of(r.service)
+// reservePair waits for a pair of engines and reserves capacity at the decode engine
+// before any prefill. The caller must free the slot of the returned result with finish.
+func (e *Entry) reservePair(ctx context.Context, r *request, t *turn) (pair, turnResult, *failure) {
+	s := e.schedulers.get(r.service)
 	var last error
-	for range turnTries {
-		got, f := e.takeTurn(ctx, r, t)
+	for range maxReserveTries {
+		got, f := e.waitTurn(ctx, r, t)
 		if f != nil {
-			return pair{}, sent{}, f
+			return pair{}, turnResult{}, f
 		}
 		e.logPair(r, got)
 		p := pair{prefill: e.sides.Find(got.pair.Prefill), decode: e.sides.Find(got.pair.Decode)}
@@ -147,31 +151,31 @@
 			last = e.reserve(ctx, r, p.decode)
 		}
 		if last == nil {
-			e.tell(r, trace.Event{Kind: trace.Reserved, Upstream: p.decode.Member.Host, Tokens: r.promptTokens + r.maxTokens})
+			e.recordEvent(r, trace.Event{Kind: trace.Reserved, Upstream: p.decode.Member.Host, Tokens: r.promptTokens + r.maxTokens})
 			return p, got, nil
 		}
-		s.bounced(t)
+		s.releaseSlot(t)
 		if p.decode != nil && !errors.As(last, new(*wire.RefusalError)) {
 			e.cancel(p.decode, wire.AttemptRef{Request: r.id, Attempt: r.attempt, Stage: wire.StageDecode})
 		}
 	}
-	return pair{}, sent{}, &failure{
+	return pair{}, turnResult{}, &failure{
 		ran: domain.NotRun, reason: domain.ReasonNoRoom, detail: "no decode room: " + last.Error(),
 		retryAfter: time.Second, final: true,
 	}
 }
 
-// bounced gives back the in-flight place of a turn whose side had no room. The
-// side's load stays counted until its next report, so that the next choice
-// does not fall on it again.
-func (s *scheduler) bounced(t *turn) {
+// releaseSlot frees the in-flight slot of a turn whose side had no capacity. The request
+// stays counted in the side's load until the side's next report, so that the next
+// selection does not choose the same side.
+func (s *scheduler) releaseSlot(t *turn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.running[t.kind]--
 }
 
 func (e *Entry) reserve(ctx context.Context, r *request, s *peers.Link) error {
-	ctx, cancel := context.WithTimeout(ctx, callWithin)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	return s.Call(ctx, wire.MethodReserve, wire.Reserve{
 		AttemptRef: wire.AttemptRef{Request: r.id, Attempt: r.attempt, Stage: wire.StageDecode},
@@ -179,32 +183,32 @@
 	}, new(wire.ReserveReply))
 }
 
-// logPair writes the decision's line and its event.
-func (e *Entry) logPair(r *request, got sent) {
+// logPair logs the selection of a pair and adds it to the request's trace.
+func (e *Entry) logPair(r *request, got turnResult) {
 	g := got.model
 	e.Log.Info("decision", "request", r.id, "attempt", r.attempt, "prefill", got.pair.Prefill, "decode", got.pair.Decode,
 		"prefill_pool", g.PrefillPool, "decode_pool", g.DecodePool, "pairs", g.Pairs, "excluded", g.Excluded,
 		"prefills", g.Prefills[:g.PrefillsDrawn], "decodes", g.Decodes[:g.DecodesDrawn],
 		"first_token", g.Chosen.FirstToken, "token_gap", g.Chosen.TokenGap, "kv_wait", g.Chosen.KVWait,
 		"score", g.Chosen.Score, "table", e.tables.Version())
-	grounds := &trace.Evaluation{Policy: "lowest score of pairs", Considered: g.Pairs, TableVersion: uint64(e.tables.Version())}
+	evaluation := &trace.Evaluation{Policy: "lowest score of pairs", Considered: g.Pairs, TableVersion: uint64(e.tables.Version())}
 	for _, p := range g.Prefills[:g.PrefillsDrawn] {
-		grounds.Candidates = append(grounds.Candidates, trace.Candidate{Host: p.Host, Cost: p.Queue + p.Prefill, Note: "prefill"})
+		evaluation.Candidates = append(evaluation.Candidates, trace.Candidate{Host: p.Host, Cost: p.Queue + p.Prefill, Note: "prefill"})
 	}
 	for _, d := range g.Decodes[:g.DecodesDrawn] {
-		grounds.Candidates = append(grounds.Candidates, trace.Candidate{Host: d.Host, Cost: d.TokenGap, Note: "decode"})
+		evaluation.Candidates = append(evaluation.Candidates, trace.Candidate{Host: d.Host, Cost: d.TokenGap, Note: "decode"})
 	}
-	e.tell(r, trace.Event{Kind: trace.Decided, Upstream: got.pair.Prefill, Decode: got.pair.Decode, Evaluation: grounds})
+	e.recordEvent(r, trace.Event{Kind: trace.Decided, Upstream: got.pair.Prefill, Decode: got.pair.Decode, Evaluation: evaluation})
 }
 
-// logApp writes the decision's line and its event.
-func (e *Entry) logApp(r *request, got sent) {
+// logApp logs the selection of an application server and adds it to the request's trace.
+func (e *Entry) logApp(r *request, got turnResult) {
 	g := got.apps
 	e.Log.Info("decision", "request", r.id, "attempt", r.attempt, "side", got.app, "pool", g.Pool,
 		"unusable", g.Unusable, "considered", g.Considered, "table", e.tables.Version())
-	grounds := &trace.Evaluation{Policy: "least in flight of two", Considered: len(g.Considered), TableVersion: uint64(e.tables.Version())}
+	evaluation := &trace.Evaluation{Policy: "least in flight of two", Considered: len(g.Considered), TableVersion: uint64(e.tables.Version())}
 	for _, c := range g.Considered {
-		grounds.Candidates = append(grounds.Candidates, trace.Candidate{Host: c.Host, Note: "in flight"})
+		evaluation.Candidates = append(evaluation.Candidates, trace.Candidate{Host: c.Host, Note: "in flight"})
 	}
-	e.tell(r, trace.Event{Kind: trace.Decided, Upstream: got.app, Evaluation: grounds})
+	e.recordEvent(r, trace.Event{Kind: trace.Decided, Upstream: got.app, Evaluation: evaluation})
 }
--- a/entry/unserved.go
+++ b/entry/unserved.go
@@ -8,22 +8,22 @@
 	"jacinthworks/queue"
 )
 
-// unservedAfter is how long a service may be without a side that takes work
-// before its waiting requests are refused: two heartbeats and a redial, so that
-// replaced connections refuse nobody.
-const unservedAfter = time.Second
+// unservedTimeout is how long a service may be without sides that take work before its
+// waiting requests are refused. It covers two heartbeats and a redial, so that replacing
+// connections refuses no request.
+const unservedTimeout = time.Second
 
-// refuseUnserved refuses at once what waits for a service that nothing serves.
-// Held until its deadline, such a request would tell its caller nothing.
+// refuseUnserved refuses the requests that wait for a service without usable sides. Kept
+// until its deadline, such a request would end without a reason for its caller.
 func (e *Entry) refuseUnserved(now time.Time) {
 	for _, name := range e.services() {
-		s := e.schedulers.of(name)
+		s := e.schedulers.get(name)
 		served := e.sides.CanServe(name)
 		s.mu.Lock()
-		if served || s.served.IsZero() {
-			s.served = now
+		if served || s.lastServed.IsZero() {
+			s.lastServed = now
 		}
-		if now.Sub(s.served) >= unservedAfter {
+		if now.Sub(s.lastServed) >= unservedTimeout {
 			s.refuseAll(queue.Refusal{
 				Reason: domain.ReasonNoUpstream, Detail: "no upstream of the service takes work", RetryAfter: 2 * time.Second,
 			})
@@ -35,28 +35,29 @@
 
 func (s *scheduler) refuseAll(why queue.Refusal) {
 	for _, t := range s.turns {
-		s.giveUp(t, why)
+		s.refuseTurn(t, why)
 	}
 }
 
-func (s *scheduler) giveUp(t *turn, why queue.Refusal) {
+func (s *scheduler) refuseTurn(t *turn, why queue.Refusal) {
 	s.queue.Remove(time.Now(), t.item.ID)
-	s.unhold(t)
+	s.removeHeld(t)
 	delete(s.turns, t.item.ID)
-	t.got <- sent{refused: &why}
+	t.result <- turnResult{refused: &why}
 }
 
-// refuseUnserved refuses keyed turns whose every allowed host has taken no work
-// for a while, as when hosts are lost and their shards wait for the record.
+// refuseUnserved refuses turns with a key for which no allowed host has taken work for
+// unservedTimeout, for example because hosts were lost and their shards wait for a new
+// record.
 func (s *scheduler) refuseUnserved(now time.Time, usable []domain.Host) {
 	for _, t := range s.turns {
 		switch {
-		case t.mayRun == nil || slices.ContainsFunc(usable, t.mayRun):
-			t.unserved = time.Time{}
-		case t.unserved.IsZero():
-			t.unserved = now
-		case now.Sub(t.unserved) >= unservedAfter:
-			s.giveUp(t, queue.Refusal{
+		case t.mayRunKey == nil || slices.ContainsFunc(usable, t.mayRunKey):
+			t.unservedSince = time.Time{}
+		case t.unservedSince.IsZero():
+			t.unservedSince = now
+		case now.Sub(t.unservedSince) >= unservedTimeout:
+			s.refuseTurn(t, queue.Refusal{
 				Reason: domain.ReasonNoUpstream, Detail: "no upstream that may run the key takes work", RetryAfter: 2 * time.Second,
 			})
 		}
