--- a/feed/feed.go
+++ b/feed/feed.go
@@ -1,18 +1,19 @@
-// Package feed keeps a copy of a collection that another system holds: it
-// lists the collection, watches it for changes, and lists it anew where the
-// history of changes is gone.
+// Package feed keeps a copy of a collection that another system holds. It lists the
+// collection, watches it for changes, and lists it again when the source no longer has
+// the history of changes that a watch needs.
 //
 // # Usage
 //
 //	f := feed.Feed[roster.Server]{
 //		Name: "servers", Source: source, Log: log,
-//		Listed:  func(now time.Time, all []feed.Item[roster.Server]) { ... },
-//		Changed: func(now time.Time, changes []feed.Change[roster.Server]) { ... },
+//		OnList:   func(now time.Time, all []feed.Item[roster.Server]) { ... },
+//		OnChange: func(now time.Time, changes []feed.Change[roster.Server]) { ... },
 //	}
 //	err := f.Run(ctx)
 //
-// The copy is as old as the last answer: Age says how old, and Lost and
-// Regained mark the times between which nothing is heard.
+// The copy is as old as the source's last answer, whose age Age returns. OnDisconnect and
+// OnReconnect mark the start and the end of the time during which the source does not
+// answer.
 package feed
 
 import (
@@ -28,8 +29,8 @@
 	"jacinthworks/group"
 )
 
-// Revision orders the changes of a collection, also where its source comes back from an
-// older copy.
+// Revision orders the changes of a collection, including a source that was restored from
+// an older snapshot.
 type Revision = epoch.Position
 
 // Item is one member of a collection.
@@ -37,54 +38,55 @@
 	Name     string
 	Revision Revision
 	Value    T
-	// DecodeErr is what kept the value from being read, which is not set then; nil
-	// for what was read.
+	// DecodeErr is the error that decoding the value returned; Value is not set then. It
+	// is nil if the value was decoded.
 	DecodeErr error
 }
 
-// Page is a part of a collection, as of a revision.
+// Page is a part of a collection as of a revision.
 type Page[T any] struct {
 	Items    []Item[T]
 	Revision Revision
-	// More says that there are items after these.
+	// More reports whether items follow the last item of the page.
 	More bool
 }
 
-// Pager gathers the pages of a list. The zero value begins one.
+// Pager collects the pages of a list. The zero value starts a list.
 //
-// Load pattern: every process of a fleet starts at once, and each lists all
-// upstreams in tens of pages. A source that takes so many calls a second refuses
-// half of them. A list that begins anew after each refusal is never done; one that
-// goes on at the page that was refused is, in as many calls as it has pages.
+// After a failed page, a Pager continues at that page. When every process of a fleet
+// starts at once and lists all upstreams in tens of pages, a source with a limit on calls
+// per second refuses half of the calls. A list that started again after each refusal
+// would never end; one that continues takes only as many successful calls as it has
+// pages.
 type Pager[T any] struct {
-	items []Item[T]
-	at    Revision
+	items    []Item[T]
+	revision Revision
 }
 
-// Next reads one page more, and says whether it was the last. After an error the
-// same page is next.
+// Next reads the next page and reports whether it was the last one. After an error, the
+// next call reads the same page again.
 func (p *Pager[T]) Next(ctx context.Context, from Source[T], stale bool) (last bool, err error) {
-	page, err := from.List(ctx, p.after(), stale)
+	page, err := from.List(ctx, p.afterName(), stale)
 	if err != nil {
 		return false, err
 	}
-	// Pages of different eras are of different copies of the collection.
-	if len(p.items) > 0 && page.Revision.Era() != p.at.Era() {
+	// Pages of different eras belong to different snapshots of the collection.
+	if len(p.items) > 0 && page.Revision.Era() != p.revision.Era() {
 		*p = Pager[T]{}
 		return false, nil
 	}
-	// What has changed in one page by the time of another, a watch from the
-	// lowest revision tells again.
-	if len(p.items) == 0 || page.Revision < p.at {
-		p.at = page.Revision
+	// Items may change between the reads of two pages; a watch from the lowest revision
+	// returns these changes.
+	if len(p.items) == 0 || page.Revision < p.revision {
+		p.revision = page.Revision
 	}
 	p.items = append(p.items, page.Items...)
 	return !page.More || len(page.Items) == 0, nil
 }
 
-// after is the name after which the next page begins: the last one that could
-// be read.
-func (p *Pager[T]) after() string {
+// afterName returns the name after which the next page begins: the last non-empty name
+// among the items.
+func (p *Pager[T]) afterName() string {
 	for n := len(p.items) - 1; n >= 0; n-- {
 		if p.items[n].Name != "" {
 			return p.items[n].Name
@@ -93,7 +95,7 @@
 	return ""
 }
 
-// ListAll reads all pages, and fails with the first that does.
+// ListAll reads all pages, and returns the first error.
 func ListAll[T any](ctx context.Context, from Source[T], stale bool) ([]Item[T], error) {
 	var p Pager[T]
 	for {
@@ -107,7 +109,7 @@
 	}
 }
 
-// Values gives the values that were read.
+// Values returns the values of the items that were decoded.
 func Values[T any](all []Item[T]) []T {
 	var values []T
 	for _, i := range all {
@@ -118,129 +120,133 @@
 	return values
 }
 
-// Change is an item that is new or other than before, or that is gone.
+// Change is an item that was added, changed or deleted.
 type Change[T any] struct {
 	Item[T]
 	Deleted bool
 }
 
-// ErrRateLimited says that the source refuses a call since it gets too many.
+// ErrRateLimited is the error of a call that the source refused because it receives too
+// many calls.
 //
-// Load pattern: hundreds of processes lose a source at once, or start at once, and
-// ask again every 400 ms, each for several feeds. That alone is more than the
-// source takes, which goes on refusing all of them when it is well. Pauses that
-// grow on let the calls fall under what it takes.
-var ErrRateLimited = errors.New("feed: too many calls")
+// When hundreds of processes lose a source or start at the same time, and each retries
+// every 400 ms for several feeds, the retries alone exceed the source's limit, and it
+// keeps refusing all of them although it works. Retry delays that keep growing, up to
+// maxRateLimitDelay, bring the calls below the limit.
+var ErrRateLimited = errors.New("feed: source refused the call: too many calls")
 
-// ErrCompacted says that the changes after the revision asked for are not kept
-// any more: the collection has to be listed.
-var ErrCompacted = errors.New("feed: history is gone")
+// ErrCompacted is the error of a watch whose start revision is older than the changes
+// that the source keeps: the collection must be listed.
+var ErrCompacted = errors.New("feed: source no longer has the changes after the revision")
 
-// ErrEraChanged says that the source has come back from an older copy, so that the revision
-// asked for means nothing to it: the collection has to be listed.
-var ErrEraChanged = errors.New("feed: another era")
+// ErrEraChanged is the error of a watch whose start revision belongs to another era: the
+// source was restored from an older snapshot, and the collection must be listed.
+var ErrEraChanged = errors.New("feed: source has another era than the revision")
 
-// Source is where a collection comes from.
+// Source provides a collection.
 type Source[T any] interface {
-	// List gives a page of the items: those after a name, the first ones for "".
-	// A stale page may be seconds old.
+	// List returns a page of the items: those after the given name, or the first ones if
+	// it is empty. A stale page may be seconds old.
 	List(ctx context.Context, after string, stale bool) (Page[T], error)
-	// Watch waits at most the given time for changes after the revision, and
-	// gives them with the revision to go on from. No change is no error.
+	// Watch waits at most the given time for changes after the revision. It returns the
+	// changes and the revision to continue from. No change within the time is not an
+	// error.
 	Watch(ctx context.Context, after Revision, wait time.Duration) ([]Change[T], Revision, error)
 }
 
-// The times of a Feed that sets none.
+// Default and bounds of the times of a Feed.
 const (
-	// DefaultWatchTimeout is how long a watch waits. An open connection may go silent
-	// for good, which shows only as a watch that is not answered; so this and
-	// the patience below bound how old a copy can get unnoticed.
+	// DefaultWatchTimeout is how long a watch waits. A connection may stop delivering
+	// messages without being closed, which is noticed only when a watch gets no answer in
+	// time; so this timeout and answerMargin bound how old a copy can get unnoticed.
 	DefaultWatchTimeout = 2 * time.Second
-	// patience is how long the answer may take beyond the wait.
-	patience = 800 * time.Millisecond
-	// listWithin bounds a list, which may take several calls.
-	listWithin = 3 * time.Second
-	// The pause before another try doubles from the first to the last. The
-	// last is well under the two seconds in which a change is to be in force.
-	firstPause = 100 * time.Millisecond
-	lastPause  = 400 * time.Millisecond
-	// busyPause is the last one after refusals for too many calls. With its
-	// jitter it stays under three seconds.
-	busyPause = 1600 * time.Millisecond
-	// refusalsMost is how many of them a process that knows the collection takes before it
-	// pauses as long as one that does not.
-	refusalsMost = 5
-	// eraPause is the longest pause before the list of a new era, which all processes
-	// hear of at once.
-	eraPause = 300 * time.Millisecond
-	// returnWait is the wait of a watch while the source is lost.
-	returnWait = 10 * time.Millisecond
+	// answerMargin is how long an answer may take beyond the time for which a watch
+	// waits.
+	answerMargin = 800 * time.Millisecond
+	// listTimeout bounds one call of Source.List, which may try relays before the store.
+	listTimeout = 3 * time.Second
+	// The delay before a retry doubles from minRetryDelay to maxRetryDelay, which is well
+	// below the two seconds within which a change must be in force.
+	minRetryDelay = 100 * time.Millisecond
+	maxRetryDelay = 400 * time.Millisecond
+	// maxRateLimitDelay is the longest retry delay after ErrRateLimited. With jitter the
+	// delay stays below three seconds.
+	maxRateLimitDelay = 1600 * time.Millisecond
+	// maxRateLimitErrors is the number of ErrRateLimited errors in a row after which a
+	// process that has listed the collection uses maxRateLimitDelay too.
+	maxRateLimitErrors = 5
+	// maxEraDelay is the longest delay before the list of a new era. The delay is random,
+	// since all processes detect the new era at once.
+	maxEraDelay = 300 * time.Millisecond
+	// disconnectedWatchTimeout is how long a watch waits while the source does not
+	// answer.
+	disconnectedWatchTimeout = 10 * time.Millisecond
 )
 
-// Feed follows a collection. Set the fields before Run; the functions are
-// called from Run's goroutine only.
+// Feed keeps a copy of a collection. The exported fields must be set before Run; Run's
+// goroutine calls all functions except Age.
 type Feed[T any] struct {
 	Name   string
 	Source Source[T]
 	Log    hclog.Logger
-	// Wait is how long a watch waits; zero is DefaultWatchTimeout.
+	// Wait is how long a watch waits; zero means DefaultWatchTimeout.
 	Wait time.Duration
-	// StaleStart has the first list be a stale one.
-	//
-	// Load pattern: every process of a fleet starts at the same moment and lists
-	// all upstreams, in many pages, of which a source takes so many a second from
-	// all together. Stale pages do not count. A list after lost history is never
-	// stale: it has to tell what the watch did not.
+	// StaleStart makes the first list a stale one. When every process of a fleet starts
+	// at the same moment, all of them list all upstreams in many pages, and the source
+	// limits the calls per second of all processes together. Stale pages do not count
+	// towards that limit. A list after lost history is never stale, since it must contain
+	// the changes that the watch missed.
 	StaleStart bool
-	// BatchDelay, if set, gives the pause after changes, in which further ones come
-	// together; less than the default counts as that.
+	// BatchDelay, if set, returns the delay after changes, in which further changes
+	// accumulate. A delay below minBatchDelay counts as minBatchDelay.
 	BatchDelay func() time.Duration
-	// OnList takes the whole collection, Changed the changes since; those that
-	// could not be read are among both.
-	//
-	// Failure: one member of the collection can't be read, and with it none. It
-	// shows as a process that knows nothing, or hears of nothing new.
+	// OnList receives the whole collection, and OnChange the changes since. Both also
+	// receive items that could not be decoded. Were one such item an error for the whole
+	// list or batch, the process would have no collection, or would receive no more
+	// changes.
 	OnList   func(now time.Time, all []Item[T])
 	OnChange func(now time.Time, changes []Change[T])
-	// OnDisconnect and Regained, if set, are told when the source stops answering,
+	// OnDisconnect and OnReconnect, if set, are called when the source stops answering
 	// and when it answers again.
 	OnDisconnect func(now time.Time)
 	OnReconnect  func(now time.Time)
-	// OnRestore, if set, is told just before Listed that the list is of a new era: members
-	// may be older than what was known, or missing.
+	// OnRestore, if set, is called just before OnList when the list is of a new era:
+	// items may be older than in the copy, or missing.
 	OnRestore func(now time.Time)
 
-	heard    atomic.Pointer[time.Time]
-	revision Revision
-	listed   bool
-	pages    Pager[T]
-	lost     bool
-	pause    time.Duration
-	// refusals counts those for too many calls since the source last answered.
-	refusals int
-	// unread are the versions of members that were logged as unreadable.
-	unread map[string]unreadAt
+	lastAnswer   atomic.Pointer[time.Time]
+	revision     Revision
+	listed       bool
+	pager        Pager[T]
+	disconnected bool
+	retryDelay   time.Duration
+	// rateLimitErrors counts the ErrRateLimited errors since the source last answered.
+	rateLimitErrors int
+	// undecodable holds, by item name, the version that was logged as not decodable.
+	undecodable map[string]undecodableVersion
 }
 
-// unreadAt is a version of a member; noted tells it from none.
-type unreadAt struct {
-	at    Revision
-	noted bool
+// undecodableVersion is a version of an item; logged distinguishes it from the zero
+// value.
+type undecodableVersion struct {
+	revision Revision
+	logged   bool
 }
 
-// unreadMost bounds the members that are remembered as unreadable.
-const unreadMost = 1000
+// maxUndecodable bounds the number of items in Feed.undecodable.
+const maxUndecodable = 1000
 
-// Age is how long ago the source last answered; false when it never did.
+// Age returns the time since the source last answered, and false if it never did. It may
+// be called from any goroutine.
 func (f *Feed[T]) Age(now time.Time) (time.Duration, bool) {
-	at := f.heard.Load()
-	if at == nil {
+	lastAnswer := f.lastAnswer.Load()
+	if lastAnswer == nil {
 		return 0, false
 	}
-	return now.Sub(*at), true
+	return now.Sub(*lastAnswer), true
 }
 
-// Run follows the collection until ctx ends.
+// Run lists and watches the collection until ctx ends, then returns nil.
 func (f *Feed[T]) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		err := f.step(ctx)
@@ -248,37 +254,38 @@
 		case ctx.Err() != nil:
 			return nil
 		case errors.Is(err, ErrCompacted):
-			f.Log.Info("history gone, listing anew", "feed", f.Name, "revision", f.revision.String())
+			f.Log.Info("history compacted, listing the collection again", "feed", f.Name, "revision", f.revision.String())
 			f.listed = false
 		case errors.Is(err, ErrEraChanged):
 			f.listed = false
-			group.Sleep(ctx, rand.N(eraPause))
+			group.Sleep(ctx, rand.N(maxEraDelay))
 		case err != nil:
-			f.missed(ctx, err)
+			f.handleError(ctx, err)
 		}
 	}
 	return nil
 }
 
-// step makes one call and passes on what came of it.
+// step reads one page of a list or makes one watch, and passes the result to OnList or
+// OnChange.
 func (f *Feed[T]) step(ctx context.Context) error {
 	if !f.listed {
-		ctx, cancel := context.WithTimeout(ctx, listWithin)
+		ctx, cancel := context.WithTimeout(ctx, listTimeout)
 		defer cancel()
 		stale := f.StaleStart && f.revision == 0
-		last, err := f.pages.Next(ctx, f.Source, stale)
+		last, err := f.pager.Next(ctx, f.Source, stale)
 		if err != nil {
 			return err
 		}
-		now := f.answered()
+		now := f.recordAnswer()
 		if !last {
 			return nil
 		}
-		all := f.pages
-		f.pages = Pager[T]{}
-		f.begin(now, all.at)
+		all := f.pager
+		f.pager = Pager[T]{}
+		f.setListed(now, all.revision)
 		for _, i := range all.items {
-			f.noteUnread(i)
+			f.logUndecodable(i)
 		}
 		f.OnList(now, all.items)
 		return nil
@@ -287,93 +294,92 @@
 	if wait <= 0 {
 		wait = DefaultWatchTimeout
 	}
-	// Failure: the source is back, and the watch that finds it waits for a
-	// change. It shows as a return that is told with the next change. A short
-	// wait tells it at once.
-	if f.lost {
-		wait = returnWait
+	// A watch with the usual wait would return only with the next change, and OnReconnect
+	// would be called that late. A short wait detects at once that the source answers.
+	if f.disconnected {
+		wait = disconnectedWatchTimeout
 	}
-	ctx, cancel := context.WithTimeout(ctx, wait+patience)
+	ctx, cancel := context.WithTimeout(ctx, wait+answerMargin)
 	defer cancel()
-	changes, at, err := f.Source.Watch(ctx, f.revision, wait)
+	changes, revision, err := f.Source.Watch(ctx, f.revision, wait)
 	if err != nil {
-		f.outgrown(ctx)
+		f.relistAfterTimeout(ctx)
 		return err
 	}
-	now := f.answered()
-	f.revision = max(f.revision, at)
+	now := f.recordAnswer()
+	f.revision = max(f.revision, revision)
 	if len(changes) > 0 {
 		for _, c := range changes {
-			f.noteUnread(c.Item)
+			f.logUndecodable(c.Item)
 		}
 		f.OnChange(now, changes)
-		group.Sleep(ctx, f.gathering())
+		group.Sleep(ctx, f.batchDelay())
 	}
 	return nil
 }
 
-// begin takes the revision of a list, which may be of a new era.
-func (f *Feed[T]) begin(now time.Time, at Revision) {
+// setListed records the revision of a complete list, and calls OnRestore if it is of a
+// new era.
+func (f *Feed[T]) setListed(now time.Time, revision Revision) {
 	before := f.revision
-	f.revision, f.listed = at, true
-	if before == 0 || before.Era() == at.Era() {
+	f.revision, f.listed = revision, true
+	if before == 0 || before.Era() == revision.Era() {
 		return
 	}
-	f.Log.Warn("source came back from a copy", "feed", f.Name, "revision", at.String(), "revision_before", before.String())
+	f.Log.Warn("source restored from an older snapshot", "feed", f.Name, "revision", revision.String(), "revision_before", before.String())
 	if f.OnRestore != nil {
 		f.OnRestore(now)
 	}
 }
 
-// outgrown has the collection listed anew after a watch that ran out of time.
-//
-// Failure: a process missed many versions of a large member, over a thin link. The
-// watch gives all of them in one answer, which takes longer than a watch may, and
-// each further one begins anew. It shows as a process that hears of nothing until
-// the history is gone. A list has each member once, however much was missed.
-func (f *Feed[T]) outgrown(ctx context.Context) {
+// relistAfterTimeout makes the next step list the collection if a watch ran out of time.
+// A process that missed many versions of a large item gets all of them in one answer,
+// which over a slow link can take longer than a watch may. Each further watch would start
+// from the same revision, so that the process would receive no changes until the source
+// discards the history. A list has each item once, however many versions were missed.
+func (f *Feed[T]) relistAfterTimeout(ctx context.Context) {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		f.Log.Info("watch out of time, listing anew", "feed", f.Name, "revision", f.revision.String())
+		f.Log.Info("watch timed out, listing the collection again", "feed", f.Name, "revision", f.revision.String())
 		f.listed = false
 	}
 }
 
-// gather is the pause after changes, in which further ones come together.
-//
-// Load pattern: a fleet starts, and fifty upstreams register within three
-// seconds. Each one alone ends the watch of each process, so that the calls are
-// the product of both numbers. Bounds on what changes are seconds.
-const gather = 100 * time.Millisecond
+// minBatchDelay is the delay after changes, in which further changes accumulate. When a
+// fleet starts, fifty upstreams may register within three seconds. Without the delay each
+// registration would end the watch of each process, and the number of calls would be the
+// product of both numbers. The bounds on when a change must be in force are seconds.
+const minBatchDelay = 100 * time.Millisecond
 
-func (f *Feed[T]) gathering() time.Duration {
+func (f *Feed[T]) batchDelay() time.Duration {
 	if f.BatchDelay == nil {
-		return gather
+		return minBatchDelay
 	}
-	return max(gather, f.BatchDelay())
+	return max(minBatchDelay, f.BatchDelay())
 }
 
-// noteUnread writes one line for each version of a member that can't be read,
-// however often it is listed.
-func (f *Feed[T]) noteUnread(i Item[T]) {
+// logUndecodable logs each version of an item that can't be decoded once, however often
+// it is listed.
+func (f *Feed[T]) logUndecodable(i Item[T]) {
 	switch {
 	case i.DecodeErr == nil:
-		delete(f.unread, i.Name)
-	case f.unread[i.Name] != unreadAt{i.Revision, true}:
-		if f.unread == nil || len(f.unread) >= unreadMost {
-			f.unread = make(map[string]unreadAt)
+		delete(f.undecodable, i.Name)
+	case f.undecodable[i.Name] != undecodableVersion{i.Revision, true}:
+		if f.undecodable == nil || len(f.undecodable) >= maxUndecodable {
+			f.undecodable = make(map[string]undecodableVersion)
 		}
-		f.unread[i.Name] = unreadAt{i.Revision, true}
-		f.Log.Warn("unreadable, passed over", "feed", f.Name, "name", i.Name, "revision", i.Revision.String(), "err", i.DecodeErr)
+		f.undecodable[i.Name] = undecodableVersion{i.Revision, true}
+		f.Log.Warn("item not decodable, skipped", "feed", f.Name, "name", i.Name, "revision", i.Revision.String(), "err", i.DecodeErr)
 	}
 }
 
-// answered notes that the source answered.
-func (f *Feed[T]) answered() time.Time {
+// recordAnswer records an answer of the source, resets the retry delay, and calls
+// OnReconnect if the source did not answer before. It returns the time of the answer.
+func (f *Feed[T]) recordAnswer() time.Time {
 	now := time.Now()
-	f.heard.Store(&now)
-	f.pause, f.refusals = 0, 0
-	if f.lost {
-		f.lost = false
+	f.lastAnswer.Store(&now)
+	f.retryDelay, f.rateLimitErrors = 0, 0
+	if f.disconnected {
+		f.disconnected = false
 		f.Log.Info("regained", "feed", f.Name, "revision", f.revision.String())
 		if f.OnReconnect != nil {
 			f.OnReconnect(now)
@@ -382,27 +388,28 @@
 	return now
 }
 
-// missed notes a call that failed, and pauses. The pause has jitter, so that
-// processes that lost the source together do not come back together.
-func (f *Feed[T]) missed(ctx context.Context, err error) {
-	if !f.lost {
-		f.lost = true
+// handleError records a failed call, calls OnDisconnect if the source answered before,
+// and sleeps for the retry delay. The delay has jitter, so that processes that lost the
+// source together do not reconnect together.
+func (f *Feed[T]) handleError(ctx context.Context, err error) {
+	if !f.disconnected {
+		f.disconnected = true
 		f.Log.Warn("lost", "feed", f.Name, "revision", f.revision.String(), "err", err)
 		if f.OnDisconnect != nil {
 			f.OnDisconnect(time.Now())
 		}
 	}
-	most := lastPause
-	// Failure: a process that knows a collection is refused for some seconds, and
-	// then waits for seconds more. It shows as a change that is in force too late.
-	// One that knows nothing yet waits that long at once, the others when they were
-	// refused again and again: else they alone may be more than the source takes.
+	maxDelay := maxRetryDelay
+	// A process that has listed the collection and is refused for some seconds must not
+	// wait for seconds more: a change would come into force too late. A process without the
+	// collection uses the long delay at once, and all others after maxRateLimitErrors
+	// refusals: their calls alone may exceed the source's limit.
 	if errors.Is(err, ErrRateLimited) {
-		f.refusals++
-		if !f.listed || f.refusals > refusalsMost {
-			most = busyPause
+		f.rateLimitErrors++
+		if !f.listed || f.rateLimitErrors > maxRateLimitErrors {
+			maxDelay = maxRateLimitDelay
 		}
 	}
-	f.pause = min(max(2*f.pause, firstPause), most)
-	group.Sleep(ctx, f.pause/2+rand.N(f.pause))
+	f.retryDelay = min(max(2*f.retryDelay, minRetryDelay), maxDelay)
+	group.Sleep(ctx, f.retryDelay/2+rand.N(f.retryDelay))
 }
--- a/feed/feed_test.go
+++ b/feed/feed_test.go
@@ -13,23 +13,23 @@
 	"jacinthworks/feed"
 )
 
-// source is a collection in memory that can be told to fail.
+// source is a collection in memory that can be made to fail.
 type source struct {
-	mu      sync.Mutex
-	at      feed.Revision
-	names   []string
-	down    bool
-	history feed.Revision // changes up to here are forgotten
-	changes []feed.Change[string]
-	calls   []time.Duration // the waits asked for
-	changed chan struct{}
-	// old is what a stale list gives, oldAt its revision; lists counts those
-	// that were asked for, by whether they may be stale.
-	old   []string
-	oldAt feed.Revision
-	lists map[bool]int
-	// page bounds the items of a page; after each one call is refused.
-	page, refuse int
+	mu        sync.Mutex
+	revision  feed.Revision
+	names     []string
+	down      bool
+	compacted feed.Revision // changes up to this revision are not kept
+	changes   []feed.Change[string]
+	calls     []time.Duration // the wait of each watch
+	changed   chan struct{}
+	// staleNames is what a stale list returns, staleRevision its revision; lists counts the
+	// lists by whether they may be stale.
+	staleNames    []string
+	staleRevision feed.Revision
+	lists         map[bool]int
+	// pageSize bounds the items of a page; after each page one call is refused.
+	pageSize, refuseCalls int
 }
 
 var errDown = errors.New("down")
@@ -40,31 +40,31 @@
 	if s.down {
 		return feed.Page[string]{}, errDown
 	}
-	if s.refuse > 0 {
-		s.refuse--
+	if s.refuseCalls > 0 {
+		s.refuseCalls--
 		return feed.Page[string]{}, errDown
 	}
 	if s.lists == nil {
 		s.lists = make(map[bool]int)
 	}
 	s.lists[stale]++
-	names, at := s.names, s.at
+	names, revision := s.names, s.revision
 	if stale {
-		names, at = s.old, s.oldAt
+		names, revision = s.staleNames, s.staleRevision
 	}
 	var p feed.Page[string]
-	p.Revision = at
+	p.Revision = revision
 	for _, n := range names {
 		if n <= after {
 			continue
 		}
-		if s.page > 0 && len(p.Items) == s.page {
+		if s.pageSize > 0 && len(p.Items) == s.pageSize {
 			p.More = true
 			break
 		}
 		p.Items = append(p.Items, feed.Item[string]{Name: n, Value: n})
-		if s.page > 0 {
-			s.refuse = 1 // the next call
+		if s.pageSize > 0 {
+			s.refuseCalls = 1 // refuse the next call
 		}
 	}
 	return p, nil
@@ -77,7 +77,7 @@
 	deadline := time.After(wait)
 	for {
 		s.mu.Lock()
-		down, history, at := s.down, s.history, s.at
+		down, compacted, revision := s.down, s.compacted, s.revision
 		var fresh []feed.Change[string]
 		for _, c := range s.changes {
 			if c.Revision > after {
@@ -88,22 +88,22 @@
 		switch {
 		case down:
 			return nil, 0, errDown
-		case after < history:
+		case after < compacted:
 			return nil, 0, feed.ErrCompacted
 		case len(fresh) > 0:
-			return fresh, at, nil
+			return fresh, revision, nil
 		}
 		select {
 		case <-s.changed:
 		case <-deadline:
-			return nil, at, nil
+			return nil, revision, nil
 		case <-ctx.Done():
 			return nil, 0, ctx.Err()
 		}
 	}
 }
 
-func (s *source) set(change func()) {
+func (s *source) update(change func()) {
 	s.mu.Lock()
 	change()
 	s.mu.Unlock()
@@ -113,17 +113,17 @@
 	}
 }
 
-// heard collects what a feed tells.
-type heard struct {
+// feedEvents collects the calls of a feed's functions.
+type feedEvents struct {
 	listed   chan []feed.Item[string]
 	changed  chan []feed.Change[string]
 	lost     chan time.Time
 	regained chan time.Time
 }
 
-func run(t *testing.T, s *source) (*feed.Feed[string], heard) {
+func startFeed(t *testing.T, s *source) (*feed.Feed[string], feedEvents) {
 	t.Helper()
-	h := heard{make(chan []feed.Item[string], 8), make(chan []feed.Change[string], 8), make(chan time.Time, 8), make(chan time.Time, 8)}
+	h := feedEvents{make(chan []feed.Item[string], 8), make(chan []feed.Change[string], 8), make(chan time.Time, 8), make(chan time.Time, 8)}
 	f := &feed.Feed[string]{
 		Name: "test", Source: s, Log: hclog.NewNullLogger(), Wait: time.Minute,
 		OnList:       func(_ time.Time, all []feed.Item[string]) { h.listed <- all },
@@ -138,57 +138,56 @@
 	return f, h
 }
 
-// Story: the store forgets the changes that a watch asks for. What changed in
-// between is in no event any more; only a list tells it.
-func TestHistoryGoneListsAnew(t *testing.T) {
-	s := &source{at: 5, names: []string{"a"}, changed: make(chan struct{}, 1)}
-	_, h := run(t, s)
+// When the store no longer keeps the changes that a watch needs, only a list has them.
+func TestFeedListsAgainAfterCompaction(t *testing.T) {
+	s := &source{revision: 5, names: []string{"a"}, changed: make(chan struct{}, 1)}
+	_, h := startFeed(t, s)
 	require.Len(t, <-h.listed, 1)
-	s.set(func() { s.at, s.history, s.names = 9, 8, []string{"a", "b"} })
+	s.update(func() { s.revision, s.compacted, s.names = 9, 8, []string{"a", "b"} })
 	require.Len(t, <-h.listed, 2)
 }
 
-// Story: a process is cut off from the store for some seconds. When the path
-// is back, the first watch waits for a change, and nothing changes; the return
-// is noticed with the next change only, maybe a minute later. Whatever counts
-// from the return, such as how long a server that left the registry is kept,
-// then starts too late.
-func TestReturnIsToldAtOnce(t *testing.T) {
-	s := &source{at: 5, names: []string{"a"}, changed: make(chan struct{}, 1)}
-	_, h := run(t, s)
+// A process is cut off from the store for some seconds. If the first watch after that
+// waited for a change, OnReconnect would be called with the next change only, maybe a
+// minute later. What counts from the reconnect, such as how long a server that left the
+// registry is kept, would then start too late.
+func TestFeedReportsReconnectWithoutChange(t *testing.T) {
+	s := &source{revision: 5, names: []string{"a"}, changed: make(chan struct{}, 1)}
+	_, h := startFeed(t, s)
 	<-h.listed
-	s.set(func() { s.down = true })
+	s.update(func() { s.down = true })
 	<-h.lost
-	s.set(func() { s.down = false })
+	s.update(func() { s.down = false })
 	select {
 	case <-h.regained:
 	case <-time.After(5 * time.Second):
-		t.Fatal("the return was not told though the source answers")
+		t.Fatal("OnReconnect was not called although the source answers")
 	}
 }
 
-func TestChangesAndAge(t *testing.T) {
-	s := &source{at: 5, changed: make(chan struct{}, 1)}
-	f, h := run(t, s)
+func TestFeedReportsChangesAndAge(t *testing.T) {
+	s := &source{revision: 5, changed: make(chan struct{}, 1)}
+	f, h := startFeed(t, s)
 	<-h.listed
 	age, known := f.Age(time.Now())
 	require.True(t, known)
 	require.Less(t, age, 5*time.Second)
-	s.set(func() {
-		s.at = 6
+	s.update(func() {
+		s.revision = 6
 		s.changes = append(s.changes, feed.Change[string]{Item: feed.Item[string]{Name: "b", Revision: 6, Value: "b"}})
 	})
 	got := <-h.changed
 	require.Equal(t, "b", got[0].Value)
 }
 
-// Story: a whole fleet is killed and starts again. Each process lists three
-// thousand upstreams in sixty pages, of which the source takes two thousand a
-// second from all: it takes them nine seconds to be ready. Stale lists do not
-// count; what they lack must come at once, and not with the next change.
-func TestAStaleStartIsCaughtUp(t *testing.T) {
+// When a whole fleet is killed and starts again, each process lists three thousand
+// upstreams in sixty pages, and the source accepts two thousand calls a second from all
+// processes: it would take nine seconds until all are ready. Stale lists do not count
+// towards the limit; the changes that they lack must be applied at once, and not with the
+// next change.
+func TestFeedAppliesChangesAfterStaleStart(t *testing.T) {
 	s := &source{
-		at: 9, names: []string{"a", "b"}, changed: make(chan struct{}, 1), oldAt: 5, old: []string{"a"},
+		revision: 9, names: []string{"a", "b"}, changed: make(chan struct{}, 1), staleRevision: 5, staleNames: []string{"a"},
 		changes: []feed.Change[string]{{Item: feed.Item[string]{Name: "b", Value: "b", Revision: 7}}},
 	}
 	listed, changed := make(chan int, 8), make(chan string, 8)
@@ -206,19 +205,19 @@
 	go func() { ended <- f.Run(ctx) }()
 	require.Equal(t, 1, <-listed)
 	require.Equal(t, "b", <-changed)
-	// Lost history is listed anew, and not stale: the source would tell of a
-	// time before what was lost.
-	s.set(func() { s.history, s.at, s.names = 20, 21, []string{"a", "b", "c"} })
+	// The list after a compaction is not stale: a stale one may be older than the changes
+	// that are no longer kept.
+	s.update(func() { s.compacted, s.revision, s.names = 20, 21, []string{"a", "b", "c"} })
 	require.Equal(t, 3, <-listed)
 	cancel()
 	require.NoError(t, <-ended)
 	require.Equal(t, map[bool]int{true: 1, false: 1}, s.lists)
 }
 
-// Story: a fleet starts, and its source refuses every other call, as it takes no
-// more. A list that begins anew with each refusal never ends.
-func TestARefusedPageIsReadAgainAndNotAll(t *testing.T) {
-	s := &source{at: 9, names: []string{"a", "b", "c", "d", "e"}, changed: make(chan struct{}, 1), page: 1}
+// The source of a starting fleet refuses every other call because of its limit. A list
+// that started again after each refusal would never end.
+func TestFeedRetriesOnlyFailedPage(t *testing.T) {
+	s := &source{revision: 9, names: []string{"a", "b", "c", "d", "e"}, changed: make(chan struct{}, 1), pageSize: 1}
 	listed := make(chan int, 1)
 	f := &feed.Feed[string]{
 		Name: "test", Source: s, Log: hclog.NewNullLogger(), Wait: time.Hour,
@@ -231,9 +230,9 @@
 	case n := <-listed:
 		require.Equal(t, 5, n)
 	case <-time.After(10 * time.Second):
-		t.Fatal("never listed")
+		t.Fatal("the list did not complete within 10 s")
 	}
 	cancel()
 	require.NoError(t, <-ended)
-	require.Equal(t, 5, s.lists[false], "one for each page")
+	require.Equal(t, 5, s.lists[false], "each page is listed once")
 }
--- a/feed/busy_test.go
+++ b/feed/rate_limit_test.go
@@ -13,15 +13,16 @@
 	"jacinthworks/feed"
 )
 
-// limited is a source that takes so many calls a second, refused ones counted.
-type limited struct {
+// rateLimitedSource is a source that refuses calls beyond rate per second; refused calls
+// count too.
+type rateLimitedSource struct {
 	rate int
 
 	mu    sync.Mutex
 	calls []time.Time
 }
 
-func (l *limited) take() error {
+func (l *rateLimitedSource) countCall() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
@@ -35,12 +36,12 @@
 	return nil
 }
 
-func (l *limited) List(context.Context, string, bool) (feed.Page[string], error) {
-	return feed.Page[string]{Revision: 1}, l.take()
+func (l *rateLimitedSource) List(context.Context, string, bool) (feed.Page[string], error) {
+	return feed.Page[string]{Revision: 1}, l.countCall()
 }
 
-func (l *limited) Watch(ctx context.Context, _ feed.Revision, wait time.Duration) ([]feed.Change[string], feed.Revision, error) {
-	if err := l.take(); err != nil {
+func (l *rateLimitedSource) Watch(ctx context.Context, _ feed.Revision, wait time.Duration) ([]feed.Change[string], feed.Revision, error) {
+	if err := l.countCall(); err != nil {
 		return nil, 0, err
 	}
 	select {
@@ -50,13 +51,13 @@
 	return nil, 1, nil
 }
 
-// Story: three hundred entries are killed at once and start again, each with three
-// feeds. They ask the store more often than it allows, are refused, and ask again,
-// for ever: none serves although the store is well.
-func TestAFleetThatStartsAtOnceIsNotRefusedForEver(t *testing.T) {
+// 645 entries that are killed and start again at once, each with three feeds, call the store
+// more often than its limit allows. Guards against retries that stay above the limit, so
+// that all calls are refused for ever although the store works.
+func TestFeedsStartingAtOnceStayBelowRateLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const feeds = 645 * 3
-		source := &limited{rate: 2000}
+		source := &rateLimitedSource{rate: 2000}
 		ctx, cancel := context.WithCancel(t.Context())
 		listed, ended := make(chan time.Time, feeds), make(chan error, feeds)
 		began := time.Now()
@@ -72,11 +73,11 @@
 			select {
 			case last = <-listed:
 			case <-time.After(time.Minute):
-				t.Fatal("refused for ever")
+				t.Fatal("a feed was not listed within a minute")
 			}
 		}
 		require.Less(t, last.Sub(began), 8*time.Second)
-		// And watches go on, in what the source takes.
+		// The watches that follow stay below the limit too.
 		time.Sleep(20 * time.Second)
 		source.mu.Lock()
 		require.Less(t, len(source.calls), source.rate)
--- a/feed/outgrown_test.go
+++ b/feed/watch_test.go
@@ -14,60 +14,60 @@
 	"jacinthworks/feed"
 )
 
-// thin is a source behind a thin link: each version of its one member takes a
-// while to come, and a watch gives all versions since.
-type thin struct {
-	mu      sync.Mutex
-	version feed.Revision
-	down    bool
-	each    time.Duration
+// slowSource is a source behind a slow link: each version of its only item takes
+// versionTime to transfer, and a watch returns all versions since its revision.
+type slowSource struct {
+	mu          sync.Mutex
+	version     feed.Revision
+	down        bool
+	versionTime time.Duration
 }
 
-func (s *thin) state() (feed.Revision, bool) {
+func (s *slowSource) state() (feed.Revision, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.version, s.down
 }
 
-func (s *thin) pass(ctx context.Context, versions int) error {
+func (s *slowSource) transfer(ctx context.Context, versions int) error {
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-time.After(time.Duration(versions) * s.each):
+	case <-time.After(time.Duration(versions) * s.versionTime):
 		return nil
 	}
 }
 
-func (s *thin) List(ctx context.Context, _ string, _ bool) (feed.Page[string], error) {
+func (s *slowSource) List(ctx context.Context, _ string, _ bool) (feed.Page[string], error) {
 	v, down := s.state()
 	if down {
 		return feed.Page[string]{}, errDown
 	}
-	return feed.Page[string]{Revision: v, Items: []feed.Item[string]{{Name: "main", Revision: v, Value: strconv.Itoa(int(v))}}}, s.pass(ctx, 1)
+	return feed.Page[string]{Revision: v, Items: []feed.Item[string]{{Name: "main", Revision: v, Value: strconv.Itoa(int(v))}}}, s.transfer(ctx, 1)
 }
 
-func (s *thin) Watch(ctx context.Context, after feed.Revision, wait time.Duration) ([]feed.Change[string], feed.Revision, error) {
+func (s *slowSource) Watch(ctx context.Context, after feed.Revision, wait time.Duration) ([]feed.Change[string], feed.Revision, error) {
 	v, down := s.state()
 	if down {
 		return nil, 0, errDown
 	}
 	if v == after {
-		return nil, v, s.pass(ctx, int(wait/s.each))
+		return nil, v, s.transfer(ctx, int(wait/s.versionTime))
 	}
 	var all []feed.Change[string]
 	for n := after + 1; n <= v; n++ {
 		all = append(all, feed.Change[string]{Item: feed.Item[string]{Name: "main", Revision: n, Value: strconv.Itoa(int(n))}})
 	}
-	return all, v, s.pass(ctx, len(all))
+	return all, v, s.transfer(ctx, len(all))
 }
 
-// Story: the store is away while many versions of a large configuration are
-// written. It is back, and over a thin link all of them together take longer than
-// a watch may; each further watch begins anew. The process goes on by the old
-// configuration until the history is gone.
-func TestMissedVersionsThatOutlastAWatchAreListed(t *testing.T) {
+// While the store is unreachable, many versions of a large configuration are written.
+// After that, all of them together take longer over a slow link than a watch may, and
+// each further watch would start from the same revision: the process would use the old
+// configuration until the store discards the history.
+func TestFeedListsAfterWatchTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &thin{version: 1, each: 300 * time.Millisecond}
+		s := &slowSource{version: 1, versionTime: 300 * time.Millisecond}
 		newest := make(chan string, 100)
 		f := &feed.Feed[string]{
 			Name: "configuration", Source: s, Log: hclog.NewNullLogger(), Wait: 2 * time.Second,
@@ -89,32 +89,32 @@
 		case v := <-newest:
 			require.Equal(t, "20", v)
 		case <-time.After(4 * time.Second):
-			t.Error("nothing is heard of the newest version")
+			t.Error("the newest version did not arrive within 4 s")
 		}
 		cancel()
 		require.NoError(t, <-ended)
 	})
 }
 
-// Story: a fleet starts, and fifty upstreams register one after the other within
-// three seconds. Each alone ends the watch of each process.
-func TestChangesThatComeInARowEndFewWatches(t *testing.T) {
+// When a fleet starts, fifty upstreams register one after the other within three seconds.
+// Without a batch delay each registration would end the watch of each process.
+func TestFeedBatchesConsecutiveChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &source{at: 1, changed: make(chan struct{}, 1)}
-		heard := make(chan int, 100)
+		s := &source{revision: 1, changed: make(chan struct{}, 1)}
+		batches := make(chan int, 100)
 		f := &feed.Feed[string]{
 			Name: "upstreams", Source: s, Log: hclog.NewNullLogger(), Wait: time.Minute,
 			OnList:   func(time.Time, []feed.Item[string]) {},
-			OnChange: func(_ time.Time, changes []feed.Change[string]) { heard <- len(changes) },
+			OnChange: func(_ time.Time, changes []feed.Change[string]) { batches <- len(changes) },
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan error, 1)
 		go func() { ended <- f.Run(ctx) }()
 		for n := range 50 {
 			time.Sleep(60 * time.Millisecond)
-			s.set(func() {
-				s.at++
-				s.changes = append(s.changes, feed.Change[string]{Item: feed.Item[string]{Name: strconv.Itoa(n), Revision: s.at}})
+			s.update(func() {
+				s.revision++
+				s.changes = append(s.changes, feed.Change[string]{Item: feed.Item[string]{Name: strconv.Itoa(n), Revision: s.revision}})
 			})
 		}
 		time.Sleep(time.Second)
@@ -123,11 +123,11 @@
 		s.mu.Lock()
 		require.LessOrEqual(t, len(s.calls), 32)
 		s.mu.Unlock()
-		close(heard)
+		close(batches)
 		all := 0
-		for n := range heard {
+		for n := range batches {
 			all += n
 		}
-		require.Equal(t, 50, all, "none is lost")
+		require.Equal(t, 50, all, "every change is reported")
 	})
 }
