--- a/side/cache.go
+++ b/side/cache.go
@@ -7,29 +7,32 @@
 	"jacinthworks/wire"
 )
 
-// cacheEvery is how often an engine is asked for its cache events. They come
-// late anyway, and a belief in them lasts tens of seconds.
-const cacheEvery = 300 * time.Millisecond
+// cacheEventInterval is how often the engine's cache events are polled. The
+// engine reports events with a delay, and entries use the cached state for
+// tens of seconds, so a shorter interval would not help.
+const cacheEventInterval = 300 * time.Millisecond
 
-// watchCache passes the engine's cache events on to the entries, each once. One
-// that is lost is a gap to them, as those that the engine itself leaves.
-func (s *Side) watchCache(ctx context.Context) error {
-	t := time.NewTicker(cacheEvery)
-	defer t.Stop()
-	var after uint64
+// forwardCacheEvents polls the engine for cache events and sends each event
+// once to every connected process. An event that is lost on the way is a gap in
+// the sequence numbers, which receivers already handle because the engine
+// itself leaves gaps.
+func (s *Side) forwardCacheEvents(ctx context.Context) error {
+	ticker := time.NewTicker(cacheEventInterval)
+	defer ticker.Stop()
+	var lastSeq uint64
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-t.C:
+		case <-ticker.C:
 		}
-		read, cancel := context.WithTimeout(ctx, callWithin)
-		events, err := s.Model.CacheEvents(read, after)
+		callCtx, cancel := context.WithTimeout(ctx, engineCallTimeout)
+		events, err := s.Model.CacheEvents(callCtx, lastSeq)
 		cancel()
 		if err != nil || len(events) == 0 {
 			continue
 		}
-		after = events[len(events)-1].Seq
-		s.claims.tell(wire.MethodCache, wire.Cache{Events: events})
+		lastSeq = events[len(events)-1].Seq
+		s.claims.notifyAll(wire.MethodCache, wire.Cache{Events: events})
 	}
 }
--- a/side/claims.go
+++ b/side/claims.go
@@ -11,130 +11,146 @@
 	"jacinthworks/wire"
 )
 
-// Times of claims. None of them bears on safety, which rests on fences alone;
-// they set how soon a shard is served again. A member that owns nothing waits
-// for a lost owner's heartbeats to be missed (0.8 s) and takeOverAfter, longer
-// by takeOverStep for each rank before its own, so that one and not all of
-// them takes over.
+// Timings of shard ownership. Safety depends on fences alone; the timings set
+// how soon a shard has an owner again. After an owner crashes, a member waits
+// until the owner's heartbeats time out (0.8 s), then takeoverDelay, then
+// takeoverRankDelay for each rank before its own, so that only one member takes
+// over.
 const (
-	claimEvery    = 100 * time.Millisecond
-	takeOverAfter = 600 * time.Millisecond
-	takeOverStep  = 400 * time.Millisecond
-	// firstOwnerAfter is the wait where no owner was ever heard of, as when a
-	// service starts: long enough to hear of one that there is.
-	firstOwnerAfter = 300 * time.Millisecond
-	expireEvery     = time.Minute
-	claimWithin     = 400 * time.Millisecond
-	// retention is how long a key is remembered: a caller's retries over an
-	// evening. At the letter's two keyed requests a second and side it is
+	claimInterval     = 100 * time.Millisecond
+	takeoverDelay     = 600 * time.Millisecond
+	takeoverRankDelay = 400 * time.Millisecond
+	// firstOwnerDelay replaces takeoverDelay for a shard for which no owner
+	// has been observed, as at the start of a service. It leaves an existing
+	// owner enough time to announce itself.
+	firstOwnerDelay = 300 * time.Millisecond
+	expiryInterval  = time.Minute
+	claimTimeout    = 400 * time.Millisecond
+	// retention is how long a key is kept: it covers a caller's retries over
+	// an evening. At two keyed requests per second per side, a side keeps
 	// 43,200 keys.
 	retention = 6 * time.Hour
-	// recordQuiet is how long a record must stand before the book learns it,
-	// recordLatest the longest that it waits. A service that starts changes
-	// its record a dozen times in a tenth of a second, and each change would
-	// move shards on before the last move has arrived.
-	recordQuiet  = 150 * time.Millisecond
-	recordLatest = time.Second
+	// recordDebounce is how long a membership record must be unchanged before
+	// it is applied; recordMaxDelay is the longest that a record waits. A
+	// service that starts changes its record a dozen times in a tenth of a
+	// second, and applying each version would move shards again before the
+	// previous move has arrived.
+	recordDebounce = 150 * time.Millisecond
+	recordMaxDelay = time.Second
 	// overdueAfter is how long a key may stay granted before its runner is
-	// asked what became of it: longer than any deadline in use, since a try
-	// that is asked about before it arrives is refused for good.
+	// asked for the outcome. It is longer than any deadline in use, because a
+	// runner permanently refuses an attempt about which it is asked before the
+	// attempt arrives.
 	overdueAfter = 15 * time.Minute
 )
 
-// claims is the side's part in claiming: its book, the other members, and who
-// is known to own which shard. Its lock is taken before no other.
+// claims is the side's state in the claim protocol: its claim ledger, the
+// connections to the other members, and the observed owner of each shard. mu
+// may be held while the ledger acquires its own lock, never the reverse.
 type claims struct {
-	book    claim.Ledger
+	ledger  claim.Ledger
 	members peers.Directory
 
-	mu     sync.Mutex
-	peers  map[*wire.Peer]bool
-	owners map[claim.Shard]ownerSeen
-	missed map[claim.Shard]time.Time
-	told   []claim.Ownership
-	// next is the newest record not learned yet.
-	next              *claim.Record
-	nextAt, nextSince time.Time
-	// settled is the version at which nothing was pending any more, gaveBack
-	// the time of the last look; only keepClaims uses them.
-	settled  uint64
-	gaveBack time.Time
-	// asked is when another member last asked for something.
-	asked time.Time
+	mu           sync.Mutex
+	inbound      map[*wire.Peer]bool
+	owners       map[claim.Shard]observedOwner
+	unownedSince map[claim.Shard]time.Time
+	announced    []claim.Ownership
+	// pendingRecord is the newest record that is not applied yet, or nil. It
+	// was received at pendingAt; pendingSince is when the first record since
+	// the last applied one was received.
+	pendingRecord           *claim.Record
+	pendingAt, pendingSince time.Time
+	// settledVersion is the record version for which no message was pending
+	// any more; lastReturnCheck is when returnShards last ran. Only keepClaims
+	// uses these two fields, without the lock.
+	settledVersion  uint64
+	lastReturnCheck time.Time
+	// lastCall is when this side last received a call of the claim protocol.
+	lastCall time.Time
 }
 
-// ownerSeen is the newest owner of a shard that was heard of, and from whom.
-type ownerSeen struct {
+// observedOwner is the newest announced owner of a shard. host is empty once
+// that owner has announced that it no longer owns the shard.
+type observedOwner struct {
 	host  domain.Host
 	epoch claim.Epoch
 }
 
+// initClaims sets the initial state of the claim protocol, and the handlers of
+// the connections that this side opens to other members.
 func (s *Side) initClaims() {
-	c := &s.claims
-	c.book.Self = claim.Process{Host: s.Settings.Name, Incarnation: s.incarnation}
-	c.book.Limits = claim.Limits{Retention: retention}
-	c.book.Live = c.live
-	c.peers = make(map[*wire.Peer]bool)
-	c.owners = make(map[claim.Shard]ownerSeen)
-	c.missed = make(map[claim.Shard]time.Time)
-	local := *s.local()
-	local.OnOpen, local.OnClose = nil, nil
-	local.HandleNotification = func(p *wire.Peer, method string, params json.RawMessage) {
-		var o wire.Owned
-		if method == wire.MethodOwned && json.Unmarshal(params, &o) == nil {
-			c.hear(p.RemoteHello().Host, o.Shards)
+	state := &s.claims
+	state.ledger.Self = claim.Process{Host: s.Settings.Name, Incarnation: s.incarnation}
+	state.ledger.Limits = claim.Limits{Retention: retention}
+	state.ledger.Live = state.mayOwn
+	state.inbound = make(map[*wire.Peer]bool)
+	state.owners = make(map[claim.Shard]observedOwner)
+	state.unownedSince = make(map[claim.Shard]time.Time)
+	handlers := *s.handlers()
+	handlers.OnOpen, handlers.OnClose = nil, nil
+	handlers.HandleNotification = func(peer *wire.Peer, method string, params json.RawMessage) {
+		var owned wire.Owned
+		if method == wire.MethodOwned && json.Unmarshal(params, &owned) == nil {
+			state.observeOwned(peer.RemoteHello().Host, owned.Shards)
 		}
 	}
-	c.members.Local = &local
+	state.members.Local = &handlers
 }
 
-// live says whether a member may be given a shard: connected, or so new that
-// it has not been dialled yet.
-func (c *claims) live(p claim.Process) bool {
-	l := c.members.Find(p.Host)
-	return l != nil && l.Member.Process() == p && (l.Peer() != nil || l.FailedDials() < 2)
+// mayOwn reports whether a process may be assigned a shard: it is a member, and
+// it is connected or fewer than two dials to it have failed, so that a new
+// member that has not been dialed yet is included.
+func (c *claims) mayOwn(process claim.Process) bool {
+	link := c.members.Find(process.Host)
+	return link != nil && link.Member.Process() == process && (link.Peer() != nil || link.FailedDials() < 2)
 }
 
-// opened and closed keep the connections that others made to this side.
-func (c *claims) opened(p *wire.Peer, s domain.Service) {
+// addInbound registers a connection that another process opened to this side,
+// and sends it the shards that this side owns.
+func (c *claims) addInbound(peer *wire.Peer, service domain.Service) {
 	c.mu.Lock()
-	c.peers[p] = true
+	c.inbound[peer] = true
 	c.mu.Unlock()
-	_ = p.Notify(wire.MethodOwned, wire.Owned{Service: s, Shards: c.book.Owned()})
+	_ = peer.Notify(wire.MethodOwned, wire.Owned{Service: service, Shards: c.ledger.Owned()})
 }
 
-func (c *claims) closed(p *wire.Peer) {
+// removeInbound removes a closed connection that another process had opened.
+func (c *claims) removeInbound(peer *wire.Peer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.peers, p)
+	delete(c.inbound, peer)
 }
 
-// hear notes which shards another member owns.
-func (c *claims) hear(from domain.Host, shards []claim.Ownership) {
+// observeOwned records the complete list of shards that a member announced as
+// its own. Shards that the member announced earlier and no longer lists have no
+// observed owner afterwards.
+func (c *claims) observeOwned(from domain.Host, shards []claim.Ownership) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	held := make(map[claim.Shard]bool, len(shards))
+	announced := make(map[claim.Shard]bool, len(shards))
 	for _, o := range shards {
-		held[o.Shard] = true
-		_ = c.book.Superseded(o.Shard, o.Epoch) // errs on a shard that there is not
-		if seen := c.owners[o.Shard]; !o.Epoch.Less(seen.epoch) {
-			c.owners[o.Shard] = ownerSeen{host: from, epoch: o.Epoch}
+		announced[o.Shard] = true
+		_ = c.ledger.Superseded(o.Shard, o.Epoch) // fails only for a shard number that does not exist
+		if previous := c.owners[o.Shard]; !o.Epoch.Less(previous.epoch) {
+			c.owners[o.Shard] = observedOwner{host: from, epoch: o.Epoch}
 		}
 	}
-	for shard, seen := range c.owners {
-		if seen.host == from && !held[shard] {
-			c.owners[shard] = ownerSeen{epoch: seen.epoch}
+	for shard, previous := range c.owners {
+		if previous.host == from && !announced[shard] {
+			c.owners[shard] = observedOwner{epoch: previous.epoch}
 		}
 	}
 }
 
-// tellOwned tells every connection of the shards owned, when that changed. A
-// shard is told as complete once its runners are vouched for, too: an entry
-// that has just started waits for that, so that a host lost in a service's
-// first second leaves no key in doubt.
-func (s *Side) tellOwned(pending claim.Outbox) {
-	c := &s.claims
-	owned := c.book.Owned()
+// announceOwned sends the list of owned shards to every connected process if the
+// list has changed. A shard is announced as complete only when no restore
+// request for it is pending: an entry that has just started waits for complete
+// shards, so that a host that crashes in a service's first second leaves no key
+// with an unknown outcome.
+func (s *Side) announceOwned(pending claim.Outbox) {
+	state := &s.claims
+	owned := state.ledger.Owned()
 	for _, r := range pending.Restores {
 		for i := range owned {
 			if owned[i].Shard == r.Shard {
@@ -142,30 +158,32 @@
 			}
 		}
 	}
-	c.mu.Lock()
-	if equal(owned, c.told) {
-		c.mu.Unlock()
+	state.mu.Lock()
+	if sameOwnerships(owned, state.announced) {
+		state.mu.Unlock()
 		return
 	}
-	c.told = owned
-	c.mu.Unlock()
-	c.tell(wire.MethodOwned, wire.Owned{Service: s.Settings.Service, Shards: owned})
+	state.announced = owned
+	state.mu.Unlock()
+	state.notifyAll(wire.MethodOwned, wire.Owned{Service: s.Settings.Service, Shards: owned})
 }
 
-// tell notifies every process that has connected to this side.
-func (c *claims) tell(method string, v any) {
+// notifyAll sends a notification to every process that has connected to this
+// side.
+func (c *claims) notifyAll(method string, message any) {
 	c.mu.Lock()
-	peers := make([]*wire.Peer, 0, len(c.peers))
-	for p := range c.peers {
+	peers := make([]*wire.Peer, 0, len(c.inbound))
+	for p := range c.inbound {
 		peers = append(peers, p)
 	}
 	c.mu.Unlock()
 	for _, p := range peers {
-		_ = p.Notify(method, v)
+		_ = p.Notify(method, message)
 	}
 }
 
-func equal(a, b []claim.Ownership) bool {
+// sameOwnerships reports whether two lists have the same elements in the same order.
+func sameOwnerships(a, b []claim.Ownership) bool {
 	if len(a) != len(b) {
 		return false
 	}
--- a/side/death.go
+++ b/side/death.go
@@ -12,134 +12,143 @@
 	"jacinthworks/wire"
 )
 
-// deathWithin is how long an upstream has to answer a fresh question after it
-// broke off, before it counts as dead.
-const deathWithin = 300 * time.Millisecond
+// crashCheckTimeout is how long an upstream has to answer on a new connection
+// after a connection to it broke. Without an answer it counts as crashed.
+const crashCheckTimeout = 300 * time.Millisecond
 
-// deaths is what this side knows of its upstream's deaths. The zero value is
-// ready to use; its lock is a leaf.
-type deaths struct {
+// crashState holds the crashes of the upstream that this side has detected, and
+// the identities of reserved requests. The zero value is ready to use; mu is a
+// leaf lock: no other lock is acquired while it is held, except that
+// detectCrash locks the order table.
+type crashState struct {
 	mu       sync.Mutex
 	last     retry.Death
-	reported bool
-	count    domain.Incarnation // lives of an upstream that does not number them
-	reserved map[admit.Key]expected
+	detected bool
+	count    domain.Incarnation // crashes of an application server, which reports no incarnation
+	reserved map[admit.Key]reservedRequest
 }
 
-// expected is a reservation's request, until the reservation ends by itself.
-type expected struct {
-	id    retry.Identity
-	until time.Time
+// reservedRequest identifies the request of a reservation and the time at which
+// the reservation expires.
+type reservedRequest struct {
+	identity retry.Identity
+	expires  time.Time
 }
 
-// died says whether the upstream died while it ran the order, and if so gives
-// the evidence: what it ran just then. All orders that one death ended give
-// the same evidence.
-func (s *Side) died(ctx context.Context, o *order) *retry.Death {
-	if s.answersStill(ctx) {
+// detectCrash checks whether the upstream crashed while it ran the order. It
+// returns the evidence, which lists the requests that the upstream was running,
+// or nil if the upstream did not crash. All orders that the same crash ended
+// get the same evidence.
+func (s *Side) detectCrash(ctx context.Context, o *order) *retry.Death {
+	if s.sameInstanceResponds(ctx) {
 		return nil
 	}
-	life := s.life()
-	s.deaths.mu.Lock()
-	defer s.deaths.mu.Unlock()
-	if s.deaths.reported && s.deaths.last.Incarnation == life {
-		d := s.deaths.last
-		return &d
+	incarnation := s.upstreamIncarnation()
+	s.crashState.mu.Lock()
+	defer s.crashState.mu.Unlock()
+	if s.crashState.detected && s.crashState.last.Incarnation == incarnation {
+		death := s.crashState.last
+		return &death
 	}
-	s.deaths.last = retry.Death{
-		Upstream: s.Settings.Name, Incarnation: life, Time: time.Now(), Running: s.ledger.identities(),
+	s.crashState.last = retry.Death{
+		Upstream: s.Settings.Name, Incarnation: incarnation, Time: time.Now(), Running: s.orderTable.runningIdentities(),
 	}
-	s.deaths.reported = true
+	s.crashState.detected = true
 	if s.Model == nil {
-		s.deaths.count++
+		s.crashState.count++
 	}
-	s.Log.Warn("upstream died", "running", len(s.deaths.last.Running), "request", o.run.Request)
-	d := s.deaths.last
-	return &d
+	s.Log.Warn("upstream died", "running", len(s.crashState.last.Running), "request", o.run.Request)
+	death := s.crashState.last
+	return &death
 }
 
-// life names the upstream's present life: an engine's own incarnation, or the
-// number of deaths seen of an application server.
-func (s *Side) life() domain.Incarnation {
-	if st := s.upstream.Load(); st != nil {
-		return st.Incarnation
+// upstreamIncarnation returns the incarnation of the running upstream: the one
+// that an engine reports, or the number of detected crashes of an application
+// server.
+func (s *Side) upstreamIncarnation() domain.Incarnation {
+	if state := s.engineState.Load(); state != nil {
+		return state.Incarnation
 	}
-	s.deaths.mu.Lock()
-	defer s.deaths.mu.Unlock()
-	return s.deaths.count
+	s.crashState.mu.Lock()
+	defer s.crashState.mu.Unlock()
+	return s.crashState.count
 }
 
-// answersStill asks the upstream afresh; the same life that answers has not
-// died. The failure: a connection that something between cut. It shows like a
-// death, and would be held against whatever ran.
-func (s *Side) answersStill(ctx context.Context) bool {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), deathWithin)
+// sameInstanceResponds reports whether the same instance of the upstream answers
+// on a new connection. A connection that the network cut looks like a crash of
+// the upstream, and would count as evidence against every running request.
+func (s *Side) sameInstanceResponds(ctx context.Context) bool {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), crashCheckTimeout)
 	defer cancel()
-	known := s.upstream.Load()
+	previous := s.engineState.Load()
 	if s.Model != nil {
-		st, err := s.Model.State(ctx)
-		return err == nil && known != nil && st.Incarnation == known.Incarnation
+		state, err := s.Model.State(ctx)
+		return err == nil && previous != nil && state.Incarnation == previous.Incarnation
 	}
-	var d net.Dialer
-	c, err := d.DialContext(ctx, "tcp", s.Settings.Upstream.String())
+	var dialer net.Dialer
+	conn, err := dialer.DialContext(ctx, "tcp", s.Settings.Upstream.String())
 	if err != nil {
 		return false
 	}
-	_ = c.Close()
+	_ = conn.Close()
 	return true
 }
 
-// identities lists what the upstream was given and has not ended.
-func (l *OrderTable) identities() []retry.Identity {
+// runningIdentities returns the identities of the orders that were sent to the
+// upstream, have not ended and are not abandoned.
+func (l *OrderTable) runningIdentities() []retry.Identity {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var all []retry.Identity
-	for _, o := range l.live {
-		if o.step == stepHanded && !o.gone && o.run.Identity != "" {
-			all = append(all, o.run.Identity)
+	var identities []retry.Identity
+	for _, o := range l.running {
+		if o.state == orderSent && !o.abandoned && o.run.Identity != "" {
+			identities = append(identities, o.run.Identity)
 		}
 	}
-	return all
+	return identities
 }
 
-// beside says whether the request may run beside what runs and is reserved.
-func (s *Side) beside(now time.Time, id retry.Identity) bool {
-	running := s.ledger.identities()
-	s.deaths.mu.Lock()
-	for k, other := range s.deaths.reserved {
+// mayRunAlongside reports whether the request may run together with the requests
+// that are running or hold a reservation. It removes expired reservations.
+func (s *Side) mayRunAlongside(now time.Time, identity retry.Identity) bool {
+	running := s.orderTable.runningIdentities()
+	s.crashState.mu.Lock()
+	for k, other := range s.crashState.reserved {
 		switch {
-		case now.After(other.until):
-			delete(s.deaths.reserved, k)
-		case other.id != id:
-			running = append(running, other.id)
+		case now.After(other.expires):
+			delete(s.crashState.reserved, k)
+		case other.identity != identity:
+			running = append(running, other.identity)
 		}
 	}
-	s.deaths.mu.Unlock()
-	return s.crashes.MayRunWith(now, id, running)
+	s.crashState.mu.Unlock()
+	return s.evidence.MayRunWith(now, identity, running)
 }
 
-// expect notes the identity of a reservation; forget drops it.
-func (d *deaths) expect(k admit.Key, e expected) {
+// addReservation records the request identity of a reservation.
+func (d *crashState) addReservation(key admit.Key, request reservedRequest) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.reserved == nil {
-		d.reserved = make(map[admit.Key]expected)
+		d.reserved = make(map[admit.Key]reservedRequest)
 	}
-	d.reserved[k] = e
+	d.reserved[key] = request
 }
 
-func (d *deaths) forget(k admit.Key) {
+// removeReservation removes the request identity of a reservation.
+func (d *crashState) removeReservation(key admit.Key) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	delete(d.reserved, k)
+	delete(d.reserved, key)
 }
 
-// tellEvidence passes the evidence on to an entry. Entries know all sides of
-// their services, so that what one entry learns the others do.
-func (s *Side) tellEvidence(p *wire.Peer) {
-	r := s.crashes.Record(time.Now())
-	if len(r.Deaths) == 0 {
+// sendEvidence sends the evidence of crashes to a connected process. Every entry
+// connects to all sides of its services, so evidence that one entry reports to
+// a side reaches the other entries.
+func (s *Side) sendEvidence(peer *wire.Peer) {
+	record := s.evidence.Record(time.Now())
+	if len(record.Deaths) == 0 {
 		return
 	}
-	_ = p.Notify(wire.MethodEvidence, r)
+	_ = peer.Notify(wire.MethodEvidence, record)
 }
--- a/side/death_test.go
+++ b/side/death_test.go
@@ -14,51 +14,52 @@
 	"jacinthworks/wire"
 )
 
-// lives is an engine that answers which life it is in, or nothing.
-type lives struct {
+// incarnationModel is an engine that answers State with a set incarnation or error.
+type incarnationModel struct {
 	engine.Model
-	life domain.Incarnation
-	err  error
+	incarnation domain.Incarnation
+	err         error
 }
 
-func (l *lives) State(context.Context) (engine.State, error) {
-	return engine.State{Incarnation: l.life}, l.err
+func (l *incarnationModel) State(context.Context) (engine.State, error) {
+	return engine.State{Incarnation: l.incarnation}, l.err
 }
 
-// The story: an appraisal that crashes nothing is refused as one that does.
-// Twice something between cut its connection to an engine that lives. The cause
-// would be a side that takes each connection that breaks for a death, and
-// holds it against all that ran.
-func TestConnectionThatWasCutIsNoDeath(t *testing.T) {
-	m := &lives{life: 1}
-	s := &Side{Model: m}
+// Guards against a side that treats every broken connection as a crash of the
+// upstream and counts it as evidence against every running request: after the
+// network has cut a request's connection to a running engine twice, the request
+// would be refused as one that crashes upstreams.
+func TestDetectCrashOfModelEngineRequiresNewIncarnationOrNoAnswer(t *testing.T) {
+	model := &incarnationModel{incarnation: 1}
+	s := &Side{Model: model}
 	s.init()
-	s.upstream.Store(&engine.State{Incarnation: 1})
-	o, refused := s.ledger.begin(orderOf(1, wire.StageDecode), "entry-1", func() {})
+	s.engineState.Store(&engine.State{Incarnation: 1})
+	o, refused := s.orderTable.begin(orderOf(1, wire.StageDecode), "entry-1", func() {})
 	require.Nil(t, refused)
-	require.True(t, s.ledger.hand(o))
-	require.Nil(t, s.died(t.Context(), o))
+	require.True(t, s.orderTable.markSent(o))
+	require.Nil(t, s.detectCrash(t.Context(), o))
 
-	m.life = 2
-	d := s.died(t.Context(), o)
-	require.Equal(t, []retry.Identity{"identity-1"}, d.Running)
-	m.err = engine.ErrNotStarted
-	require.Equal(t, d, s.died(t.Context(), o), "one death gives the same evidence")
+	model.incarnation = 2
+	death := s.detectCrash(t.Context(), o)
+	require.Equal(t, []retry.Identity{"identity-1"}, death.Running)
+	model.err = engine.ErrNotStarted
+	require.Equal(t, death, s.detectCrash(t.Context(), o), "one crash yields the same evidence for each order")
 }
 
-// The same of an application server, which only a dial can ask.
-func TestApplicationServerThatAcceptsIsNoDeath(t *testing.T) {
+// An application server reports no incarnation, so that a successful dial shows
+// that it has not crashed.
+func TestDetectCrashOfApplicationServerRequiresFailedDial(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	var s Side
 	s.Settings.Upstream = ln.Addr().(*net.TCPAddr).AddrPort()
 	s.init()
-	o, refused := s.ledger.begin(orderOf(1, wire.StageCall), "entry-1", func() {})
+	o, refused := s.orderTable.begin(orderOf(1, wire.StageCall), "entry-1", func() {})
 	require.Nil(t, refused)
-	require.True(t, s.ledger.hand(o))
-	require.Nil(t, s.died(t.Context(), o))
+	require.True(t, s.orderTable.markSent(o))
+	require.Nil(t, s.detectCrash(t.Context(), o))
 	require.NoError(t, ln.Close())
-	d := s.died(t.Context(), o)
+	d := s.detectCrash(t.Context(), o)
 	require.WithinDuration(t, time.Now(), d.Time, time.Minute)
 	require.Equal(t, []retry.Identity{"identity-1"}, d.Running)
 }
--- a/side/deliver.go
+++ b/side/deliver.go
@@ -12,27 +12,29 @@
 	"jacinthworks/wire"
 )
 
-// deliver sends a book's messages, each to its receiver at the same time, and
-// takes the answers. What is lost is pending still and is sent again.
-func (s *Side) deliver(ctx context.Context, out claim.Outbox) {
-	to := make(map[domain.Host][]func(context.Context) error)
-	for _, m := range out.Fences {
-		to[m.To.Host] = append(to[m.To.Host], func(ctx context.Context) error { return s.sendFence(ctx, m) })
-	}
-	for _, m := range out.Restores {
-		to[m.To.Host] = append(to[m.To.Host], func(ctx context.Context) error { return s.sendRestore(ctx, m) })
-	}
-	for _, m := range out.Handovers {
-		to[m.To.Host] = append(to[m.To.Host], func(ctx context.Context) error { return s.sendHandover(ctx, m) })
-	}
-	if len(to) == 0 {
+// deliver sends the claim ledger's messages and applies the replies. Messages to
+// different members are sent concurrently, messages to one member in sequence.
+// A message that is lost stays pending in the ledger and is sent again in a
+// later round.
+func (s *Side) deliver(ctx context.Context, outbox claim.Outbox) {
+	sendsByHost := make(map[domain.Host][]func(context.Context) error)
+	for _, m := range outbox.Fences {
+		sendsByHost[m.To.Host] = append(sendsByHost[m.To.Host], func(ctx context.Context) error { return s.sendFence(ctx, m) })
+	}
+	for _, m := range outbox.Restores {
+		sendsByHost[m.To.Host] = append(sendsByHost[m.To.Host], func(ctx context.Context) error { return s.sendRestore(ctx, m) })
+	}
+	for _, m := range outbox.Handovers {
+		sendsByHost[m.To.Host] = append(sendsByHost[m.To.Host], func(ctx context.Context) error { return s.sendHandover(ctx, m) })
+	}
+	if len(sendsByHost) == 0 {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, claimWithin)
+	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
-	done := make(chan struct{}, len(to))
+	done := make(chan struct{}, len(sendsByHost))
 	started := 0
-	for host, sends := range to {
+	for host, sends := range sendsByHost {
 		ok := s.work.Go(ctx, "claims to "+string(host), func(ctx context.Context) error {
 			defer func() { done <- struct{}{} }()
 			for _, send := range sends {
@@ -51,47 +53,51 @@
 	}
 }
 
-// callMember reaches another member, or this side itself.
+// callMember calls a member of the service, which may be this side itself. It
+// returns wire.ErrNotSent for a host that is not a member.
 func (s *Side) callMember(ctx context.Context, host domain.Host, method string, params, result any) error {
 	if host == s.Settings.Name {
 		return s.callSelf(method, params, result)
 	}
-	l := s.claims.members.Find(host)
-	if l == nil {
+	link := s.claims.members.Find(host)
+	if link == nil {
 		return wire.ErrNotSent
 	}
-	return l.Call(ctx, method, params, result)
+	return link.Call(ctx, method, params, result)
 }
 
-// callSelf passes a message to this side as if it had come from another.
+// callSelf handles a claim message to this side like one from another member,
+// including its encoding and decoding.
 func (s *Side) callSelf(method string, params, result any) error {
-	text, err := json.Marshal(params)
+	encoded, err := json.Marshal(params)
 	if err != nil {
-		return errors.Wrap(err, "side")
+		return errors.Wrap(err, "side: encode a claim call to this side")
 	}
-	answer, err, _ := s.handleClaims(method, text)
+	reply, err, _ := s.handleClaimCall(method, encoded)
 	if err != nil {
 		return err
 	}
-	if text, err = json.Marshal(answer); err != nil {
-		return errors.Wrap(err, "side")
+	if encoded, err = json.Marshal(reply); err != nil {
+		return errors.Wrap(err, "side: encode the reply to a claim call to this side")
 	}
-	return errors.Wrap(json.Unmarshal(text, result), "side")
+	return errors.Wrap(json.Unmarshal(encoded, result), "side: decode the reply to a claim call to this side")
 }
 
-func (s *Side) sendFence(ctx context.Context, m claim.FenceRequest) error {
-	var got wire.FenceReply
-	if err := s.callMember(ctx, m.To.Host, wire.MethodFence, m, &got); err != nil {
+// sendFence sends a fence request and applies its reply. It sends the restore
+// requests that follow from the reply at once.
+func (s *Side) sendFence(ctx context.Context, request claim.FenceRequest) error {
+	var reply wire.FenceReply
+	if err := s.callMember(ctx, request.To.Host, wire.MethodFence, request, &reply); err != nil {
 		return err
 	}
-	if got.Refusal != nil {
-		return s.claims.book.Superseded(m.Shard, got.Refusal.Epoch)
+	if reply.Refusal != nil {
+		return s.claims.ledger.Superseded(request.Shard, reply.Refusal.Epoch)
 	}
-	if got.Reply == nil {
-		return errors.New("side: empty answer to a fence")
+	if reply.Reply == nil {
+		return errors.New("side: reply to a fence request has neither a result nor a refusal")
 	}
-	next, err := s.claims.book.Fenced(*got.Reply, time.Now())
-	for _, r := range next.Restores {
+	outbox, err := s.claims.ledger.Fenced(*reply.Reply, time.Now())
+	for _, r := range outbox.Restores {
 		if err := s.sendRestore(ctx, r); err != nil {
 			return err
 		}
@@ -99,22 +105,25 @@
 	return err
 }
 
-func (s *Side) sendRestore(ctx context.Context, m claim.RestoreRequest) error {
-	var got claim.RestoreReply
-	if err := s.callMember(ctx, m.To.Host, wire.MethodRestore, m, &got); err != nil {
+// sendRestore sends a restore request and applies its reply.
+func (s *Side) sendRestore(ctx context.Context, request claim.RestoreRequest) error {
+	var reply claim.RestoreReply
+	if err := s.callMember(ctx, request.To.Host, wire.MethodRestore, request, &reply); err != nil {
 		return err
 	}
-	return s.claims.book.Restored(got)
+	return s.claims.ledger.Restored(reply)
 }
 
-func (s *Side) sendHandover(ctx context.Context, m claim.Handover) error {
-	taken := false
-	if err := s.callMember(ctx, m.To.Host, wire.MethodHandover, m, &taken); err != nil {
+// sendHandover hands a shard to its new owner. If the new owner does not accept
+// it, the handover stays pending.
+func (s *Side) sendHandover(ctx context.Context, handover claim.Handover) error {
+	accepted := false
+	if err := s.callMember(ctx, handover.To.Host, wire.MethodHandover, handover, &accepted); err != nil {
 		return err
 	}
-	if !taken {
+	if !accepted {
 		return nil
 	}
-	s.Log.Info("shard handed over", "shard", m.Shard, "to", m.To.Host, "epoch", m.Epoch.String(), "keys", len(m.Entries))
-	return s.claims.book.Delivered(m.Shard)
+	s.Log.Info("shard handed over", "shard", handover.Shard, "to", handover.To.Host, "epoch", handover.Epoch.String(), "keys", len(handover.Entries))
+	return s.claims.ledger.Delivered(handover.Shard)
 }
--- /dev/null
+++ b/side/order_table_model_test.go
@@ -0,0 +1,253 @@
+package side
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+	"pgregory.net/rapid"
+
+	"jacinthworks/domain"
+	"jacinthworks/retry"
+	"jacinthworks/test/seeded"
+	"jacinthworks/wire"
+)
+
+func TestMain(m *testing.M) { seeded.Main(m) }
+
+// modelEvent is one event of an order. The reference model of the order table
+// keeps the list of all events of each order, and computes every result from
+// that list.
+type modelEvent struct {
+	what   string
+	at     time.Time
+	tokens []string
+	ran    domain.Execution
+}
+
+// modelOrder is the list of the events of one order.
+type modelOrder []modelEvent
+
+func (n modelOrder) has(what string) bool {
+	return slices.ContainsFunc(n, func(e modelEvent) bool { return e.what == what })
+}
+
+func (n modelOrder) count(what string) (c int) {
+	for _, e := range n {
+		if e.what == what {
+			c++
+		}
+	}
+	return c
+}
+
+func (n modelOrder) tokens() (all []string) {
+	for _, e := range n {
+		all = append(all, e.tokens...)
+	}
+	return all
+}
+
+// ran returns whether the order ran: the result of its end event, or the result
+// that its other events imply.
+func (n modelOrder) ran() domain.Execution {
+	for _, e := range n {
+		if e.what == "end" {
+			return e.ran
+		}
+	}
+	if n.has("hand") {
+		return domain.Unknown
+	}
+	return domain.NotRun
+}
+
+// attached returns the number of entries that follow the order, and the time of
+// the last detach.
+func (n modelOrder) attached() (followers int, detachedAt time.Time) {
+	for _, e := range n {
+		switch e.what {
+		case "begin", "attach":
+			followers++
+		case "detach":
+			followers--
+			detachedAt = e.at
+		}
+	}
+	return followers, detachedAt
+}
+
+// tableTest applies the same events to an OrderTable and to its reference model,
+// and compares their results.
+type tableTest struct {
+	table  OrderTable
+	model  map[wire.AttemptRef]modelOrder
+	orders map[wire.AttemptRef]*order
+	notRun map[wire.AttemptRef]bool // settled as not run
+	now    time.Time
+}
+
+func (x *tableTest) add(r wire.AttemptRef, e modelEvent) {
+	e.at = x.now
+	x.model[r] = append(x.model[r], e)
+}
+
+func (x *tableTest) begin(t *rapid.T, r wire.AttemptRef) {
+	o, refused := x.table.begin(wire.Run{AttemptRef: r, Identity: retry.Identity(r.Request)}, "entry-1", func() {})
+	refusedBefore := x.model[r].has("refused")
+	require.Equal(t, refusedBefore || x.model[r].has("begin"), refused != nil)
+	if refused == nil {
+		x.orders[r] = o
+		x.add(r, modelEvent{what: "begin"})
+		return
+	}
+	if refusedBefore {
+		require.Equal(t, domain.NotRun, refused.Ran)
+	}
+}
+
+func (x *tableTest) hand(t *rapid.T, r wire.AttemptRef) {
+	n := x.model[r]
+	ok := x.table.markSent(x.orders[r])
+	require.Equal(t, !n.has("hand") && !n.has("gone") && !n.has("end"), ok)
+	if ok {
+		require.False(t, x.notRun[r], "sent to the upstream after it was reported as not run")
+		x.add(r, modelEvent{what: "hand"})
+	}
+}
+
+func (x *tableTest) end(r wire.AttemptRef, ran domain.Execution) {
+	x.table.end(x.orders[r], wire.Outcome{Ran: ran}, x.now)
+	if !x.model[r].has("hand") {
+		ran = domain.NotRun
+	}
+	x.add(r, modelEvent{what: "end", ran: ran})
+}
+
+func (x *tableTest) abandon(r wire.AttemptRef) {
+	if x.orders[r] == nil {
+		x.add(r, modelEvent{what: "refused"})
+		return
+	}
+	x.add(r, modelEvent{what: "gone"})
+}
+
+func (x *tableTest) settle(t *rapid.T, r wire.AttemptRef) {
+	n := x.model[r]
+	got := x.table.settle(r, x.now)
+	require.Equal(t, n.ran(), got.Ran)
+	require.False(t, x.notRun[r] && got.Ran != domain.NotRun, "not_run was reported earlier and is reported no more")
+	x.notRun[r] = got.Ran == domain.NotRun
+	if !n.has("hand") && !n.has("end") {
+		x.abandon(r)
+	}
+}
+
+func (x *tableTest) follow(t *rapid.T, r wire.AttemptRef, from int) {
+	want := x.model[r].tokens()
+	got, ended, _ := x.table.tokensFrom(x.orders[r], from)
+	require.Equal(t, append([]string{}, want[min(from, len(want)):]...), append([]string{}, got...))
+	require.Equal(t, x.model[r].has("end"), ended)
+}
+
+func (x *tableTest) token(r wire.AttemptRef, offset int, text string) {
+	x.table.addToken(x.orders[r], offset, text, false)
+	if !x.model[r].has("end") && offset == len(x.model[r].tokens()) {
+		x.add(r, modelEvent{what: "token", tokens: []string{text}})
+	}
+}
+
+func (x *tableTest) orphans(t *rapid.T, after time.Duration) {
+	var want []wire.AttemptRef
+	for r, n := range x.model {
+		followers, detachedAt := n.attached()
+		if n.has("begin") && !n.has("end") && !n.has("gone") && r.Stage != wire.StageCall &&
+			followers == 0 && x.now.Sub(detachedAt) >= after {
+			want = append(want, r)
+		}
+	}
+	require.ElementsMatch(t, want, x.table.abandonOrphans(x.now, after))
+	for _, r := range want {
+		x.abandon(r)
+	}
+}
+
+// step applies one random event to one order. The cases are listed in the usual
+// sequence of an order's events.
+func (x *tableTest) step(t *rapid.T, r wire.AttemptRef) {
+	what := rapid.SampledFrom([]string{"begin", "hand", "token", "follow", "end", "detach", "attach", "settle", "give up", "sweep"}).Draw(t, "what")
+	if o := x.orders[r]; o == nil && slices.Contains([]string{"hand", "token", "follow", "end", "detach", "attach"}, what) {
+		what = "begin"
+	}
+	followers, _ := x.model[r].attached()
+	switch what {
+	case "begin":
+		x.begin(t, r)
+	case "hand":
+		x.hand(t, r)
+	case "token":
+		x.token(r, rapid.IntRange(0, 4).Draw(t, "offset"), rapid.StringN(1, 3, 3).Draw(t, "text"))
+	case "follow":
+		x.follow(t, r, rapid.IntRange(0, 5).Draw(t, "from"))
+	case "end":
+		x.end(r, rapid.SampledFrom([]domain.Execution{domain.NotRun, domain.DidRun, domain.Unknown}).Draw(t, "ran"))
+	case "detach":
+		if followers > 0 {
+			x.table.detach(x.orders[r], x.now)
+			x.add(r, modelEvent{what: "detach"})
+		}
+	case "attach":
+		x.table.attach(r)
+		x.add(r, modelEvent{what: "attach"})
+	case "settle":
+		x.settle(t, r)
+	case "give up":
+		x.table.abandon(r, x.now)
+		x.abandon(r)
+	case "sweep":
+		x.orphans(t, time.Second)
+	}
+}
+
+// Guards against work that runs although the caller was told that it did not,
+// and against answers that lack tokens. An order and its settle, cancel and
+// token events reach the side in any sequence; a faulty table would begin an
+// order twice, send an abandoned order to the upstream, or change an outcome
+// that it has reported as not run.
+func TestOrderTableAgreesWithReferenceModel(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		x := tableTest{
+			model: make(map[wire.AttemptRef]modelOrder), orders: make(map[wire.AttemptRef]*order), notRun: make(map[wire.AttemptRef]bool),
+			now: time.Date(2026, 12, 2, 20, 0, 0, 0, time.UTC),
+		}
+		refs := []wire.AttemptRef{
+			orderOf(1, wire.StageDecode).AttemptRef, orderOf(2, wire.StageCall).AttemptRef, orderOf(3, wire.StagePrefill).AttemptRef,
+		}
+		for range rapid.IntRange(1, 40).Draw(t, "steps") {
+			x.now = x.now.Add(time.Duration(rapid.IntRange(0, 700).Draw(t, "pause")) * time.Millisecond)
+			x.step(t, rapid.SampledFrom(refs).Draw(t, "ref"))
+			for _, r := range refs {
+				require.LessOrEqual(t, x.model[r].count("begin"), 1)
+				require.LessOrEqual(t, x.model[r].count("hand"), 1)
+			}
+		}
+	})
+}
+
+// Guards against reporting an order as not run although it ran. That happens if
+// the entry's connection gets no messages, thousands of short calls end at the
+// same side before the entry asks for the outcome, and the side treats a removed
+// order as one that never arrived.
+func TestSettleOfRemovedOrderReturnsUnknown(t *testing.T) {
+	var table OrderTable
+	now := time.Date(2026, 12, 2, 20, 0, 0, 0, time.UTC)
+	for n := range maxEnded + 2 {
+		o, refused := table.begin(orderOf(n+1, wire.StageCall), "entry-1", func() {})
+		require.Nil(t, refused)
+		require.True(t, table.markSent(o))
+		table.end(o, wire.Outcome{Ran: domain.DidRun}, now)
+	}
+	require.Equal(t, domain.Unknown, table.settle(orderOf(1, wire.StageCall).AttemptRef, now).Ran)
+	require.Equal(t, domain.NotRun, table.settle(orderOf(maxEnded+3, wire.StageCall).AttemptRef, now).Ran)
+}
--- a/side/pace.go
+++ b/side/pace.go
@@ -5,99 +5,110 @@
 	"time"
 )
 
-// fade is the weight of the newest measurement. One in eight follows a change
-// of an engine's speed within a second of its tokens, and keeps one slow
-// measurement from turning work away.
-const fade = 1.0 / 8
+// decay is the weight of the newest measurement in the moving averages. With
+// 1/8, the averages follow a change of the engine's speed within one second of
+// tokens, and a single slow measurement does not cause refusals.
+const decay = 1.0 / 8
 
-// pace measures how fast the upstream is: prefill and import in tokens a
-// second, and the time between tokens against the batch's size. The zero
-// value has measured nothing; its lock is a leaf.
-type pace struct {
+// speedEstimator estimates the speed of the upstream: prefill and KV import in
+// tokens per second, and the time between tokens as a linear function of the
+// batch size. The zero value has no measurements. mu is a leaf lock: no other
+// lock is acquired while it is held.
+type speedEstimator struct {
 	mu      sync.Mutex
-	prefill speed
-	link    speed
-	// Means for the line that gap follows over batch size (least squares with
-	// fading weights).
-	seen                 bool
-	batch, gap, bb, bgap float64
+	prefill tokenRate
+	imports tokenRate
+	// Exponentially weighted means for a least-squares fit of the token gap
+	// over the batch size: of batch size, of gap in nanoseconds, of batch size
+	// squared, and of batch size times gap.
+	measured                                           bool
+	meanBatch, meanGap, meanBatchSquared, meanBatchGap float64
 }
 
-func faded(old, now float64) float64 {
+// movingAverage returns the exponential moving average after a new value. An
+// old average of 0 counts as no measurement.
+func movingAverage(old, value float64) float64 {
 	if old == 0 {
-		return now
+		return value
 	}
-	return old + fade*(now-old)
+	return old + decay*(value-old)
 }
 
-// speed is tokens a second, weighed by tokens.
-//
-// Failure: a prompt of ten tokens takes a millisecond for its round trip alone.
-// Averaged by requests it makes an engine look a hundred times slower than it
-// is, and long prompts are refused that could be served in time. Sums of tokens
-// and of time hold, since a short prompt adds little to either.
-type speed struct{ tokens, seconds float64 }
+// tokenRate is a rate in tokens per second, weighted by tokens. A prompt of ten
+// tokens takes a millisecond for its round trip alone; an average over requests
+// would make an engine look a hundred times slower than it is, and long prompts
+// that could be served in time would be refused. The quotient of decaying sums
+// of tokens and time avoids that, because a short prompt adds little to either
+// sum.
+type tokenRate struct{ tokens, seconds float64 }
 
-func (s *speed) add(tokens int, took time.Duration) {
-	if took <= 0 || tokens <= 0 {
+// add records that a number of tokens took the given time. It ignores values
+// that are not positive.
+func (s *tokenRate) add(tokens int, elapsed time.Duration) {
+	if elapsed <= 0 || tokens <= 0 {
 		return
 	}
-	s.tokens += float64(tokens) - fade*s.tokens
-	s.seconds += took.Seconds() - fade*s.seconds
+	s.tokens += float64(tokens) - decay*s.tokens
+	s.seconds += elapsed.Seconds() - decay*s.seconds
 }
 
-func (s *speed) perSecond() float64 {
-	if s.seconds == 0 || s.tokens < measuredTokens {
+// perSecond returns tokens per second, or 0 with fewer than minRateTokens measured.
+func (s *tokenRate) perSecond() float64 {
+	if s.seconds == 0 || s.tokens < minRateTokens {
 		return 0
 	}
 	return s.tokens / s.seconds
 }
 
-// measuredTokens is how many tokens a speed must rest on before it is told: a
-// twentieth of a second of prefill today, past what round trips weigh.
-const measuredTokens = 1000
+// minRateTokens is how many tokens a rate must be based on before it is
+// reported. It is a twentieth of a second of prefill, so that the round trip
+// time carries little weight.
+const minRateTokens = 1000
 
-// prefilled takes a prefill's prompt and time, which hold its wait at the
-// engine too.
-func (p *pace) prefilled(tokens int, took time.Duration) {
+// recordPrefill records the prompt tokens and the duration of a prefill. The
+// duration includes the wait in the engine's queue.
+func (p *speedEstimator) recordPrefill(tokens int, elapsed time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.prefill.add(tokens, took)
+	p.prefill.add(tokens, elapsed)
 }
 
-// imported takes the size and time of a KV import.
-func (p *pace) imported(tokens int, took time.Duration) {
+// recordImport records the tokens and the duration of a KV cache import.
+func (p *speedEstimator) recordImport(tokens int, elapsed time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.link.add(tokens, took)
+	p.imports.add(tokens, elapsed)
 }
 
-// stepped takes the time between two tokens of one decode in a batch.
-func (p *pace) stepped(batch int, took time.Duration) {
+// recordTokenGap records the time between two tokens of one decode, and the
+// number of orders that ran at that time.
+func (p *speedEstimator) recordTokenGap(batch int, elapsed time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	b, g := float64(batch), float64(took)
-	if !p.seen {
-		p.seen, p.batch, p.gap, p.bb, p.bgap = true, b, g, b*b, b*g
+	batchSize, gap := float64(batch), float64(elapsed)
+	if !p.measured {
+		p.measured, p.meanBatch, p.meanGap, p.meanBatchSquared, p.meanBatchGap = true, batchSize, gap, batchSize*batchSize, batchSize*gap
 		return
 	}
-	p.batch = faded(p.batch, b)
-	p.gap = faded(p.gap, g)
-	p.bb = faded(p.bb, b*b)
-	p.bgap = faded(p.bgap, b*g)
+	p.meanBatch = movingAverage(p.meanBatch, batchSize)
+	p.meanGap = movingAverage(p.meanGap, gap)
+	p.meanBatchSquared = movingAverage(p.meanBatchSquared, batchSize*batchSize)
+	p.meanBatchGap = movingAverage(p.meanBatchGap, batchSize*gap)
 }
 
-// figures gives what was measured; zero for what was not.
-func (p *pace) figures() (prefill, link float64, base, step time.Duration) {
+// estimates returns the prefill rate and the KV import rate in tokens per second,
+// and the estimated time between tokens: base plus step for each order in the
+// batch. A value without enough measurements is zero.
+func (p *speedEstimator) estimates() (prefill, imports float64, base, step time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.seen {
-		return p.prefill.perSecond(), p.link.perSecond(), 0, 0
+	if !p.measured {
+		return p.prefill.perSecond(), p.imports.perSecond(), 0, 0
 	}
-	spread := p.bb - p.batch*p.batch
-	if spread < 0.25 { // the batch hardly changed: nothing is known of a slope
-		return p.prefill.perSecond(), p.link.perSecond(), time.Duration(p.gap), 0
+	variance := p.meanBatchSquared - p.meanBatch*p.meanBatch
+	if variance < 0.25 { // the batch size hardly varied, so a slope cannot be estimated
+		return p.prefill.perSecond(), p.imports.perSecond(), time.Duration(p.meanGap), 0
 	}
-	slope := max(0, (p.bgap-p.batch*p.gap)/spread)
-	return p.prefill.perSecond(), p.link.perSecond(), time.Duration(max(0, p.gap-slope*p.batch)), time.Duration(slope)
+	slope := max(0, (p.meanBatchGap-p.meanBatch*p.meanGap)/variance)
+	return p.prefill.perSecond(), p.imports.perSecond(), time.Duration(max(0, p.meanGap-slope*p.meanBatch)), time.Duration(slope)
 }
--- a/side/reconcile.go
+++ b/side/reconcile.go
@@ -7,83 +7,86 @@
 	"jacinthworks/domain"
 )
 
-// How the upstream is watched. A state is read five times in a cancel's
-// second; three failures in a row, 0.6 s, call the upstream down.
+// Polling of the engine's state. It is read five times within the second in
+// which a cancellation must take effect. The upstream counts as down after
+// three consecutive failures, which is 0.6 s.
 const (
-	reconcileEvery = 200 * time.Millisecond
-	callWithin     = 500 * time.Millisecond
-	downAfter      = 3
+	reconcileInterval = 200 * time.Millisecond
+	engineCallTimeout = 500 * time.Millisecond
+	maxStateFailures  = 3
 )
 
-// sweep gives up model orders that no entry is attached to.
+// sweep abandons prefill and decode orders that have had no attached entry for
+// orphanTimeout, and cancels them at the engine, until the context ends.
 func (s *Side) sweep(ctx context.Context) error {
-	t := time.NewTicker(sweepEvery)
-	defer t.Stop()
+	ticker := time.NewTicker(sweepInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case now := <-t.C:
-			for _, r := range s.ledger.orphans(now, orphanAfter) {
+		case now := <-ticker.C:
+			for _, r := range s.orderTable.abandonOrphans(now, orphanTimeout) {
 				s.Log.Info("orphaned", "request", r.Request, "attempt", r.Attempt, "stage", r.Stage)
-				s.free(r.Request)
+				s.cancelAtEngine(r.Request)
 			}
 		}
 	}
 }
 
-// reconcile compares what the engine runs with what the ledger holds, and
-// cancels the rest. The failures: a cancel order was lost; or this process
-// was killed, and its engine still runs what nobody owns. Both show as a
-// request in the engine's state that the ledger does not hold. Comparing
-// again and again holds against any number of lost orders.
+// reconcile periodically compares the requests that the engine runs with the
+// order table, and cancels requests that the table does not account for. Such a
+// request remains if a cancel call was lost, or if this process was killed and
+// restarted while the engine kept running. Because the comparison repeats, any
+// number of lost cancel calls is made up for.
 func (s *Side) reconcile(ctx context.Context) error {
-	t := time.NewTicker(reconcileEvery)
-	defer t.Stop()
-	failed := 0
+	ticker := time.NewTicker(reconcileInterval)
+	defer ticker.Stop()
+	failures := 0
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-t.C:
+		case <-ticker.C:
 		}
-		if s.look(ctx) {
-			failed = 0
-			s.down.Store(false)
+		if s.reconcileOnce(ctx) {
+			failures = 0
+			s.upstreamDown.Store(false)
 			continue
 		}
-		failed++
-		if failed == downAfter {
+		failures++
+		if failures == maxStateFailures {
 			s.Log.Warn("upstream down", "upstream", s.Settings.Upstream)
-			s.down.Store(true)
+			s.upstreamDown.Store(true)
 		}
 	}
 }
 
-// look reads the engine's state once; false if it did not answer.
-func (s *Side) look(ctx context.Context) bool {
-	read, cancel := context.WithTimeout(ctx, callWithin)
+// reconcileOnce reads the engine's state and cancels the requests that the order
+// table does not account for. It reports whether the engine answered.
+func (s *Side) reconcileOnce(ctx context.Context) bool {
+	callCtx, cancel := context.WithTimeout(ctx, engineCallTimeout)
 	defer cancel()
-	st, err := s.Model.State(read)
+	state, err := s.Model.State(callCtx)
 	if err != nil {
 		return false
 	}
-	s.upstream.Store(&st)
-	s.room.resize(st.Slots, st.MemoryTokens)
+	s.engineState.Store(&state)
+	s.reservations.setLimits(state.Slots, state.MemoryTokens)
 	now := time.Now()
-	for _, id := range st.Running {
-		if !s.ledger.holds(id, now) {
-			s.free(id)
+	for _, id := range state.Running {
+		if !s.orderTable.mayHoldMemory(id, now) {
+			s.cancelAtEngine(id)
 		}
 	}
 	return true
 }
 
-// free tells the engine to drop what a request holds. A lost order is made up
-// for by the next reconcile.
-func (s *Side) free(id domain.RequestID) {
+// cancelAtEngine asks the engine, in the background, to release everything that
+// a request holds. If the call is lost, the next reconcileOnce repeats it.
+func (s *Side) cancelAtEngine(id domain.RequestID) {
 	s.work.Go(s.workCtx, "cancel", func(ctx context.Context) error {
-		ctx, cancel := context.WithTimeout(ctx, callWithin)
+		ctx, cancel := context.WithTimeout(ctx, engineCallTimeout)
 		defer cancel()
 		err := s.Model.Cancel(ctx, id)
 		s.Log.Info("cancelled", "request", id, "err", err)
--- a/side/run.go
+++ b/side/run.go
@@ -11,80 +11,85 @@
 	"jacinthworks/wire"
 )
 
-// errApart refuses a request that has to run apart from what is here.
-var errApart = &wire.RefusalError{
+// errSuspectConflict refuses a request that must not run together with a request
+// that runs or holds a reservation on this side, because of the evidence that
+// one of them crashes upstreams.
+var errSuspectConflict = &wire.RefusalError{
 	Reason: domain.ReasonNoRoom, Ran: domain.NotRun,
 	Detail: "suspected of crashing upstreams, beside another that is",
 }
 
-// run takes an order in, starts it under the side's own context, and follows
-// it for the entry. The work outlives the connection: a lost one is taken up
-// again by attach, or by nobody and then swept.
-func (s *Side) run(ctx context.Context, p *wire.Peer, r wire.Run) (any, error) {
+// run accepts an order, starts it under the side's own context, and sends its
+// tokens and outcome to the entry. The work continues if the connection breaks:
+// an entry can attach to the order again, and sweep abandons a prefill or
+// decode order to which no entry attaches.
+func (s *Side) run(ctx context.Context, peer *wire.Peer, r wire.Run) (any, error) {
 	s.FaultHook.Reach(inject.SideArrived)
-	if refused := s.mayRun(r); refused != nil {
+	if refused := s.refuseIfDraining(r); refused != nil {
 		return nil, refused
 	}
 	workCtx, cancel := context.WithTimeout(s.workCtx, r.Within)
-	o, refused := s.ledger.begin(r, p.RemoteHello().Host, cancel)
+	o, refused := s.orderTable.begin(r, peer.RemoteHello().Host, cancel)
 	if refused != nil {
 		cancel()
 		return nil, refused
 	}
-	if refused = s.takeRoom(r); refused != nil {
+	if refused = s.acquireCapacity(r); refused != nil {
 		cancel()
-		s.ledger.end(o, wire.Outcome{Reason: refused.Reason, Detail: refused.Detail}, time.Now())
-		s.ledger.detach(o, time.Now())
+		s.orderTable.end(o, wire.Outcome{Reason: refused.Reason, Detail: refused.Detail}, time.Now())
+		s.orderTable.detach(o, time.Now())
 		return nil, refused
 	}
 	started := s.work.Go(workCtx, string(r.Stage), func(ctx context.Context) error {
 		defer cancel()
-		s.finish(ctx, o)
+		s.execute(ctx, o)
 		return nil
 	})
 	if !started {
 		cancel()
-		s.ledger.end(o, wire.Outcome{Reason: domain.ReasonDraining}, time.Now())
+		s.orderTable.end(o, wire.Outcome{Reason: domain.ReasonDraining}, time.Now())
 	}
-	defer func() { s.ledger.detach(o, time.Now()) }()
-	return s.follow(ctx, p, o, 0)
+	defer func() { s.orderTable.detach(o, time.Now()) }()
+	return s.follow(ctx, peer, o, 0)
 }
 
-// finish runs an order to its end and accounts for it.
-func (s *Side) finish(ctx context.Context, o *order) {
+// execute runs an order to its end, stores its outcome, releases its capacity
+// and records its trace events.
+func (s *Side) execute(ctx context.Context, o *order) {
 	r := o.run
-	s.record(o, trace.Event{Kind: trace.AttemptStarted})
+	s.recordEvent(o, trace.Event{Kind: trace.AttemptStarted})
 	s.FaultHook.Reach(inject.SideBegun)
-	out := s.perform(ctx, o)
+	outcome := s.runClaimed(ctx, o)
 	s.FaultHook.Reach(inject.SideRan)
-	s.ledger.end(o, out, time.Now())
+	s.orderTable.end(o, outcome, time.Now())
 	s.FaultHook.Reach(inject.SideEnded)
-	s.giveRoomBack(r.AttemptRef)
-	if out.Reason == "" {
-		s.crashes.RecordSurvival(time.Now(), r.Identity)
+	s.releaseCapacity(r.AttemptRef)
+	if outcome.Reason == "" {
+		s.evidence.RecordSurvival(time.Now(), r.Identity)
 	}
-	if s.ledger.untaken(o) {
-		s.orphans.add(r.Request)
+	if s.orderTable.endedDetached(o) {
+		s.undelivered.add(r.Request)
 	}
-	s.record(o, trace.Event{
-		Kind: trace.AttemptEnded, Tokens: o.outcome.Tokens, Ran: o.outcome.Ran, Reason: out.Reason, Detail: out.Detail,
+	s.recordEvent(o, trace.Event{
+		Kind: trace.AttemptEnded, Tokens: o.outcome.Tokens, Ran: o.outcome.Ran, Reason: outcome.Reason, Detail: outcome.Detail,
 	})
 	s.Log.Info("ended", "request", r.Request, "attempt", r.Attempt, "stage", r.Stage,
-		"ran", o.outcome.Ran, "reason", out.Reason, "tokens", o.outcome.Tokens)
+		"ran", o.outcome.Ran, "reason", outcome.Reason, "tokens", o.outcome.Tokens)
 }
 
-// takeRoom takes what the stage needs at the upstream before it is handed over.
-func (s *Side) takeRoom(r wire.Run) *wire.RefusalError {
+// acquireCapacity reserves the capacity that the order's stage needs at the
+// upstream, or refuses the order.
+func (s *Side) acquireCapacity(r wire.Run) *wire.RefusalError {
 	now := time.Now()
 	var err error
 	switch {
-	case r.Stage == wire.StageCall && !s.beside(now, r.Identity):
-		return errApart
+	case r.Stage == wire.StageCall && !s.mayRunAlongside(now, r.Identity):
+		return errSuspectConflict
 	case r.Stage == wire.StageDecode:
-		err = s.room.confirm(now, key(r.AttemptRef), r.Tokens, now.Add(r.Within))
+		err = s.reservations.confirm(now, reservationKey(r.AttemptRef), r.Tokens, now.Add(r.Within))
 	case r.Stage == wire.StagePrefill && r.Prefill != nil:
-		rate, _, _, _ := s.pace.figures()
-		err = s.room.queuePrefill(now, key(r.AttemptRef), r.Prefill.PromptTokens, rate, now.Add(r.Within))
+		rate, _, _, _ := s.speed.estimates()
+		err = s.reservations.queuePrefill(now, reservationKey(r.AttemptRef), r.Prefill.PromptTokens, rate, now.Add(r.Within))
 	}
 	if err != nil {
 		return &wire.RefusalError{Reason: domain.ReasonNoRoom, Ran: domain.NotRun, Detail: err.Error()}
@@ -92,50 +97,56 @@
 	return nil
 }
 
-// giveRoomBack frees what an attempt's stage took or reserved.
-func (s *Side) giveRoomBack(r wire.AttemptRef) {
+// releaseCapacity releases the capacity that a stage of an attempt uses or has
+// reserved.
+func (s *Side) releaseCapacity(r wire.AttemptRef) {
 	if r.Stage == wire.StagePrefill {
-		s.room.donePrefill(key(r))
+		s.reservations.releasePrefill(reservationKey(r))
 		return
 	}
-	s.room.release(r.Request, r.Attempt)
-	s.deaths.forget(key(r))
+	s.reservations.release(r.Request, r.Attempt)
+	s.crashState.removeReservation(reservationKey(r))
 }
 
-// mayRun refuses new work while draining. A decode whose room was reserved
-// before still runs: refusing it would waste its prefill.
-func (s *Side) mayRun(r wire.Run) *wire.RefusalError {
+// refuseIfDraining returns a refusal while the side is draining, otherwise nil. A
+// decode with an earlier reservation still runs: refusing it would waste its
+// prefill.
+func (s *Side) refuseIfDraining(r wire.Run) *wire.RefusalError {
 	if !s.draining.Load() {
 		return nil
 	}
-	if r.Stage == wire.StageDecode && s.room.renew(time.Now(), key(r.AttemptRef), admit.ReservationTTL) == nil {
+	if r.Stage == wire.StageDecode && s.reservations.renew(time.Now(), reservationKey(r.AttemptRef), admit.ReservationTTL) == nil {
 		return nil
 	}
 	return &wire.RefusalError{Reason: domain.ReasonDraining, Ran: domain.NotRun, Detail: "the side is draining"}
 }
 
-func (s *Side) attach(ctx context.Context, p *wire.Peer, a wire.Attach) (any, error) {
-	o := s.ledger.attach(a.AttemptRef)
+// attach sends the tokens and the outcome of an order to an entry that follows
+// it again. For an attempt that is not in the order table it returns what
+// settle does, which refuses the attempt permanently.
+func (s *Side) attach(ctx context.Context, peer *wire.Peer, a wire.Attach) (any, error) {
+	o := s.orderTable.attach(a.AttemptRef)
 	if o == nil {
-		return s.ledger.settle(a.AttemptRef, time.Now()), nil
+		return s.orderTable.settle(a.AttemptRef, time.Now()), nil
 	}
-	defer func() { s.ledger.detach(o, time.Now()) }()
-	return s.follow(ctx, p, o, a.From)
+	defer func() { s.orderTable.detach(o, time.Now()) }()
+	return s.follow(ctx, peer, o, a.From)
 }
 
-// follow sends the order's tokens from an offset on and gives its outcome.
-func (s *Side) follow(ctx context.Context, p *wire.Peer, o *order, from int) (any, error) {
+// follow sends the order's tokens from an offset on to the peer as they arrive,
+// and returns the outcome once the order has ended.
+func (s *Side) follow(ctx context.Context, peer *wire.Peer, o *order, from int) (any, error) {
 	for {
-		tokens, ended, changed := s.ledger.follow(o, from)
+		tokens, ended, changed := s.orderTable.tokensFrom(o, from)
 		if len(tokens) > 0 {
-			f := wire.Frame{AttemptRef: o.run.AttemptRef, Offset: from, Tokens: tokens}
-			if err := p.Notify(wire.MethodFrame, f); err != nil {
+			frame := wire.Frame{AttemptRef: o.run.AttemptRef, Offset: from, Tokens: tokens}
+			if err := peer.Notify(wire.MethodFrame, frame); err != nil {
 				return nil, err
 			}
 			from += len(tokens)
 		}
 		if ended {
-			return s.ledger.settle(o.run.AttemptRef, time.Now()), nil
+			return s.orderTable.settle(o.run.AttemptRef, time.Now()), nil
 		}
 		select {
 		case <-changed:
@@ -145,35 +156,40 @@
 	}
 }
 
+// reserve reserves a decode slot and KV memory for an attempt, and returns the
+// capacity that remains.
 func (s *Side) reserve(r wire.Reserve) (any, error) {
 	if s.draining.Load() {
 		return nil, &wire.RefusalError{Reason: domain.ReasonDraining, Ran: domain.NotRun, Detail: "the side is draining"}
 	}
 	now := time.Now()
-	if !s.beside(now, r.Identity) {
-		return nil, errApart
+	if !s.mayRunAlongside(now, r.Identity) {
+		return nil, errSuspectConflict
 	}
-	if s.down.Load() {
+	if s.upstreamDown.Load() {
 		return nil, &wire.RefusalError{Reason: domain.ReasonNoUpstream, Ran: domain.NotRun, Detail: "the upstream does not answer"}
 	}
-	if err := s.room.reserve(now, key(r.AttemptRef), r.Tokens, r.Hold); err != nil {
+	if err := s.reservations.reserve(now, reservationKey(r.AttemptRef), r.Tokens, r.Hold); err != nil {
 		return nil, &wire.RefusalError{Reason: domain.ReasonNoRoom, Ran: domain.NotRun, Detail: err.Error()}
 	}
-	s.deaths.expect(key(r.AttemptRef), expected{id: r.Identity, until: now.Add(r.Hold)})
-	free := s.room.free(now)
+	s.crashState.addReservation(reservationKey(r.AttemptRef), reservedRequest{identity: r.Identity, expires: now.Add(r.Hold)})
+	free := s.reservations.capacity(now)
 	return wire.ReserveReply{FreeSlots: free.FreeRequests, FreeTokens: free.FreeTokens}, nil
 }
 
-func key(r wire.AttemptRef) admit.Key { return admit.Key{Request: r.Request, Attempt: r.Attempt} }
+// reservationKey returns the key of an attempt's reservations.
+func reservationKey(r wire.AttemptRef) admit.Key {
+	return admit.Key{Request: r.Request, Attempt: r.Attempt}
+}
 
-// cancel frees whatever an attempt holds here, reserved or running.
+// cancel abandons an attempt and releases its reserved or used capacity.
 func (s *Side) cancel(r wire.AttemptRef) {
-	s.ledger.giveUp(r, time.Now())
-	s.giveRoomBack(r)
+	s.orderTable.abandon(r, time.Now())
+	s.releaseCapacity(r)
 }
 
-// record adds an event to the side's half of the story.
-func (s *Side) record(o *order, e trace.Event) {
+// recordEvent adds an event to the side's span of the request.
+func (s *Side) recordEvent(o *order, e trace.Event) {
 	e.Time, e.Host = time.Now(), s.Settings.Name
 	e.Request, e.Attempt, e.Upstream = o.run.Request, o.run.Attempt, s.Settings.Name
 	e.RequestKind, e.Caller, e.Service = o.run.Kind, o.run.Account, s.Settings.Service
@@ -183,11 +199,11 @@
 	s.recorder.Record(e)
 }
 
-// story gives the side's half of a request's story.
-func (s *Side) story(id domain.RequestID) (any, error) {
-	t, found := s.recorder.Get(id)
+// span returns the side's span of a request.
+func (s *Side) span(id domain.RequestID) (any, error) {
+	span, found := s.recorder.Get(id)
 	if !found {
 		return nil, &wire.RefusalError{Reason: domain.ReasonBadInput, Ran: domain.Unknown, Detail: "nothing is known here of the request"}
 	}
-	return t, nil
+	return span, nil
 }
--- a/side/shards.go
+++ b/side/shards.go
@@ -9,159 +9,170 @@
 	"jacinthworks/wire"
 )
 
-// keepClaims drives the book until the context ends.
+// keepClaims runs a claim round every claimInterval until the context ends: it
+// applies due records, sends pending messages, takes over and returns shards,
+// announces ownership, and expires old keys.
 func (s *Side) keepClaims(ctx context.Context) error {
-	t := time.NewTicker(claimEvery)
-	defer t.Stop()
-	expired := time.Now()
+	ticker := time.NewTicker(claimInterval)
+	defer ticker.Stop()
+	lastExpiry := time.Now()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case now := <-t.C:
-			if r := s.claims.due(now); r != nil {
-				s.learn(ctx, *r)
+		case now := <-ticker.C:
+			if r := s.claims.dueRecord(now); r != nil {
+				s.applyRecord(ctx, *r)
 			}
-			pending := s.claims.book.Pending(now)
+			pending := s.claims.ledger.Pending(now)
 			s.deliver(ctx, pending)
-			s.noteSettled(pending)
-			s.takeOver(ctx, now)
-			s.giveBack(ctx, now, pending)
-			s.tellOwned(pending)
-			if now.Sub(expired) >= expireEvery {
-				expired = now
-				s.claims.book.Expire(now)
-				s.askOverdue(ctx, now)
+			s.logSettled(pending)
+			s.takeOverShards(ctx, now)
+			s.returnShards(ctx, now, pending)
+			s.announceOwned(pending)
+			if now.Sub(lastExpiry) >= expiryInterval {
+				lastExpiry = now
+				s.claims.ledger.Expire(now)
+				s.resolveOverdue(ctx, now)
 			}
 		}
 	}
 }
 
-// noteSettled logs once for each version of the record that nothing is pending
-// any more: from then on the loss of one host, or of one zone, leaves no key
-// in doubt that did not run there.
-func (s *Side) noteSettled(o claim.Outbox) {
-	r := s.claims.book.Record()
-	if len(o.Fences)+len(o.Restores)+len(o.Handovers) > 0 || r.Version == s.claims.settled {
+// logSettled logs, once for each version of the membership record, that no claim
+// message is pending and that this side completely owns every shard for which
+// it is first in rank. From then on, the loss of one host or of one
+// availability zone leaves no key with an unknown outcome, except keys that ran
+// there.
+func (s *Side) logSettled(outbox claim.Outbox) {
+	record := s.claims.ledger.Record()
+	if len(outbox.Fences)+len(outbox.Restores)+len(outbox.Handovers) > 0 || record.Version == s.claims.settledVersion {
 		return
 	}
-	owned := s.claims.book.Owned()
+	owned := s.claims.ledger.Owned()
 	for n := range claim.Shards {
-		rank, member := r.Rank(claim.Shard(n), s.claims.book.Self)
-		ours := slices.ContainsFunc(owned, func(o claim.Ownership) bool { return o.Shard == claim.Shard(n) && o.Complete })
-		if member && rank == 0 && !ours {
+		rank, member := record.Rank(claim.Shard(n), s.claims.ledger.Self)
+		complete := slices.ContainsFunc(owned, func(o claim.Ownership) bool { return o.Shard == claim.Shard(n) && o.Complete })
+		if member && rank == 0 && !complete {
 			return
 		}
 	}
-	s.claims.settled = r.Version
-	s.Log.Info("claims settled", "version", r.Version, "shards", len(owned))
+	s.claims.settledVersion = record.Version
+	s.Log.Info("claims settled", "version", record.Version, "shards", len(owned))
 }
 
-// askOverdue finds out what became of keys that were granted long ago. The
-// failure: the message that told how a try ended was lost, and so was its
-// entry. It shows as a key in progress for good.
-func (s *Side) askOverdue(ctx context.Context, now time.Time) {
-	ctx, cancel := context.WithTimeout(ctx, claimWithin)
+// resolveOverdue asks the runners of keys that were granted longer than
+// overdueAfter ago for the outcome. Without it, a key would stay in progress
+// forever if the message with the attempt's outcome was lost and the entry
+// crashed.
+func (s *Side) resolveOverdue(ctx context.Context, now time.Time) {
+	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
-	for _, o := range s.claims.book.Overdue(overdueAfter, now) {
-		var found claim.Resolution
-		if s.callMember(ctx, o.To.Host, wire.MethodAsk, o, &found) == nil {
-			_ = s.claims.book.Resolve(found, now) // errs on a shard that there is not
+	for _, o := range s.claims.ledger.Overdue(overdueAfter, now) {
+		var resolution claim.Resolution
+		if s.callMember(ctx, o.To.Host, wire.MethodAsk, o, &resolution) == nil {
+			_ = s.claims.ledger.Resolve(resolution, now) // fails only for a shard number that does not exist
 		}
 	}
 }
 
-// takeOver starts to own shards whose owner has not been heard for long enough.
-func (s *Side) takeOver(ctx context.Context, now time.Time) {
+// takeOverShards takes over shards that have had no connected owner for longer
+// than this side's delay, which depends on its rank. A draining side takes over
+// nothing.
+func (s *Side) takeOverShards(ctx context.Context, now time.Time) {
 	if s.draining.Load() {
 		return
 	}
-	r := s.claims.book.Record()
-	own := make(map[claim.Shard]bool)
-	for _, o := range s.claims.book.Owned() {
-		own[o.Shard] = true
+	record := s.claims.ledger.Record()
+	owned := make(map[claim.Shard]bool)
+	for _, o := range s.claims.ledger.Owned() {
+		owned[o.Shard] = true
 	}
 	for n := range claim.Shards {
 		shard := claim.Shard(n)
-		rank, member := r.Rank(shard, s.claims.book.Self)
-		if !member || own[shard] || s.ownerLives(shard) {
-			s.claims.forgive(shard)
+		rank, member := record.Rank(shard, s.claims.ledger.Self)
+		if !member || owned[shard] || s.ownerConnected(shard) {
+			s.claims.clearUnowned(shard)
 			continue
 		}
-		wait := takeOverAfter
-		if !s.claims.heardOwner(shard) {
-			wait = firstOwnerAfter
+		wait := takeoverDelay
+		if !s.claims.hasObservedOwner(shard) {
+			wait = firstOwnerDelay
 		}
-		wait += time.Duration(rank) * takeOverStep
-		if s.claims.miss(shard, now) < wait {
+		wait += time.Duration(rank) * takeoverRankDelay
+		if s.claims.unownedFor(shard, now) < wait {
 			continue
 		}
-		s.claims.forgive(shard)
-		out, err := s.claims.book.TakeOver(shard, now)
-		s.Log.Info("takes shard over", "shard", shard, "version", r.Version, "rank", rank, "err", err)
-		s.deliver(ctx, out)
+		s.claims.clearUnowned(shard)
+		outbox, err := s.claims.ledger.TakeOver(shard, now)
+		s.Log.Info("takes shard over", "shard", shard, "version", record.Version, "rank", rank, "err", err)
+		s.deliver(ctx, outbox)
 	}
 }
 
-// giveBackEvery is how often shards are looked at that another rank should own.
-const giveBackEvery = time.Second
+// returnInterval is how often the owned shards are checked for a shard whose
+// first member in rank is another one.
+const returnInterval = time.Second
 
-// giveBack hands shards to their first member once that is connected and takes
-// work. The failure: a member that was taken for lost for a moment comes back,
-// and its successor, in the zone of the shard's runners, keeps the shard. The
-// loss of that one host then leaves keys in doubt.
-func (s *Side) giveBack(ctx context.Context, now time.Time, pending claim.Outbox) {
-	if now.Sub(s.claims.gaveBack) < giveBackEvery || len(pending.Fences)+len(pending.Restores)+len(pending.Handovers) > 0 {
+// returnShards hands owned shards to their first member in rank once that member
+// is connected and accepts work. Otherwise, if the first member was unreachable
+// for a moment, its successor would keep the shard. The successor is in the
+// availability zone of the shard's runners, so the loss of that one host would
+// leave keys with an unknown outcome.
+func (s *Side) returnShards(ctx context.Context, now time.Time, pending claim.Outbox) {
+	if now.Sub(s.claims.lastReturnCheck) < returnInterval || len(pending.Fences)+len(pending.Restores)+len(pending.Handovers) > 0 {
 		return
 	}
-	s.claims.gaveBack = now
-	r := s.claims.book.Record()
-	for _, o := range s.claims.book.Owned() {
-		first := r.Ranked(o.Shard)[0].Process()
-		l := s.claims.members.Find(first.Host)
-		if first == s.claims.book.Self || l == nil || l.Member.Process() != first || !l.Usable() {
+	s.claims.lastReturnCheck = now
+	record := s.claims.ledger.Record()
+	for _, o := range s.claims.ledger.Owned() {
+		first := record.Ranked(o.Shard)[0].Process()
+		link := s.claims.members.Find(first.Host)
+		if first == s.claims.ledger.Self || link == nil || link.Member.Process() != first || !link.Usable() {
 			continue
 		}
-		out, err := s.claims.book.Retire(o.Shard, first, now)
+		outbox, err := s.claims.ledger.Retire(o.Shard, first, now)
 		if err != nil {
 			s.Log.Warn("shard not given back", "shard", o.Shard, "err", err)
 		}
-		s.deliver(ctx, out)
+		s.deliver(ctx, outbox)
 	}
 }
 
-// ownerLives says whether a shard's newest owner is connected.
-func (s *Side) ownerLives(n claim.Shard) bool {
+// ownerConnected reports whether a shard's newest observed owner is connected.
+func (s *Side) ownerConnected(shard claim.Shard) bool {
 	s.claims.mu.Lock()
-	seen := s.claims.owners[n]
+	owner := s.claims.owners[shard]
 	s.claims.mu.Unlock()
-	if seen.host == "" {
+	if owner.host == "" {
 		return false
 	}
-	l := s.claims.members.Find(seen.host)
-	return l != nil && l.Peer() != nil
+	link := s.claims.members.Find(owner.host)
+	return link != nil && link.Peer() != nil
 }
 
-// heardOwner says whether any owner of the shard was ever heard of.
-func (c *claims) heardOwner(n claim.Shard) bool {
+// hasObservedOwner reports whether an owner of the shard was ever observed.
+func (c *claims) hasObservedOwner(shard claim.Shard) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	_, known := c.owners[n]
-	return known
+	_, observed := c.owners[shard]
+	return observed
 }
 
-func (c *claims) forgive(n claim.Shard) {
+// clearUnowned ends the time without an owner that unownedFor measures.
+func (c *claims) clearUnowned(shard claim.Shard) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.missed, n)
+	delete(c.unownedSince, shard)
 }
 
-// miss gives how long the shard has been without an owner.
-func (c *claims) miss(n claim.Shard, now time.Time) time.Duration {
+// unownedFor returns how long the shard has been without a connected owner. The
+// first call for a shard starts the measurement.
+func (c *claims) unownedFor(shard claim.Shard, now time.Time) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if _, known := c.missed[n]; !known {
-		c.missed[n] = now
+	if _, unowned := c.unownedSince[shard]; !unowned {
+		c.unownedSince[shard] = now
 	}
-	return now.Sub(c.missed[n])
+	return now.Sub(c.unownedSince[shard])
 }
--- a/side/side.go
+++ b/side/side.go
@@ -1,7 +1,8 @@
-// Package side is the process beside one upstream and the only way to it. It
-// holds the exact truth about its upstream: which room is reserved, what runs
-// and for whom, what ended and how. Entries come and go; a side notices by its
-// own clock and frees what nobody is attached to.
+// Package side implements the sidecar process of one upstream. All requests to
+// the upstream pass through its side, which tracks exactly which capacity is
+// reserved, which orders run and for which entry, and how each order ended. It
+// detects by its own clock that an entry has disconnected, and releases the
+// resources of prefill and decode orders that no entry follows.
 //
 // # Usage
 //
@@ -33,48 +34,53 @@
 	"jacinthworks/wire"
 )
 
-// Figures of the two-second bound on engine memory that nobody owns: silence
-// is noticed within 0.8 s, an entry has orphanAfter to attach again on a fresh
-// connection, and the sweep adds sweepEvery. 0.8 + 0.6 + 0.1 s leaves half a
-// second for the cancel order and one repetition of it.
+// Engine memory of a request that no entry follows is released within two
+// seconds: the heartbeat timeout detects an unreachable entry within 0.8 s, an
+// entry has orphanTimeout to attach again on a new connection, and the sweep
+// adds up to sweepInterval. 0.8 + 0.6 + 0.1 s leaves half a second for the
+// cancel call and one retry of it.
 const (
-	orphanAfter = 600 * time.Millisecond
-	sweepEvery  = 100 * time.Millisecond
+	orphanTimeout = 600 * time.Millisecond
+	sweepInterval = 100 * time.Millisecond
 )
 
-// Side serves entries and runs their orders on one upstream. Set the exported
-// fields before Run; just one of Model and App, by the role in Settings.
+// Side serves entries and runs their orders on one upstream. The exported fields
+// must be set before Run, with exactly one of Model and App according to the
+// role in Settings.
 type Side struct {
 	Settings conf.Side
 	Log      hclog.Logger
 	Objects  infra.Objects
 	Model    engine.Model
 	App      engine.AppServer
-	// FaultHook, if set, is told of the points that orders pass; for drills.
+	// FaultHook, if set, is called at each step of an order, so that tests and
+	// drills can inject a fault there.
 	FaultHook inject.Hook
-	// OnListen, if set, is told the address once the side accepts entries.
+	// OnListen, if set, is called with the address once the side accepts
+	// connections.
 	OnListen func(netip.AddrPort)
 
-	ledger      OrderTable
-	room        room
-	pace        pace
-	recorder    trace.Recorder
-	orphans     orphaned
-	claims      claims
-	deaths      deaths
-	orders      chan orderAsk
-	crashes     retry.Ledger
-	incarnation domain.Incarnation
-	upstream    atomic.Pointer[engine.State]
-	down        atomic.Bool
-	draining    atomic.Bool
-	self        atomic.Pointer[member.Member] // once joined
-	work        group.Group
-	workCtx     context.Context
+	orderTable     OrderTable
+	reservations   reservations
+	speed          speedEstimator
+	recorder       trace.Recorder
+	undelivered    undelivered
+	claims         claims
+	crashState     crashState
+	operatorOrders chan operatorOrder
+	evidence       retry.Ledger
+	incarnation    domain.Incarnation
+	engineState    atomic.Pointer[engine.State]
+	upstreamDown   atomic.Bool
+	draining       atomic.Bool
+	ownMember      atomic.Pointer[member.Member] // nil until join runs
+	work           group.Group
+	workCtx        context.Context
 }
 
-// Run serves until ctx ends, then takes no new work, ends what runs and
-// returns. Work still in progress after stop_within is cancelled.
+// Run serves until ctx ends, then refuses new work, waits for the running work
+// and returns. Work that is still in progress after the time of the setting
+// stop_within is cancelled.
 func (s *Side) Run(ctx context.Context) error {
 	s.init()
 	ln, err := net.Listen("tcp", s.Settings.Listen.String())
@@ -82,16 +88,16 @@
 		return errors.Wrap(err, "side: listen")
 	}
 	address := ln.Addr().(*net.TCPAddr).AddrPort()
-	if t := s.Settings.TLS; t.CAFile != "" {
-		fleet, err := wire.FleetTLS(t.CertFile, t.KeyFile, t.CAFile)
+	if settings := s.Settings.TLS; settings.CAFile != "" {
+		fleetTLS, err := wire.FleetTLS(settings.CertFile, settings.KeyFile, settings.CAFile)
 		if err != nil {
 			return err
 		}
-		ln, s.claims.members.TLS = tls.NewListener(ln, fleet), fleet
+		ln, s.claims.members.TLS = tls.NewListener(ln, fleetTLS), fleetTLS
 	}
-	var vars net.Listener
+	var metricsListener net.Listener
 	if s.Settings.AdminListen.IsValid() {
-		if vars, err = net.Listen("tcp", s.Settings.AdminListen.String()); err != nil {
+		if metricsListener, err = net.Listen("tcp", s.Settings.AdminListen.String()); err != nil {
 			return errors.Wrap(err, "side: admin_listen")
 		}
 	}
@@ -100,25 +106,25 @@
 	s.workCtx = serving
 
 	var loops group.Group
-	loops.Go(serving, "work ends", s.reap)
-	loops.Go(serving, "peers", func(ctx context.Context) error { return wire.Serve(ctx, ln, s.local()) })
+	loops.Go(serving, "work exits", s.logWorkExits)
+	loops.Go(serving, "peers", func(ctx context.Context) error { return wire.Serve(ctx, ln, s.handlers()) })
 	loops.Go(ctx, "join", func(ctx context.Context) error { return s.join(ctx, address) })
 	loops.Go(serving, "sweep", s.sweep)
-	if vars != nil {
-		loops.Go(serving, "vars", func(ctx context.Context) error { return s.serveVars(ctx, vars) })
+	if metricsListener != nil {
+		loops.Go(serving, "vars", func(ctx context.Context) error { return s.serveMetrics(ctx, metricsListener) })
 	}
 	if s.Objects != nil && s.Settings.Role != domain.RolePrefill {
 		loops.Go(serving, "links", s.claims.members.Run)
-		loops.Go(serving, "record", s.followRecord)
+		loops.Go(serving, "record", s.watchRecord)
 		loops.Go(serving, "claims", s.keepClaims)
 	}
 	if s.Objects != nil {
-		loops.Go(serving, "stories", s.writeStories)
+		loops.Go(serving, "stories", s.writeSpans)
 	}
 	if s.Model != nil {
 		loops.Go(serving, "reconcile", s.reconcile)
-		loops.Go(serving, "cache", s.watchCache)
-		loops.Go(serving, "orders", s.giveOrders)
+		loops.Go(serving, "cache", s.forwardCacheEvents)
+		loops.Go(serving, "orders", s.executeOrders)
 	}
 	if s.OnListen != nil {
 		s.OnListen(address)
@@ -133,6 +139,7 @@
 	return nil
 }
 
+// init sets the defaults of unset fields and the initial state.
 func (s *Side) init() {
 	if s.Log == nil {
 		s.Log = hclog.NewNullLogger()
@@ -140,81 +147,86 @@
 	s.Settings.Timings = s.Settings.Timings.WithDefaults()
 	s.incarnation = domain.NewIncarnation()
 	s.recorder.Kind = trace.SideSpan
-	s.orders = make(chan orderAsk)
+	s.operatorOrders = make(chan operatorOrder)
 	s.initClaims()
 }
 
-func (s *Side) local() *wire.Handlers {
+// handlers returns this side's hello message and handlers for wire connections.
+func (s *Side) handlers() *wire.Handlers {
 	return &wire.Handlers{
 		Hello: wire.Hello{
 			Host: s.Settings.Name, Zone: s.Settings.Zone, Incarnation: s.incarnation,
 			Role: string(s.Settings.Role), Service: s.Settings.Service,
 		},
-		Heartbeat:          s.beat,
-		Handle:             s.handle,
-		HandleNotification: s.notice,
-		OnOpen:             s.opened,
-		OnClose:            s.claims.closed,
+		Heartbeat:          s.heartbeat,
+		Handle:             s.handleCall,
+		HandleNotification: s.handleNotification,
+		OnOpen:             s.onOpen,
+		OnClose:            s.claims.removeInbound,
 		HeartbeatInterval:  s.Settings.Timings.Heartbeat,
 		HeartbeatTimeout:   s.Settings.Timings.HeartbeatTimeout,
 	}
 }
 
-func (s *Side) beat() wire.Heartbeat {
-	free := s.room.free(time.Now())
+// heartbeat returns the heartbeat with the load of this side and its upstream.
+func (s *Side) heartbeat() wire.Heartbeat {
+	free := s.reservations.capacity(time.Now())
 	load := &wire.Load{
-		Running: s.ledger.busy(), Slots: s.room.slots(), FreeSlots: free.FreeRequests,
-		FreeTokens: free.FreeTokens, QueuedTokens: s.ledger.promptTokens(), Down: s.down.Load(),
+		Running: s.orderTable.runningCount(), Slots: s.reservations.slots(), FreeSlots: free.FreeRequests,
+		FreeTokens: free.FreeTokens, QueuedTokens: s.orderTable.queuedPromptTokens(), Down: s.upstreamDown.Load(),
 	}
-	load.Rate, load.LinkRate, load.GapBase, load.GapStep = s.pace.figures()
-	if st := s.upstream.Load(); st != nil {
-		load.Upstream = st.Incarnation
+	load.Rate, load.LinkRate, load.GapBase, load.GapStep = s.speed.estimates()
+	if state := s.engineState.Load(); state != nil {
+		load.Upstream = state.Incarnation
 	}
 	return wire.Heartbeat{Draining: s.draining.Load(), Load: load}
 }
 
-// opened tells a process that has connected what it needs to know of here.
-func (s *Side) opened(p *wire.Peer) {
-	s.tellEvidence(p)
-	s.claims.opened(p, s.Settings.Service)
+// onOpen sends a process that has connected the evidence of crashes and the
+// shards that this side owns.
+func (s *Side) onOpen(peer *wire.Peer) {
+	s.sendEvidence(peer)
+	s.claims.addInbound(peer, s.Settings.Service)
 }
 
-// notice takes evidence of crashes from entries.
-func (s *Side) notice(_ *wire.Peer, method string, params json.RawMessage) {
-	var r retry.Record
-	if method == wire.MethodEvidence && json.Unmarshal(params, &r) == nil {
-		s.crashes.Merge(time.Now(), r)
+// handleNotification merges evidence of crashes from entries. It ignores other
+// notifications.
+func (s *Side) handleNotification(_ *wire.Peer, method string, params json.RawMessage) {
+	var evidence retry.Record
+	if method == wire.MethodEvidence && json.Unmarshal(params, &evidence) == nil {
+		s.evidence.Merge(time.Now(), evidence)
 	}
 }
 
-// handle answers an entry's calls.
-func (s *Side) handle(ctx context.Context, p *wire.Peer, method string, params json.RawMessage) (any, error) {
-	if answer, err, ours := s.handleClaims(method, params); ours {
-		return answer, err
+// handleCall handles the calls of entries and of other members.
+func (s *Side) handleCall(ctx context.Context, peer *wire.Peer, method string, params json.RawMessage) (any, error) {
+	if reply, err, claimCall := s.handleClaimCall(method, params); claimCall {
+		return reply, err
 	}
 	switch method {
 	case wire.MethodReserve:
 		return wire.Decode(params, func(r wire.Reserve) (any, error) { return s.reserve(r) })
 	case wire.MethodRun:
-		return wire.Decode(params, func(r wire.Run) (any, error) { return s.run(ctx, p, r) })
+		return wire.Decode(params, func(r wire.Run) (any, error) { return s.run(ctx, peer, r) })
 	case wire.MethodAttach:
-		return wire.Decode(params, func(a wire.Attach) (any, error) { return s.attach(ctx, p, a) })
+		return wire.Decode(params, func(a wire.Attach) (any, error) { return s.attach(ctx, peer, a) })
 	case wire.MethodSettle:
-		return wire.Decode(params, func(r wire.AttemptRef) (any, error) { return s.ledger.settle(r, time.Now()), nil })
+		return wire.Decode(params, func(r wire.AttemptRef) (any, error) { return s.orderTable.settle(r, time.Now()), nil })
 	case wire.MethodCancel:
 		return wire.Decode(params, func(r wire.AttemptRef) (any, error) { s.cancel(r); return struct{}{}, nil })
 	case wire.MethodTrace:
-		return wire.Decode(params, func(a wire.TraceRequest) (any, error) { return s.story(a.Request) })
+		return wire.Decode(params, func(a wire.TraceRequest) (any, error) { return s.span(a.Request) })
 	case wire.MethodOrder:
-		return wire.Decode(params, func(o wire.Order) (any, error) { return s.order(ctx, o) })
+		return wire.Decode(params, func(o wire.Order) (any, error) { return s.submitOrder(ctx, o) })
 	case wire.MethodDrain:
-		s.stopTaking()
+		s.startDraining()
 		return struct{}{}, nil
 	}
 	return nil, &wire.RefusalError{Reason: domain.ReasonBadInput, Ran: domain.NotRun, Detail: "no method " + method}
 }
 
-func (s *Side) reap(context.Context) error {
+// logWorkExits logs background work that ended with an error.
+func (s *Side) logWorkExits(context.Context) error {
 	for e := range s.work.Exits() {
 		if e.Err != nil {
 			s.Log.Debug("work ended", "name", e.Name, "err", e.Err)
@@ -223,8 +235,9 @@
 	return nil
 }
 
-// join puts the side into its service's record, trying until it is there. A
-// platform outage leaves the side to those entries that know it already.
+// join adds the side to its service's membership record and retries until that
+// succeeds. During a platform outage, only entries that already have the side's
+// address can use it.
 func (s *Side) join(ctx context.Context, address netip.AddrPort) error {
 	if s.Objects == nil {
 		return nil
@@ -232,82 +245,86 @@
 	if s.Settings.Advertise.IsValid() {
 		address = s.Settings.Advertise
 	}
-	m := member.Member{
+	self := member.Member{
 		Host: s.Settings.Name, Zone: s.Settings.Zone, Role: s.Settings.Role, Service: s.Settings.Service,
 		Address: address, Incarnation: s.incarnation,
 	}
-	s.self.Store(&m)
-	return member.JoinWithRetry(ctx, s.Objects, m, func(r member.Record) {
+	s.ownMember.Store(&self)
+	return member.JoinWithRetry(ctx, s.Objects, self, func(r member.Record) {
 		s.Log.Info("joined", "service", r.Service, "version", r.Version, "members", len(r.Members))
 	})
 }
 
-// stopTaking takes no new work from now on, and says so in the record, so that
-// the keys of its shards are run elsewhere. The failure: two of three servers
-// drain, and a key whose shard allows only those two waits to its deadline.
-func (s *Side) stopTaking() {
+// startDraining refuses new work from now on and marks the side as draining in
+// the membership record, so that keys are run by other members. Without the
+// mark in the record, when two of three servers drain, a key whose shard allows
+// only these two servers as runners would wait until its deadline.
+func (s *Side) startDraining() {
 	if s.draining.Swap(true) {
 		return
 	}
-	m := s.self.Load()
-	if m == nil {
+	self := s.ownMember.Load()
+	if self == nil {
 		return
 	}
-	leaving := *m
+	leaving := *self
 	leaving.Draining = true
 	s.work.Go(s.workCtx, "drain record", func(ctx context.Context) error {
-		ctx, cancel := context.WithTimeout(ctx, leaveWithin)
+		ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
 		defer cancel()
 		_, err := member.Join(ctx, s.Objects, leaving)
 		return err
 	})
 }
 
-// drain takes no new work and waits for what runs, bounded by stop_within.
+// drain refuses new work, waits for running orders up to the time of the setting
+// stop_within, and leaves the membership record.
 func (s *Side) drain() {
-	s.stopTaking()
-	s.Log.Info("draining", "running", s.ledger.busy(), "within", s.Settings.Timings.StopTimeout)
+	s.startDraining()
+	s.Log.Info("draining", "running", s.orderTable.runningCount(), "within", s.Settings.Timings.StopTimeout)
 	ctx, cancel := context.WithTimeout(s.workCtx, s.Settings.Timings.StopTimeout)
 	defer cancel()
 	defer s.leave()
-	t := time.NewTicker(sweepEvery)
-	defer t.Stop()
-	// Two heartbeats pass first, so that every entry has heard of it before
-	// the listener closes.
-	quiet := time.Now().Add(2 * s.Settings.Timings.Heartbeat)
-	for s.ledger.busy() > 0 || time.Now().Before(quiet) {
+	ticker := time.NewTicker(sweepInterval)
+	defer ticker.Stop()
+	// Draining lasts at least two heartbeat intervals, so that every entry is
+	// notified before the listener closes.
+	notifiedAt := time.Now().Add(2 * s.Settings.Timings.Heartbeat)
+	for s.orderTable.runningCount() > 0 || time.Now().Before(notifiedAt) {
 		select {
-		case <-t.C:
+		case <-ticker.C:
 		case <-ctx.Done():
-			s.Log.Warn("stop_within passed", "running", s.ledger.busy())
+			s.Log.Warn("stop_within passed", "running", s.orderTable.runningCount())
 			return
 		}
 	}
 }
 
-// leaveWithin bounds each of the two last steps of a planned stop.
-const leaveWithin = 2 * time.Second
+// leaveTimeout bounds each of the two last steps of a planned stop: leaving the
+// membership record, and handing over shards.
+const leaveTimeout = 2 * time.Second
 
-// leave takes this life of the side out of the record, so that nobody waits
-// for its word about what ran, and hands the shards it owns to those that stay.
-// While the platform is down the side stays in the record, as one that was
-// killed does, and hands over what a later rank may take.
+// leave removes this incarnation of the side from the membership record, so that
+// no owner waits for its replies about keys that it ran, and hands its shards to
+// the remaining members. During a platform outage the side stays in the record,
+// as a side that was killed does, and hands each shard to a member later in
+// rank.
 func (s *Side) leave() {
 	if s.Objects == nil {
 		return
 	}
-	write, cancel := context.WithTimeout(s.workCtx, leaveWithin)
+	leaveCtx, cancel := context.WithTimeout(s.workCtx, leaveTimeout)
 	defer cancel()
-	m := member.Member{Host: s.Settings.Name, Service: s.Settings.Service, Incarnation: s.incarnation}
-	r, err := member.Leave(write, s.Objects, m)
+	self := member.Member{Host: s.Settings.Name, Service: s.Settings.Service, Incarnation: s.incarnation}
+	record, err := member.Leave(leaveCtx, s.Objects, self)
 	if err != nil {
 		s.Log.Warn("did not leave the record", "err", err)
 	}
-	hand, stop := context.WithTimeout(s.workCtx, leaveWithin)
-	defer stop()
+	handoverCtx, cancelHandover := context.WithTimeout(s.workCtx, leaveTimeout)
+	defer cancelHandover()
 	if err == nil {
-		s.learn(hand, r.Claims)
+		s.applyRecord(handoverCtx, record.Claims)
 	}
-	s.retireClaims(hand)
-	s.lingerForFences(hand)
+	s.handOverShards(handoverCtx)
+	s.awaitFenceCalls(handoverCtx)
 }
