--- a/engine/engine.go
+++ b/engine/engine.go
@@ -1,6 +1,6 @@
-// Package engine meets model engines and plain application servers. Model and
-// App are the narrow interfaces; the adapters stand in http_model.go and
-// http_app.go.
+// Package engine is the client side of model engines and plain application
+// servers. Model and AppServer are the interfaces; HTTPModel and HTTPAppServer
+// implement them over HTTP.
 //
 // # Usage
 //
@@ -8,9 +8,9 @@
 //	kv, err := m.Prefill(ctx, engine.PrefillOrder{Request: id, Attempt: 1, Prompt: text, PromptTokens: 812})
 //	err = m.Decode(ctx, engine.DecodeOrder{Request: id, Attempt: 1, KV: kv, MaxTokens: 64}, emit)
 //
-// An error for which errors.Is(err, ErrNotStarted) holds is the engine's word, or
-// the dialer's, that it never began the work. Any other error leaves open
-// whether it ran.
+// If errors.Is(err, ErrNotStarted) holds, the engine reported that it never
+// began the work, or the request was never sent. After any other error the work
+// may have run.
 package engine
 
 import (
@@ -24,41 +24,42 @@
 	"jacinthworks/domain"
 )
 
-// The errors of engines and applications.
+// Errors of calls to engines and application servers.
 var (
-	// ErrNotStarted says that the upstream never began the work: the
-	// connection was refused, or the upstream said so.
+	// ErrNotStarted means that the upstream never began the work: the request
+	// was not sent, or the upstream reported so.
 	ErrNotStarted = errors.New("engine: not taken")
-	// ErrCrashed says that the upstream's connection broke while it ran the work.
+	// ErrCrashed means that the connection broke, or the answer ended early,
+	// after the request was sent.
 	ErrCrashed = errors.New("engine: died while running")
-	// ErrEvicted says that the KV cache to import is gone.
+	// ErrEvicted means that the KV cache to import is no longer in memory.
 	ErrEvicted = errors.New("engine: KV cache evicted")
-	// ErrFenced says that the engine refused an order's old fencing number.
+	// ErrFenced means that the engine refused an order with a stale fencing token.
 	ErrFenced = errors.New("engine: old fencing number")
 )
 
-// KV names KV cache that a prefill left in an engine's memory.
+// KV identifies the KV cache that a prefill left in an engine's memory.
 type KV struct {
-	// Engine is where the cache is exported from.
+	// Engine is the address of the engine that exports the cache.
 	Engine netip.AddrPort `json:"engine"`
 	Handle string         `json:"handle"`
 	Tokens int            `json:"tokens"`
-	// Life is how long the engine keeps it from the moment of the answer.
+	// Life is how long the engine keeps the cache after it has answered.
 	Life time.Duration `json:"life"`
 }
 
-// PrefillOrder asks for the KV cache of a prompt.
+// PrefillOrder is the request to compute the KV cache of a prompt.
 type PrefillOrder struct {
 	Request      domain.RequestID `json:"request"`
 	Attempt      domain.Attempt   `json:"attempt"`
 	Prompt       string           `json:"prompt"`
 	PromptTokens int              `json:"prompt_tokens"`
-	// Prefix is the hash of the part of the prompt that may be cached.
+	// Prefix is the hash of the prompt's cacheable prefix.
 	Prefix   uint64 `json:"prefix"`
 	Priority int    `json:"priority"`
 }
 
-// DecodeOrder asks for tokens from KV cache that is imported first.
+// DecodeOrder is the request to import a KV cache and generate tokens from it.
 type DecodeOrder struct {
 	Request   domain.RequestID `json:"request"`
 	Attempt   domain.Attempt   `json:"attempt"`
@@ -67,51 +68,54 @@
 	Priority  int              `json:"priority"`
 }
 
-// Token is one step of a decode.
+// Token is one generated token of an answer.
 type Token struct {
-	// Offset counts tokens of the answer from 0.
+	// Offset is the token's index in the answer, from 0.
 	Offset int    `json:"offset"`
 	Text   string `json:"text"`
-	// Last marks the end of a whole answer.
+	// Last marks the final token of a complete answer.
 	Last bool `json:"last,omitempty"`
 }
 
-// State is an engine's own report. It lags.
+// State is the state that an engine reports. It may lag behind the engine's
+// actual state.
 type State struct {
 	Role domain.Role `json:"role"`
 	// Incarnation changes when the engine restarts.
 	Incarnation domain.Incarnation `json:"incarnation"`
-	// Running names the requests that hold memory.
+	// Running lists the requests that hold KV memory.
 	Running []domain.RequestID `json:"running"`
-	// Slots is how many decodes fit; UsedTokens and MemoryTokens measure KV
-	// memory in tokens.
+	// Slots is the number of decodes that can run at once. UsedTokens and
+	// MemoryTokens are the used and the total KV memory in tokens.
 	Slots        int `json:"slots"`
 	UsedTokens   int `json:"used_tokens"`
 	MemoryTokens int `json:"memory_tokens"`
-	// HonoursFencing says that the engine refuses old fencing numbers.
+	// HonoursFencing is set if the engine refuses stale fencing tokens.
 	HonoursFencing bool           `json:"honours_fencing"`
 	Model          domain.Service `json:"model"`
 }
 
-// OrderKind is what an operator's order to an engine is about.
+// OrderKind is the kind of an operator's order to an engine.
 type OrderKind string
 
-// The orders.
+// Kinds of orders: load a model, load an adapter, change the engine's role.
 const (
 	OrderLoad    OrderKind = "load"
 	OrderAdapter OrderKind = "adapter"
 	OrderRole    OrderKind = "role"
 )
 
-// Order changes what an engine serves. Fence grows with every order.
+// Order changes what an engine serves. Fence is a fencing token, which increases
+// with every order.
 type Order struct {
 	Kind  OrderKind `json:"kind"`
 	Value string    `json:"value"`
 	Fence uint64    `json:"fence"`
 }
 
-// CacheEvent says that a prefix entered or left an engine's cache. Events come
-// late and with gaps in Seq.
+// CacheEvent reports that a prefix entered or, if Evicted, left an engine's
+// cache. Events arrive with a delay, and some are missing, which leaves gaps in
+// Seq.
 type CacheEvent struct {
 	Seq     uint64 `json:"seq"`
 	Prefix  uint64 `json:"prefix"`
@@ -119,20 +123,20 @@
 	Evicted bool   `json:"evicted,omitempty"`
 }
 
-// Model is a model engine.
+// Model is a client of one model engine.
 type Model interface {
-	// Prefill fills KV cache and says where it is.
+	// Prefill computes the KV cache of a prompt and returns its location.
 	Prefill(ctx context.Context, o PrefillOrder) (KV, error)
-	// Decode imports the cache and gives each token to emit. It returns nil
-	// only after the token marked Last.
+	// Decode imports the cache and calls emit for each token. It returns nil
+	// only after the token that is marked Last.
 	Decode(ctx context.Context, o DecodeOrder, emit func(Token) error) error
-	// Cancel frees whatever the request holds. It is idempotent.
+	// Cancel releases everything that the request holds. It is idempotent.
 	Cancel(ctx context.Context, request domain.RequestID) error
-	// State gives the engine's report.
+	// State returns the state that the engine reports.
 	State(ctx context.Context) (State, error)
-	// Give passes an order on.
+	// Give sends an operator's order to the engine.
 	Give(ctx context.Context, o Order) error
-	// CacheEvents gives the events after the given sequence number.
+	// CacheEvents returns the cache events after the given sequence number.
 	CacheEvents(ctx context.Context, after uint64) ([]CacheEvent, error)
 }
 
@@ -144,15 +148,15 @@
 	Body   []byte      `json:"body"`
 }
 
-// Response is a plain application server's answer.
+// Response is the response of a plain application server.
 type Response struct {
 	Status int         `json:"status"`
 	Header http.Header `json:"header"`
 	Body   []byte      `json:"body"`
 }
 
-// AppServer is a plain application server.
+// AppServer is a client of one plain application server.
 type AppServer interface {
-	// Do passes the call on and gives the whole answer.
+	// Do sends the call and returns the complete response.
 	Do(ctx context.Context, c Call) (Response, error)
 }
--- a/engine/http.go
+++ b/engine/http.go
@@ -10,29 +10,30 @@
 	"jacinthworks/send"
 )
 
-// ErrTimeout says that the upstream gave no sign of life for the time allowed.
-// It may still run the work.
+// ErrTimeout means that the upstream sent nothing for longer than the read
+// timeout. It may still be running the work.
 var ErrTimeout = errors.New("engine: silent")
 
-// ErrUnexpectedResponse says that the upstream answered with something other than the
-// interface knows. It may have run the work.
+// ErrUnexpectedResponse means that the upstream's response does not conform to
+// its interface. The upstream may have run the work.
 var ErrUnexpectedResponse = errors.New("engine: unexpected answer")
 
-// Code is an engine's word for why it did not do as asked.
+// Code is the reason that an engine reports for refusing a request.
 type Code string
 
-// The codes and, beside each, the status it comes with.
+// Codes, each with the HTTP status that accompanies it.
 const (
 	CodeNotStarted Code = "not_taken" // 503
 	CodeEvicted    Code = "evicted"   // 410
 	CodeFenced     Code = "fenced"    // 409
 )
 
-// NotStartedHeader is, with status 503, a plain application server's word that
-// it never began a call. Its bodies are its own.
+// NotStartedHeader is the header by which a plain application server reports,
+// with status 503, that it never began the call. The report is in a header
+// because the format of the server's response bodies is not ours to define.
 const NotStartedHeader = "Not-Taken"
 
-// Problem is the body of an engine's answer other than 200.
+// Problem is the body of an engine's response with a status other than 200.
 type Problem struct {
 	Code   Code   `json:"code"`
 	Detail string `json:"detail"`
@@ -43,18 +44,18 @@
 	Request domain.RequestID `json:"request"`
 }
 
-// Failure is the error of work given to an upstream.
+// Failure is the error of a call to an upstream.
 type Failure struct {
-	// Call names what was asked.
+	// Call describes the call, such as "POST /prefill".
 	Call string
-	// Class is one of the package's errors, or nil where the caller's context
-	// ended first.
+	// Class is one of the package's error variables, or nil if the caller's
+	// context ended first.
 	Class error
-	// Cause says more.
+	// Cause is the underlying error.
 	Cause error
 }
 
-// Error gives call, class and cause.
+// Error returns class, call and cause.
 func (f *Failure) Error() string {
 	if f.Class == nil {
 		return "engine: given up: " + f.Call + ": " + f.Cause.Error()
@@ -62,7 +63,7 @@
 	return f.Class.Error() + ": " + f.Call + ": " + f.Cause.Error()
 }
 
-// Unwrap gives class and cause.
+// Unwrap returns class and cause.
 func (f *Failure) Unwrap() []error {
 	if f.Class == nil {
 		return []error{f.Cause}
@@ -70,9 +71,9 @@
 	return []error{f.Class, f.Cause}
 }
 
-// lost sorts work without a whole answer. ErrNotStarted is said only where no
-// byte of the order left this process.
-func lost(call string, err error) error {
+// transportFailure classifies an error of a call that has no complete response.
+// The class is ErrNotStarted only if no byte of the request left this process.
+func transportFailure(call string, err error) error {
 	class := ErrCrashed
 	switch send.StageOf(err) {
 	case send.NotSent:
@@ -85,20 +86,20 @@
 	return &Failure{Call: call, Class: class, Cause: err}
 }
 
-// answered sorts an engine's answer other than 200.
-func answered(call string, status int, body []byte) error {
-	var p Problem
-	if err := json.Unmarshal(body, &p); err != nil {
-		p.Detail = string(body)
+// statusFailure classifies an engine's response with a status other than 200.
+func statusFailure(call string, status int, body []byte) error {
+	var problem Problem
+	if err := json.Unmarshal(body, &problem); err != nil {
+		problem.Detail = string(body)
 	}
 	class := ErrUnexpectedResponse
 	switch {
-	case status == http.StatusServiceUnavailable && p.Code == CodeNotStarted:
+	case status == http.StatusServiceUnavailable && problem.Code == CodeNotStarted:
 		class = ErrNotStarted
-	case status == http.StatusGone && p.Code == CodeEvicted:
+	case status == http.StatusGone && problem.Code == CodeEvicted:
 		class = ErrEvicted
-	case status == http.StatusConflict && p.Code == CodeFenced:
+	case status == http.StatusConflict && problem.Code == CodeFenced:
 		class = ErrFenced
 	}
-	return &Failure{Call: call, Class: class, Cause: errors.Errorf("engine: status %d: %.200s", status, p.Detail)}
+	return &Failure{Call: call, Class: class, Cause: errors.Errorf("engine: status %d: %.200s", status, problem.Detail)}
 }
--- a/engine/http_app.go
+++ b/engine/http_app.go
@@ -13,19 +13,19 @@
 	"jacinthworks/send"
 )
 
-// DefaultMaxAnswer is the largest answer of an application server in bytes.
+// DefaultMaxAnswer limits the response body of an application server, in bytes.
 const DefaultMaxAnswer = 8 << 20
 
-// HTTPAppServer is a plain application server over HTTP. Each call is sent at most
-// once. The zero value with a Base is ready to use; it must not be copied
-// after its first use.
+// HTTPAppServer is the client of a plain application server over HTTP. It sends
+// each call at most once. The zero value with a Base is ready to use; it must
+// not be copied after its first use.
 type HTTPAppServer struct {
 	// Base is the server's address.
 	Base netip.AddrPort
-	// ReadTimeout is how long the server may send nothing; zero is
+	// ReadTimeout limits the time without a byte from the server; zero is
 	// send.DefaultReadTimeout.
 	ReadTimeout time.Duration
-	// MaxAnswer limits an answer's body in bytes; zero is DefaultMaxAnswer.
+	// MaxAnswer limits a response body in bytes; zero is DefaultMaxAnswer.
 	MaxAnswer int64
 
 	once   sync.Once
@@ -34,30 +34,31 @@
 
 var _ AppServer = (*HTTPAppServer)(nil)
 
-// Do passes the call on and gives the whole answer. Any status is an answer,
-// but for 503 with NotStartedHeader, which is ErrNotStarted.
+// Do sends the call and returns the complete response. A response with any
+// status is returned without an error, except that a 503 with NotStartedHeader
+// is ErrNotStarted.
 func (h *HTTPAppServer) Do(ctx context.Context, c Call) (Response, error) {
 	h.once.Do(func() { h.client.Base, h.client.ReadTimeout = h.Base, h.ReadTimeout })
 	call := c.Method + " call"
 	if !strings.HasPrefix(c.Path, "/") {
 		return Response{}, &Failure{Call: call, Class: ErrNotStarted, Cause: errors.New("engine: path does not start with /")}
 	}
-	reply, err := h.client.Do(ctx, send.Request{Method: c.Method, Target: c.Path, Header: send.EndToEnd(c.Header), Body: c.Body})
+	response, err := h.client.Do(ctx, send.Request{Method: c.Method, Target: c.Path, Header: send.EndToEnd(c.Header), Body: c.Body})
 	if err != nil {
-		return Response{}, lost(call, err)
+		return Response{}, transportFailure(call, err)
 	}
 	limit := h.MaxAnswer
 	if limit <= 0 {
 		limit = DefaultMaxAnswer
 	}
-	body, err := reply.ReadAll(limit)
+	body, err := response.ReadAll(limit)
 	switch {
 	case errors.Is(err, send.ErrBodyTooLarge):
 		return Response{}, &Failure{Call: call, Class: ErrUnexpectedResponse, Cause: err}
 	case err != nil:
-		return Response{}, lost(call, err)
-	case reply.Status == http.StatusServiceUnavailable && reply.Header.Get(NotStartedHeader) != "":
+		return Response{}, transportFailure(call, err)
+	case response.Status == http.StatusServiceUnavailable && response.Header.Get(NotStartedHeader) != "":
 		return Response{}, &Failure{Call: call, Class: ErrNotStarted, Cause: errors.New("engine: the server said so")}
 	}
-	return Response{Status: reply.Status, Header: send.EndToEnd(reply.Header), Body: body}, nil
+	return Response{Status: response.Status, Header: send.EndToEnd(response.Header), Body: body}, nil
 }
--- a/engine/http_model.go
+++ b/engine/http_model.go
@@ -17,8 +17,9 @@
 	"jacinthworks/send"
 )
 
-// The silences of an HTTPModel that sets none. A prefill answers only when it
-// is done: a pedigree of 50,000 tokens behind a few others takes seconds.
+// Default timeouts of an HTTPModel, and limits in bytes of a report and of a
+// line. The engine answers a prefill only once it is complete: a prompt of
+// 50,000 tokens queued behind a few others takes seconds.
 const (
 	DefaultPrefillTimeout = 60 * time.Second
 	DefaultTokenTimeout   = 10 * time.Second
@@ -26,16 +27,18 @@
 	maxLine               = 1 << 16
 )
 
-// HTTPModel is a model engine over HTTP and JSON; a decode answers with one
-// Token a line. The zero value with a Base is ready to use; it must not be
-// copied after its first use.
+// HTTPModel is the client of a model engine over HTTP and JSON. The response to
+// a decode has one Token per line. The zero value with a Base is ready to use;
+// it must not be copied after its first use.
 type HTTPModel struct {
 	// Base is the engine's address.
 	Base netip.AddrPort
-	// PrefillTimeout is how long a prefill may take to answer.
+	// PrefillTimeout limits the time without a byte of the response to a
+	// prefill; zero is DefaultPrefillTimeout.
 	PrefillTimeout time.Duration
-	// TokenTimeout is how long any other answer, and a decode's next token,
-	// may take.
+	// TokenTimeout limits the time without a byte of any other response, which
+	// includes the wait for a decode's next token; zero is
+	// DefaultTokenTimeout.
 	TokenTimeout time.Duration
 
 	once   sync.Once
@@ -44,127 +47,130 @@
 
 var _ Model = (*HTTPModel)(nil)
 
-// Prefill fills KV cache and says where it is.
+// Prefill computes the KV cache of a prompt and returns its location.
 func (h *HTTPModel) Prefill(ctx context.Context, o PrefillOrder) (KV, error) {
-	silence := h.PrefillTimeout
-	if silence <= 0 {
-		silence = DefaultPrefillTimeout
+	timeout := h.PrefillTimeout
+	if timeout <= 0 {
+		timeout = DefaultPrefillTimeout
 	}
 	var kv KV
-	err := h.ask(ctx, http.MethodPost, "/prefill", silence, o, &kv)
+	err := h.roundTrip(ctx, http.MethodPost, "/prefill", timeout, o, &kv)
 	return kv, err
 }
 
-// Decode imports the cache and gives each token to emit. It ends with emit's
-// error if emit has one; the engine runs on until Cancel.
+// Decode imports the cache and calls emit for each token. If emit returns an
+// error, Decode returns that error; the engine continues the decode until
+// Cancel.
 func (h *HTTPModel) Decode(ctx context.Context, o DecodeOrder, emit func(Token) error) error {
 	const call = "POST /decode"
 	body, err := json.Marshal(o)
 	if err != nil {
 		return errors.Wrap(err, "engine: writing order")
 	}
-	reply, err := h.open().Do(ctx, send.Request{Method: http.MethodPost, Target: "/decode", Header: jsonHeader(), Body: body})
+	response, err := h.httpClient().Do(ctx, send.Request{Method: http.MethodPost, Target: "/decode", Header: jsonHeader(), Body: body})
 	if err != nil {
-		return lost(call, err)
+		return transportFailure(call, err)
 	}
-	if reply.Status != http.StatusOK {
-		return refused(call, reply)
+	if response.Status != http.StatusOK {
+		return readFailure(call, response)
 	}
-	defer reply.Close()
-	return readTokens(call, reply, emit)
+	defer response.Close()
+	return readTokens(call, response, emit)
 }
 
-// readTokens reads a decode's lines.
-//
-// Failure: an engine dies, or its process ends in good order, in mid-answer.
-// It shows as a body that ends early, with or without an error. The guard
-// holds because only a line marked Last ends the answer; the end of the body
-// before it is ErrCrashed, never nil.
+// readTokens reads the lines of a decode's response and calls emit for each
+// token. If an engine crashes or exits in the middle of an answer, the body ends
+// early, with or without a read error. Only a token marked Last ends the answer;
+// the end of the body before that token is ErrCrashed.
 func readTokens(call string, body io.Reader, emit func(Token) error) error {
-	lines := bufio.NewScanner(body)
-	lines.Buffer(nil, maxLine)
-	for lines.Scan() {
-		var t Token
-		if err := json.Unmarshal(lines.Bytes(), &t); err != nil {
+	scanner := bufio.NewScanner(body)
+	scanner.Buffer(nil, maxLine)
+	for scanner.Scan() {
+		var token Token
+		if err := json.Unmarshal(scanner.Bytes(), &token); err != nil {
 			return &Failure{Call: call, Class: ErrCrashed, Cause: errors.Wrap(err, "engine: reading token")}
 		}
-		if err := emit(t); err != nil {
+		if err := emit(token); err != nil {
 			return err
 		}
-		if t.Last {
+		if token.Last {
 			return nil
 		}
 	}
-	if err := lines.Err(); err != nil {
-		return lost(call, err)
+	if err := scanner.Err(); err != nil {
+		return transportFailure(call, err)
 	}
 	return &Failure{Call: call, Class: ErrCrashed, Cause: io.ErrUnexpectedEOF}
 }
 
-// Cancel frees whatever the request holds.
+// Cancel releases everything that the request holds.
 func (h *HTTPModel) Cancel(ctx context.Context, request domain.RequestID) error {
-	return h.ask(ctx, http.MethodPost, "/cancel", 0, CancelOrder{Request: request}, nil)
+	return h.roundTrip(ctx, http.MethodPost, "/cancel", 0, CancelOrder{Request: request}, nil)
 }
 
-// State gives the engine's report.
+// State returns the state that the engine reports.
 func (h *HTTPModel) State(ctx context.Context) (State, error) {
-	var s State
-	err := h.ask(ctx, http.MethodGet, "/state", 0, nil, &s)
-	return s, err
+	var state State
+	err := h.roundTrip(ctx, http.MethodGet, "/state", 0, nil, &state)
+	return state, err
 }
 
-// Give passes an order on.
+// Give sends an operator's order to the engine.
 func (h *HTTPModel) Give(ctx context.Context, o Order) error {
-	return h.ask(ctx, http.MethodPost, "/order", 0, o, nil)
+	return h.roundTrip(ctx, http.MethodPost, "/order", 0, o, nil)
 }
 
-// CacheEvents gives the events after the given sequence number.
+// CacheEvents returns the cache events after the given sequence number.
 func (h *HTTPModel) CacheEvents(ctx context.Context, after uint64) ([]CacheEvent, error) {
 	var events []CacheEvent
-	err := h.ask(ctx, http.MethodGet, "/events?after="+strconv.FormatUint(after, 10), 0, nil, &events)
+	err := h.roundTrip(ctx, http.MethodGet, "/events?after="+strconv.FormatUint(after, 10), 0, nil, &events)
 	return events, err
 }
 
-func (h *HTTPModel) ask(ctx context.Context, method, target string, silence time.Duration, order, into any) error {
+// roundTrip sends one request with the JSON encoding of order as its body, if
+// order is not nil, and decodes the response into the given value, if that is
+// not nil. A timeout of zero is TokenTimeout.
+func (h *HTTPModel) roundTrip(ctx context.Context, method, target string, timeout time.Duration, order, result any) error {
 	call := method + " " + target
-	r := send.Request{Method: method, Target: target, Header: jsonHeader(), ReadTimeout: silence}
+	request := send.Request{Method: method, Target: target, Header: jsonHeader(), ReadTimeout: timeout}
 	if order != nil {
 		body, err := json.Marshal(order)
 		if err != nil {
 			return errors.Wrap(err, "engine: writing order")
 		}
-		r.Body = body
+		request.Body = body
 	}
-	reply, err := h.open().Do(ctx, r)
+	response, err := h.httpClient().Do(ctx, request)
 	if err != nil {
-		return lost(call, err)
+		return transportFailure(call, err)
 	}
-	if reply.Status != http.StatusOK {
-		return refused(call, reply)
+	if response.Status != http.StatusOK {
+		return readFailure(call, response)
 	}
-	body, err := reply.ReadAll(maxReport)
+	body, err := response.ReadAll(maxReport)
 	if err != nil {
-		return lost(call, err)
+		return transportFailure(call, err)
 	}
-	if into == nil {
+	if result == nil {
 		return nil
 	}
-	if err := json.Unmarshal(body, into); err != nil {
+	if err := json.Unmarshal(body, result); err != nil {
 		return &Failure{Call: call, Class: ErrUnexpectedResponse, Cause: err}
 	}
 	return nil
 }
 
-// refused reads and sorts an answer other than 200.
-func refused(call string, reply *send.Response) error {
-	body, err := reply.ReadAll(maxLine)
+// readFailure reads and classifies a response with a status other than 200.
+func readFailure(call string, response *send.Response) error {
+	body, err := response.ReadAll(maxLine)
 	if err != nil {
-		return lost(call, err)
+		return transportFailure(call, err)
 	}
-	return answered(call, reply.Status, body)
+	return statusFailure(call, response.Status, body)
 }
 
-func (h *HTTPModel) open() *send.Client {
+// httpClient returns the HTTP client, which the first call configures.
+func (h *HTTPModel) httpClient() *send.Client {
 	h.once.Do(func() {
 		h.client.Base, h.client.ReadTimeout = h.Base, h.TokenTimeout
 		if h.client.ReadTimeout <= 0 {
@@ -174,4 +180,5 @@
 	return &h.client
 }
 
+// jsonHeader returns the header of a request with a JSON body.
 func jsonHeader() http.Header { return http.Header{"Content-Type": {"application/json"}} }
--- a/engine/http_test.go
+++ b/engine/http_test.go
@@ -20,200 +20,201 @@
 	"jacinthworks/fakes/serve"
 )
 
-var fast = model.Settings{PrefillRate: 1e6, TokenGap: time.Millisecond, LinkRate: 1e7, ReportLag: -1, KVLifetime: time.Minute}
+var fastSettings = model.Settings{PrefillRate: 1e6, TokenGap: time.Millisecond, LinkRate: 1e7, ReportLag: -1, KVLifetime: time.Minute}
 
-const silence = 100 * time.Millisecond
+const shortTimeout = 100 * time.Millisecond
 
 func serveHTTP(t *testing.T, h http.Handler) *serve.Server {
 	t.Helper()
-	s := &serve.Server{Handler: h}
-	_, err := s.Start(t.Context(), netip.MustParseAddrPort("127.0.0.1:0"))
+	server := &serve.Server{Handler: h}
+	_, err := server.Start(t.Context(), netip.MustParseAddrPort("127.0.0.1:0"))
 	require.NoError(t, err)
-	t.Cleanup(s.Stop)
-	return s
+	t.Cleanup(server.Stop)
+	return server
 }
 
 func startEngine(t *testing.T, e *model.Engine) *engine.HTTPModel {
 	t.Helper()
-	s := serveHTTP(t, e)
-	e.OnCrash = s.Crash
-	return &engine.HTTPModel{Base: s.Addr(), PrefillTimeout: 10 * time.Second, TokenTimeout: 10 * time.Second}
+	server := serveHTTP(t, e)
+	e.OnCrash = server.Crash
+	return &engine.HTTPModel{Base: server.Addr(), PrefillTimeout: 10 * time.Second, TokenTimeout: 10 * time.Second}
 }
 
-func prefill(prompt string) engine.PrefillOrder {
+func prefillOrder(prompt string) engine.PrefillOrder {
 	return engine.PrefillOrder{Request: "entry-1.1.1", Attempt: 1, Prompt: prompt, PromptTokens: 400}
 }
 
-func decode(kv engine.KV) engine.DecodeOrder {
+func decodeOrder(kv engine.KV) engine.DecodeOrder {
 	return engine.DecodeOrder{Request: "entry-1.1.1", Attempt: 1, KV: kv, MaxTokens: 6}
 }
 
-func TestPrefillTransferDecode(t *testing.T) {
-	p := startEngine(t, &model.Engine{Settings: fast})
-	d := &model.Engine{Settings: fast}
-	m := startEngine(t, d)
-	kv, err := p.Prefill(t.Context(), prefill("pedigree"))
+func TestHTTPModelDecodeAfterPrefillReturnsCompletion(t *testing.T) {
+	prefillClient := startEngine(t, &model.Engine{Settings: fastSettings})
+	decodeEngine := &model.Engine{Settings: fastSettings}
+	decodeClient := startEngine(t, decodeEngine)
+	kv, err := prefillClient.Prefill(t.Context(), prefillOrder("pedigree"))
 	require.NoError(t, err)
-	require.Equal(t, p.Base, kv.Engine)
+	require.Equal(t, prefillClient.Base, kv.Engine)
 	require.Equal(t, time.Minute, kv.Life)
 	var text strings.Builder
-	next := 0
-	err = m.Decode(t.Context(), decode(kv), func(token engine.Token) error {
-		require.Equal(t, next, token.Offset)
-		next++
+	nextOffset := 0
+	err = decodeClient.Decode(t.Context(), decodeOrder(kv), func(token engine.Token) error {
+		require.Equal(t, nextOffset, token.Offset)
+		nextOffset++
 		text.WriteString(token.Text)
 		return nil
 	})
 	require.NoError(t, err)
 	require.Equal(t, model.Completion("pedigree", 6), text.String())
-	state, err := m.State(t.Context())
+	state, err := decodeClient.State(t.Context())
 	require.NoError(t, err)
 	require.Zero(t, state.UsedTokens)
-	require.Equal(t, model.Done, d.Runs()[0].Outcome)
+	require.Equal(t, model.Done, decodeEngine.Runs()[0].Outcome)
 }
 
-func TestEachModelErrorClass(t *testing.T) {
-	e := &model.Engine{Settings: fast}
-	m := startEngine(t, e)
-	nothing := func(engine.Token) error { return nil }
+func TestHTTPModelReturnsEachErrorClass(t *testing.T) {
+	fake := &model.Engine{Settings: fastSettings}
+	client := startEngine(t, fake)
+	discard := func(engine.Token) error { return nil }
 	ctx := t.Context()
 
-	e.SetFault(model.Fault{Refuse: true})
-	_, err := m.Prefill(ctx, prefill("x"))
-	require.ErrorIs(t, err, engine.ErrNotStarted, "its own word")
-	e.SetFault(model.Fault{})
+	fake.SetFault(model.Fault{Refuse: true})
+	_, err := client.Prefill(ctx, prefillOrder("x"))
+	require.ErrorIs(t, err, engine.ErrNotStarted, "the engine reported so")
+	fake.SetFault(model.Fault{})
 
-	err = m.Decode(ctx, decode(engine.KV{Engine: m.Base, Handle: "none", Tokens: 400}), nothing)
+	err = client.Decode(ctx, decodeOrder(engine.KV{Engine: client.Base, Handle: "none", Tokens: 400}), discard)
 	require.ErrorIs(t, err, engine.ErrEvicted)
 
-	require.NoError(t, m.Give(ctx, engine.Order{Kind: engine.OrderLoad, Value: "logwriter", Fence: 2}))
-	err = m.Give(ctx, engine.Order{Kind: engine.OrderLoad, Value: "old", Fence: 1})
+	require.NoError(t, client.Give(ctx, engine.Order{Kind: engine.OrderLoad, Value: "logwriter", Fence: 2}))
+	err = client.Give(ctx, engine.Order{Kind: engine.OrderLoad, Value: "old", Fence: 1})
 	require.ErrorIs(t, err, engine.ErrFenced)
-	require.NoError(t, m.Cancel(ctx, "never-seen"))
+	require.NoError(t, client.Cancel(ctx, "never-seen"))
 
-	e.SetFault(model.Fault{LoseAnswers: 1})
-	_, err = m.Prefill(ctx, prefill("x"))
+	fake.SetFault(model.Fault{LoseAnswers: 1})
+	_, err = client.Prefill(ctx, prefillOrder("x"))
 	require.ErrorIs(t, err, engine.ErrCrashed)
-	require.Len(t, e.Runs(), 2, "the prefill ran, once, beside the decode that found no cache")
+	require.Len(t, fake.Runs(), 2, "the prefill ran, once, beside the decode that found no cache")
 
-	mine := errors.New("the entry is gone")
-	kv, err := m.Prefill(ctx, prefill("x"))
+	errEmit := errors.New("the entry has disconnected")
+	kv, err := client.Prefill(ctx, prefillOrder("x"))
 	require.NoError(t, err)
-	err = m.Decode(ctx, decode(kv), func(engine.Token) error { return mine })
-	require.ErrorIs(t, err, mine)
+	err = client.Decode(ctx, decodeOrder(kv), func(engine.Token) error { return errEmit })
+	require.ErrorIs(t, err, errEmit)
 	require.Eventually(t, func() bool {
-		runs := e.Runs()
+		runs := fake.Runs()
 		last := runs[len(runs)-1]
 		return last.Outcome == model.Done && last.Tokens == 6
-	}, 10*time.Second, time.Millisecond, "a reader that has gone cancels nothing")
+	}, 10*time.Second, time.Millisecond, "an error of emit cancels nothing at the engine")
 
-	e.SetFault(model.Fault{Frozen: true})
-	frozen := &engine.HTTPModel{Base: m.Base, PrefillTimeout: silence, TokenTimeout: silence}
-	_, err = frozen.Prefill(ctx, prefill("x"))
-	require.ErrorIs(t, err, engine.ErrTimeout, "it may run yet")
+	fake.SetFault(model.Fault{Frozen: true})
+	frozen := &engine.HTTPModel{Base: client.Base, PrefillTimeout: shortTimeout, TokenTimeout: shortTimeout}
+	_, err = frozen.Prefill(ctx, prefillOrder("x"))
+	require.ErrorIs(t, err, engine.ErrTimeout, "the engine may still run it")
 	require.NotErrorIs(t, err, engine.ErrCrashed)
-	short, cancel := context.WithTimeout(ctx, silence)
+	shortCtx, cancel := context.WithTimeout(ctx, shortTimeout)
 	defer cancel()
-	_, err = m.State(short)
+	_, err = client.State(shortCtx)
 	require.ErrorIs(t, err, context.DeadlineExceeded)
-	require.NotErrorIs(t, err, engine.ErrCrashed, "a caller that gives up is no death")
-	e.SetFault(model.Fault{})
+	require.NotErrorIs(t, err, engine.ErrCrashed, "the end of the caller's context is not a crash")
+	fake.SetFault(model.Fault{})
 }
 
-// Story: a request crashes each engine that runs it. Whoever sent it must see
-// a death while running, never "not taken"; once the engine refuses
-// connections, a new order is truly not taken; then it is back, empty, as
-// another incarnation.
-func TestACrashIsADeathAndThenARefusal(t *testing.T) {
+// Guards against reporting a request as not started although the engine crashed
+// while it ran the request. Once the engine refuses connections, a new request
+// counts as not started. After its restart the engine reports a higher
+// incarnation and no used memory.
+func TestHTTPModelReturnsCrashedThenNotStartedWhileDown(t *testing.T) {
 	for _, marker := range []string{model.CrashInPrefill, model.CrashInDecode} {
 		t.Run(marker, func(t *testing.T) {
-			e := &model.Engine{Settings: fast}
-			e.DownTime = time.Hour // until it is started again below
-			s := serveHTTP(t, e)
-			e.OnCrash = s.Crash
-			m := &engine.HTTPModel{Base: s.Addr()}
-			before := e.CurrentState().Incarnation
+			fake := &model.Engine{Settings: fastSettings}
+			fake.DownTime = time.Hour // until the test starts the engine again
+			server := serveHTTP(t, fake)
+			fake.OnCrash = server.Crash
+			client := &engine.HTTPModel{Base: server.Addr()}
+			before := fake.CurrentState().Incarnation
 			tokens := 0
-			kv, err := m.Prefill(t.Context(), prefill(marker))
+			kv, err := client.Prefill(t.Context(), prefillOrder(marker))
 			if err == nil {
-				err = m.Decode(t.Context(), decode(kv), func(engine.Token) error { tokens++; return nil })
+				err = client.Decode(t.Context(), decodeOrder(kv), func(engine.Token) error { tokens++; return nil })
 			}
 			require.ErrorIs(t, err, engine.ErrCrashed)
 			require.LessOrEqual(t, tokens, 2)
-			_, err = m.Prefill(t.Context(), prefill("innocent"))
+			_, err = client.Prefill(t.Context(), prefillOrder("innocent"))
 			require.ErrorIs(t, err, engine.ErrNotStarted)
 
-			_, err = s.Start(t.Context(), s.Addr())
+			_, err = server.Start(t.Context(), server.Addr())
 			require.NoError(t, err)
-			state, err := m.State(t.Context())
+			state, err := client.State(t.Context())
 			require.NoError(t, err)
 			require.Greater(t, state.Incarnation, before)
 			require.Zero(t, state.UsedTokens)
-			runs := e.Runs()
-			require.Equal(t, model.Crashed, runs[len(runs)-1].Outcome, "a crash does not lose what ran")
+			runs := fake.Runs()
+			require.Equal(t, model.Crashed, runs[len(runs)-1].Outcome, "the record of runs survives a crash")
 		})
 	}
 }
 
-// Story: an engine's process ends in good order in mid-answer, so that the
-// body has a proper end. The summary must not look whole.
-func TestAStreamWithoutItsLastTokenIsADeath(t *testing.T) {
+// Guards against treating a truncated answer as complete when the engine's
+// process exits cleanly in the middle of an answer, so that the body ends without
+// a read error.
+func TestHTTPModelDecodeWithoutLastTokenReturnsCrashed(t *testing.T) {
 	for name, body := range map[string]string{
 		"ends":      `{"offset":0,"text":"a"}` + "\n",
 		"empty":     "",
 		"cut token": `{"offset":0,"text":"a"}` + "\n" + `{"offset":1,"te`,
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, body) }))
-			defer s.Close()
-			m := &engine.HTTPModel{Base: netip.MustParseAddrPort(s.Listener.Addr().String())}
-			err := m.Decode(t.Context(), decode(engine.KV{Tokens: 1}), func(engine.Token) error { return nil })
+			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, body) }))
+			defer server.Close()
+			client := &engine.HTTPModel{Base: netip.MustParseAddrPort(server.Listener.Addr().String())}
+			err := client.Decode(t.Context(), decodeOrder(engine.KV{Tokens: 1}), func(engine.Token) error { return nil })
 			require.ErrorIs(t, err, engine.ErrCrashed)
 		})
 	}
 }
 
-func TestAppPassesACallOnce(t *testing.T) {
-	a := &apps.App{DownTime: time.Hour}
-	s := serveHTTP(t, a)
-	a.OnCrash = s.Crash
-	m := &engine.HTTPAppServer{Base: s.Addr(), ReadTimeout: 10 * time.Second}
+func TestHTTPAppServerSendsEachCallOnceAndClassifiesErrors(t *testing.T) {
+	fake := &apps.App{DownTime: time.Hour}
+	server := serveHTTP(t, fake)
+	fake.OnCrash = server.Crash
+	client := &engine.HTTPAppServer{Base: server.Addr(), ReadTimeout: 10 * time.Second}
 	call := func(key, body string) (engine.Response, error) {
-		return m.Do(t.Context(), engine.Call{
+		return client.Do(t.Context(), engine.Call{
 			Method: http.MethodPost, Path: "/enquiries?lot=17", Body: []byte(body),
 			Header: http.Header{"Idempotency-Key": {key}, "Request-Id": {"entry-1.1.7"}, "Connection": {"X-Hop"}, "X-Hop": {"1"}},
 		})
 	}
-	answer, err := call("plain", "hello")
+	response, err := call("plain", "hello")
 	require.NoError(t, err)
-	require.Equal(t, http.StatusOK, answer.Status)
-	require.Contains(t, string(answer.Body), apps.Echo(http.MethodPost, "/enquiries?lot=17", []byte("hello")))
-	require.Equal(t, domain.RequestID("entry-1.1.7"), a.Report().Runs[0].Request)
+	require.Equal(t, http.StatusOK, response.Status)
+	require.Contains(t, string(response.Body), apps.Echo(http.MethodPost, "/enquiries?lot=17", []byte("hello")))
+	require.Equal(t, domain.RequestID("entry-1.1.7"), fake.Report().Runs[0].Request)
 
-	a.SetFault(apps.Fault{LoseAnswers: 1})
+	fake.SetFault(apps.Fault{LoseAnswers: 1})
 	_, err = call("lost", "hello")
 	require.ErrorIs(t, err, engine.ErrCrashed)
-	require.Equal(t, 1, a.Report().Keys["lost"], "it ran, and only once")
+	require.Equal(t, 1, fake.Report().Keys["lost"], "the call ran exactly once")
 
-	a.SetFault(apps.Fault{Refuse: true})
+	fake.SetFault(apps.Fault{Refuse: true})
 	_, err = call("refused", "hello")
 	require.ErrorIs(t, err, engine.ErrNotStarted)
-	require.Zero(t, a.Report().Keys["refused"])
+	require.Zero(t, fake.Report().Keys["refused"])
 
-	a.SetFault(apps.Fault{Fail: true})
-	answer, err = call("failed", "hello")
-	require.NoError(t, err, "a server's own 500 is an answer")
-	require.Equal(t, http.StatusInternalServerError, answer.Status)
+	fake.SetFault(apps.Fault{Fail: true})
+	response, err = call("failed", "hello")
+	require.NoError(t, err, "a 500 of the server is returned as a response")
+	require.Equal(t, http.StatusInternalServerError, response.Status)
 
-	a.SetFault(apps.Fault{Frozen: true})
-	frozen := &engine.HTTPAppServer{Base: s.Addr(), ReadTimeout: silence}
+	fake.SetFault(apps.Fault{Frozen: true})
+	frozen := &engine.HTTPAppServer{Base: server.Addr(), ReadTimeout: shortTimeout}
 	_, err = frozen.Do(t.Context(), engine.Call{Method: http.MethodGet, Path: "/cards/1"})
 	require.ErrorIs(t, err, engine.ErrTimeout)
 
-	a.SetFault(apps.Fault{})
+	fake.SetFault(apps.Fault{})
 	_, err = call("crash", apps.CrashMarker)
 	require.ErrorIs(t, err, engine.ErrCrashed)
-	require.Equal(t, 1, a.Report().Keys["crash"])
+	require.Equal(t, 1, fake.Report().Keys["crash"])
 	_, err = call("down", "hello")
-	require.ErrorIs(t, err, engine.ErrNotStarted, "nobody listens")
+	require.ErrorIs(t, err, engine.ErrNotStarted, "the server refuses connections while it is down")
 }
