--- a/relay/first.go
+++ b/relay/first.go
@@ -7,56 +7,58 @@
 	"github.com/pkg/errors"
 )
 
-// HedgeDelay is the time after which the next process is asked while those before it have
-// not answered: more than an answer takes that is ready.
+// HedgeDelay is how long Hedge waits for an answer before it also asks the next process. It is
+// longer than a process needs for an answer that is ready.
 const HedgeDelay = 50 * time.Millisecond
 
-// errNobody says that there is nobody to ask.
-var errNobody = errors.New("relay: nobody to ask")
+// errNoPeers means that Hedge was called without peers.
+var errNoPeers = errors.New("relay: no process to ask")
 
-// Hedge asks processes in their order, the next one when another has failed or has not
-// answered for some time, and gives the first answer. The others are given up.
+// Hedge calls the peers in the given order and returns the first answer. It calls the next peer
+// as soon as a call fails, or when the given delay passes without an answer. The calls that are
+// pending when Hedge returns are canceled. If all calls fail, Hedge returns the last error; if ctx
+// ends first, the error of ctx.
 //
-// Failure: one of the relays is up and can't list the source, which turns it away. A
-// process that starts waits for it as long as a relay may take that is just starting.
-func Hedge[A any](ctx context.Context, after time.Duration, peers []*Peer, ask func(context.Context, *Peer) (A, error)) (A, error) {
-	type end struct {
+// Without hedging, a process that starts while the source refuses one of the relays would wait
+// for that relay as long as for a relay that is just starting.
+func Hedge[A any](ctx context.Context, delay time.Duration, peers []*Peer, call func(context.Context, *Peer) (A, error)) (A, error) {
+	type result struct {
 		answer A
 		err    error
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	ends := make(chan end, len(peers))
-	begin := func(p *Peer) {
+	results := make(chan result, len(peers))
+	start := func(p *Peer) {
 		go func() {
-			answer, err := ask(ctx, p)
-			ends <- end{answer, err}
+			answer, err := call(ctx, p)
+			results <- result{answer, err}
 		}()
 	}
-	next := time.NewTimer(0)
-	defer next.Stop()
-	asked, open, cause := 0, 0, errNobody
-	for asked < len(peers) || open > 0 {
+	timer := time.NewTimer(0)
+	defer timer.Stop()
+	started, pending, lastErr := 0, 0, errNoPeers
+	for started < len(peers) || pending > 0 {
 		var due <-chan time.Time
-		if asked < len(peers) {
-			due = next.C
+		if started < len(peers) {
+			due = timer.C
 		}
 		select {
 		case <-due:
-			begin(peers[asked])
-			asked, open = asked+1, open+1
-			next.Reset(after)
-		case e := <-ends:
-			if open--; e.err == nil {
+			start(peers[started])
+			started, pending = started+1, pending+1
+			timer.Reset(delay)
+		case e := <-results:
+			if pending--; e.err == nil {
 				return e.answer, nil
 			}
-			cause = e.err
-			next.Reset(0)
+			lastErr = e.err
+			timer.Reset(0)
 		case <-ctx.Done():
-			var none A
-			return none, ctx.Err()
+			var zero A
+			return zero, ctx.Err()
 		}
 	}
-	var none A
-	return none, cause
+	var zero A
+	return zero, lastErr
 }
--- a/relay/first_test.go
+++ b/relay/first_test.go
@@ -12,13 +12,13 @@
 	"jacinthworks/domain"
 )
 
-// Guards against a start that waits for one process as long as it may take, while another
+// Guards against a start that waits for the full timeout of one process while another process
 // would have answered.
-func TestTheNextIsAskedWhileOneIsSilent(t *testing.T) {
+func TestHedgeAsksNextPeerAfterDelayOrFailure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		all := []*Peer{{Member: Member{Name: "silent"}}, {Member: Member{Name: "failing"}}, {Member: Member{Name: "sound"}}}
-		began := time.Now()
-		by, err := Hedge(t.Context(), HedgeDelay, all, func(ctx context.Context, p *Peer) (domain.Host, error) {
+		start := time.Now()
+		answeredBy, err := Hedge(t.Context(), HedgeDelay, all, func(ctx context.Context, p *Peer) (domain.Host, error) {
 			switch p.Name {
 			case "silent":
 				<-ctx.Done()
@@ -29,16 +29,16 @@
 			return p.Name, nil
 		})
 		require.NoError(t, err)
-		require.Equal(t, domain.Host("sound"), by)
-		require.Equal(t, HedgeDelay, time.Since(began), "the one after a failure is asked at once")
+		require.Equal(t, domain.Host("sound"), answeredBy)
+		require.Equal(t, HedgeDelay, time.Since(start), "the peer after a failed one is asked at once")
 		synctest.Wait()
 	})
 }
 
-func TestWithoutAnAnswerTheLastCauseIsGiven(t *testing.T) {
+func TestHedgeWithoutAnswerReturnsLastError(t *testing.T) {
 	cause := errors.New("cause")
 	_, err := Hedge(t.Context(), time.Millisecond, []*Peer{{}, {}}, func(context.Context, *Peer) (int, error) { return 0, cause })
 	require.ErrorIs(t, err, cause)
 	_, err = Hedge(t.Context(), time.Millisecond, nil, func(context.Context, *Peer) (int, error) { return 0, nil })
-	require.ErrorIs(t, err, errNobody)
+	require.ErrorIs(t, err, errNoPeers)
 }
--- a/relay/fleet.go
+++ b/relay/fleet.go
@@ -15,414 +15,433 @@
 )
 
 const (
-	// relays is how many processes watch the source for all: one may be lost
-	// without a call more to the source.
-	relays = 2
-	// DefaultFanOut is how many processes one passes changes on to, about. Beyond that
-	// number for each relay, others stand between the relays and the rest.
+	// relayCount is how many processes watch the source for the whole fleet. If one of them
+	// crashes, the fleet makes no additional calls to the source.
+	relayCount = 2
+	// DefaultFanOut is approximately how many processes one process passes changes on to.
+	// A fleet with more than that number per relay has intermediate processes between the
+	// relays and the remaining processes.
 	DefaultFanOut = 64
-	// middles is how many of these each process asks, before the relays.
-	middles = 2
-	// DefaultMinMembers is the number of processes from which relays are used. A few
-	// watches are cheap, and small deployments bound changes more tightly than a
-	// relay that falls silent is found.
+	// intermediatesAsked is how many intermediate processes a process asks before it asks
+	// the relays.
+	intermediatesAsked = 2
+	// DefaultMinMembers is the smallest number of processes with which relays are used. A
+	// few watches cost little, and small deployments need changes sooner than the failure
+	// of a relay is detected.
 	DefaultMinMembers = 12
-	// The time for which a relay that did not answer is left alone doubles from
-	// the first to the longest: one that was frozen is back within seconds, one
-	// whose host is gone stays on record for minutes.
-	failedFirst   = time.Second
-	failedLongest = 16 * time.Second
-	// handover is how long relays that were just chosen may take to know it themselves
-	// and to hear the source.
-	handover = 2 * time.Second
+	// A relay that did not answer is not asked for a backoff time, which doubles with each
+	// failure from minBackoff to maxBackoff: a frozen relay answers again within seconds,
+	// while a relay whose host was removed stays on record for minutes.
+	minBackoff = time.Second
+	maxBackoff = 16 * time.Second
+	// relayStartTime is how long newly selected relays may take to learn of their selection
+	// and to get a first answer from the source.
+	relayStartTime = 2 * time.Second
 )
 
 // Member is a process of the fleet.
 type Member struct {
 	Name domain.Host
 	Zone domain.Zone
-	// Addr is where others ask it; invalid where they can't.
+	// Addr is the address at which other processes ask it; invalid if they can't.
 	Addr netip.AddrPort
-	// Cores is its host's share of a processor.
+	// Cores is the size of its host in processor cores, a fraction for a share of a core.
 	Cores float64
-	// ChangesSince is when its first start put it on record.
+	// Since is when the process was first put on record.
 	Since time.Time
 }
 
-// SelectRelays gives the members that watch for all, if there are as many as the fewest
-// (zero is DefaultMinMembers): the largest hosts, in different availability zones. All
-// processes that know the same members choose the same ones. One that knows others
-// asks a process that does not watch, and is told that it can't vouch for anything.
-func SelectRelays(all []Member, fewest int) []Member { return chosenOf(ranked(all), fewest) }
+// SelectRelays returns the members that watch the source for the whole fleet: those on the
+// largest hosts, in different availability zones. It returns none if fewer than the given number
+// of members have an address; zero is DefaultMinMembers. Processes with the same list of members
+// select the same relays. A process with a different list may ask a process that is not a relay,
+// which answers that it is not fresh.
+func SelectRelays(all []Member, minMembers int) []Member {
+	return relaysOf(rankMembers(all), minMembers)
+}
 
-func chosenOf(able []Member, fewest int) []Member {
-	if fewest <= 0 {
-		fewest = DefaultMinMembers
+// relaysOf selects the relays from ranked members, as SelectRelays does.
+func relaysOf(ranked []Member, minMembers int) []Member {
+	if minMembers <= 0 {
+		minMembers = DefaultMinMembers
 	}
-	if len(able) < fewest {
+	if len(ranked) < minMembers {
 		return nil
 	}
-	chosen := able[:1:1]
-	for _, m := range able[1:] {
-		if len(chosen) < relays && !slices.ContainsFunc(chosen, func(c Member) bool { return c.Zone == m.Zone }) {
+	chosen := ranked[:1:1]
+	for _, m := range ranked[1:] {
+		if len(chosen) < relayCount && !slices.ContainsFunc(chosen, func(c Member) bool { return c.Zone == m.Zone }) {
 			chosen = append(chosen, m)
 		}
 	}
-	for _, m := range able[1:] {
-		if len(chosen) < relays && !slices.Contains(chosen, m) {
+	for _, m := range ranked[1:] {
+		if len(chosen) < relayCount && !slices.Contains(chosen, m) {
 			chosen = append(chosen, m)
 		}
 	}
 	return chosen
 }
 
-// role is what a process does for the others.
+// role is the role of a process in passing on changes.
 type role int
 
 const (
 	leafRole role = iota
-	middleRole
+	intermediateRole
 	relayRole
 )
 
-// between gives the members that stand between the relays and the rest of a large fleet,
-// one for each degree of members: the next largest hosts, spread over the availability
-// zones.
+// intermediates returns the members that pass changes from the relays on to the remaining
+// members of a large fleet: one for every degree members, on the largest hosts after the relays,
+// distributed over the availability zones. It returns none for a fleet in which the relays can
+// serve all members.
 //
-// Load pattern: two processes pass each change on to all others, and answer a poll of each
-// once a second. Their connections, memory and bytes grow with the fleet; with processes
-// between, they grow with its root.
-func between(able, chosen []Member, degree int) []Member {
-	if len(chosen) == 0 || len(able) <= relays*degree {
+// Without intermediate processes, the two relays would pass each change on to all other processes
+// and answer a poll of each once a second, so that their connections, memory and bytes would grow
+// in proportion to the fleet. With intermediate processes, a relay serves one process for every
+// degree members.
+func intermediates(ranked, relays []Member, degree int) []Member {
+	if len(relays) == 0 || len(ranked) <= relayCount*degree {
 		return nil
 	}
-	most := (len(able) + degree - 1) / degree
-	var some []Member
+	limit := (len(ranked) + degree - 1) / degree
+	var selected []Member
 	inZone := make(map[domain.Zone]int)
 	taken := make(map[domain.Host]bool)
-	for _, m := range chosen {
+	for _, m := range relays {
 		taken[m.Name] = true
 	}
-	for round := 1; len(some) < most; round++ {
-		before := len(some)
-		for _, m := range able {
-			if len(some) < most && inZone[m.Zone] < round && !taken[m.Name] {
+	for round := 1; len(selected) < limit; round++ {
+		before := len(selected)
+		for _, m := range ranked {
+			if len(selected) < limit && inZone[m.Zone] < round && !taken[m.Name] {
 				inZone[m.Zone]++
 				taken[m.Name] = true
-				some = append(some, m)
+				selected = append(selected, m)
 			}
 		}
-		if len(some) == before {
+		if len(selected) == before {
 			break
 		}
 	}
-	return some
+	return selected
 }
 
-// ranked gives the members that others can ask, the largest hosts first, and those
-// of one size in an order that is the same everywhere.
-func ranked(all []Member) []Member {
+// rankMembers returns the members that have an address, the largest hosts first. Members on hosts
+// of one size are in an order that is the same on all processes.
+func rankMembers(all []Member) []Member {
 	type hashed struct {
 		Member
 		hash uint64
 	}
-	var able []hashed
+	var reachable []hashed
 	for _, m := range all {
 		if m.Addr.IsValid() {
-			able = append(able, hashed{m, nameHash(m.Name)})
+			reachable = append(reachable, hashed{m, nameHash(m.Name)})
 		}
 	}
-	slices.SortFunc(able, func(a, b hashed) int {
+	slices.SortFunc(reachable, func(a, b hashed) int {
 		return cmp.Or(cmp.Compare(b.Cores, a.Cores), cmp.Compare(a.hash, b.hash), cmp.Compare(a.Name, b.Name))
 	})
-	members := make([]Member, 0, len(able))
-	for _, h := range able {
+	members := make([]Member, 0, len(reachable))
+	for _, h := range reachable {
 		members = append(members, h.Member)
 	}
 	return members
 }
 
-// nameHash orders names in a way that does not follow how hosts are named.
+// nameHash returns a hash by which names are ordered independently of how hosts are named.
 func nameHash[S ~string](name S) uint64 { return xxhash.Sum64String(string(name)) }
 
-// Peer is another process, as this one sees it.
+// Peer is another process of the fleet, with the connection to it and the record of its failures.
 type Peer struct {
 	Member
 	client *send.Client
-	// call takes the place of calls through client, if set.
-	call func(ctx context.Context, r send.Request) (*answered, error)
+	// call replaces calls through client, if set.
+	call func(ctx context.Context, r send.Request) (*response, error)
 
-	mu    sync.Mutex // a leaf
-	fails int
-	until time.Time
+	mu           sync.Mutex // leaf lock: no other lock is acquired while it is held
+	failures     int
+	backoffUntil time.Time
 }
 
-// resting says whether it is left alone as a relay.
-func (p *Peer) resting(now time.Time) bool {
+// inBackoff reports whether the peer is not to be asked because of recent failures.
+func (p *Peer) inBackoff(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return now.Before(p.until)
+	return now.Before(p.backoffUntil)
 }
 
-// failed notes that it did not answer.
-func (p *Peer) failed(now time.Time) {
+// recordFailure records that the peer did not answer, and starts a backoff.
+func (p *Peer) recordFailure(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.until = now.Add(min(failedFirst<<min(p.fails, 10), failedLongest))
-	p.fails++
+	p.backoffUntil = now.Add(min(minBackoff<<min(p.failures, 10), maxBackoff))
+	p.failures++
 }
 
-// Do makes a call to the process.
+// Do sends a request to the process.
 func (p *Peer) Do(ctx context.Context, r send.Request) (*send.Response, error) {
 	return p.client.Do(ctx, r)
 }
 
-func (p *Peer) answered() {
+// recordSuccess records that the peer answered, and ends its backoff.
+func (p *Peer) recordSuccess() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.fails, p.until = 0, time.Time{}
+	p.failures, p.backoffUntil = 0, time.Time{}
 }
 
-// Fleet is who relays, as this process knows it. Set Self first; the zero value
-// knows of none, so that the source is watched directly. It must not be copied.
+// Fleet tracks the members of the fleet and selects the relays for this process. Self must be
+// set before use. Without members and seeds there are no relays, so that the source is watched
+// directly. A Fleet must not be copied. It is safe for concurrent use.
 type Fleet struct {
 	Self domain.Host
-	// Seeds are where some processes can be asked before the members are known; they may be
-	// out of date. SelfAddr is where this one is asked.
+	// Seeds are addresses of processes to ask until the members are known; some may be out
+	// of date. SelfAddr is the address of this process.
 	Seeds    []netip.AddrPort
 	SelfAddr netip.AddrPort
-	// FanOut is how many processes one passes changes on to; zero is DefaultFanOut.
+	// FanOut is how many processes one process passes changes on to; zero is DefaultFanOut.
 	FanOut int
-	// Bootstrap says that the whole fleet starts for the first time: members that are not on
-	// record yet are still to come.
+	// Bootstrap is set if the whole fleet starts for the first time, so that members that
+	// are not on record yet are still expected.
 	Bootstrap bool
-	// MinMembers is the number of processes from which relays are used; zero is
+	// MinMembers is the smallest number of processes with which relays are used; zero is
 	// DefaultMinMembers.
 	MinMembers int
 
-	mu    sync.Mutex // a leaf
-	relay bool
-	// peers are the relays to ask, others all other processes; place is this one's
-	// among all, the largest first.
-	peers  []*Peer
-	others []*Peer
-	place  int
-	known  bool
-	// connect, if set, prepares each new peer.
-	connect func(*Peer)
-	// chosen are the relays, this one included, and settled is when all processes know
-	// them as relays.
-	chosen  []Member
-	settled time.Time
-	// seeds are the processes that relay before the members are known, without this one;
-	// seed says that this is one of them.
-	seeds []*Peer
-	seed  bool
-	// keepers are those that keep state, began is when the first of all was put on record.
-	keepers []*keeper
-	began   time.Time
+	mu sync.Mutex // leaf lock: no other lock but those of peers is acquired while it is held
+	// isRelay is set if this process is a relay.
+	isRelay bool
+	// providers are the intermediate processes and then the relays that this process asks, in
+	// order; others are all other processes with an address. rank is the position of this
+	// process among all, the largest hosts first, or -1 if it is not among them. complete is
+	// set once SetMembers was called with whole set.
+	providers []*Peer
+	others    []*Peer
+	rank      int
+	complete  bool
+	// onNewPeer, if set, is called with each new peer.
+	onNewPeer func(*Peer)
+	// selected are all relays, possibly with this process. settledAt is when all processes
+	// are assumed to have selected the same relays.
+	selected  []Member
+	settledAt time.Time
+	// seedPeers are the processes, without this one, that act as relays until the members
+	// are known; isSeed is set if this process is one of them.
+	seedPeers []*Peer
+	isSeed    bool
+	// candidates are the processes that may own keys; firstSince is when the first member
+	// of all was put on record.
+	candidates []*candidate
+	firstSince time.Time
 }
 
-// SetMembers takes the members of the fleet; whole says that those which started together
-// with this one had time to be among them.
+// SetMembers sets the members of the fleet. whole reports whether the processes that started
+// together with this one have had time to be among them.
 func (f *Fleet) SetMembers(all []Member, whole bool) {
-	able := ranked(all)
-	chosen := chosenOf(able, f.MinMembers)
+	ranked := rankMembers(all)
+	relays := relaysOf(ranked, f.MinMembers)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.known = f.known || whole
-	f.place = slices.IndexFunc(able, func(m Member) bool { return m.Name == f.Self })
-	before := make(map[Member]*Peer, len(f.others))
+	f.complete = f.complete || whole
+	f.rank = slices.IndexFunc(ranked, func(m Member) bool { return m.Name == f.Self })
+	oldPeers := make(map[Member]*Peer, len(f.others))
 	for _, p := range f.others {
-		before[p.Member] = p
+		oldPeers[p.Member] = p
 	}
-	if !slices.Equal(chosen, f.chosen) {
-		f.settled = boottime().Add(handover)
+	if !slices.Equal(relays, f.selected) {
+		f.settledAt = boottime().Add(relayStartTime)
 	}
 	degree := f.FanOut
 	if degree <= 0 {
 		degree = DefaultFanOut
 	}
 	roles := make(map[domain.Host]role)
-	for _, m := range between(able, chosen, degree) {
-		roles[m.Name] = middleRole
+	for _, m := range intermediates(ranked, relays, degree) {
+		roles[m.Name] = intermediateRole
 	}
-	for _, m := range chosen {
+	for _, m := range relays {
 		roles[m.Name] = relayRole
 	}
-	f.relay = roles[f.Self] == relayRole
+	f.isRelay = roles[f.Self] == relayRole
 	var zone domain.Zone
-	if f.place >= 0 {
-		zone = able[f.place].Zone
+	if f.rank >= 0 {
+		zone = ranked[f.rank].Zone
 	}
-	var above []*Peer
-	var keepers []keeper
-	f.others, f.peers, f.chosen = nil, nil, chosen
-	for _, m := range able {
+	var intermediatePeers []*Peer
+	var candidates []candidate
+	f.others, f.providers, f.selected = nil, nil, relays
+	for _, m := range ranked {
 		if m.Name == f.Self {
-			keepers = append(keepers, keeper{Member: m})
+			candidates = append(candidates, candidate{Member: m})
 			continue
 		}
-		p := before[m]
+		p := oldPeers[m]
 		if p == nil {
 			p = f.newPeer(m)
 		}
 		f.others = append(f.others, p)
-		keepers = append(keepers, keeper{m, p})
+		candidates = append(candidates, candidate{m, p})
 		switch roles[m.Name] {
 		case relayRole:
-			f.peers = append(f.peers, p)
-		case middleRole:
-			above = append(above, p)
+			f.providers = append(f.providers, p)
+		case intermediateRole:
+			intermediatePeers = append(intermediatePeers, p)
 		}
 	}
-	f.setKeepers(keepers)
-	f.spread(f.peers)
+	f.setCandidates(candidates)
+	f.sortForSelf(f.providers)
 	if roles[f.Self] != leafRole {
 		return
 	}
-	f.spread(above)
-	slices.SortStableFunc(above, func(a, b *Peer) int { return cmp.Compare(distance(a.Zone, zone), distance(b.Zone, zone)) })
-	f.peers = slices.Concat(above[:min(len(above), middles)], f.peers)
+	f.sortForSelf(intermediatePeers)
+	slices.SortStableFunc(intermediatePeers, func(a, b *Peer) int { return cmp.Compare(zoneDistance(a.Zone, zone), zoneDistance(b.Zone, zone)) })
+	f.providers = slices.Concat(intermediatePeers[:min(len(intermediatePeers), intermediatesAsked)], f.providers)
 }
 
-// distance is zero within an availability zone.
-func distance(a, b domain.Zone) int {
+// zoneDistance returns 0 within an availability zone and 1 between two.
+func zoneDistance(a, b domain.Zone) int {
 	if a == b {
 		return 0
 	}
 	return 1
 }
 
+// newPeer returns a new peer with its own client.
 func (f *Fleet) newPeer(m Member) *Peer {
-	p := &Peer{Member: m, client: &send.Client{Base: m.Addr, DialTimeout: peerDial, IdleTimeout: peerKeep}}
-	if f.connect != nil {
-		f.connect(p)
+	p := &Peer{Member: m, client: &send.Client{Base: m.Addr, DialTimeout: peerDialTimeout, IdleTimeout: peerIdleTimeout}}
+	if f.onNewPeer != nil {
+		f.onNewPeer(p)
 	}
 	return p
 }
 
-// spread has the processes of the fleet ask different ones first.
-func (f *Fleet) spread(peers []*Peer) {
-	mine := func(p *Peer) uint64 { return nameHash(string(f.Self) + "/" + string(p.Name)) }
-	slices.SortFunc(peers, func(a, b *Peer) int { return cmp.Compare(mine(a), mine(b)) })
+// sortForSelf sorts peers into an order that differs between processes, so that the processes of
+// the fleet distribute their calls over the peers.
+func (f *Fleet) sortForSelf(peers []*Peer) {
+	weight := func(p *Peer) uint64 { return nameHash(string(f.Self) + "/" + string(p.Name)) }
+	slices.SortFunc(peers, func(a, b *Peer) int { return cmp.Compare(weight(a), weight(b)) })
 }
 
-// Seed has the processes relay that are on record as relays, and then those at Seeds,
-// until the members are known.
+// Seed sets the processes that act as relays until the members are known: first those at the
+// recorded addresses of relays, then those at Seeds.
 func (f *Fleet) Seed(recorded []netip.AddrPort) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.seed, f.seeds = slices.Contains(recorded, f.SelfAddr), nil
+	f.isSeed, f.seedPeers = slices.Contains(recorded, f.SelfAddr), nil
 	f.addSeeds(recorded)
 	if len(recorded) == 0 {
-		f.seed = slices.Contains(f.Seeds, f.SelfAddr)
+		f.isSeed = slices.Contains(f.Seeds, f.SelfAddr)
 	}
 	f.addSeeds(f.Seeds)
 }
 
-// addSeeds adds processes, in an order of this one's own.
+// addSeeds adds peers for the addresses that have none yet, in an order that differs between
+// processes.
 func (f *Fleet) addSeeds(all []netip.AddrPort) {
-	var fresh []*Peer
-	for _, at := range all {
-		known := slices.ContainsFunc(f.seeds, func(p *Peer) bool { return p.Addr == at })
-		if at != f.SelfAddr && !known {
-			fresh = append(fresh, f.newPeer(Member{Name: domain.Host(at.String()), Addr: at}))
+	var added []*Peer
+	for _, addr := range all {
+		known := slices.ContainsFunc(f.seedPeers, func(p *Peer) bool { return p.Addr == addr })
+		if addr != f.SelfAddr && !known {
+			added = append(added, f.newPeer(Member{Name: domain.Host(addr.String()), Addr: addr}))
 		}
 	}
-	f.spread(fresh)
-	f.seeds = append(f.seeds, fresh...)
+	f.sortForSelf(added)
+	f.seedPeers = append(f.seedPeers, added...)
 }
 
-// bySeeds says whether the seeds relay: until it is known which processes there are.
-func (f *Fleet) bySeeds() bool {
-	return (f.seed || len(f.seeds) > 0) && !f.known && len(f.peers) == 0 && !f.relay && (f.Bootstrap || len(f.others) == 0)
+// usesSeeds reports whether the seeds act as relays. They do until the members are complete or
+// include a relay; without Bootstrap, only until another member is known.
+func (f *Fleet) usesSeeds() bool {
+	return (f.isSeed || len(f.seedPeers) > 0) && !f.complete && len(f.providers) == 0 && !f.isRelay && (f.Bootstrap || len(f.others) == 0)
 }
 
-// Relays gives all relays where this process is one of them; else none.
+// Relays returns all relays if this process is one of them, else none.
 func (f *Fleet) Relays() []Member {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !f.relay {
+	if !f.isRelay {
 		return nil
 	}
-	return f.chosen
+	return f.selected
 }
 
-// Others gives the other processes, at most so many, the largest hosts first.
-func (f *Fleet) Others(most int) []*Peer {
+// Others returns at most the given number of other processes, the largest hosts first.
+func (f *Fleet) Others(limit int) []*Peer {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.others[:min(len(f.others), most)]
+	return f.others[:min(len(f.others), limit)]
 }
 
-// MemberCount counts the processes that are known, this one included.
+// MemberCount returns the number of processes in the fleet that have an address, with this process.
 func (f *Fleet) MemberCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.others) + 1
 }
 
-// Rank gives the place of this process among all, the largest hosts first, from
-// zero; false while it is not known.
+// Rank returns the position of this process among all, the largest hosts first, from zero. The
+// bool reports whether the position is known.
 func (f *Fleet) Rank() (int, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.place, f.known && f.place >= 0
+	return f.rank, f.complete && f.rank >= 0
 }
 
-// UsesRelays says whether some processes watch for all.
+// UsesRelays reports whether relays watch the source for the fleet.
 func (f *Fleet) UsesRelays() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.relay || len(f.peers) > 0 || f.bySeeds()
+	return f.isRelay || len(f.providers) > 0 || f.usesSeeds()
 }
 
-// plan is what a watch does.
+// plan is how this process gets changes at one time.
 type plan struct {
-	// alone says that there are no relays.
-	alone bool
-	// self says that this process is one of them, and asks none.
-	self bool
-	// ask are the relays to ask, in order.
-	ask []*Peer
-	// stale says that no relay is left out: if all of them answer that they hear
-	// nothing of the source, it is away.
-	stale bool
-	// settled is when relays that were just chosen know that they are.
-	settled time.Time
+	// noRelays is set if there are no relays.
+	noRelays bool
+	// isRelay is set if this process is a relay and so asks no other process.
+	isRelay bool
+	// peers are the relays to ask, in order.
+	peers []*Peer
+	// nonePassedOver is set if no relay is in backoff. If all relays then answer that they
+	// are not fresh, the source is unreachable.
+	nonePassedOver bool
+	// settledAt is when newly selected relays have had time to start.
+	settledAt time.Time
 }
 
-// patience is until when relays that hear nothing of the source are polled again.
-func (p plan) patience(now time.Time) time.Time {
-	if until := now.Add(staleWithin); until.After(p.settled) {
+// retryUntil returns the time until which relays that are not fresh are polled again.
+func (p plan) retryUntil(now time.Time) time.Time {
+	if until := now.Add(staleRetryTime); until.After(p.settledAt) {
 		return until
 	}
-	return p.settled
+	return p.settledAt
 }
 
-// RelayPeers gives the processes that relay for this one, in the order in which they are asked;
-// none where it relays itself or nobody does.
-func (f *Fleet) RelayPeers(now time.Time) []*Peer { return f.plan(now).ask }
+// RelayPeers returns the processes that this process asks for changes, in order, without those in
+// backoff. It returns none if this process is a relay or if there are no relays.
+func (f *Fleet) RelayPeers(now time.Time) []*Peer { return f.plan(now).peers }
 
+// plan returns how this process gets changes now.
 func (f *Fleet) plan(now time.Time) plan {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	p := plan{alone: !f.relay && len(f.peers) == 0, self: f.relay, stale: true, settled: f.settled}
-	relays := f.peers
-	if f.bySeeds() {
-		relays = f.seeds
-		p.alone, p.self = false, f.seed
+	p := plan{noRelays: !f.isRelay && len(f.providers) == 0, isRelay: f.isRelay, nonePassedOver: true, settledAt: f.settledAt}
+	peers := f.providers
+	if f.usesSeeds() {
+		peers = f.seedPeers
+		p.noRelays, p.isRelay = false, f.isSeed
 	}
-	if p.alone || p.self {
+	if p.noRelays || p.isRelay {
 		return p
 	}
-	for _, peer := range relays {
-		if peer.resting(now) {
-			p.stale = false
+	for _, peer := range peers {
+		if peer.inBackoff(now) {
+			p.nonePassedOver = false
 			continue
 		}
-		p.ask = append(p.ask, peer)
+		p.peers = append(p.peers, peer)
 	}
 	return p
 }
--- a/relay/owners_test.go
+++ b/relay/owners_test.go
@@ -25,8 +25,8 @@
 	}
 )
 
-// fleetOf gives members of which every fifth is on a large host.
-func fleetOf(n int) (all []Member) {
+// fifthsLarge returns n members, every fifth of them on a large host.
+func fifthsLarge(n int) (all []Member) {
 	for i := range n {
 		m := Member{Name: domain.Host(fmt.Sprintf("h%d", i)), Addr: netip.MustParseAddrPort(fmt.Sprintf("10.0.0.%d:7", i+1)), Cores: 0.144, Since: day}
 		if i%5 == 0 {
@@ -46,16 +46,16 @@
 	return out
 }
 
-// Story: an account's requests reach all hosts. Each of them must find the same host
-// that counts for it, a large one, and the accounts spread over those.
-func TestAllFindTheSameOwner(t *testing.T) {
-	all := fleetOf(25)
-	known := fleets([]domain.Host{"h0", "h1", "h7", "h20"}, all)
+// The requests of an account reach all hosts, and each host must find the same owner of the
+// account. Only large hosts are owners, and the accounts are distributed over them.
+func TestOwnersAgreeOnAllProcessesAndAreLargeHosts(t *testing.T) {
+	all := fifthsLarge(25)
+	processes := fleets([]domain.Host{"h0", "h1", "h7", "h20"}, all)
 	owners := make(map[domain.Host]int)
 	for k := range 200 {
 		key := fmt.Sprintf("account-%d", k)
-		first := owner(known[0], day, key)
-		for _, f := range known[1:] {
+		first := owner(processes[0], day, key)
+		for _, f := range processes[1:] {
 			require.Equal(t, first, owner(f, day, key))
 		}
 		owners[first]++
@@ -66,9 +66,9 @@
 	}
 }
 
-// Story: a host is lost for good. Only what it counted for moves.
-func TestALostHostMovesItsOwnKeysOnly(t *testing.T) {
-	all := fleetOf(25)
+// After a host has been removed, only the keys that it owned may have a new owner.
+func TestOwnersAfterHostRemovalMoveOnlyItsKeys(t *testing.T) {
+	all := fifthsLarge(25)
 	before, after := &Fleet{Self: "h1"}, &Fleet{Self: "h1"}
 	before.SetMembers(all, true)
 	after.SetMembers(all[1:], true) // h0 is large
@@ -80,21 +80,22 @@
 	}
 }
 
-// Story: a large host is added, and only some have read its record. Until all have, two
-// hosts counted for one account, which had twice its quota. Those that know it wait.
-func TestANewHostOwnsNothingUntilAllKnowIt(t *testing.T) {
-	all := fleetOf(25)
-	fresh := Member{Name: "new", Addr: netip.MustParseAddrPort("10.0.1.1:7"), Cores: 0.8, Since: day.Add(time.Minute)}
-	old := &Fleet{Self: "h1"}
-	old.SetMembers(all, true)
-	knows := fleets([]domain.Host{"new", "h2"}, append(all, fresh))
+// Guards against two owners of one account, which allow twice its quota, while only some
+// processes have read the record of a large host that was added. Processes that have read it must
+// wait before they treat it as an owner.
+func TestOwnersExcludeNewHostUntilOwnerDelay(t *testing.T) {
+	all := fifthsLarge(25)
+	added := Member{Name: "new", Addr: netip.MustParseAddrPort("10.0.1.1:7"), Cores: 0.8, Since: day.Add(time.Minute)}
+	unaware := &Fleet{Self: "h1"}
+	unaware.SetMembers(all, true)
+	aware := fleets([]domain.Host{"new", "h2"}, append(all, added))
 	moved := 0
 	for k := range 200 {
 		key := fmt.Sprintf("account-%d", k)
-		for _, f := range knows {
-			require.Equal(t, owner(old, day, key), owner(f, fresh.Since.Add(30*time.Second), key))
+		for _, f := range aware {
+			require.Equal(t, owner(unaware, day, key), owner(f, added.Since.Add(30*time.Second), key))
 		}
-		if owner(knows[0], fresh.Since.Add(time.Minute), key) == "new" {
+		if owner(aware[0], added.Since.Add(time.Minute), key) == "new" {
 			moved++
 		}
 	}
--- a/relay/poll.go
+++ b/relay/poll.go
@@ -12,41 +12,41 @@
 	"jacinthworks/send"
 )
 
-// Path is where relays answer, followed by the collection's name.
+// Path is the URL path at which relays answer, followed by the collection's name.
 const Path = "/v1/feeds/"
 
 const (
-	// peerDial bounds the dial of a relay, which takes under 2 ms.
-	peerDial = 250 * time.Millisecond
-	// peerKeep is how long a connection to a relay is kept between two polls.
-	peerKeep = 10 * time.Second
-	// maxAnswer bounds an answer in bytes: a configuration of some thousand routes.
+	// peerDialTimeout bounds the dial of a relay, which normally takes under 2 ms.
+	peerDialTimeout = 250 * time.Millisecond
+	// peerIdleTimeout is how long an idle connection to a relay is kept between two polls.
+	peerIdleTimeout = 10 * time.Second
+	// maxAnswer bounds an answer in bytes. It admits a configuration of some thousand routes.
 	maxAnswer = 8 << 20
 
-	queryAfter = "after"
-	queryList  = "list"
-	queryWait  = "wait_ms"
-	headerAt   = "Revision"
-	// headerHeard is when the source told what is answered, in milliseconds from when the
-	// call came; negative before it.
-	headerHeard = "Heard-Ms"
+	queryAfter     = "after"
+	queryList      = "list"
+	queryWait      = "wait_ms"
+	headerRevision = "Revision"
+	// headerConfirmed is the time at which the source confirmed the answer, in milliseconds
+	// relative to the arrival of the call; negative if before it.
+	headerConfirmed = "Heard-Ms"
 )
 
-// Handler answers polls, and who lists the collection, from the hub.
+// Handler returns the HTTP handler that answers polls and lists of other processes from the replica.
 func Handler[T any](h *Replica[T]) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		q := r.URL.Query()
-		ms, err := strconv.ParseInt(q.Get(queryWait), 10, 64)
+		query := r.URL.Query()
+		ms, err := strconv.ParseInt(query.Get(queryWait), 10, 64)
 		if err != nil || ms < 0 {
 			http.Error(w, "wait_ms must be a whole number", http.StatusBadRequest)
 			return
 		}
 		wait := min(time.Duration(ms)*time.Millisecond, PollTimeout)
-		if q.Has(queryList) {
+		if query.Has(queryList) {
 			answerList(w, r, h, wait)
 			return
 		}
-		after, err := strconv.ParseUint(q.Get(queryAfter), 10, 64)
+		after, err := strconv.ParseUint(query.Get(queryAfter), 10, 64)
 		if err != nil {
 			http.Error(w, "after: "+err.Error(), http.StatusBadRequest)
 			return
@@ -55,46 +55,48 @@
 	})
 }
 
+// answerPoll answers a poll for changes after a revision, once there are changes or wait has passed.
 func answerPoll[T any](w http.ResponseWriter, r *http.Request, h *Replica[T], after feed.Revision, wait time.Duration) {
 	called := boottime()
-	n, err := await(r.Context(), h, after, wait)
+	n, err := awaitChanges(r.Context(), h, after, wait)
 	switch {
 	case errors.Is(err, feed.ErrCompacted):
 		w.WriteHeader(http.StatusGone)
 	case err != nil:
 		w.WriteHeader(http.StatusServiceUnavailable)
 	case len(n.changes) == 0:
-		setHeard(w.Header(), called, n.heard)
-		w.Header().Set(headerAt, strconv.FormatUint(uint64(n.at), 10))
+		setConfirmed(w.Header(), called, n.confirmedAt)
+		w.Header().Set(headerRevision, strconv.FormatUint(uint64(n.revision), 10))
 		w.WriteHeader(http.StatusNoContent)
 	default:
-		write(w, h, packed{version: n.version, after: after, at: n.at}, called, n)
+		writeAnswer(w, h, answerKey{version: n.version, after: after, at: n.revision}, called, n)
 	}
 }
 
+// answerList answers a list of the whole collection.
 func answerList[T any](w http.ResponseWriter, r *http.Request, h *Replica[T], wait time.Duration) {
 	called := boottime()
-	n, err := awaitAll(r.Context(), h, wait)
+	n, err := awaitSnapshot(r.Context(), h, wait)
 	if err != nil {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	write(w, h, packed{version: n.version, at: n.at, list: true}, called, n)
+	writeAnswer(w, h, answerKey{version: n.version, at: n.revision, list: true}, called, n)
 }
 
-// await waits for changes after a revision.
-func await[T any](ctx context.Context, h *Replica[T], after feed.Revision, wait time.Duration) (news[T], error) {
-	end := time.NewTimer(wait)
-	defer end.Stop()
+// awaitChanges waits, at most the given time, for changes after a revision.
+func awaitChanges[T any](ctx context.Context, h *Replica[T], after feed.Revision, wait time.Duration) (answer[T], error) {
+	deadline := time.NewTimer(wait)
+	defer deadline.Stop()
 	for {
 		n, err := h.since(boottime(), after)
 		if err != nil && !errors.Is(err, errBehind) || len(n.changes) > 0 {
 			return n, err
 		}
 		select {
-		case <-n.next:
-		case <-end.C:
-			// The answer that nothing has changed is one as well: it has to be fresh.
+		case <-n.changed:
+		case <-deadline.C:
+			// An answer that nothing has changed must be fresh as well.
 			return h.since(boottime(), after)
 		case <-ctx.Done():
 			return n, ctx.Err()
@@ -102,21 +104,20 @@
 	}
 }
 
-// awaitAll waits until the hub has listed the collection for the first time.
-//
-// Load pattern: all processes start at once, the relays among them. Turned away by a relay
-// that has just begun its own list, each of the others lists the source.
-func awaitAll[T any](ctx context.Context, h *Replica[T], wait time.Duration) (news[T], error) {
-	end := time.NewTimer(wait)
-	defer end.Stop()
+// awaitSnapshot waits, at most the given time, until the replica has the collection for the first
+// time. When all processes start at once, a relay that refused while its own first list is in
+// progress would make each other process list the source.
+func awaitSnapshot[T any](ctx context.Context, h *Replica[T], wait time.Duration) (answer[T], error) {
+	deadline := time.NewTimer(wait)
+	defer deadline.Stop()
 	for {
-		n, err := h.all(boottime())
+		n, err := h.snapshot(boottime())
 		if err == nil || h.Revision() > 0 {
 			return n, err
 		}
 		select {
-		case <-n.next:
-		case <-end.C:
+		case <-n.changed:
+		case <-deadline.C:
 			return n, err
 		case <-ctx.Done():
 			return n, ctx.Err()
@@ -124,96 +125,95 @@
 	}
 }
 
-// setHeard says when the source was heard, to who called at a time.
-//
-// Failure: the process that asked is suspended before it reads the answer, and takes the
-// time at which it reads for that of the answer. It shows as news seconds old that are
-// passed on as fresh. Counted from the call, what was heard never seems later than it was.
-func setHeard(h http.Header, called, heard time.Time) {
-	h.Set(headerHeard, strconv.FormatInt(heard.Sub(called).Milliseconds(), 10))
+// setConfirmed sets the header with the time of the source's confirmation, relative to the time of
+// the call. Relative to the answer, a process that is suspended before it reads the answer would
+// use the time of reading, and pass on changes that are seconds old as fresh. Relative to the call,
+// the confirmation never appears later than it was.
+func setConfirmed(h http.Header, called, confirmedAt time.Time) {
+	h.Set(headerConfirmed, strconv.FormatInt(confirmedAt.Sub(called).Milliseconds(), 10))
 }
 
-// write sends changes, as they were packed for another before where it can.
-func write[T any](w http.ResponseWriter, h *Replica[T], key packed, called time.Time, n news[T]) {
-	body, err := h.packs.pack(key, func() ([]byte, error) { return encode(n.changes) })
+// writeAnswer sends an answer, from the cache if the same answer was encoded before.
+func writeAnswer[T any](w http.ResponseWriter, h *Replica[T], key answerKey, called time.Time, n answer[T]) {
+	body, err := h.answers.get(key, func() ([]byte, error) { return encode(n.changes) })
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
-	w.Header().Set(headerAt, strconv.FormatUint(uint64(key.at), 10))
-	setHeard(w.Header(), called, n.heard)
+	w.Header().Set(headerRevision, strconv.FormatUint(uint64(key.at), 10))
+	setConfirmed(w.Header(), called, n.confirmedAt)
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
-	_, _ = w.Write(body) // a broken connection is the other's to notice
+	_, _ = w.Write(body) // the caller detects a broken connection itself
 }
 
-// poll asks a relay for changes.
-func poll[T any](ctx context.Context, p *Peer, name string, after feed.Revision, wait time.Duration) (told[T], error) {
-	t, err := ask[T](ctx, p, name, queryAfter+"="+strconv.FormatUint(uint64(after), 10), wait)
-	if err == nil && t.at < after {
-		return t, errors.Errorf("relay: %s: revision %s after %s", p.Name, t.at, after)
+// poll asks a relay for the changes after a revision.
+func poll[T any](ctx context.Context, p *Peer, name string, after feed.Revision, wait time.Duration) (relayAnswer[T], error) {
+	answer, err := call[T](ctx, p, name, queryAfter+"="+strconv.FormatUint(uint64(after), 10), wait)
+	if err == nil && answer.revision < after {
+		return answer, errors.Errorf("relay: %s answered with revision %s, earlier than the requested %s", p.Name, answer.revision, after)
 	}
-	return t, err
+	return answer, err
 }
 
 // list asks a relay for the whole collection.
 func list[T any](ctx context.Context, p *Peer, name string, wait time.Duration) (feed.Page[T], time.Time, error) {
-	t, err := ask[T](ctx, p, name, queryList+"=1", wait)
+	answer, err := call[T](ctx, p, name, queryList+"=1", wait)
 	if err != nil {
 		return feed.Page[T]{}, time.Time{}, err
 	}
-	items, err := itemsOf(t.changes)
-	return feed.Page[T]{Revision: t.at, Items: items}, t.heard, errors.Wrap(err, string(p.Name))
+	items, err := itemsOf(answer.changes)
+	return feed.Page[T]{Revision: answer.revision, Items: items}, answer.confirmedAt, errors.Wrap(err, string(p.Name))
 }
 
-// ask makes one call at a relay.
-func ask[T any](ctx context.Context, p *Peer, name, query string, wait time.Duration) (told[T], error) {
-	ctx, cancel := context.WithTimeout(ctx, wait+pollPatience)
+// call makes one call to a relay and decodes its answer.
+func call[T any](ctx context.Context, p *Peer, name, query string, wait time.Duration) (relayAnswer[T], error) {
+	ctx, cancel := context.WithTimeout(ctx, wait+pollGrace)
 	defer cancel()
 	target := Path + name + "?" + query + "&" + queryWait + "=" + strconv.FormatInt(wait.Milliseconds(), 10)
 	called := boottime()
-	reply, err := p.get(ctx, send.Request{Method: http.MethodGet, Target: target, ReadTimeout: wait + pollPatience})
+	reply, err := p.get(ctx, send.Request{Method: http.MethodGet, Target: target, ReadTimeout: wait + pollGrace})
 	if err != nil {
-		return told[T]{}, errors.Wrap(err, "relay: "+string(p.Name))
+		return relayAnswer[T]{}, errors.Wrap(err, "relay: "+string(p.Name))
 	}
 	switch reply.status {
 	case http.StatusOK, http.StatusNoContent:
 	case http.StatusGone:
-		return told[T]{}, errors.Wrap(feed.ErrCompacted, "relay: "+string(p.Name))
+		return relayAnswer[T]{}, errors.Wrap(feed.ErrCompacted, "relay: "+string(p.Name))
 	case http.StatusServiceUnavailable:
-		return told[T]{}, errors.Wrap(ErrStale, "relay: "+string(p.Name))
+		return relayAnswer[T]{}, errors.Wrap(ErrStale, "relay: "+string(p.Name))
 	default:
-		return told[T]{}, errors.Errorf("relay: %s: status %d", p.Name, reply.status)
+		return relayAnswer[T]{}, errors.Errorf("relay: %s: status %d", p.Name, reply.status)
 	}
-	at, err := strconv.ParseUint(reply.header.Get(headerAt), 10, 64)
+	at, err := strconv.ParseUint(reply.header.Get(headerRevision), 10, 64)
 	if err != nil {
-		return told[T]{}, errors.Wrap(err, "relay: revision of "+string(p.Name))
+		return relayAnswer[T]{}, errors.Wrap(err, "relay: parse the Revision header of "+string(p.Name))
 	}
-	ms, err := strconv.ParseInt(reply.header.Get(headerHeard), 10, 64)
-	heard := called.Add(time.Duration(ms) * time.Millisecond)
-	if err != nil || heard.After(boottime()) {
-		return told[T]{}, errors.Errorf("relay: %s heard the source at %q", p.Name, reply.header.Get(headerHeard))
+	ms, err := strconv.ParseInt(reply.header.Get(headerConfirmed), 10, 64)
+	confirmedAt := called.Add(time.Duration(ms) * time.Millisecond)
+	if err != nil || confirmedAt.After(boottime()) {
+		return relayAnswer[T]{}, errors.Errorf("relay: %s sent the invalid Heard-Ms header %q", p.Name, reply.header.Get(headerConfirmed))
 	}
 	changes, err := decode[T](reply.body)
-	return told[T]{changes: changes, at: feed.Revision(at), heard: heard}, errors.Wrap(err, "relay: "+string(p.Name))
+	return relayAnswer[T]{changes: changes, revision: feed.Revision(at), confirmedAt: confirmedAt}, errors.Wrap(err, "relay: "+string(p.Name))
 }
 
-// told is what a relay answered.
-type told[T any] struct {
-	changes []feed.Change[T]
-	at      feed.Revision
-	// heard is when the source told it, by this process's clock.
-	heard time.Time
+// relayAnswer is a relay's decoded answer.
+type relayAnswer[T any] struct {
+	changes  []feed.Change[T]
+	revision feed.Revision
+	// confirmedAt is when the source confirmed the answer, by this process's clock.
+	confirmedAt time.Time
 }
 
-// answered is a whole answer.
-type answered struct {
+// response is a complete HTTP response.
+type response struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// get makes one call at the process.
-func (p *Peer) get(ctx context.Context, r send.Request) (*answered, error) {
+// get sends one request to the peer and reads the complete response.
+func (p *Peer) get(ctx context.Context, r send.Request) (*response, error) {
 	if p.call != nil {
 		return p.call(ctx, r)
 	}
@@ -225,5 +225,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return &answered{reply.Status, reply.Header, body}, nil
+	return &response{reply.Status, reply.Header, body}, nil
 }
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -1,28 +1,28 @@
-// Package relay brings the changes of a collection to many processes through few
-// watches of its source. Some processes of a fleet, the relays, watch the source
-// themselves; the others ask a relay, and the source only where no relay answers.
+// Package relay distributes the changes of a collection to many processes through few watches of
+// its source. Some processes of a fleet, the relays, watch the source. The other processes poll a
+// relay, and call the source only if no relay answers.
 //
-// Load pattern: one change wakes the watch of every process, so that the calls to
-// the source are the product of changes and processes. With 68 processes half of
-// all calls of a quiet day were for upstreams that registered one after the other.
+// Without relays, one change wakes the watch of every process, so that the number of calls to the
+// source is the product of changes and processes. With 68 processes, half of all calls of a quiet
+// day were caused by upstreams that registered one after the other.
 //
-// What a process learns through a relay is what the source said, in the source's
-// revisions: a relay holds the newest change of each member, and gives those after the
-// revision that the other names. It says how long ago the source told it, and answers only
-// while that is within Fresh; in a large fleet, where processes stand between the relays
-// and the rest, these answer within MaxRelayedAge. So a copy is at most that and a round trip
-// older than one that is watched directly, also where a relay is cut off from the source;
-// a relay that is frozen, or gone, is found by the poll that it does not answer. Nothing that a relay holds is kept anywhere: each process
-// that starts lists the source itself.
+// A process gets through a relay exactly what the source reported, with the source's revisions: a
+// relay holds the newest change of each member, and returns the changes after the revision that a
+// process asks for. It reports how long ago the source confirmed the answer, and answers only while
+// that is at most MaxAge. In a large fleet, intermediate processes between the relays and the
+// remaining processes answer while it is at most MaxRelayedAge. So a copy is older than one from a
+// direct watch by at most that age and a round trip, even if a relay is cut off from the source. A
+// relay that is frozen or has been removed is detected by the poll that it does not answer. A relay
+// stores nothing persistently: it lists the source when it starts.
 //
 // # Usage
 //
 //	fleet := relay.Fleet{Self: "front-1", SelfAddr: addr, Seeds: seeds}
-//	fleet.Seed(recorded) // the relays on record, asked before the members are known
-//	hub := &relay.Replica[roster.Server]{}
-//	source := relay.Source[roster.Server]{Name: "upstreams", Direct: store, Hub: hub, Fleet: &fleet, Log: log}
-//	mux.Handle("GET "+relay.Path+"upstreams", relay.Handler(hub)) // where the others ask
-//	fleet.Set(members, true)                                      // whenever the members are read
+//	fleet.Seed(recorded) // the relays on record, asked until the members are known
+//	replica := &relay.Replica[roster.Server]{}
+//	source := relay.Source[roster.Server]{Name: "upstreams", Origin: store, Replica: replica, Fleet: &fleet, Log: log}
+//	mux.Handle("GET "+relay.Path+"upstreams", relay.Handler(replica)) // serves other processes
+//	fleet.SetMembers(members, true)                                   // after each reading of the members
 //	f := feed.Feed[roster.Server]{Source: source, ...}
 package relay
 
@@ -41,55 +41,55 @@
 )
 
 const (
-	// relayWait is how long a relay's watch of the source waits: the answer, with
-	// or without changes, is what its freshness is counted from.
-	relayWait = time.Second
-	// MaxAge is the age of its last answer from the source up to which a relay
-	// answers others: a watch, and a source that takes most of a second to answer.
-	MaxAge = relayWait + 800*time.Millisecond
-	// MaxRelayedAge is the same for one that was told by another relay: it polls that one
-	// for so much longer, at the most.
-	MaxRelayedAge = MaxAge + PollTimeout + pollPatience
-	// PollTimeout is how long a poll of a relay waits for a change, and pollPatience
-	// what the answer may take beyond it: by then a frozen relay is found, well
-	// within the seconds in which a change is to be in force.
-	PollTimeout  = time.Second
-	pollPatience = 500 * time.Millisecond
-	// listWait is how long a relay that has just started may take for its own list.
-	listWait = 400 * time.Millisecond
-	// upWithin is how long relays are tried whose hosts are up and whose processes are
-	// not, upAgain the time between two tries.
-	upWithin = 500 * time.Millisecond
-	upAgain  = 40 * time.Millisecond
-	// staleWithin is how long relays that have just lost the source are polled again
-	// before it is asked itself, staleAgain the time between two polls.
-	//
-	// Load pattern: the source breaks off waiting watches, or has forgotten its history.
-	// The relays are back within some 100 ms; asked by each process meanwhile, it gets as
-	// many calls as there are processes.
-	staleWithin = 500 * time.Millisecond
-	staleAgain  = 150 * time.Millisecond
-	// firstWait is the wait of a watch by a relay that has not heard the source yet: until
-	// then it answers nobody.
-	firstWait = 10 * time.Millisecond
-	// directEvery is the time between two calls to the source while relays answer
-	// that the source does not answer them.
-	//
-	// Load pattern: the source is away, and every process asks it several times a
-	// second. Relays, which go on asking, tell of its return at once; the calls
-	// left are for a source that turns just the relays away.
-	directEvery = 2 * time.Second
+	// relayWatchTimeout is how long a relay's watch of the source waits for a change. Each
+	// answer, with or without changes, confirms that the relay is fresh.
+	relayWatchTimeout = time.Second
+	// MaxAge is the maximum age of the last answer from the source with which a relay answers
+	// other processes. It allows for one watch and for a source that takes most of a second
+	// to answer.
+	MaxAge = relayWatchTimeout + 800*time.Millisecond
+	// MaxRelayedAge is the same for a process that gets changes from a relay. One poll of the
+	// relay may add PollTimeout and pollGrace.
+	MaxRelayedAge = MaxAge + PollTimeout + pollGrace
+	// PollTimeout is how long a poll of a relay waits for a change, and pollGrace how much
+	// longer the answer may take. After that time a frozen relay is detected, well within the
+	// seconds in which a change must be in force.
+	PollTimeout = time.Second
+	pollGrace   = 500 * time.Millisecond
+	// listTimeout is how long a relay that has just started may take for its own list.
+	listTimeout = 400 * time.Millisecond
+	// refusedRetryTime is how long a list is retried while the relays refuse connections,
+	// because their hosts run and their processes do not yet. refusedRetryInterval is the
+	// mean time between two attempts.
+	refusedRetryTime     = 500 * time.Millisecond
+	refusedRetryInterval = 40 * time.Millisecond
+	// staleRetryTime is how long relays that are not fresh are polled again before this
+	// process calls the source itself, and staleRetryInterval the mean time between two polls.
+	// If the source breaks off waiting watches or has dropped its history, the relays are
+	// fresh again within about 100 ms. If every process called the source meanwhile, the
+	// source would get as many calls as there are processes.
+	staleRetryTime     = 500 * time.Millisecond
+	staleRetryInterval = 150 * time.Millisecond
+	// firstWatchTimeout is how long the watch of a relay waits if the source has not answered
+	// this process yet. It is short because until the answer the relay serves no process.
+	firstWatchTimeout = 10 * time.Millisecond
+	// directInterval is the time between two calls of this process to the source while the
+	// relays answer that they are not fresh. Without it, every process would call an
+	// unreachable source several times a second. The relays continue to call the source and
+	// report its recovery at once; the calls that remain cover a source that refuses only
+	// the relays.
+	directInterval = 2 * time.Second
 )
 
-// boottime is the clock by which the age of what was heard is counted.
+// boottime is the clock that measures the age of answers. Tests replace it.
 var boottime = lease.Boottime
 
-// ErrStale says that a relay can't vouch for what it holds.
+// ErrStale means that a relay's copy was not confirmed by the source recently enough.
 var ErrStale = errors.New("relay: not fresh")
 
-// Source is a collection's source that asks relays first.
+// Source is a feed.Source that asks relays first and Origin if no relay answers.
 type Source[T any] struct {
-	// Name is the collection's, in the log and among the processes.
+	// Name is the name of the collection in log lines and in the URL path of relays.
 	Name    string
 	Origin  feed.Source[T]
 	Replica *Replica[T]
@@ -97,21 +97,19 @@
 	Log     hclog.Logger
 }
 
-// List gives the collection as a relay has it or, for a relay and where none answers, a
-// page from the source itself.
-//
-// Load pattern: many processes start at once, or the source has forgotten its history.
-// Each of them lists all members: at the source, calls and bytes are the product of
-// processes and members.
+// List returns the whole collection from a relay. If this process is a relay, or if no relay
+// answers, List returns a page from the source. When many processes start at once, or after the
+// source has dropped its history, lists of the source by every process would cost it calls and
+// bytes in proportion to the product of processes and members.
 func (s Source[T]) List(ctx context.Context, after string, stale bool) (feed.Page[T], error) {
 	plan := s.Fleet.plan(boottime())
-	if after == "" && !plan.alone && !plan.self {
-		if p, ok := s.listed(ctx); ok {
+	if after == "" && !plan.noRelays && !plan.isRelay {
+		if p, ok := s.listFromRelays(ctx); ok {
 			return p, nil
 		}
 	}
-	// Others list at a relay: what it lists itself is not to be old.
-	stale = stale && !plan.self
+	// Other processes list at a relay, so its own list must not be old.
+	stale = stale && !plan.isRelay
 	p, err := s.Origin.List(ctx, after, stale)
 	if err == nil {
 		s.Replica.ApplyListPage(boottime(), after == "", stale, p)
@@ -119,121 +117,123 @@
 	return p, err
 }
 
-// listed asks the relays for the collection, and for a short time those again that are
-// not up yet.
-func (s Source[T]) listed(ctx context.Context) (feed.Page[T], bool) {
-	began := boottime()
+// listFromRelays lists the collection at the relays. It retries for refusedRetryTime while relays
+// refuse connections. The bool reports whether a relay answered.
+func (s Source[T]) listFromRelays(ctx context.Context) (feed.Page[T], bool) {
+	start := boottime()
 	for {
-		from, err := Hedge(ctx, HedgeDelay, s.Fleet.plan(boottime()).ask, s.listAt)
-		page := from.page
-		took := boottime().Sub(began)
+		result, err := Hedge(ctx, HedgeDelay, s.Fleet.plan(boottime()).peers, s.listFromPeer)
+		page := result.page
+		elapsed := boottime().Sub(start)
 		switch {
 		case err == nil:
-			s.Replica.ApplySnapshot(from.heard, page)
-			s.Log.Info("collection listed by a relay", "feed", s.Name, "members", len(page.Items), "revision", page.Revision.String(), "took", took)
+			s.Replica.ApplySnapshot(result.confirmedAt, page)
+			s.Log.Info("collection listed by a relay", "feed", s.Name, "members", len(page.Items), "revision", page.Revision.String(), "took", elapsed)
 			return page, true
-		case !errors.Is(err, syscall.ECONNREFUSED) || ctx.Err() != nil || took > upWithin:
-			s.Log.Info("collection not listed by relays", "feed", s.Name, "err", err, "took", took)
+		case !errors.Is(err, syscall.ECONNREFUSED) || ctx.Err() != nil || elapsed > refusedRetryTime:
+			s.Log.Info("collection not listed by relays", "feed", s.Name, "err", err, "took", elapsed)
 			return feed.Page[T]{}, false
 		}
-		group.Sleep(ctx, upAgain/2+rand.N(upAgain))
+		group.Sleep(ctx, refusedRetryInterval/2+rand.N(refusedRetryInterval))
 	}
 }
 
-// copied is a collection as a relay gave it, and when the source told it.
-type copied[T any] struct {
-	page  feed.Page[T]
-	heard time.Time
+// relayedPage is a collection from a relay, and the time at which the source confirmed it.
+type relayedPage[T any] struct {
+	page        feed.Page[T]
+	confirmedAt time.Time
 }
 
-// listAt asks one relay for the collection.
-func (s Source[T]) listAt(ctx context.Context, p *Peer) (copied[T], error) {
-	page, heard, err := list[T](ctx, p, s.Name, listWait)
+// listFromPeer lists the collection at one relay. A relay at an earlier revision than this process
+// is an error.
+func (s Source[T]) listFromPeer(ctx context.Context, p *Peer) (relayedPage[T], error) {
+	page, confirmedAt, err := list[T](ctx, p, s.Name, listTimeout)
 	switch {
 	case err == nil && page.Revision < s.Replica.Revision():
 		err = errBehind
 	case err == nil:
-		p.answered()
+		p.recordSuccess()
 	case errors.Is(err, ErrStale), errors.Is(err, syscall.ECONNREFUSED), ctx.Err() != nil:
 	default:
-		p.failed(boottime())
+		p.recordFailure(boottime())
 	}
-	return copied[T]{page, heard}, err
+	return relayedPage[T]{page, confirmedAt}, err
 }
 
-// Watch waits for changes at a relay and, for a relay and where none answers, at
-// the source.
+// Watch waits for changes after a revision at a relay. If this process is a relay, or if no relay
+// answers, Watch waits at the source.
 func (s Source[T]) Watch(ctx context.Context, after feed.Revision, wait time.Duration) ([]feed.Change[T], feed.Revision, error) {
 	plan := s.Fleet.plan(boottime())
-	if plan.alone {
-		s.Replica.from(s.Log, s.Name, "", false, "no relays")
-		return s.direct(ctx, after, wait)
+	if plan.noRelays {
+		s.Replica.setSender(s.Log, s.Name, "", false, "no relays")
+		return s.watchOrigin(ctx, after, wait)
 	}
-	if plan.self {
-		s.Replica.from(s.Log, s.Name, "", true, "is a relay")
-		return s.direct(ctx, after, min(wait, s.Replica.watchWait()))
+	if plan.isRelay {
+		s.Replica.setSender(s.Log, s.Name, "", true, "is a relay")
+		return s.watchOrigin(ctx, after, min(wait, s.Replica.sourceWatchTimeout()))
 	}
-	changes, at, err := s.polled(ctx, after, wait)
-	patience := plan.patience(boottime())
-	for errors.Is(err, ErrStale) && boottime().Before(patience) && s.Replica.mayAsk(boottime()) && ctx.Err() == nil {
-		group.Sleep(ctx, staleAgain/2+rand.N(staleAgain))
-		began := boottime()
-		changes, at, err = s.polled(ctx, after, wait)
-		if now := boottime(); now.Sub(began) > staleAgain {
-			patience = plan.patience(now) // a relay was back meanwhile
+	changes, at, err := s.pollRelays(ctx, after, wait)
+	retryUntil := plan.retryUntil(boottime())
+	for errors.Is(err, ErrStale) && boottime().Before(retryUntil) && s.Replica.mayAskSource(boottime()) && ctx.Err() == nil {
+		group.Sleep(ctx, staleRetryInterval/2+rand.N(staleRetryInterval))
+		pollStart := boottime()
+		changes, at, err = s.pollRelays(ctx, after, wait)
+		if now := boottime(); now.Sub(pollStart) > staleRetryInterval {
+			retryUntil = plan.retryUntil(now) // a relay was fresh for a part of this poll
 		}
 	}
 	switch {
 	case err == nil, errors.Is(err, feed.ErrCompacted), ctx.Err() != nil:
 		return changes, at, err
-	case errors.Is(err, ErrStale) && !s.Replica.mayAsk(boottime()):
-		return nil, 0, errors.Wrap(err, "relay: all relays")
+	case errors.Is(err, ErrStale) && !s.Replica.mayAskSource(boottime()):
+		return nil, 0, errors.Wrap(err, "relay: all relays answer that they are not fresh")
 	}
-	s.Replica.from(s.Log, s.Name, "", false, err.Error())
-	return s.direct(ctx, after, min(wait, relayWait))
+	s.Replica.setSender(s.Log, s.Name, "", false, err.Error())
+	return s.watchOrigin(ctx, after, min(wait, relayWatchTimeout))
 }
 
-// errResting says that all relays are left alone for now.
-var errResting = errors.New("relay: all relays rest")
+// errAllInBackoff means that all relays are in backoff after failures.
+var errAllInBackoff = errors.New("relay: all relays are in backoff")
 
-// polled asks the relays for changes, one after the other. ErrStale says that all of them
-// answer and none hears the source, feed.ErrCompacted that the collection has to be listed.
-func (s Source[T]) polled(ctx context.Context, after feed.Revision, wait time.Duration) ([]feed.Change[T], feed.Revision, error) {
+// pollRelays polls the relays for changes, one after the other, until one answers. ErrStale means
+// that all relays answer and none is fresh, feed.ErrCompacted that the collection must be listed.
+func (s Source[T]) pollRelays(ctx context.Context, after feed.Revision, wait time.Duration) ([]feed.Change[T], feed.Revision, error) {
 	plan := s.Fleet.plan(boottime())
-	cause := errResting
-	allStale := plan.stale && len(plan.ask) > 0
-	for _, p := range plan.ask {
-		t, err := poll[T](ctx, p, s.Name, after, min(wait, PollTimeout))
+	lastErr := errAllInBackoff
+	allStale := plan.nonePassedOver && len(plan.peers) > 0
+	for _, p := range plan.peers {
+		answer, err := poll[T](ctx, p, s.Name, after, min(wait, PollTimeout))
 		switch {
 		case err == nil:
-			p.answered()
-			s.Replica.ApplyRelayed(t.heard, after, t.changes, t.at)
-			s.Replica.from(s.Log, s.Name, string(p.Name), false, "answers")
-			return t.changes, t.at, nil
+			p.recordSuccess()
+			s.Replica.ApplyRelayed(answer.confirmedAt, after, answer.changes, answer.revision)
+			s.Replica.setSender(s.Log, s.Name, string(p.Name), false, "answers")
+			return answer.changes, answer.revision, nil
 		case ctx.Err() != nil, errors.Is(err, feed.ErrCompacted):
 			return nil, 0, err
 		case !errors.Is(err, ErrStale):
-			p.failed(boottime())
+			p.recordFailure(boottime())
 			allStale = false
 		}
-		cause = err
+		lastErr = err
 	}
-	if !allStale && errors.Is(cause, ErrStale) {
-		return nil, 0, errors.Errorf("%v; others do not answer", cause)
+	if !allStale && errors.Is(lastErr, ErrStale) {
+		return nil, 0, errors.Errorf("%v; other relays do not answer", lastErr)
 	}
-	return nil, 0, cause
+	return nil, 0, lastErr
 }
 
-// directPatience is what the source may take beyond the wait of a watch.
-const directPatience = 800 * time.Millisecond
+// sourceGrace is how much longer than the wait of a watch the source may take to answer.
+const sourceGrace = 800 * time.Millisecond
 
-func (s Source[T]) direct(ctx context.Context, after feed.Revision, wait time.Duration) ([]feed.Change[T], feed.Revision, error) {
-	within, cancel := context.WithTimeout(ctx, wait+directPatience)
+// watchOrigin watches the source and applies its answer to the replica.
+func (s Source[T]) watchOrigin(ctx context.Context, after feed.Revision, wait time.Duration) ([]feed.Change[T], feed.Revision, error) {
+	watchCtx, cancel := context.WithTimeout(ctx, wait+sourceGrace)
 	defer cancel()
-	changes, at, err := s.Origin.Watch(within, after, wait)
+	changes, at, err := s.Origin.Watch(watchCtx, after, wait)
 	switch {
 	case errors.Is(err, feed.ErrEraChanged):
-		return nil, 0, err // it answers, and is listed next
+		return nil, 0, err // the source answers, and the caller lists it next
 	case err != nil:
 		s.Replica.MarkSourceLost(boottime())
 		return nil, 0, err
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -20,14 +20,14 @@
 	"jacinthworks/lease"
 )
 
-// origin is a source in memory that counts the calls.
+// origin is a source in memory that counts its calls.
 type origin struct {
 	mu      sync.Mutex
 	at      feed.Revision
 	log     []feed.Change[int]
 	down    bool
 	changed chan struct{}
-	// floor is the revision up to which history is forgotten.
+	// floor is the revision up to which history is dropped.
 	floor feed.Revision
 	calls atomic.Int64
 	lists atomic.Int64
@@ -47,8 +47,8 @@
 	return o.at
 }
 
-// forget drops all history.
-func (o *origin) forget() {
+// compact drops all history.
+func (o *origin) compact() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.at += 100 // changes of other collections
@@ -117,13 +117,13 @@
 	}
 }
 
-// process is one that follows the collection, as a relay or through them.
+// process is a process that follows the collection, as a relay or through relays.
 type process struct {
-	name   domain.Host
-	direct feed.Source[int]
-	fleet  Fleet
-	hub    Replica[int]
-	http   *httptest.Server
+	name    domain.Host
+	source  feed.Source[int]
+	fleet   Fleet
+	replica Replica[int]
+	http    *httptest.Server
 	// frozen leaves polls unanswered.
 	frozen atomic.Bool
 	seen   atomic.Uint64
@@ -137,34 +137,34 @@
 func (p *process) run(ctx context.Context) {
 	f := feed.Feed[int]{
 		Name: "numbers", Log: hclog.NewNullLogger(), Wait: 10 * time.Second,
-		Source: Source[int]{Name: "numbers", Origin: p.direct, Replica: &p.hub, Fleet: &p.fleet, Log: hclog.NewNullLogger()},
+		Source: Source[int]{Name: "numbers", Origin: p.source, Replica: &p.replica, Fleet: &p.fleet, Log: hclog.NewNullLogger()},
 		OnList: func(_ time.Time, all []feed.Item[int]) {
 			for _, i := range all {
-				p.saw(i.Revision)
+				p.recordSeen(i.Revision)
 			}
 		},
 		OnChange: func(_ time.Time, all []feed.Change[int]) {
 			for _, c := range all {
-				p.saw(c.Revision)
+				p.recordSeen(c.Revision)
 			}
 		},
 	}
 	p.ended <- f.Run(ctx)
 }
 
-func (p *process) saw(r feed.Revision) { p.seen.Store(max(p.seen.Load(), uint64(r))) }
+func (p *process) recordSeen(r feed.Revision) { p.seen.Store(max(p.seen.Load(), uint64(r))) }
 
-// startAll runs so many processes on one source; the first ones are its relays.
-func startAll(t *testing.T, of *origin, n int, sources ...func(n int) feed.Source[int]) []*process {
+// startAll runs n processes on one source; the first relayCount of them are the relays.
+func startAll(t *testing.T, source *origin, n int, sources ...func(n int) feed.Source[int]) []*process {
 	ctx, stop := context.WithCancel(t.Context())
 	all := make([]*process, n)
 	var members []Member
 	for i := range all {
-		p := &process{name: domain.Host(fmt.Sprintf("front-%d", i)), direct: of, ended: make(chan error, 1)}
+		p := &process{name: domain.Host(fmt.Sprintf("front-%d", i)), source: source, ended: make(chan error, 1)}
 		for _, source := range sources {
-			p.direct = source(i)
+			p.source = source(i)
 		}
-		h := Handler(&p.hub)
+		h := Handler(&p.replica)
 		p.http = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if p.frozen.Load() {
 				<-r.Context().Done()
@@ -177,7 +177,7 @@
 		members = append(members, p.member())
 	}
 	for i := range members {
-		members[i].Cores = float64(n - i) // the first ones are the largest
+		members[i].Cores = float64(n - i) // sizes decrease, so that the first processes are relays
 	}
 	for _, p := range all {
 		p.fleet.SetMembers(members, true)
@@ -194,7 +194,8 @@
 	return all
 }
 
-func allSee(t *testing.T, all []*process, at feed.Revision, within time.Duration) {
+// requireAllSee requires that all processes have seen a revision within a time.
+func requireAllSee(t *testing.T, all []*process, at feed.Revision, within time.Duration) {
 	t.Helper()
 	require.Eventually(t, func() bool {
 		for _, p := range all {
@@ -206,103 +207,102 @@
 	}, within, time.Millisecond)
 }
 
-// Story: a fleet of 40 processes, and 20 changes in a row. Each change ended the
-// watch of each process, and each began another: 800 calls to the source.
-func TestChangesReachAllThroughFewWatches(t *testing.T) {
+// Guards against calls to the source in proportion to the fleet: without relays, each of 20 changes
+// ends the watch of each of 40 processes, which makes 800 calls.
+func TestChangesReachAllProcessesWithCallsOfRelaysOnly(t *testing.T) {
 	o := newOrigin()
 	all := startAll(t, o, 40)
-	allSee(t, all, o.put("first"), 10*time.Second)
+	requireAllSee(t, all, o.put("first"), 10*time.Second)
 	before := o.calls.Load()
 	for n := range 20 {
 		o.put(fmt.Sprint("upstream-", n))
 		time.Sleep(20 * time.Millisecond)
 	}
 	began := time.Now()
-	allSee(t, all, o.put("last"), 10*time.Second)
+	requireAllSee(t, all, o.put("last"), 10*time.Second)
 	require.Less(t, time.Since(began), time.Second)
 	calls := o.calls.Load() - before
 	t.Logf("%d calls for 21 changes to 40 processes", calls)
-	require.Less(t, calls, int64(relays*22))
+	require.Less(t, calls, int64(relayCount*22))
 }
 
-// Story: a relay's host freezes; it keeps its connections and answers nothing. The
-// processes that ask it must hear of a change all the same, within the time in which
-// changes are to be in force, and the source must not be asked by all of them.
-func TestAFrozenRelayIsFound(t *testing.T) {
+// A relay whose host freezes keeps its connections and answers nothing. The processes that ask it
+// must still receive a change within the time in which changes must be in force, and must not all
+// call the source.
+func TestChangeReachesAllProcessesWhileOneRelayIsFrozen(t *testing.T) {
 	o := newOrigin()
 	all := startAll(t, o, 30)
-	allSee(t, all, o.put("first"), 10*time.Second)
+	requireAllSee(t, all, o.put("first"), 10*time.Second)
 	before := o.calls.Load()
 	all[0].frozen.Store(true)
 	began := time.Now()
-	allSee(t, all, o.put("second"), 10*time.Second)
-	require.Less(t, time.Since(began), PollTimeout+2*pollPatience)
-	require.Less(t, o.calls.Load()-before, int64(20), "the other relay answers them")
+	requireAllSee(t, all, o.put("second"), 10*time.Second)
+	require.Less(t, time.Since(began), PollTimeout+2*pollGrace)
+	require.Less(t, o.calls.Load()-before, int64(20), "the other relay answers the processes")
 }
 
-// Story: both relays are killed at once, with many others. Those that are left ask
-// the source themselves.
-func TestWithoutRelaysTheSourceIsWatched(t *testing.T) {
+// After both relays have been killed at once, the remaining processes must watch the source.
+func TestProcessesWatchSourceAfterAllRelaysAreKilled(t *testing.T) {
 	o := newOrigin()
 	all := startAll(t, o, 20)
-	allSee(t, all, o.put("first"), 10*time.Second)
-	for _, p := range all[:relays] {
+	requireAllSee(t, all, o.put("first"), 10*time.Second)
+	for _, p := range all[:relayCount] {
 		p.http.CloseClientConnections()
 		p.http.Listener.Close()
 	}
 	began := time.Now()
-	allSee(t, all[relays:], o.put("second"), 10*time.Second)
+	requireAllSee(t, all[relayCount:], o.put("second"), 10*time.Second)
 	require.Less(t, time.Since(began), 2*time.Second)
 }
 
 // Guards against a list at the source by every process that starts.
-func TestProcessesThatStartListAtRelays(t *testing.T) {
+func TestStartingProcessesListAtRelays(t *testing.T) {
 	o := newOrigin()
 	first := o.put("first")
 	all := startAll(t, o, 40)
-	allSee(t, all, first, 10*time.Second)
-	require.LessOrEqual(t, o.lists.Load(), int64(relays))
+	requireAllSee(t, all, first, 10*time.Second)
+	require.LessOrEqual(t, o.lists.Load(), int64(relayCount))
 }
 
-// Guards against a list at the source by every process when history is forgotten, and
+// Guards against a list at the source by every process when the source drops its history, and
 // against a change that is missed then.
-func TestForgottenHistoryIsListedByRelaysAlone(t *testing.T) {
+func TestOnlyRelaysListSourceAfterItDropsHistory(t *testing.T) {
 	o := newOrigin()
 	all := startAll(t, o, 40)
-	allSee(t, all, o.put("first"), 10*time.Second)
+	requireAllSee(t, all, o.put("first"), 10*time.Second)
 	before := o.lists.Load()
 	for n := range 3 {
 		o.put(fmt.Sprint("lost-", n))
-		o.forget()
+		o.compact()
 		time.Sleep(50 * time.Millisecond)
 	}
-	allSee(t, all, o.put("last"), 10*time.Second)
-	require.LessOrEqual(t, o.lists.Load()-before, int64(4*relays))
+	requireAllSee(t, all, o.put("last"), 10*time.Second)
+	require.LessOrEqual(t, o.lists.Load()-before, int64(4*relayCount))
 }
 
-// asked is a source that counts the watches of one process.
-type asked struct {
+// countingSource is a source that counts the watches of some processes.
+type countingSource struct {
 	*origin
 	watches *atomic.Int64
 }
 
-func (a asked) Watch(ctx context.Context, after feed.Revision, wait time.Duration) ([]feed.Change[int], feed.Revision, error) {
+func (a countingSource) Watch(ctx context.Context, after feed.Revision, wait time.Duration) ([]feed.Change[int], feed.Revision, error) {
 	a.watches.Add(1)
 	return a.origin.Watch(ctx, after, wait)
 }
 
-// Guards against a watch of the source by every process when it breaks off the watches
-// of the relays.
-func TestAWatchThatBreaksOffIsNotAnOutage(t *testing.T) {
+// Guards against a watch of the source by every process when the source breaks off the watches of
+// the relays.
+func TestProcessesKeepToRelaysAfterSourceBreaksOffWatches(t *testing.T) {
 	o := newOrigin()
 	var watches atomic.Int64
 	all := startAll(t, o, 40, func(n int) feed.Source[int] {
-		if n < relays {
+		if n < relayCount {
 			return o
 		}
-		return asked{o, &watches}
+		return countingSource{o, &watches}
 	})
-	allSee(t, all, o.put("first"), 10*time.Second)
+	requireAllSee(t, all, o.put("first"), 10*time.Second)
 	for range 3 {
 		o.setDown(true)
 		o.wake()
@@ -310,13 +310,13 @@
 		o.setDown(false)
 		time.Sleep(time.Second)
 	}
-	allSee(t, all, o.put("last"), 10*time.Second)
-	require.Zero(t, watches.Load(), "the relays ask again, the others wait for them")
+	requireAllSee(t, all, o.put("last"), 10*time.Second)
+	require.Zero(t, watches.Load(), "the relays watch again, and other processes wait for the relays")
 }
 
-// Guards against a process that believes a relay which hands out nonsense: it lists the
-// source, and leaves the relay alone.
-func TestARelayThatHandsOutNonsenseIsLeftAlone(t *testing.T) {
+// Guards against a process that accepts an invalid answer of a relay. The process must list the
+// source instead, and put the relay into backoff.
+func TestListAfterInvalidRelayAnswerUsesSource(t *testing.T) {
 	twice, err := encode([]feed.Change[int]{put("a", 1), put("a", 2)})
 	require.NoError(t, err)
 	sound, err := encode([]feed.Change[int]{put("a", 1)})
@@ -327,57 +327,57 @@
 		"no form":        {9, 9, 9},
 		"100 MB":         make([]byte, 100<<20),
 	} {
-		h := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-			w.Header().Set(headerAt, "7")
-			w.Header().Set(headerHeard, "0")
+		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+			w.Header().Set(headerRevision, "7")
+			w.Header().Set(headerConfirmed, "0")
 			_, _ = w.Write(body)
 		}))
 		o := newOrigin()
 		o.put("there")
 		f := &Fleet{Self: "self"}
-		f.Seed([]netip.AddrPort{netip.MustParseAddrPort(h.Listener.Addr().String())})
+		f.Seed([]netip.AddrPort{netip.MustParseAddrPort(server.Listener.Addr().String())})
 		s := Source[int]{Name: "numbers", Origin: o, Replica: &Replica[int]{}, Fleet: f, Log: hclog.NewNullLogger()}
 		p, err := s.List(t.Context(), "", true)
 		require.NoError(t, err, name)
 		require.Len(t, p.Items, 1, name)
 		require.Equal(t, "there", p.Items[0].Name, name)
-		require.True(t, f.seeds[0].resting(lease.Boottime()), name)
-		h.Close()
+		require.True(t, f.seedPeers[0].inBackoff(lease.Boottime()), name)
+		server.Close()
 	}
 }
 
-// turned is a source that turns this process away.
-type turned struct{ *origin }
+// refusingSource is a source that refuses the watches of a process.
+type refusingSource struct{ *origin }
 
-func (turned) Watch(context.Context, feed.Revision, time.Duration) ([]feed.Change[int], feed.Revision, error) {
+func (refusingSource) Watch(context.Context, feed.Revision, time.Duration) ([]feed.Change[int], feed.Revision, error) {
 	return nil, 0, errDown
 }
 
-// Story: the source turns the relays away and serves everybody else. Relays that
-// answer from what they had would leave all others with old news.
-func TestARelayThatTheSourceTurnsAwayIsNotBelieved(t *testing.T) {
+// Guards against relays that still answer from their old copy while the source refuses only them,
+// which would leave all other processes without new changes.
+func TestProcessesWatchSourceWhileItRefusesRelays(t *testing.T) {
 	o := newOrigin()
 	all := startAll(t, o, 20, func(n int) feed.Source[int] {
-		if n < relays {
-			return turned{o}
+		if n < relayCount {
+			return refusingSource{o}
 		}
 		return o
 	})
 	began := time.Now()
-	allSee(t, all[relays:], o.put("first"), 10*time.Second)
-	require.Less(t, time.Since(began), MaxAge+directEvery)
+	requireAllSee(t, all[relayCount:], o.put("first"), 10*time.Second)
+	require.Less(t, time.Since(began), MaxAge+directInterval)
 	began = time.Now()
-	allSee(t, all[relays:], o.put("second"), 10*time.Second)
-	require.Less(t, time.Since(began), MaxAge+directEvery)
+	requireAllSee(t, all[relayCount:], o.put("second"), 10*time.Second)
+	require.Less(t, time.Since(began), MaxAge+directInterval)
 }
 
-// Story: the source is away for seconds. Each of 40 processes asked it several
-// times a second, which costs calls and keeps a source that comes back busy. Its
-// return is known to all soon.
-func TestAnOutageIsAskedAfterByFew(t *testing.T) {
+// Guards against calls of every process to an unreachable source: 40 processes that each call it
+// several times a second keep the source busy when it recovers. All processes must still receive a
+// change soon after the recovery.
+func TestProcessesCallUnreachableSourceLessThanOncePerSecond(t *testing.T) {
 	o := newOrigin()
 	all := startAll(t, o, 40)
-	allSee(t, all, o.put("first"), 10*time.Second)
+	requireAllSee(t, all, o.put("first"), 10*time.Second)
 	o.setDown(true)
 	o.put("wakes all watches")
 	time.Sleep(500 * time.Millisecond)
@@ -385,14 +385,14 @@
 	time.Sleep(2 * time.Second)
 	calls := o.calls.Load() - before
 	t.Logf("%d calls in 2 s of an outage", calls)
-	require.Less(t, calls, int64(2*40), "less than one a second and process")
+	require.Less(t, calls, int64(2*40), "less than one call per second and process")
 	o.setDown(false)
 	began := time.Now()
-	allSee(t, all, o.put("second"), 10*time.Second)
+	requireAllSee(t, all, o.put("second"), 10*time.Second)
 	require.Less(t, time.Since(began), 2*time.Second)
 }
 
-func TestTheLargestHostsOfDifferentZonesRelay(t *testing.T) {
+func TestSelectRelaysReturnsLargestHostsOfDifferentZones(t *testing.T) {
 	var all []Member
 	for n := range 30 {
 		m := Member{Name: domain.Host(fmt.Sprint("front-", n)), Zone: domain.Zone(fmt.Sprint("zone-", n%3)), Cores: 0.144, Addr: netip.MustParseAddrPort("10.0.0.1:7380")}
@@ -402,19 +402,19 @@
 		all = append(all, m)
 	}
 	chosen := SelectRelays(all, 0)
-	require.Len(t, chosen, relays)
+	require.Len(t, chosen, relayCount)
 	require.Equal(t, 0.8, chosen[0].Cores)
 	require.NotEqual(t, chosen[0].Zone, chosen[1].Zone)
 	require.Equal(t, chosen, SelectRelays(append(all[10:30:30], all[:10]...), 0), "whatever the order of the records")
-	require.Empty(t, SelectRelays(all[:DefaultMinMembers-1], 0), "few processes watch for themselves")
-	require.Len(t, SelectRelays(all[:3], 2), relays)
+	require.Empty(t, SelectRelays(all[:DefaultMinMembers-1], 0), "a few processes watch the source themselves")
+	require.Len(t, SelectRelays(all[:3], 2), relayCount)
 	for n := range all {
 		all[n].Addr = netip.AddrPort{}
 	}
-	require.Empty(t, SelectRelays(all, 0), "of an older version, or without an address for others")
+	require.Empty(t, SelectRelays(all, 0), "members of an older version, or without an address for other processes")
 }
 
-func TestABadPollIsRefused(t *testing.T) {
+func TestHandlerRefusesInvalidQuery(t *testing.T) {
 	var h Replica[int]
 	h.ApplyListPage(start, true, false, page(1))
 	for _, query := range []string{"", "?after=x&wait_ms=1", "?after=-1&wait_ms=1", "?after=1&wait_ms=-5", "?after=1"} {
@@ -424,8 +424,8 @@
 	}
 }
 
-// FuzzAnswer looks for bytes of another process that make this one end.
-func FuzzAnswer(f *testing.F) {
+// FuzzDecode checks that no answer of another process makes decode panic.
+func FuzzDecode(f *testing.F) {
 	f.Add([]byte{})
 	f.Add([]byte("text"))
 	f.Fuzz(func(t *testing.T, body []byte) {
--- a/relay/hub_test.go
+++ b/relay/replica_test.go
@@ -20,7 +20,7 @@
 
 func page(at feed.Revision) feed.Page[int] { return feed.Page[int]{Revision: at} }
 
-func TestAHubGivesWhatCameAfter(t *testing.T) {
+func TestReplicaChangesSinceReturnsNewestChangePerMember(t *testing.T) {
 	var h Replica[int]
 	h.ApplyListPage(start, true, false, page(10))
 	h.ApplyWatch(start, 10, []feed.Change[int]{put("a", 11), put("b", 12)}, 12)
@@ -28,7 +28,7 @@
 	all, at, _, err := h.ChangesSince(start, 10)
 	require.NoError(t, err)
 	require.EqualValues(t, 15, at)
-	require.ElementsMatch(t, []feed.Change[int]{put("a", 14), put("b", 12)}, all, "the newest of each")
+	require.ElementsMatch(t, []feed.Change[int]{put("a", 14), put("b", 12)}, all, "the newest change of each member")
 	all, _, next, err := h.ChangesSince(start, 15)
 	require.NoError(t, err)
 	require.Empty(t, all)
@@ -36,17 +36,17 @@
 	select {
 	case <-next:
 	default:
-		require.Fail(t, "whoever waits is told that the hub got further")
+		require.Fail(t, "the channel is not closed although the replica has a later revision")
 	}
 }
 
-// Story: a relay is cut off from the source, or its host is suspended for seconds.
-// Others that ask it would be told that nothing has changed, and go on by an old
-// configuration. It vouches for nothing that it has not heard itself lately.
-func TestAHubThatHearsNothingVouchesForNothing(t *testing.T) {
+// Guards against a relay that is cut off from the source, or whose host was suspended for seconds,
+// and that answers that nothing has changed, so that other processes continue with an old
+// configuration. A relay must answer only with a recent confirmation from the source.
+func TestReplicaWithoutRecentConfirmationReturnsErrStale(t *testing.T) {
 	var h Replica[int]
 	_, _, _, err := h.ChangesSince(start, 0)
-	require.ErrorIs(t, err, ErrStale, "nothing was ever heard")
+	require.ErrorIs(t, err, ErrStale, "the source has never answered")
 	h.ApplyListPage(start, true, true, page(10))
 	_, _, _, err = h.ChangesSince(start, 10)
 	require.ErrorIs(t, err, ErrStale, "a stale list may be seconds old")
@@ -61,13 +61,13 @@
 	require.ErrorIs(t, err, ErrStale)
 	h.ApplyRelayed(time.Time{}, 11, []feed.Change[int]{put("a", 12)}, 12)
 	_, _, _, err = h.ChangesSince(start.Add(time.Minute), 10)
-	require.ErrorIs(t, err, ErrStale, "what another relay said is not passed on as heard")
+	require.ErrorIs(t, err, ErrStale, "an answer of a relay without a time of confirmation is not fresh")
 }
 
-// Story: a process moves from one relay to another that is some milliseconds
-// behind. Told that nothing has changed after what it knows, it would miss what the
-// second one has not heard yet.
-func TestAHubThatIsBehindSaysSo(t *testing.T) {
+// A process may change from one relay to another that is some milliseconds behind. If the second
+// relay answered that nothing has changed, the process would miss the changes that the second relay
+// has not received yet.
+func TestReplicaBehindCallerReturnsErrBehind(t *testing.T) {
 	var h Replica[int]
 	h.ApplyListPage(start, true, false, page(10))
 	_, _, next, err := h.ChangesSince(start, 12)
@@ -79,9 +79,9 @@
 	require.Len(t, all, 1)
 }
 
-// Story: a relay started later than the process that asks, or missed a part of the
-// changes. It does not know what happened in between.
-func TestAHubKnowsNothingBeforeItsListOrAGap(t *testing.T) {
+// A relay that started later than the process that asks, or that has missed a part of the changes,
+// does not have all changes after the process's revision.
+func TestReplicaBeforeListOrGapReturnsErrCompacted(t *testing.T) {
 	var h Replica[int]
 	h.ApplyListPage(start, true, false, page(10))
 	_, _, _, err := h.ChangesSince(start, 9)
@@ -103,14 +103,14 @@
 	return p
 }
 
-// Guards against a list by every process where the source has forgotten its history.
-func TestAListTellsOthersWhatItChanges(t *testing.T) {
+// Guards against a list by every process after the source has dropped its history.
+func TestReplicaListIsPassedOnAsChanges(t *testing.T) {
 	var h Replica[int]
 	h.ApplyListPage(start, true, false, pageOf(10, put("a", 1), put("b", 2), put("c", 3)))
 	h.ApplyListPage(start, true, false, feed.Page[int]{Revision: 20, More: true, Items: []feed.Item[int]{put("a", 1).Item}})
 	all, at, _, err := h.ChangesSince(start, 10)
 	require.NoError(t, err)
-	require.EqualValues(t, 10, at, "the list is not whole yet")
+	require.EqualValues(t, 10, at, "the list is not complete yet")
 	require.Empty(t, all)
 	h.ApplyListPage(start, false, false, pageOf(21, put("b", 15), put("d", 16)))
 	all, at, _, err = h.ChangesSince(start, 10)
@@ -119,71 +119,71 @@
 	gone := put("c", 3)
 	gone.Deleted = true
 	require.ElementsMatch(t, []feed.Change[int]{put("b", 15), put("d", 16), gone}, all)
-	n, err := h.all(start)
+	n, err := h.snapshot(start)
 	require.NoError(t, err)
 	require.ElementsMatch(t, []feed.Change[int]{put("a", 1), put("b", 15), put("d", 16)}, n.changes)
 }
 
-// Guards against a list that is passed on with members missing, or from before a copy of
-// the source that is older than another.
-func TestOnlyAWholeCopyIsPassedOn(t *testing.T) {
+// Guards against passing on a list with missing members, or changes across a restore of the source
+// from an older snapshot.
+func TestReplicaSnapshotRequiresCompleteFreshCopy(t *testing.T) {
 	var h Replica[int]
 	h.ApplyListPage(start, true, false, pageOf(10, put("a", 1)))
 	h.ApplyWatch(start, 12, []feed.Change[int]{put("b", 13)}, 13)
-	_, err := h.all(start)
-	require.ErrorIs(t, err, ErrStale, "what came between 10 and 12 is missing")
+	_, err := h.snapshot(start)
+	require.ErrorIs(t, err, ErrStale, "the changes between 10 and 12 are missing")
 	h.ApplyListPage(start, true, false, pageOf(14, put("a", 1), put("b", 13)))
-	_, err = h.all(start)
+	_, err = h.snapshot(start)
 	require.NoError(t, err)
 	later := epoch.New(1, 5)
 	h.ApplyListPage(start, true, false, pageOf(later, put("a", epoch.New(1, 1))))
 	_, _, _, err = h.ChangesSince(start, 14)
-	require.ErrorIs(t, err, feed.ErrCompacted, "who knows the earlier copy has to list")
+	require.ErrorIs(t, err, feed.ErrCompacted, "a process with a revision of the earlier era has to list")
 	h.ApplySnapshot(time.Time{}, pageOf(later, put("a", epoch.New(1, 1))))
-	_, err = h.all(start)
-	require.ErrorIs(t, err, ErrStale, "what a relay gave that did not say when it heard it")
+	_, err = h.snapshot(start)
+	require.ErrorIs(t, err, ErrStale, "a snapshot of a relay without a time of confirmation is not fresh")
 }
 
-// Guards against a hub that grows with each member that ever was.
-func TestMembersThatAreGoneAreForgotten(t *testing.T) {
+// Guards against a replica that grows with every member that ever existed.
+func TestReplicaPrunesDeletedMembersBeyondMaxEntries(t *testing.T) {
 	var h Replica[int]
 	h.ApplyListPage(start, true, false, pageOf(1, put("a", 1)))
 	at := feed.Revision(1)
-	for range knownMost + 10 {
+	for range maxEntries + 10 {
 		c := put(fmt.Sprint("upstream-", at), at+1)
 		c.Deleted = true
 		h.ApplyWatch(start, at, []feed.Change[int]{c}, at+1)
 		at++
 	}
-	require.LessOrEqual(t, len(h.known), knownMost)
-	n, err := h.all(start)
+	require.LessOrEqual(t, len(h.entries), maxEntries)
+	n, err := h.snapshot(start)
 	require.NoError(t, err)
 	require.Len(t, n.changes, 1)
 	_, _, _, err = h.ChangesSince(start, 1)
 	require.ErrorIs(t, err, feed.ErrCompacted)
 }
 
-// world is a collection with its history, as the source has it.
-type world struct {
+// referenceSource is the source's collection with its whole history.
+type referenceSource struct {
 	at      feed.Revision
 	history []feed.Change[int]
 }
 
-func (w *world) change(t *rapid.T) {
+func (w *referenceSource) change(t *rapid.T) {
 	w.at += feed.Revision(rapid.IntRange(1, 3).Draw(t, "step"))
 	c := put(rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "name"), w.at)
 	c.Deleted = rapid.IntRange(0, 3).Draw(t, "gone") == 0
 	w.history = append(w.history, c)
 }
 
-func (w *world) state(at feed.Revision) map[string]int {
+func (w *referenceSource) state(at feed.Revision) map[string]int {
 	s := make(map[string]int)
 	apply(s, w.since(0, at))
 	return s
 }
 
-// page is the whole collection.
-func (w *world) page() feed.Page[int] {
+// page returns the whole collection as one page.
+func (w *referenceSource) page() feed.Page[int] {
 	p := feed.Page[int]{Revision: w.at}
 	for name, value := range w.state(w.at) {
 		p.Items = append(p.Items, put(name, feed.Revision(value)).Item)
@@ -191,7 +191,7 @@
 	return p
 }
 
-func (w *world) since(after, to feed.Revision) []feed.Change[int] {
+func (w *referenceSource) since(after, to feed.Revision) []feed.Change[int] {
 	var out []feed.Change[int]
 	for _, c := range w.history {
 		if c.Revision > after && c.Revision <= to {
@@ -211,41 +211,41 @@
 	}
 }
 
-// TestCopiesThroughRelaysAreTheSources drives two relays and one that asks them,
-// through restarts, losses and moves between them: whatever the copy's revision is,
-// the copy is what the source was then, and never goes back.
-func TestCopiesThroughRelaysAreTheSources(t *testing.T) {
+// Runs two relays and a process that asks them through restarts, failures of the source and changes
+// from one relay to the other. At every revision the process's copy must equal the source's state
+// at that revision, and the revision must never decrease.
+func TestCopyThroughRelaysEqualsSourceAtItsRevision(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{at: 5}
+		source := &referenceSource{at: 5}
 		now := start
-		hubs := []*Replica[int]{{}, {}}
+		replicas := []*Replica[int]{{}, {}}
 		var own Replica[int]
 		at, copied := feed.Revision(0), map[string]int{}
-		list := func() { at, copied = w.at, w.state(w.at) }
+		list := func() { at, copied = source.at, source.state(source.at) }
 		list()
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			h := hubs[rapid.IntRange(0, 1).Draw(t, "relay")]
+			h := replicas[rapid.IntRange(0, 1).Draw(t, "relay")]
 			switch rapid.IntRange(0, 8).Draw(t, "step") {
 			case 0, 1:
-				w.change(t)
+				source.change(t)
 			case 2: // the relay watches
 				if h.listed {
-					from := h.at
-					to := from + feed.Revision(rapid.IntRange(0, int(w.at-from)).Draw(t, "to"))
-					h.ApplyWatch(now, from, w.since(from, to), to)
+					from := h.revision
+					to := from + feed.Revision(rapid.IntRange(0, int(source.at-from)).Draw(t, "to"))
+					h.ApplyWatch(now, from, source.since(from, to), to)
 				}
-			case 3: // the relay starts anew
+			case 3: // the relay restarts
 				*h = Replica[int]{}
-				h.ApplyListPage(now, true, rapid.Bool().Draw(t, "stale"), w.page())
-			case 7: // the source has forgotten its history, and the relay lists anew
-				h.ApplyListPage(now, true, false, w.page())
-			case 8: // a relay gives the whole collection
-				n, err := h.all(now)
-				if err != nil || n.at < own.Revision() {
+				h.ApplyListPage(now, true, rapid.Bool().Draw(t, "stale"), source.page())
+			case 7: // the source has dropped its history, and the relay lists again
+				h.ApplyListPage(now, true, false, source.page())
+			case 8: // a relay sends the whole collection
+				n, err := h.snapshot(now)
+				if err != nil || n.revision < own.Revision() {
 					continue
 				}
-				own.ApplySnapshot(time.Time{}, pageOf(n.at, n.changes...))
-				at, copied = n.at, map[string]int{}
+				own.ApplySnapshot(time.Time{}, pageOf(n.revision, n.changes...))
+				at, copied = n.revision, map[string]int{}
 				apply(copied, n.changes)
 			case 4:
 				h.MarkSourceLost(now)
@@ -263,7 +263,7 @@
 				}
 				at = to
 			}
-			require.Equal(t, w.state(at), copied)
+			require.Equal(t, source.state(at), copied)
 		}
 	})
 }
--- a/relay/silent.go
+++ b/relay/silent.go
@@ -6,58 +6,61 @@
 )
 
 const (
-	// probeAgain is how often a process that did not answer is tried again, beside the
-	// requests: about the time in which a killed one starts again.
-	probeAgain = time.Second
-	// silentForgotten is when one that nobody asked for any more is forgotten.
-	silentForgotten = time.Minute
+	// probeInterval is how often a process that did not answer is probed, independently of
+	// requests. It is about the time in which a killed process restarts.
+	probeInterval = time.Second
+	// unusedRetention is the time since its last probe was due after which a process for which
+	// there were no more requests is removed.
+	unusedRetention = time.Minute
 )
 
-// Unresponsive are the processes that did not answer, until they do. The zero value is ready
-// to use; it must not be copied.
+// Unresponsive tracks the processes that did not answer, until they answer again. The zero value
+// is ready to use; it must not be copied.
 //
-// Failure: a large host is taken away for good, and its record stays for minutes. Tried
-// again by a request each second, it held up one in ten by the time that a call has,
-// which is most of what a plain call aims at. Here the next entry is asked at once, and
-// the lost one is tried beside the requests.
+// The record of a large host that has been removed stays for minutes. When a request tried such a
+// host again each second, one request in ten was delayed by the timeout of the call, which is most
+// of the target latency of a plain call. With Unresponsive, requests go to the next process at
+// once, and the unresponsive process is probed independently of requests.
 type Unresponsive struct {
-	mu   sync.Mutex          // a leaf
-	lost map[*Peer]time.Time // when to try again
+	mu        sync.Mutex          // leaf lock: no other lock is acquired while it is held
+	nextProbe map[*Peer]time.Time // when the next probe is due
 }
 
-// Check says whether a process is to be asked, and else whether to try it now.
-func (s *Unresponsive) Check(now time.Time, p *Peer) (ask, try bool) {
+// Check reports whether a request may ask the process, and if not, whether the caller is to probe
+// it now. It schedules the next probe.
+func (s *Unresponsive) Check(now time.Time, p *Peer) (ask, probe bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	next, lost := s.lost[p]
-	if !lost {
+	next, unresponsive := s.nextProbe[p]
+	if !unresponsive {
 		return true, false
 	}
 	if now.Before(next) {
 		return false, false
 	}
-	s.lost[p] = now.Add(probeAgain)
+	s.nextProbe[p] = now.Add(probeInterval)
 	return false, true
 }
 
-// MarkDown notes a process that did not answer.
+// MarkDown records that a process did not answer. It removes processes for which there are no more
+// requests.
 func (s *Unresponsive) MarkDown(now time.Time, p *Peer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.lost == nil {
-		s.lost = make(map[*Peer]time.Time)
+	if s.nextProbe == nil {
+		s.nextProbe = make(map[*Peer]time.Time)
 	}
-	for other, next := range s.lost {
-		if now.Sub(next) > silentForgotten {
-			delete(s.lost, other)
+	for other, next := range s.nextProbe {
+		if now.Sub(next) > unusedRetention {
+			delete(s.nextProbe, other)
 		}
 	}
-	s.lost[p] = now.Add(probeAgain)
+	s.nextProbe[p] = now.Add(probeInterval)
 }
 
-// MarkUp notes one that answers again.
+// MarkUp records that a process answers again.
 func (s *Unresponsive) MarkUp(p *Peer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.lost, p)
+	delete(s.nextProbe, p)
 }
--- a/relay/silent_test.go
+++ b/relay/silent_test.go
@@ -7,32 +7,33 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Story: the host that counts for an account is taken away for good. Each second one
-// request of each entry waited for its answer in vain, and plain calls were late by it.
-// After the first no request waits: it is tried beside them, and asked when it answers.
-func TestALostKeeperHoldsUpOneRequest(t *testing.T) {
-	var k Unresponsive
-	p, other := &Peer{}, &Peer{}
+// Guards against requests that wait for the owner of an account after its host has been removed:
+// each second one request of each entry waited until its timeout, which made plain calls late.
+// After the first failure no request may wait; the owner is probed independently of requests, and
+// asked again once it answers.
+func TestUnresponsivePeerDelaysOnlyFirstRequest(t *testing.T) {
+	var tracker Unresponsive
+	peer, other := &Peer{}, &Peer{}
 	now := time.Now()
-	ask, try := k.Check(now, p)
+	ask, probe := tracker.Check(now, peer)
 	require.True(t, ask)
-	require.False(t, try)
-	k.MarkDown(now, p)
-	tries := 0
+	require.False(t, probe)
+	tracker.MarkDown(now, peer)
+	probes := 0
 	for at := time.Duration(0); at < 20*time.Second; at += 50 * time.Millisecond {
-		ask, try := k.Check(now.Add(at), p)
+		ask, probe := tracker.Check(now.Add(at), peer)
 		require.False(t, ask)
-		if try {
-			tries++
+		if probe {
+			probes++
 		}
 	}
-	require.InDelta(t, 19, tries, 1)
-	ask, _ = k.Check(now, other)
-	require.True(t, ask, "the others are asked")
-	k.MarkUp(p)
-	ask, _ = k.Check(now.Add(21*time.Second), p)
+	require.InDelta(t, 19, probes, 1)
+	ask, _ = tracker.Check(now, other)
+	require.True(t, ask, "other processes are asked")
+	tracker.MarkUp(peer)
+	ask, _ = tracker.Check(now.Add(21*time.Second), peer)
 	require.True(t, ask)
-	k.MarkDown(now, p)
-	k.MarkDown(now.Add(2*silentForgotten), other)
-	require.Len(t, k.lost, 1, "what nobody asks for any more is forgotten")
+	tracker.MarkDown(now, peer)
+	tracker.MarkDown(now.Add(2*unusedRetention), other)
+	require.Len(t, tracker.nextProbe, 1, "a process without further requests is removed")
 }
--- a/relay/spread_test.go
+++ b/relay/spread_test.go
@@ -23,14 +23,14 @@
 	"jacinthworks/send"
 )
 
-// spread is a fleet on one source in virtual time: calls between processes take time, get
-// lost, and are refused or swallowed by processes that are down.
-type spread struct {
+// simFleet is a fleet on one source in virtual time. Calls between processes take time, some are
+// never answered, and calls to processes that are down are refused.
+type simFleet struct {
 	*origin
-	// lost is the part of the calls between processes that are never answered.
-	lost float64
-	all  []*spreader
-	// watches counts calls to the source by processes that do not relay.
+	// lossRate is the fraction of the calls between processes that are never answered.
+	lossRate float64
+	all      []*simProcess
+	// watches counts the watches of the source by processes that are not relays.
 	watches atomic.Int64
 
 	ended  sync.WaitGroup
@@ -38,39 +38,39 @@
 	random *rand.Rand
 }
 
-// spreader is one process of the fleet.
-type spreader struct {
-	member Member
-	hub    Replica[int]
-	fleet  Fleet
-	seen   atomic.Uint64
-	// calls and bytes are what it answered to others.
+// simProcess is one process of the fleet.
+type simProcess struct {
+	member  Member
+	replica Replica[int]
+	fleet   Fleet
+	seen    atomic.Uint64
+	// calls and bytes count its answers to other processes.
 	calls, bytes atomic.Int64
 	down         atomic.Bool
 }
 
-// The times of a call in one direction.
+// Delay of a call in one direction, and the maximum of the random delay that is added.
 const (
-	spreadDelay  = 500 * time.Microsecond
-	spreadJitter = 2 * time.Millisecond
+	callDelay  = 500 * time.Microsecond
+	callJitter = 2 * time.Millisecond
 )
 
-func (s *spread) draw() float64 {
+func (s *simFleet) draw() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.random.Float64()
 }
 
-// call answers a call at a process.
-func (s *spread) call(to *spreader) func(context.Context, send.Request) (*answered, error) {
-	handler := Handler(&to.hub)
-	return func(ctx context.Context, r send.Request) (*answered, error) {
-		delay := func() { time.Sleep(spreadDelay + time.Duration(s.draw()*float64(spreadJitter))) }
+// callTo returns the function that makes calls to a process.
+func (s *simFleet) callTo(to *simProcess) func(context.Context, send.Request) (*response, error) {
+	handler := Handler(&to.replica)
+	return func(ctx context.Context, r send.Request) (*response, error) {
+		delay := func() { time.Sleep(callDelay + time.Duration(s.draw()*float64(callJitter))) }
 		delay()
 		if to.down.Load() {
 			return nil, syscall.ECONNREFUSED
 		}
-		if s.draw() < s.lost {
+		if s.draw() < s.lossRate {
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}
@@ -79,23 +79,23 @@
 		to.calls.Add(1)
 		to.bytes.Add(int64(w.Body.Len()))
 		delay()
-		return &answered{w.Code, w.Header(), w.Body.Bytes()}, ctx.Err()
+		return &response{w.Code, w.Header(), w.Body.Bytes()}, ctx.Err()
 	}
 }
 
-// others is the source as processes see it that do not relay; it counts their watches.
-type others struct{ *spread }
+// nonRelaySource is the source of processes that are not relays; it counts their watches.
+type nonRelaySource struct{ *simFleet }
 
-func (o others) Watch(ctx context.Context, after feed.Revision, wait time.Duration) ([]feed.Change[int], feed.Revision, error) {
+func (o nonRelaySource) Watch(ctx context.Context, after feed.Revision, wait time.Duration) ([]feed.Change[int], feed.Revision, error) {
 	o.watches.Add(1)
 	return o.origin.Watch(ctx, after, wait)
 }
 
-// begin starts so many processes in five availability zones, until ctx ends.
-func begin(ctx context.Context, seed uint64, n int, lost float64) *spread {
-	s := &spread{origin: newOrigin(), lost: lost, random: rand.New(rand.NewPCG(seed, 1))}
+// startSim starts n processes in five availability zones, until ctx ends.
+func startSim(ctx context.Context, seed uint64, n int, lossRate float64) *simFleet {
+	s := &simFleet{origin: newOrigin(), lossRate: lossRate, random: rand.New(rand.NewPCG(seed, 1))}
 	var members []Member
-	byName := make(map[domain.Host]*spreader)
+	byName := make(map[domain.Host]*simProcess)
 	for i := range n {
 		m := Member{
 			Name: domain.Host(fmt.Sprintf("front-%d", i)), Zone: domain.Zone(fmt.Sprint("zone-", i%5)), Cores: 0.144,
@@ -104,17 +104,17 @@
 		if i%7 == 0 {
 			m.Cores = 0.8
 		}
-		p := &spreader{member: m}
+		p := &simProcess{member: m}
 		s.all, byName[m.Name] = append(s.all, p), p
 		members = append(members, m)
 	}
 	for _, p := range s.all {
 		p.fleet.Self = p.member.Name
-		p.fleet.connect = func(to *Peer) { to.call = s.call(byName[to.Name]) }
+		p.fleet.onNewPeer = func(to *Peer) { to.call = s.callTo(byName[to.Name]) }
 		p.fleet.SetMembers(members, true)
-		source := Source[int]{Name: "numbers", Origin: s, Replica: &p.hub, Fleet: &p.fleet, Log: hclog.NewNullLogger()}
-		if !p.fleet.plan(boottime()).self {
-			source.Origin = others{s}
+		source := Source[int]{Name: "numbers", Origin: s, Replica: &p.replica, Fleet: &p.fleet, Log: hclog.NewNullLogger()}
+		if !p.fleet.plan(boottime()).isRelay {
+			source.Origin = nonRelaySource{s}
 		}
 		f := feed.Feed[int]{
 			Name: "numbers", Log: hclog.NewNullLogger(), Wait: 10 * time.Second, Source: source,
@@ -129,13 +129,14 @@
 				}
 			},
 		}
-		s.ended.Go(func() { _ = f.Run(ctx) }) // it gives no error
+		s.ended.Go(func() { _ = f.Run(ctx) }) // Run returns no error
 	}
 	return s
 }
 
-// reach gives the time until all processes that are up have seen a revision.
-func (s *spread) reach(at feed.Revision, within time.Duration) (time.Duration, bool) {
+// awaitSeen returns the time until all processes that are up have seen a revision, and reports
+// whether they have within the limit.
+func (s *simFleet) awaitSeen(at feed.Revision, within time.Duration) (time.Duration, bool) {
 	began := time.Now()
 	for time.Since(began) <= within {
 		missing := false
@@ -150,44 +151,45 @@
 	return within, false
 }
 
-// busiest gives the most calls and bytes that one process answered.
-func (s *spread) busiest() (calls, bytes int64) {
+// busiest returns the largest number of calls and of bytes that one process has answered.
+func (s *simFleet) busiest() (calls, bytes int64) {
 	for _, p := range s.all {
 		calls, bytes = max(calls, p.calls.Load()), max(bytes, p.bytes.Load())
 	}
 	return calls, bytes
 }
 
-// inSpread runs a fleet in virtual time.
-func inSpread(t *testing.T, n int, lost float64, fn func(*spread)) {
+// simulate runs fn with a fleet in virtual time, after all processes have seen a first change.
+func simulate(t *testing.T, n int, lossRate float64, fn func(*simFleet)) {
 	synctest.Test(t, func(t *testing.T) {
-		real := boottime
+		original := boottime
 		boottime = time.Now
-		defer func() { boottime = real }()
+		defer func() { boottime = original }()
 		ctx, stop := context.WithCancel(t.Context())
-		s := begin(ctx, 7, n, lost)
+		s := startSim(ctx, 7, n, lossRate)
 		first := s.put("first")
-		_, ok := s.reach(first, 10*time.Second)
+		_, ok := s.awaitSeen(first, 10*time.Second)
 		require.True(t, ok)
 		time.Sleep(3 * time.Second)
 		fn(s)
 		stop()
 		s.ended.Wait()
-		time.Sleep(time.Second) // calls that were given up
+		time.Sleep(time.Second) // canceled calls end
 	})
 }
 
-var spreadMost = flag.Int("spread", 300, "processes of the largest fleet whose news are played")
+var maxSimProcesses = flag.Int("spread", 300, "processes of the largest simulated fleet")
 
-// Guards against news that take longer, or busy one process more, the larger the fleet is.
-func TestNewsReachALargeFleetThroughFewCalls(t *testing.T) {
-	for _, n := range []int{4, 24, *spreadMost} {
-		inSpread(t, n, 0, func(s *spread) {
+// Guards against changes that take longer to arrive, or load a single process more, the larger the
+// fleet is.
+func TestChangesReachLargeFleetThroughFewCalls(t *testing.T) {
+	for _, n := range []int{4, 24, *maxSimProcesses} {
+		simulate(t, n, 0, func(s *simFleet) {
 			calls, _ := s.busiest()
 			before := s.calls.Load()
 			var longest time.Duration
 			for i := range 20 {
-				took, ok := s.reach(s.put(fmt.Sprint("change-", i)), 10*time.Second)
+				took, ok := s.awaitSeen(s.put(fmt.Sprint("change-", i)), 10*time.Second)
 				require.True(t, ok)
 				longest = max(longest, took)
 				time.Sleep(500 * time.Millisecond)
@@ -197,68 +199,68 @@
 			require.Less(t, longest, time.Second)
 			if n >= DefaultMinMembers {
 				require.Zero(t, s.watches.Load(), "%d processes", n)
-				require.Less(t, s.calls.Load()-before, int64(4*20*relays))
+				require.Less(t, s.calls.Load()-before, int64(4*20*relayCount))
 				require.Less(t, after-calls, int64(2*DefaultFanOut*40), "%d processes", n)
 			}
 		})
 	}
 }
 
-// Guards against a watch of the source by each process where all relays are killed at
-// once: those between them and the rest ask it.
-func TestWithoutRelaysFewAskTheSource(t *testing.T) {
-	inSpread(t, 300, 0, func(s *spread) {
+// Guards against a watch of the source by each process after all relays have been killed at once.
+// Only the intermediate processes may watch it.
+func TestOnlyIntermediatesWatchSourceAfterAllRelaysAreDown(t *testing.T) {
+	simulate(t, 300, 0, func(s *simFleet) {
 		for _, p := range s.all {
-			if p.fleet.relay {
+			if p.fleet.isRelay {
 				p.down.Store(true)
 			}
 		}
-		_, ok := s.reach(s.put("first"), 5*time.Second)
+		_, ok := s.awaitSeen(s.put("first"), 5*time.Second)
 		require.True(t, ok)
 		before := s.watches.Load()
 		time.Sleep(10 * time.Second)
-		took, ok := s.reach(s.put("second"), 5*time.Second)
+		took, ok := s.awaitSeen(s.put("second"), 5*time.Second)
 		require.True(t, ok)
 		calls := s.watches.Load() - before
 		t.Logf("%d calls of 298 processes in 10 s, a change after %v", calls, took)
-		require.Less(t, calls, int64(200), "five processes stand between, and ask once a second")
+		require.Less(t, calls, int64(200), "five intermediate processes ask once a second")
 	})
 }
 
-// Guards against news that do not arrive where one call in fifty between processes is
-// never answered.
-func TestNewsArriveThoughCallsAreLost(t *testing.T) {
+// Guards against changes that do not arrive if one call in fifty between processes is never
+// answered.
+func TestChangesArriveWithLostCalls(t *testing.T) {
 	for _, n := range []int{24, 300} {
-		inSpread(t, n, 0.02, func(s *spread) {
+		simulate(t, n, 0.02, func(s *simFleet) {
 			for i := range 10 {
-				took, ok := s.reach(s.put(fmt.Sprint("change-", i)), 10*time.Second)
+				took, ok := s.awaitSeen(s.put(fmt.Sprint("change-", i)), 10*time.Second)
 				require.True(t, ok)
-				require.Less(t, took, 2*(PollTimeout+2*pollPatience)+time.Second)
+				require.Less(t, took, 2*(PollTimeout+2*pollGrace)+time.Second)
 				time.Sleep(200 * time.Millisecond)
 			}
 		})
 	}
 }
 
-// Guards against old news that are passed on as fresh by a process that was suspended
-// before it read them, and against a process that has heard of the future.
-func TestNewsAreAsOldAsTheyWereWhenAsked(t *testing.T) {
+// Guards against old changes that a process passes on as fresh after it was suspended before it
+// read them, and against answers with a confirmation time in the future.
+func TestPollCountsConfirmationTimeFromCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		real := boottime
+		original := boottime
 		boottime = time.Now
-		defer func() { boottime = real }()
-		heard := "100"
-		p := &Peer{call: func(context.Context, send.Request) (*answered, error) {
-			time.Sleep(8 * time.Second) // its context has ended; what is there is read all the same
-			return &answered{http.StatusNoContent, http.Header{headerAt: {"7"}, headerHeard: {heard}}, nil}, nil
+		defer func() { boottime = original }()
+		confirmed := "100"
+		p := &Peer{call: func(context.Context, send.Request) (*response, error) {
+			time.Sleep(8 * time.Second) // the context has ended, but the response is still read
+			return &response{http.StatusNoContent, http.Header{headerRevision: {"7"}, headerConfirmed: {confirmed}}, nil}, nil
 		}}
-		began := time.Now()
-		told, err := poll[int](t.Context(), p, "numbers", 7, PollTimeout)
+		start := time.Now()
+		answer, err := poll[int](t.Context(), p, "numbers", 7, PollTimeout)
 		require.NoError(t, err)
-		require.Equal(t, began.Add(100*time.Millisecond), told.heard)
-		for _, heard = range []string{"9000", "", "soon", "1e3"} {
+		require.Equal(t, start.Add(100*time.Millisecond), answer.confirmedAt)
+		for _, confirmed = range []string{"9000", "", "soon", "1e3"} {
 			_, err = poll[int](t.Context(), p, "numbers", 7, PollTimeout)
-			require.Error(t, err, heard)
+			require.Error(t, err, confirmed)
 		}
 	})
 }
