--- a/table/codec.go
+++ b/table/codec.go
@@ -20,7 +20,7 @@
 	Edits   []AppliedEdit `json:"edits,omitempty"`
 }
 
-// MarshalJSON writes version, rows and the edits remembered.
+// MarshalJSON writes the version, the rows and the history of applied edits.
 func (t Table) MarshalJSON() ([]byte, error) {
 	rows := t.rows
 	if rows == nil {
@@ -29,8 +29,8 @@
 	return json.Marshal(stored{Version: t.version, Rows: rows, Edits: t.edits})
 }
 
-// UnmarshalJSON reads what MarshalJSON writes. It does not check the rows:
-// a host must take over what the platform holds, also when a later release
+// UnmarshalJSON reads the output of MarshalJSON. It does not check the rows: a
+// host must accept the table that the platform stores even if a later release
 // with wider bounds wrote it.
 func (t *Table) UnmarshalJSON(text []byte) error {
 	var s stored
@@ -43,22 +43,22 @@
 	return nil
 }
 
-// Encode gives the stored form.
+// Encode returns the stored form.
 func (t Table) Encode() ([]byte, error) {
 	text, err := json.Marshal(t)
 	return text, errors.Wrap(err, "table: encoding")
 }
 
-// Decode reads the stored form, without checking the rows.
+// Decode reads the stored form without checking the rows.
 func Decode(text []byte) (Table, error) {
 	var t Table
 	err := json.Unmarshal(text, &t)
 	return t, errors.Wrap(err, "table: decoding")
 }
 
-// DecodeRows reads rows that a person wrote as JSON: a list of rows, or an
-// object with "rows" as MarshalJSON writes it. The error is a *Rejection with
-// all findings.
+// DecodeRows reads rows written by an operator as JSON: an array of rows, or an
+// object with the member "rows" as MarshalJSON writes it. The error is a
+// *Rejection with all findings.
 func DecodeRows(text []byte) (Table, error) {
 	var whole struct {
 		Version Version            `json:"version"`
@@ -73,22 +73,22 @@
 		target = &whole.Rows
 	}
 	if err := d.Decode(target); err != nil {
-		return Table{}, reject(check.Findings{{Location: jsonPlace(trimmed, err), Problem: "not JSON rows: " + err.Error()}})
+		return Table{}, reject(check.Findings{{Location: jsonLocation(trimmed, err), Problem: "not JSON rows: " + err.Error()}})
 	}
 	var found check.Findings
 	rows := make([]Row, len(whole.Rows))
 	for i, cells := range whole.Rows {
 		rows[i] = readCells(i, cells, &found)
 	}
-	found = append(found, checkRows(rows, func(i int) string { return rowPlace(i, rows[i]) })...)
+	found = append(found, checkRows(rows, func(i int) string { return rowLocation(i, rows[i]) })...)
 	if len(found) > 0 {
 		return Table{}, reject(found)
 	}
 	return New(whole.Version, rows), nil
 }
 
-// jsonPlace gives the line on which JSON ends to be readable.
-func jsonPlace(text []byte, err error) string {
+// jsonLocation returns the line at which decoding failed.
+func jsonLocation(text []byte, err error) string {
 	read := len(text)
 	var syntax *json.SyntaxError
 	var kind *json.UnmarshalTypeError
@@ -101,7 +101,7 @@
 	return fmt.Sprintf("line %d", 1+bytes.Count(text[:read], []byte("\n")))
 }
 
-// readCells reads a row cell by cell, so that each wrong one is found.
+// readCells reads a row cell by cell and adds a finding for each invalid cell.
 func readCells(i int, cells map[Column]Value, found *check.Findings) Row {
 	var r Row
 	for _, c := range columns {
@@ -110,12 +110,12 @@
 			continue
 		}
 		if err := c.set(&r, strings.TrimSpace(string(v))); err != nil {
-			found.Add(rowPlace(i, r)+" "+string(c.name), "%s", err)
+			found.Add(rowLocation(i, r)+" "+string(c.name), "%s", err)
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(cells)) {
-		if _, ok := columnNamed(name); !ok {
-			found.Add(rowPlace(i, r)+" "+string(name), "there is no such column")
+		if _, ok := findColumn(name); !ok {
+			found.Add(rowLocation(i, r)+" "+string(name), "there is no such column")
 		}
 	}
 	return r
--- a/table/column.go
+++ b/table/column.go
@@ -13,16 +13,16 @@
 // Column names a column of the table, as in JSON and in the CSV header.
 type Column string
 
-// The columns that name a row.
+// The key columns, and the team.
 const (
 	ColumnService Column = "service"
 	ColumnZone    Column = "zone"
 	ColumnKind    Column = "kind"
-	// ColumnTeam decides who may edit the row.
+	// ColumnTeam names the team whose operators may edit the row.
 	ColumnTeam Column = "team"
 )
 
-// column reads and writes one cell as text.
+// column formats and parses one cell of a row as text.
 type column struct {
 	name Column
 	get  func(Row) string
@@ -48,7 +48,7 @@
 	number("wasted_prefill_weight", func(r *Row) *int { return &r.WastedPrefillWeight }),
 }
 
-// Columns gives the names of all columns in the order of the CSV header.
+// Columns returns the names of all columns in the order of the CSV header.
 func Columns() []Column {
 	names := make([]Column, len(columns))
 	for i, c := range columns {
@@ -57,7 +57,7 @@
 	return names
 }
 
-func columnNamed(name Column) (column, bool) {
+func findColumn(name Column) (column, bool) {
 	i := slices.IndexFunc(columns, func(c column) bool { return c.name == name })
 	if i < 0 {
 		return column{}, false
--- a/table/csv.go
+++ b/table/csv.go
@@ -13,7 +13,7 @@
 	"jacinthworks/check"
 )
 
-// EncodeCSV gives a header and one record a row.
+// EncodeCSV returns a header followed by one record per row.
 func (t Table) EncodeCSV() ([]byte, error) {
 	var b bytes.Buffer
 	w := csv.NewWriter(&b)
@@ -33,8 +33,8 @@
 	return b.Bytes(), errors.Wrap(err, "table: encoding CSV")
 }
 
-// DecodeCSV reads a whole table: each column must stand in the header, in any
-// order. The error is a *Rejection; its places give line and column.
+// DecodeCSV reads a whole table: the header must contain every column, in any
+// order. The error is a *Rejection; its findings are located by line and column.
 func DecodeCSV(text []byte) (Table, error) {
 	s, found := readSheet(text)
 	for _, c := range columns {
@@ -45,7 +45,7 @@
 	rows := make([]Row, len(s.records))
 	for i, record := range s.records {
 		for j, v := range record.values {
-			col, _ := columnNamed(s.header[j])
+			col, _ := findColumn(s.header[j])
 			if err := col.set(&rows[i], strings.TrimSpace(v)); err != nil {
 				found.Add(record.place(rows[i].Key(), s.header[j]), "%s", err)
 			}
@@ -60,8 +60,8 @@
 	return New(0, rows), nil
 }
 
-// DecodeChangesCSV reads an edit's changes: the three columns of the key and any
-// others. Each record is an OpPut; rows are not removed this way.
+// DecodeChangesCSV reads the changes of an edit: the three key columns and any
+// other columns. Each record becomes an OpPut; rows cannot be removed this way.
 func DecodeChangesCSV(text []byte) ([]Change, error) {
 	s, found := readSheet(text)
 	for _, c := range []Column{ColumnService, ColumnZone, ColumnKind} {
@@ -78,8 +78,8 @@
 		c := Change{Op: OpPut}
 		for j, v := range record.values {
 			if isKeyColumn(s.header[j]) {
-				col, _ := columnNamed(s.header[j])
-				_ = col.set(&r, strings.TrimSpace(v)) // a text takes any value
+				col, _ := findColumn(s.header[j])
+				_ = col.set(&r, strings.TrimSpace(v)) // the setter of a text column returns no error
 				continue
 			}
 			c.Cells = append(c.Cells, Cell{Column: s.header[j], Value: Value(v)})
@@ -90,7 +90,7 @@
 	return changes, nil
 }
 
-// sheet is a CSV text with a header of known columns.
+// sheet is a parsed CSV text whose header contains known columns only.
 type sheet struct {
 	header  []Column
 	records []record
@@ -107,7 +107,8 @@
 	return slices.Contains(s.header, name)
 }
 
-// readSheet reads all records it can. Records come only with a good header.
+// readSheet parses all readable records. It returns no records if the header is
+// invalid.
 func readSheet(text []byte) (sheet, check.Findings) {
 	var s sheet
 	var found check.Findings
@@ -121,7 +122,7 @@
 	}
 	for _, h := range header {
 		c := Column(strings.TrimSpace(strings.TrimPrefix(h, "\ufeff")))
-		if _, ok := columnNamed(c); !ok {
+		if _, ok := findColumn(c); !ok {
 			found.Add("line 1 "+string(c), "there is no such column")
 		}
 		if s.has(c) {
--- a/table/diff.go
+++ b/table/diff.go
@@ -5,11 +5,11 @@
 	"strings"
 )
 
-// Changes is a list of changes that prints one cell a line.
+// Changes is a list of changes that prints one cell per line.
 type Changes []Change
 
-// Diff gives the changes that lead from the rows of a to those of b, in the
-// order of their keys.
+// Diff returns the changes that turn the rows of a into the rows of b: removals
+// first, then additions and changed cells, each in the order of the row keys.
 func Diff(a, b Table) Changes {
 	var changes Changes
 	for _, r := range a.rows {
@@ -33,15 +33,15 @@
 func differingCells(a, b Row) []Cell {
 	var cells []Cell
 	for _, c := range columns {
-		was, is := c.get(a), c.get(b)
-		if was != is {
-			cells = append(cells, Cell{Column: c.name, Value: Value(is), Previous: Value(was)})
+		before, after := c.get(a), c.get(b)
+		if before != after {
+			cells = append(cells, Cell{Column: c.name, Value: Value(after), Previous: Value(before)})
 		}
 	}
 	return cells
 }
 
-// String gives a line for each row added or removed and for each cell set:
+// String returns a line for each row added or removed and for each cell set:
 //
 //	= appraiser-lm/salt-lake/appraisal weight: 1 -> 2
 //	+ appraiser-lm/howrah/appraisal team=appraisal weight=1 ...
--- a/table/edit.go
+++ b/table/edit.go
@@ -11,43 +11,44 @@
 	"jacinthworks/check"
 )
 
-// EditID names one edit, chosen by whoever sends it and kept through retries.
+// EditID identifies one edit. The sender chooses it and reuses it in retries.
 type EditID string
 
-// HistoryLimit is how many applied edits a stored table remembers. A lost
-// answer is settled as long as fewer edits than this came after it; at 128
-// they take about 10 KiB of the 1 MiB value.
+// HistoryLimit is the number of applied edits that a stored table lists. The
+// outcome of an edit whose response was lost can be determined as long as fewer
+// edits than this were applied after it; 128 edits take about 10 KiB of the
+// 1 MiB value.
 const HistoryLimit = 128
 
-// AppliedEdit is an edit that a table contains.
+// AppliedEdit is an entry of the table's edit history.
 type AppliedEdit struct {
 	ID       EditID `json:"id"`
 	Operator string `json:"operator"`
-	// Checksum is the edit's checksum.
+	// Checksum is the result of Edit.Checksum.
 	Checksum string `json:"sum"`
 	// Base is the version that the edit was applied to.
 	Base Version `json:"base"`
 }
 
-// Op says what a change does to its row.
+// Op is the operation of a change on its row.
 type Op string
 
 // The operations.
 const (
-	// OpSet changes cells of a row that must exist.
+	// OpSet changes cells of an existing row.
 	OpSet Op = "set"
-	// OpAdd makes a row that must not exist.
+	// OpAdd creates a row; it is an error if the row exists.
 	OpAdd Op = "add"
-	// OpPut changes cells of a row and makes it where it does not exist.
+	// OpPut changes cells of a row, and creates the row if it does not exist.
 	OpPut Op = "put"
-	// OpRemove takes a row away that must exist.
+	// OpRemove removes an existing row.
 	OpRemove Op = "remove"
 )
 
-// Value is a cell as text. JSON may give it as text, number or boolean.
+// Value is a cell as text. In JSON it may be a string, number or boolean.
 type Value string
 
-// UnmarshalJSON reads a text, number or boolean.
+// UnmarshalJSON reads a string, number or boolean.
 func (v *Value) UnmarshalJSON(b []byte) error {
 	if len(b) > 0 && b[0] != '"' && b[0] != '{' && b[0] != '[' && string(b) != "null" {
 		*v = Value(b)
@@ -60,23 +61,23 @@
 type Cell struct {
 	Column Column `json:"column"`
 	Value  Value  `json:"value"`
-	// Previous is the value before, as found by Diff.
+	// Previous is the cell's value before the change. Only Diff sets it.
 	Previous Value `json:"was,omitempty"`
 }
 
-// Change is what an edit does to one row.
+// Change is the part of an edit that concerns one row.
 type Change struct {
 	Op Op `json:"op"`
 	Key
-	// Cells are the new values; in a new row those left out are zero, for
-	// OpRemove there are none.
+	// Cells are the new values. In a new row the omitted cells are zero; a
+	// change with OpRemove has no cells.
 	Cells []Cell `json:"cells,omitempty"`
 }
 
-// Set changes cells of a row that exists.
+// Set returns a change that sets cells of an existing row.
 func Set(k Key, cells ...Cell) Change { return Change{Op: OpSet, Key: k, Cells: cells} }
 
-// Add makes a new row.
+// Add returns a change that creates the row with all its cells.
 func Add(r Row) Change {
 	c := Change{Op: OpAdd, Key: r.Key()}
 	for _, col := range columns {
@@ -87,46 +88,46 @@
 	return c
 }
 
-// Remove takes a row away.
+// Remove returns a change that removes an existing row.
 func Remove(k Key) Change { return Change{Op: OpRemove, Key: k} }
 
-// Edit is a group of changes that takes effect whole or not at all.
+// Edit is a group of changes that is applied atomically.
 type Edit struct {
 	ID      EditID   `json:"id"`
 	Changes []Change `json:"changes"`
 }
 
-// Operator is who edits.
+// Operator is the author of an edit.
 type Operator struct {
 	Name string
-	// Teams are those whose rows the operator may edit.
+	// Teams are the teams whose rows the operator may edit.
 	Teams []string
 }
 
-// Cause says why an edit or a table is rejected.
+// Cause is the reason why an edit or a table was rejected.
 type Cause string
 
 // The causes.
 const (
-	// CauseFindings: what was given is wrong in itself.
+	// CauseFindings: the edit or table has invalid content.
 	CauseFindings Cause = "findings"
-	// CauseForbidden: some rows belong to other teams.
+	// CauseForbidden: some rows belong to teams that the operator isn't in.
 	CauseForbidden Cause = "forbidden"
 )
 
-// Rejection is the error of an edit or a table that was not taken.
+// Rejection is the error for an edit or a table that is invalid or forbidden.
 type Rejection struct {
 	Cause    Cause
 	Findings check.Findings
 }
 
-// Error gives the cause and each finding on a line.
+// Error returns the cause, and each finding on a line of its own.
 func (r *Rejection) Error() string {
 	return fmt.Sprintf("table: rejected (%s)\n%s", r.Cause, r.Findings.Error())
 }
 
-// Checksum gives a checksum of the changes. It tells an edit that is sent again
-// from another edit under the same id.
+// Checksum returns a checksum of the changes. It distinguishes a retry of an edit
+// from a different edit under the same id. Previous values are not included.
 func (e Edit) Checksum() string {
 	h := fnv.New64a()
 	for _, c := range e.Changes {
@@ -138,7 +139,7 @@
 	return strconv.FormatUint(h.Sum64(), 16)
 }
 
-// FindEdit finds an edit among those that the table remembers.
+// FindEdit returns the edit with the given id from the table's history.
 func (t Table) FindEdit(id EditID) (AppliedEdit, bool) {
 	i := slices.IndexFunc(t.edits, func(a AppliedEdit) bool { return a.ID == id })
 	if i < 0 {
@@ -147,17 +148,19 @@
 	return t.edits[i], true
 }
 
-// HistoryCovers reports whether the table knows every edit that was applied to
-// the given version or later, so that one it does not contain never was.
+// HistoryCovers reports whether the history lists every edit that was applied to
+// the given version or a later one. If so, an edit that was written for that
+// version and that the history does not list was never applied.
 func (t Table) HistoryCovers(since Version) bool {
 	return len(t.edits) < HistoryLimit || t.edits[0].Base <= since
 }
 
-// Edits gives the edits that the table remembers, oldest first.
+// Edits returns a copy of the history of applied edits, oldest first.
 func (t Table) Edits() []AppliedEdit { return slices.Clone(t.edits) }
 
-// Apply gives the table with the edit applied, or a *Rejection with every
-// wrong cell. The version stays; the platform gives the new one.
+// Apply returns the table with the edit applied, or a *Rejection with a finding
+// for every invalid cell. The version is unchanged; the platform assigns the new
+// version.
 func (t Table) Apply(e Edit, by Operator) (Table, error) {
 	a := applier{rows: t.Rows(), by: by}
 	a.checkEdit(e)
@@ -179,7 +182,7 @@
 	return next, nil
 }
 
-// applier changes a copy of the rows and goes on after each finding.
+// applier applies changes to a copy of the rows and continues after a finding.
 type applier struct {
 	rows      []Row
 	by        Operator
@@ -220,14 +223,14 @@
 func (a *applier) add(at string, c Change) {
 	r := Row{Service: c.Service, Zone: c.Zone, Kind: c.Kind}
 	a.set(at, &r, c.Cells)
-	// An empty team is nobody's; the check of the whole table finds it.
+	// An empty team has no members; Table.Check adds the finding for it.
 	if r.Team == "" || a.owns(at, r.Team) {
 		a.rows = append(a.rows, r)
 	}
 }
 
-// set writes the cells into the row, those that can be read, so that the
-// check of the whole table finds what else is wrong with them.
+// set writes every parsable cell into the row, so that Table.Check finds the
+// values that are out of bounds.
 func (a *applier) set(at string, r *Row, cells []Cell) {
 	if len(cells) == 0 {
 		a.found.Add(at+" cells", "is empty")
@@ -235,7 +238,7 @@
 	seen := make(map[Column]bool)
 	for _, c := range cells {
 		place := at + " " + string(c.Column)
-		col, ok := columnNamed(c.Column)
+		col, ok := findColumn(c.Column)
 		switch {
 		case !ok:
 			a.found.Add(place, "there is no such column")
@@ -256,9 +259,9 @@
 	}
 }
 
-// owns reports whether the operator may edit rows of the team, and notes a
-// finding if not. A row can't be given to a team that the operator isn't in:
-// it would be out of reach of both its makers and this edit's undoing.
+// owns reports whether the operator may edit rows of the team, and adds a finding
+// if not. An operator cannot assign a row to a team that they aren't in: they
+// could not undo that edit, nor could the row's former team edit the row.
 func (a *applier) owns(at, team string) bool {
 	if slices.Contains(a.by.Teams, team) {
 		return true
--- a/table/edit_test.go
+++ b/table/edit_test.go
@@ -10,21 +10,21 @@
 
 var appraisal = sample(AnyZone, "appraisal").Key()
 
-// badEdits names each way to get an edit wrong and every finding it must give.
+// badEdits lists invalid edits with the findings that each must produce.
 var badEdits = []struct {
 	name     string
 	cause    Cause
 	edit     Edit
 	findings []string
 }{
-	{"nothing in it", CauseFindings, Edit{}, []string{
+	{"empty edit", CauseFindings, Edit{}, []string{
 		`id: must be 1 to 63 of letters, digits, dot, - and _: ""`, "changes: is empty"}},
 	{"three wrong cells", CauseFindings, Edit{ID: "e", Changes: []Change{Set(appraisal,
 		Cell{Column: "weight", Value: "many"}, Cell{Column: "priority", Value: "12"}, Cell{Column: "deadline", Value: "-1s"})}}, []string{
 		`change 1 appraiser-lm/*/appraisal weight: not a whole number: "many"`,
 		"row 1 appraiser-lm/*/appraisal priority: must be 0 to 9, not 12",
 		"row 1 appraiser-lm/*/appraisal deadline: must be above 0s and at most 24h0m0s, not -1s"}},
-	{"cells that can't be read", CauseFindings, Edit{ID: "e", Changes: []Change{Set(appraisal,
+	{"unparsable cells", CauseFindings, Edit{ID: "e", Changes: []Change{Set(appraisal,
 		Cell{Column: "idempotent", Value: "perhaps"}, Cell{Column: "caller_rate", Value: "fast"},
 		Cell{Column: "token_gap", Value: "5"}, Cell{Column: "colour", Value: "red"}, Cell{Column: "zone", Value: "x"},
 		Cell{Column: "weight", Value: "1"}, Cell{Column: "weight", Value: "2"})}}, []string{
@@ -34,21 +34,21 @@
 		"change 1 appraiser-lm/*/appraisal colour: there is no such column",
 		"change 1 appraiser-lm/*/appraisal zone: names the row: remove the row and add another",
 		"change 1 appraiser-lm/*/appraisal weight: is given twice"}},
-	{"bounds", CauseFindings, Edit{ID: "e", Changes: []Change{Set(appraisal,
+	{"cells out of bounds", CauseFindings, Edit{ID: "e", Changes: []Change{Set(appraisal,
 		Cell{Column: "in_flight", Value: "0"}, Cell{Column: "caller_rate", Value: "NaN"},
 		Cell{Column: "first_token", Value: "31s"}, Cell{Column: "wasted_prefill_weight", Value: "-1"})}}, []string{
 		"row 1 appraiser-lm/*/appraisal in_flight: must be 1 to 100000, not 0",
 		"row 1 appraiser-lm/*/appraisal wasted_prefill_weight: must be 0 to 1000, not -1",
 		"row 1 appraiser-lm/*/appraisal caller_rate: must be 0 to 1000000, not NaN",
 		"row 1 appraiser-lm/*/appraisal first_token: must be 0s to the deadline of 30s, not 31s"}},
-	{"rows that aren't there", CauseFindings, Edit{ID: "e", Changes: []Change{
+	{"rows that don't exist", CauseFindings, Edit{ID: "e", Changes: []Change{
 		Set(Key{"apraiser-lm", "*", "appraisal"}, Cell{Column: "weight", Value: "1"}),
 		Remove(Key{"appraiser-lm", "howrah", "appraisal"}), {Op: "move", Key: appraisal}, Set(appraisal)}}, []string{
 		`change 1 apraiser-lm/*/appraisal: there is no service "apraiser-lm" in the table`,
 		"change 2 appraiser-lm/howrah/appraisal: there is no such row",
 		`change 3 appraiser-lm/*/appraisal op: must be set, add, put or remove, not "move"`,
 		"change 4 appraiser-lm/*/appraisal cells: is empty"}},
-	{"a row that is there", CauseFindings, Edit{ID: "e", Changes: []Change{Add(sample(AnyZone, "appraisal"))}}, []string{
+	{"adding a row that exists", CauseFindings, Edit{ID: "e", Changes: []Change{Add(sample(AnyZone, "appraisal"))}}, []string{
 		"change 1 appraiser-lm/*/appraisal: there is such a row already"}},
 	{"a new row without limits or team", CauseFindings, Edit{ID: "e", Changes: []Change{
 		{Op: OpAdd, Key: Key{"appraiser-lm", "new town", "blurb"}, Cells: []Cell{{Column: "weight", Value: "1"}}}}}, []string{
@@ -65,7 +65,7 @@
 		`change 4 appraiser-lm/*/appraisal team: belongs to team "listing", which asha isn't in`}},
 }
 
-func TestABadEditIsRejectedWithEveryFinding(t *testing.T) {
+func TestApplyInvalidEditReturnsEveryFinding(t *testing.T) {
 	for _, c := range badEdits {
 		t.Run(c.name, func(t *testing.T) {
 			before := sampleTable()
@@ -79,7 +79,7 @@
 	}
 }
 
-func TestAnEditLeavesTheOldTableAlone(t *testing.T) {
+func TestApplyDoesNotChangeTheOriginalTable(t *testing.T) {
 	before := sampleTable()
 	after, err := before.Apply(Edit{ID: "e-1", Changes: []Change{
 		Set(appraisal, Cell{Column: "weight", Value: " 4 "}), Remove(sample("salt-lake", "appraisal").Key()),
@@ -95,7 +95,7 @@
 	require.Equal(t, 4, r.Weight)
 }
 
-func TestJSONCellsMayBeTextNumberOrBoolean(t *testing.T) {
+func TestCellValueUnmarshalsStringNumberAndBoolean(t *testing.T) {
 	var e Edit
 	require.NoError(t, json.Unmarshal([]byte(`{"id":"e-1","changes":[{"op":"set","service":"appraiser-lm","zone":"*","kind":"appraisal",
 		"cells":[{"column":"weight","value":3},{"column":"may_wait","value":true},{"column":"deadline","value":"1m"}]}]}`), &e))
@@ -107,10 +107,10 @@
 	require.Error(t, json.Unmarshal([]byte(`{"changes":[{"cells":[{"column":"weight","value":{}}]}]}`), &e))
 }
 
-// An operator's edit got no answer, and more edits than the table remembers
-// came after it. That the edit is not listed then proves nothing: to call it
-// refused, and send it again, would undo all that was set since.
-func TestTheHistoryIsBoundedAndKnowsWhatItForgot(t *testing.T) {
+// Guards against reporting an edit as refused when it got no response and more
+// than HistoryLimit edits followed: its absence from the history then proves
+// nothing, and sending the edit again would overwrite the later edits.
+func TestHistoryIsBoundedAndReportsWhatItCovers(t *testing.T) {
 	table := sampleTable()
 	for i := range HistoryLimit + 1 {
 		e := Edit{ID: EditID(fmt.Sprintf("e-%d", i)), Changes: []Change{
@@ -122,13 +122,14 @@
 	require.Len(t, table.Edits(), HistoryLimit)
 	_, ok := table.FindEdit("e-0")
 	require.False(t, ok)
-	require.False(t, table.HistoryCovers(7), "e-0, applied to version 7, is forgotten")
+	require.False(t, table.HistoryCovers(7), "e-0, applied to version 7, was dropped from the history")
 	require.True(t, table.HistoryCovers(8))
 	_, ok = table.FindEdit("e-1")
 	require.True(t, ok)
 }
 
-// badSheets names each way to get a whole table wrong as CSV or JSON.
+// badSheets lists invalid tables as CSV or JSON with the findings that each must
+// produce.
 var badSheets = []struct {
 	name     string
 	read     func([]byte) (Table, error)
@@ -136,27 +137,27 @@
 	findings []string
 }{
 	{"empty CSV", DecodeCSV, "", []string{"line 1: no CSV header: EOF"}},
-	{"header", DecodeCSV, "service,zone,zone,colour\n", []string{
+	{"duplicate and unknown columns in the header", DecodeCSV, "service,zone,zone,colour\n", []string{
 		"line 1 zone: the column stands twice", "line 1 colour: there is no such column"}},
-	{"short header", DecodeCSV, "service,zone,kind,team,weight,in_flight,queue_limit,caller_rate,deadline,first_token,token_gap,idempotent,priority,may_wait\n", []string{
+	{"missing column in the header", DecodeCSV, "service,zone,kind,team,weight,in_flight,queue_limit,caller_rate,deadline,first_token,token_gap,idempotent,priority,may_wait\n", []string{
 		"line 1 wasted_prefill_weight: the column is missing"}},
-	{"cells of several lines", DecodeCSV, "service,zone,kind,team,weight,in_flight,queue_limit,caller_rate,deadline,first_token,token_gap,idempotent,priority,may_wait,wasted_prefill_weight\n" +
+	{"invalid cells on several lines", DecodeCSV, "service,zone,kind,team,weight,in_flight,queue_limit,caller_rate,deadline,first_token,token_gap,idempotent,priority,may_wait,wasted_prefill_weight\n" +
 		"a,*,k,t,x,1,0,0,1s,0s,0s,no,0,false,0\na,*,k\na,z,k,t,1,1,0,0,1s,2s,0s,false,0,false,0\na,z,k,t,1,1,0,0,1s,0s,0s,false,0,false,0\n", []string{
 		"line 3: has 3 cells, the header has 15",
 		`line 2 a/*/k weight: not a whole number: "x"`,
 		`line 2 a/*/k idempotent: not true or false: "no"`,
 		"line 4 a/z/k first_token: must be 0s to the deadline of 1s, not 2s",
 		"line 5 a/z/k: stands twice, also at line 4 a/z/k"}},
-	{"a quote left open", DecodeCSV, "service,zone\n\"a,b\n", []string{
+	{"unterminated quote", DecodeCSV, "service,zone\n\"a,b\n", []string{
 		`table: not CSV: parse error on line 2, column 6: extraneous or missing " in quoted-field`}},
-	{"JSON cells", DecodeRows, `[{"service":"a","zone":"*","kind":"k","team":"t","weight":"x","in_flight":0,"deadline":"1s","colour":1}]`, []string{
+	{"invalid JSON cells", DecodeRows, `[{"service":"a","zone":"*","kind":"k","team":"t","weight":"x","in_flight":0,"deadline":"1s","colour":1}]`, []string{
 		`row 1 a/*/k weight: not a whole number: "x"`,
 		"row 1 a/*/k colour: there is no such column",
 		"row 1 a/*/k in_flight: must be 1 to 100000, not 0"}},
 	{"broken JSON", DecodeRows, "{\n\"rows\": [\n", []string{"line 2: not JSON rows: unexpected EOF"}},
 }
 
-func TestABadSheetIsRejectedWithEveryFinding(t *testing.T) {
+func TestDecodeInvalidTableReturnsEveryFinding(t *testing.T) {
 	for _, c := range badSheets {
 		t.Run(c.name, func(t *testing.T) {
 			_, err := c.read([]byte(c.text))
@@ -165,7 +166,7 @@
 	}
 }
 
-func TestCSVOfSomeColumnsSetsAndAdds(t *testing.T) {
+func TestDecodeChangesCSVSetsAndAddsRows(t *testing.T) {
 	changes, err := DecodeChangesCSV([]byte("zone,service,kind,weight,team\n*,appraiser-lm,appraisal,9,appraisal\nhowrah,appraiser-lm,blurb,1,appraisal\n"))
 	require.NoError(t, err)
 	_, err = sampleTable().Apply(Edit{ID: "e-1", Changes: changes}, asha)
@@ -178,10 +179,10 @@
 	require.Equal(t, []string{"line 1 kind: the column is missing"}, lines(err))
 }
 
-func TestSumTellsEditsApart(t *testing.T) {
+func TestChecksumDiffersForDifferentChanges(t *testing.T) {
 	a := Edit{ID: "e", Changes: []Change{Set(appraisal, Cell{Column: "weight", Value: "1", Previous: "2"})}}
 	b := Edit{ID: "e", Changes: []Change{Set(appraisal, Cell{Column: "weight", Value: "1"})}}
-	require.Equal(t, a.Checksum(), b.Checksum(), "what was there before is no part of the edit")
+	require.Equal(t, a.Checksum(), b.Checksum(), "the previous value is not part of the checksum")
 	b.Changes[0].Cells[0].Value = "2"
 	require.NotEqual(t, a.Checksum(), b.Checksum())
 }
--- a/table/fuzz_test.go
+++ b/table/fuzz_test.go
@@ -6,10 +6,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// FuzzSheet looks for a text that makes a reader panic, or that it takes
-// although the table it gives does not pass its own check or come back as it
-// was.
-func FuzzSheet(f *testing.F) {
+// FuzzDecodeTable looks for a text that makes a decoder panic, and for a text that
+// a decoder accepts although the decoded table fails Check or does not survive a
+// CSV round trip.
+func FuzzDecodeTable(f *testing.F) {
 	for _, c := range badSheets {
 		f.Add(c.text)
 	}
--- a/table/helpers_test.go
+++ b/table/helpers_test.go
@@ -8,17 +8,17 @@
 	"jacinthworks/test/seeded"
 )
 
-// Random tests draw from one seed, so that two runs of the tests agree.
+// Property tests use a fixed seed, so that every run draws the same cases.
 func TestMain(m *testing.M) { seeded.Main(m) }
 
-// sample gives a valid row of appraiser-lm.
+// sample returns a valid row of appraiser-lm.
 func sample(zone domain.Zone, kind domain.Kind) Row {
 	return Row{Service: "appraiser-lm", Zone: zone, Kind: kind, Team: "appraisal", Weight: 1, InFlight: 8,
 		QueueLimit: 32, CallerRate: 2.5, Deadline: Duration(30 * time.Second), FirstToken: Duration(2 * time.Second),
 		TokenGap: Duration(100 * time.Millisecond), Priority: 5, WastedPrefillWeight: 200}
 }
 
-// enquiry gives a valid row of marketplace-app, owned by another team.
+// enquiry returns a valid row of marketplace-app, which another team owns.
 func enquiry(zone domain.Zone) Row {
 	return Row{Service: "marketplace-app", Zone: zone, Kind: "enquiry", Team: "listing", Weight: 1, InFlight: 16,
 		Deadline: Duration(5 * time.Second), Priority: 9}
--- a/table/holder.go
+++ b/table/holder.go
@@ -6,128 +6,129 @@
 	"time"
 )
 
-// Holder is the table that a process works by. The zero value holds none and
-// is ready to use. Its methods may be called from several goroutines; reading
-// takes no lock.
+// Holder keeps the table that is in force in a process. The zero value holds no
+// table and is ready to use. It is safe for concurrent use; reads of the table
+// and of its age take no lock.
 type Holder struct {
-	// Now is the clock by which Since is told; default time.Now.
+	// Now is the clock used for Since; default time.Now.
 	Now func() time.Time
 
-	mu      sync.Mutex // guards changed and all writes of held and heard
-	changed chan struct{}
-	held    atomic.Pointer[held]
-	heard   atomic.Pointer[time.Time]
+	mu        sync.Mutex // guards changed, and all writes of current and confirmed
+	changed   chan struct{}
+	current   atomic.Pointer[current]
+	confirmed atomic.Pointer[time.Time]
 
-	// takeLower lets a lower version in; tests of the guard set it.
-	takeLower bool
+	// acceptLower disables the version guard. Only the model test sets it, to
+	// show that the test detects the missing guard.
+	acceptLower bool
 }
 
-type held struct {
+type current struct {
 	table Table
 	since time.Time
 }
 
-// Update takes the table over if it is newer than the one held, and reports
-// whether it did. The time is when the answer that brought the table was
-// asked for, on this process's clock.
+// Update replaces the table if the given table is newer, and reports whether it
+// did. The argument asked is when the request was sent whose response contained
+// the table, on this process's clock.
 //
-// A read served from an old copy, a relay from a peer that has just woken, and
-// an answer overtaken by a later one all bring a lower version: operators
-// would see an accepted edit undone on some hosts. Versions come from the one
-// object's conditional updates, so the higher one contains the lower.
+// A stale read, a relayed table from a peer that was suspended, and responses
+// received out of order all contain a lower version. Accepting it would undo an
+// accepted edit on some hosts. Versions come from conditional updates of a single
+// object, so a higher version contains all edits of a lower one.
 func (h *Holder) Update(t Table, asked time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	newer := h.take(t)
-	h.hear(t.version, asked)
+	newer := h.replace(t)
+	h.confirm(t.version, asked)
 	return newer
 }
 
-// UpdatePushed takes over a newer table that came without being asked for, and
-// reports whether it did. When it was sent is not known, so it says nothing of
-// whether this host is up to date.
+// UpdatePushed replaces the table by a newer one that was received without a
+// request, and reports whether it did. The time at which the table was sent is
+// unknown, so it does not confirm that this host is up to date.
 func (h *Holder) UpdatePushed(t Table) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.take(t)
+	return h.replace(t)
 }
 
-// take dates the table by this moment and not by the question: a watch may
-// have been asked long before the edit that ended it was made.
-func (h *Holder) take(t Table) bool {
-	old := h.held.Load()
-	newer := old == nil || t.version > old.table.version || h.takeLower && t.version != old.table.version
+// replace sets Since to the current time and not to the time of the request: a
+// watch may have been started long before the edit that it returned.
+func (h *Holder) replace(t Table) bool {
+	old := h.current.Load()
+	newer := old == nil || t.version > old.table.version || h.acceptLower && t.version != old.table.version
 	if newer {
-		h.held.Store(&held{table: t, since: h.now()})
-		h.wake()
+		h.current.Store(&current{table: t, since: h.now()})
+		h.notifyChanged()
 	}
 	return newer
 }
 
-// Confirm notes that a source answered, and which version is the newest it knows.
-// The time is when the answer was asked for, on this process's clock.
+// Confirm records a response of a source whose newest version is v. The argument
+// asked is when the request was sent, on this process's clock.
 //
-// A process that was frozen finds answers from before in its sockets. Were
-// they dated by their reading, it would take work by a table that may be
-// minutes old; dated by their question they count for nothing. For the same
-// reason an answer that names a version newer than the one held does not
-// count: it shows that this host is behind.
+// A process that was frozen finds old responses in its sockets. Dated by the time
+// of reading, they would let the process accept requests under a table that may
+// be minutes old; dated by the time of the request, they have expired already. A
+// response with a version newer than the current one confirms nothing: it shows
+// that this host is behind.
 func (h *Holder) Confirm(v Version, asked time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.hear(v, asked)
+	h.confirm(v, asked)
 }
 
-func (h *Holder) hear(v Version, asked time.Time) {
-	now := h.held.Load()
+func (h *Holder) confirm(v Version, asked time.Time) {
+	now := h.current.Load()
 	if now == nil || v > now.table.version {
 		return
 	}
-	if last := h.heard.Load(); last != nil && !asked.After(*last) {
+	if last := h.confirmed.Load(); last != nil && !asked.After(*last) {
 		return
 	}
-	h.heard.Store(&asked)
+	h.confirmed.Store(&asked)
 }
 
-// Table gives the table held; the empty table before the first.
+// Table returns the current table, or the empty table before the first update.
 func (h *Holder) Table() Table {
-	if now := h.held.Load(); now != nil {
+	if now := h.current.Load(); now != nil {
 		return now.table
 	}
 	return Table{}
 }
 
-// Version gives the version held; zero before the first table.
+// Version returns the current version, or zero before the first update.
 func (h *Holder) Version() Version { return h.Table().version }
 
-// Since gives the time from which the table held is in force here; the zero
-// time before the first.
+// Since returns the time at which the current table came into force in this
+// process, or the zero time before the first update.
 func (h *Holder) Since() time.Time {
-	if now := h.held.Load(); now != nil {
+	if now := h.current.Load(); now != nil {
 		return now.since
 	}
 	return time.Time{}
 }
 
-// ConfirmationAge gives how long ago the newest answer that counts was asked for,
-// and false when there was none.
+// ConfirmationAge returns the time since the latest request that confirmed the
+// current version, and false if there was none.
 func (h *Holder) ConfirmationAge(now time.Time) (time.Duration, bool) {
-	last := h.heard.Load()
+	last := h.confirmed.Load()
 	if last == nil {
 		return 0, false
 	}
 	return now.Sub(*last), true
 }
 
-// Fresh reports whether new work may be taken by the table held: some source
-// confirmed it within staleAfter. The difference is taken on the monotonic
-// clock, so that setting the host's clock changes nothing.
+// Fresh reports whether new requests may be accepted under the current table: a
+// source confirmed it within staleAfter. The age is measured on the monotonic
+// clock, so that setting the host's clock does not affect it.
 func (h *Holder) Fresh(now time.Time, staleAfter time.Duration) bool {
 	age, ok := h.ConfirmationAge(now)
 	return ok && age < staleAfter
 }
 
-// Changed gives a channel that is closed when the next table is taken over.
+// Changed returns a channel that is closed by the next update of the table.
 func (h *Holder) Changed() <-chan struct{} {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -144,7 +145,7 @@
 	return h.Now()
 }
 
-func (h *Holder) wake() {
+func (h *Holder) notifyChanged() {
 	if h.changed != nil {
 		close(h.changed)
 		h.changed = nil
--- a/table/holder_test.go
+++ b/table/holder_test.go
@@ -12,7 +12,7 @@
 
 var start = time.Date(2026, 12, 2, 9, 0, 0, 0, time.UTC)
 
-func TestAnEmptyHolderIsNotFresh(t *testing.T) {
+func TestEmptyHolderIsNotFresh(t *testing.T) {
 	var h Holder
 	require.False(t, h.Fresh(start, staleAfter))
 	require.Zero(t, h.Version())
@@ -21,10 +21,9 @@
 	require.False(t, ok)
 }
 
-// An operator lowers a weight, is told that it is accepted, and sees the old
-// weight back on one host a moment later. A relay sent before the edit had
-// arrived after it. The holder keeps the higher version, whoever offers less.
-func TestAHolderNeverGoesBack(t *testing.T) {
+// Guards against an accepted edit being undone on one host: a relayed table that
+// was sent before the edit arrives after it. The holder keeps the higher version.
+func TestHolderIgnoresLowerVersion(t *testing.T) {
 	now := start
 	h := Holder{Now: func() time.Time { return now }}
 	require.True(t, h.Update(sampleTable().WithVersion(8), start))
@@ -35,11 +34,10 @@
 	require.Equal(t, start, h.Since())
 }
 
-// An entry is frozen for a minute and wakes. The answers that came in the
-// meantime wait in its sockets; it reads them, thinks itself up to date, and
-// takes a request by a limit that was lowered half a minute ago. An answer is
-// dated by its question, so the old ones leave the entry stale.
-func TestAnswersFromBeforeAFreezeDoNotMakeFresh(t *testing.T) {
+// An entry that was frozen for a minute reads responses that have waited in its
+// sockets. It must not count as up to date: it would accept requests under a limit
+// that was lowered half a minute ago. A response is dated by its request.
+func TestResponsesRequestedBeforeFreezeDoNotMakeHolderFresh(t *testing.T) {
 	var h Holder
 	h.Update(sampleTable(), start)
 	woken := start.Add(time.Minute)
@@ -49,10 +47,10 @@
 	require.True(t, h.Fresh(woken.Add(time.Second), staleAfter))
 }
 
-// A peer's heartbeats name version 9, but the table itself never arrives here
-// because the link loses every large message. The heartbeats alone must not
-// keep this host taking work by version 7.
-func TestHearingOfANewerVersionDoesNotMakeFresh(t *testing.T) {
+// The heartbeats of a peer contain version 9, but the table itself never arrives
+// because the link loses every large message. The heartbeats alone must not let
+// this host accept requests under version 7.
+func TestConfirmOfNewerVersionDoesNotMakeHolderFresh(t *testing.T) {
 	var h Holder
 	h.Update(sampleTable(), start)
 	h.Confirm(9, start.Add(4*time.Second))
@@ -61,26 +59,25 @@
 	require.True(t, h.Fresh(start.Add(5*time.Second), staleAfter))
 }
 
-func TestAPushedTableIsTakenButDoesNotMakeFresh(t *testing.T) {
+func TestPushedTableIsAcceptedButDoesNotMakeHolderFresh(t *testing.T) {
 	var h Holder
 	require.True(t, h.UpdatePushed(sampleTable()))
 	require.False(t, h.Fresh(start, staleAfter))
 	require.False(t, h.UpdatePushed(sampleTable().WithVersion(6)))
 }
 
-// The status told an operator that their edit was in force on a host 20
-// seconds before they had made it: the host dated it by the watch that brought
-// it, and that had waited since then.
-func TestATableIsInForceFromWhenItIsTaken(t *testing.T) {
+// Guards against a status that shows an edit in force on a host 20 seconds before
+// it was made: the host had used the start time of the watch that returned it.
+func TestSinceIsTheTimeOfTheUpdate(t *testing.T) {
 	made := start.Add(20 * time.Second)
 	h := Holder{Now: func() time.Time { return made }}
 	h.Update(sampleTable(), start)
 	require.Equal(t, made, h.Since())
 	age, _ := h.ConfirmationAge(made)
-	require.Equal(t, 20*time.Second, age, "the watch may have been answered late")
+	require.Equal(t, 20*time.Second, age, "the response to the watch may have been delayed")
 }
 
-func TestAnOlderQuestionDoesNotTurnBackTheClock(t *testing.T) {
+func TestOlderConfirmationDoesNotIncreaseAge(t *testing.T) {
 	var h Holder
 	h.Update(sampleTable(), start)
 	h.Confirm(7, start.Add(2*time.Second))
@@ -90,7 +87,7 @@
 	require.Equal(t, time.Second, age)
 }
 
-func TestChangedWakesOnlyForANewerTable(t *testing.T) {
+func TestChangedIsClosedOnlyByNewerTable(t *testing.T) {
 	var h Holder
 	first := h.Changed()
 	h.Update(sampleTable(), start)
@@ -99,32 +96,33 @@
 	h.Update(sampleTable().WithVersion(3), start)
 	select {
 	case <-second:
-		t.Fatal("woken by a lower version")
+		t.Fatal("notified of a lower version")
 	default:
 	}
 	require.Equal(t, second, h.Changed())
 }
 
-// naiveHolder keeps everything it was ever told and looks through all of it.
-type naiveHolder struct{ offers, hears []heardAt }
+// naiveHolder is the reference implementation: it keeps every received message and
+// scans all of them.
+type naiveHolder struct{ updates, confirmations []confirmation }
 
-type heardAt struct {
+type confirmation struct {
 	version Version
 	asked   time.Time
 }
 
 func (n *naiveHolder) version() Version {
 	var top Version
-	for _, o := range n.offers {
+	for _, o := range n.updates {
 		top = max(top, o.version)
 	}
 	return top
 }
 
-// fresh replays all messages: one counts if its version was not above the
-// highest offered by then.
+// fresh scans all confirmations. A message is recorded as a confirmation if its
+// version was not above the highest version received by then.
 func (n *naiveHolder) fresh(now time.Time) bool {
-	for _, h := range n.hears {
+	for _, h := range n.confirmations {
 		if now.Sub(h.asked) < staleAfter {
 			return true
 		}
@@ -132,21 +130,21 @@
 	return false
 }
 
-func TestAHolderAgreesWithTheNaiveOne(t *testing.T) {
+func TestHolderMatchesNaiveHolder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var h Holder
 		var n naiveHolder
 		for range rapid.IntRange(1, 20).Draw(rt, "messages") {
-			m := heardAt{Version(rapid.IntRange(1, 5).Draw(rt, "version")),
+			m := confirmation{Version(rapid.IntRange(1, 5).Draw(rt, "version")),
 				start.Add(time.Duration(rapid.IntRange(0, 9).Draw(rt, "second")) * time.Second)}
 			if rapid.Bool().Draw(rt, "offer") {
 				h.Update(New(m.version, nil), m.asked)
-				n.offers = append(n.offers, m)
+				n.updates = append(n.updates, m)
 			} else {
 				h.Confirm(m.version, m.asked)
 			}
-			if len(n.offers) > 0 && m.version <= n.version() {
-				n.hears = append(n.hears, m)
+			if len(n.updates) > 0 && m.version <= n.version() {
+				n.confirmations = append(n.confirmations, m)
 			}
 			now := start.Add(10 * time.Second)
 			if h.Version() != n.version() || h.Fresh(now, staleAfter) != n.fresh(now) {
--- a/table/model_test.go
+++ b/table/model_test.go
@@ -8,38 +8,38 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The model: a writer on host 0, the platform, another operator, and the
-// holders of host 0 and host 1. The writer sends one edit by a conditional
-// write that may arrive late or never, and whose answer may be lost; then it
-// reads, perhaps an old copy, until the edit is settled. It calls the edit
-// accepted once host 1 has acknowledged a version that contains it. Every
-// other message carries a version from the platform or from a holder to a
-// holder, and may be lost, arrive twice, or arrive after any others; a paused
-// host is one whose messages wait. The holders are real Holders.
+// The model consists of a writer on host 0, the platform, another operator, and
+// the holders of host 0 and host 1. The writer sends one edit as a conditional
+// write that may arrive late or never, and whose response may be lost; then it
+// reads, possibly a stale version, until the outcome of the edit is determined. It
+// reports the edit as accepted once host 1 has acknowledged a version that contains
+// it. Every other message carries a version from the platform or from a holder to
+// a holder, and may be lost, duplicated or reordered; a suspended host is modelled
+// by delayed messages. The holders are real Holders.
 const (
 	modelEdits    = 3 // versions 1 to 3
-	modelInFlight = 2 // messages to holders under way at once
+	modelInFlight = 2 // messages to holders in flight at once
 )
 
-// phase is how far the writer is.
+// phase is the state of the writer.
 type phase string
 
 const (
 	idle     phase = "idle"
-	waiting  phase = "waiting" // the write is sent, no answer yet
+	waiting  phase = "waiting" // the write is sent, no response yet
 	refused  phase = "refused"
 	written  phase = "written"
 	accepted phase = "accepted"
 )
 
-// message is a version on its way to a holder, or an acknowledgement.
+// message is a version sent to a holder, or an acknowledgement.
 type message struct {
 	to      int // host 0 or 1
 	ack     bool
 	version Version
 }
 
-// code orders messages.
+// code returns the sort key of a message.
 func (m message) code() int {
 	c := 2*int(m.version) + m.to
 	if m.ack {
@@ -48,18 +48,19 @@
 	return c
 }
 
-// modelState is one state. It is comparable: messages under way stand in an
-// array, sorted, with empty places behind them.
+// modelState is one state of the model. It is comparable: messages in flight are
+// in an array, sorted, followed by zero elements.
 type modelState struct {
 	platform Version
 	// edit is the version that first contains the writer's edit.
 	edit Version
 	held [2]Version
-	// base is the version the write asks for; late says that it is under way.
+	// base is the version required by the conditional write; late says that the
+	// write is in flight.
 	phase    phase
 	base     Version
 	late     bool
-	inFlight [modelInFlight + 1]message // one more than is kept
+	inFlight [modelInFlight + 1]message // room for one message more than next keeps
 	count    int
 }
 
@@ -68,7 +69,7 @@
 	return s
 }
 
-// send puts a message under way; the order in the list means nothing.
+// send adds a message in flight; messages are sorted, so their order has no meaning.
 func (s modelState) send(m message) modelState {
 	s.inFlight[s.count] = m
 	s.count++
@@ -76,7 +77,7 @@
 	return s
 }
 
-// without takes a message away.
+// without removes a message.
 func (s modelState) without(i int) modelState {
 	copy(s.inFlight[i:], s.inFlight[i+1:s.count])
 	s.count--
@@ -84,29 +85,29 @@
 	return s
 }
 
-// model makes steps. Each field takes one guard out.
+// model computes the transitions. Each field disables one guard.
 type model struct {
-	takeLower   bool // a holder takes any other version
-	trustAnyGet bool // the writer calls an edit refused by an old read
-	acceptAlone bool // the writer accepts without another host
+	acceptLower    bool // a holder accepts any other version
+	trustStaleRead bool // the writer reports an edit as refused after a stale read
+	acceptAlone    bool // the writer reports an edit as accepted without another host
 }
 
-// next gives each state that one event leads to.
+// next returns each state that is reachable by one event.
 func (m model) next(s modelState) []modelState {
 	all := append(m.writes(s), m.settles(s)...)
-	for to := range s.held { // a poll of the platform, a relay of the other holder
+	for to := range s.held { // a poll of the platform, a relayed table of the other holder
 		all = append(all, s.send(message{to: to, version: s.platform}))
 		all = append(all, s.send(message{to: to, version: s.held[1-to]}))
 	}
 	for i := range s.count {
 		lost := s.without(i)
 		all = append(all, lost, m.deliver(lost, s.inFlight[i]))
-		all = append(all, m.deliver(s, s.inFlight[i])) // and it comes again
+		all = append(all, m.deliver(s, s.inFlight[i])) // delivered and still in flight: a duplicate
 	}
 	return slices.DeleteFunc(all, func(n modelState) bool { return n.count > modelInFlight })
 }
 
-// writes gives what the other operator, the writer and the platform do.
+// writes returns the transitions of the other operator, the writer and the platform.
 func (m model) writes(s modelState) []modelState {
 	var all []modelState
 	if s.platform < modelEdits {
@@ -115,7 +116,7 @@
 		all = append(all, other)
 	}
 	if s.phase == idle {
-		for base := Version(0); base <= s.platform; base++ { // an old read gives an old base
+		for base := Version(0); base <= s.platform; base++ { // a stale read leads to a stale base
 			sent := s.in(waiting)
 			sent.base, sent.late = base, true
 			all = append(all, sent)
@@ -126,26 +127,26 @@
 	}
 	arrived := s
 	arrived.late = false
-	all = append(all, arrived) // never, in truth: lost on the way
+	all = append(all, arrived) // the write was lost
 	switch {
 	case s.platform != s.base:
 		all = append(all, arrived.in(refused))
 	case s.platform < modelEdits:
 		arrived.platform++
 		arrived.edit = arrived.platform
-		all = append(all, arrived, arrived.in(written)) // its answer lost, or not
+		all = append(all, arrived, arrived.in(written)) // without and with a response
 	}
 	return all
 }
 
-// settles gives what the writer makes of reading, and of acknowledgements.
+// settles returns the writer's transitions on reads and on acceptance.
 func (m model) settles(s modelState) []modelState {
 	var all []modelState
 	for read := Version(0); s.phase == waiting && read <= s.platform; read++ {
 		switch {
 		case s.edit != 0 && s.edit <= read:
 			all = append(all, s.in(written))
-		case read > s.base || m.trustAnyGet:
+		case read > s.base || m.trustStaleRead:
 			all = append(all, s.in(refused))
 		}
 	}
@@ -165,24 +166,24 @@
 		}
 		return s
 	}
-	s.held[msg.to] = m.offer(s.held[msg.to], msg.version)
+	s.held[msg.to] = m.update(s.held[msg.to], msg.version)
 	if msg.to == 1 {
 		s = s.send(message{to: 0, version: s.held[1], ack: true})
 	}
 	return s
 }
 
-// offer gives what the real Holder makes of a version.
-func (m model) offer(held, offered Version) Version {
+// update returns the version that a real Holder has after an update.
+func (m model) update(held, received Version) Version {
 	var h Holder
-	h.takeLower = m.takeLower
+	h.acceptLower = m.acceptLower
 	h.Update(Table{}.WithVersion(held), start)
-	h.Update(Table{}.WithVersion(offered), start)
+	h.Update(Table{}.WithVersion(received), start)
 	return h.Version()
 }
 
-// broken says which promise a step breaks, or nothing.
-func broken(from, to modelState) string {
+// violation describes the invariant that a transition violates, or returns "".
+func violation(from, to modelState) string {
 	for h := range to.held {
 		if to.held[h] < from.held[h] {
 			return fmt.Sprintf("host %d reverts from %d to %d", h, from.held[h], to.held[h])
@@ -192,7 +193,7 @@
 		}
 	}
 	if to.phase == refused && to.edit != 0 {
-		return "an edit called refused is in force"
+		return "an edit reported as refused is in force"
 	}
 	if to.phase == accepted && to.held[1] < to.edit {
 		return "an accepted edit is held by no other host"
@@ -200,8 +201,8 @@
 	return ""
 }
 
-// explore visits every state and gives their number and the first promise
-// that a step breaks.
+// explore visits every reachable state, and returns their number and the first
+// violated invariant.
 func (m model) explore() (int, string) {
 	first := modelState{phase: idle}
 	seen := map[modelState]bool{first: true}
@@ -210,7 +211,7 @@
 		s := queue[0]
 		queue = queue[1:]
 		for _, n := range m.next(s) {
-			if why := broken(s, n); why != "" {
+			if why := violation(s, n); why != "" {
 				return len(seen), why
 			}
 			if !seen[n] {
@@ -222,24 +223,25 @@
 	return len(seen), ""
 }
 
-// An edit is accepted, then undone on a host, or refused, then in force: a
-// message from before came late, or twice, or a read was old. Every order of
-// such events is tried, within the model's bounds.
-func TestNoOrderOfMessagesBreaksAPromise(t *testing.T) {
+// Explores every order of late and duplicate messages and stale reads within the
+// bounds of the model. No order may undo an accepted edit on a host, or bring an
+// edit into force that was reported as refused.
+func TestModelHasNoViolationForAnyMessageOrder(t *testing.T) {
 	states, why := model{}.explore()
 	require.Empty(t, why)
-	t.Logf("%d states visited, no promise broken", states)
+	t.Logf("%d states visited, no invariant violated", states)
 	require.Greater(t, states, 10_000, "the model explores too little")
 }
 
-// Each guard taken out in turn: the check must see what it held back.
-func TestTheModelCatchesEachGuardTakenOut(t *testing.T) {
+// Disables each guard in turn: the exploration must find the violation that the
+// guard prevents.
+func TestModelDetectsEachDisabledGuard(t *testing.T) {
 	for _, c := range []struct {
 		without model
 		why     string
 	}{
-		{model{takeLower: true}, "reverts"},
-		{model{trustAnyGet: true}, "an edit called refused is in force"},
+		{model{acceptLower: true}, "reverts"},
+		{model{trustStaleRead: true}, "an edit reported as refused is in force"},
 		{model{acceptAlone: true}, "an accepted edit is held by no other host"},
 	} {
 		states, why := c.without.explore()
--- a/table/rules.go
+++ b/table/rules.go
@@ -10,8 +10,8 @@
 	"jacinthworks/domain"
 )
 
-// The bounds of cells. They refuse slips of the hand, such as a weight typed
-// into the limit beside it, and not any size a deployment could want.
+// The bounds of cells. They catch typing errors, such as a weight typed into the
+// neighbouring limit, and are above any value that a deployment could need.
 const (
 	maxWeight   = 1000
 	maxInFlight = 100_000
@@ -22,25 +22,26 @@
 	maxPercent  = 1000
 )
 
-// MaxSize is the longest stored form in bytes: what one value of the
-// platform's object API holds.
+// MaxSize is the largest stored form in bytes: the size limit of a value in the
+// platform's object API.
 const MaxSize = 1 << 20
 
 var name = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
 
-// Check gives everything that is wrong with the table, in the order of its
-// rows, with row and column.
+// Check returns a finding with row and column for everything that is invalid in
+// the table, in the order of its rows.
 func (t Table) Check() check.Findings {
-	found := checkRows(t.rows, func(i int) string { return rowPlace(i, t.rows[i]) })
+	found := checkRows(t.rows, func(i int) string { return rowLocation(i, t.rows[i]) })
 	if text, err := t.Encode(); err == nil && len(text) > MaxSize {
 		found.Add("table", "takes %d bytes, the platform holds %d: remove rows", len(text), MaxSize)
 	}
 	return found
 }
 
-func rowPlace(i int, r Row) string { return fmt.Sprintf("row %d %s", i+1, r.Key()) }
+func rowLocation(i int, r Row) string { return fmt.Sprintf("row %d %s", i+1, r.Key()) }
 
-// checkRows checks each row and what must agree between rows; place names a row.
+// checkRows checks each row, and consistency between rows. The function place
+// returns the location of a row.
 func checkRows(rows []Row, place func(int) string) check.Findings {
 	var found check.Findings
 	keys := make(map[Key]int)
@@ -60,9 +61,9 @@
 	return found
 }
 
-// checkIdempotent refuses a kind that may run again in one zone and not in
-// another. A request can be sent on to another zone after its outcome was
-// lost; where the rows differ it would run twice under one and not the other.
+// checkIdempotent rejects a kind that is idempotent in one zone and not in
+// another. A request may be retried in another zone after its outcome was lost, so
+// with differing rows it could run twice in a zone that forbids it.
 func checkIdempotent(found *check.Findings, rows []Row, i int, first map[Key]int, place func(int) string) {
 	r := rows[i]
 	k := Key{Service: r.Service, Kind: r.Kind}
@@ -123,8 +124,8 @@
 	within("token_gap", r.TokenGap)
 }
 
-// knownService reports whether rows name the service, for findings that tell
-// a mistyped service from a missing row.
+// knownService reports whether any row is for the service. Findings use it to
+// distinguish a mistyped service from a missing row.
 func knownService(rows []Row, s domain.Service) bool {
 	for _, r := range rows {
 		if r.Service == s {
--- a/table/table.go
+++ b/table/table.go
@@ -1,12 +1,12 @@
-// Package table holds the operators' table: weights and limits per service,
-// availability zone and kind of work. It is an aggregate with its own rules;
-// it imports no network.
+// Package table contains the operators' table: weights and limits per service,
+// availability zone and kind of request. It validates the table and applies edits,
+// and doesn't use the network.
 //
 // # Usage
 //
-// A Table is a value: an edit gives a new one and leaves the old one alone.
+// A Table is an immutable value: an edit returns a new table.
 //
-//	t, err := table.Decode(object.Value) // stored form; checked
+//	t, err := table.Decode(object.Value) // stored form; rows are not checked
 //	t = t.At(table.Version(object.Version))
 //	r, ok := t.Find("appraiser-lm", "salt-lake", "appraisal")
 //
@@ -15,15 +15,14 @@
 //	next, err := t.Apply(e, table.Operator{Name: "asha", Teams: []string{"appraisal"}})
 //	fmt.Print(table.Diff(t, next))
 //
-// A process keeps its table in a Holder, which never goes back to a lower
-// version:
+// A process keeps its table in a Holder, which never reverts to a lower version:
 //
 //	var h table.Holder
 //	h.Offer(t, asked)                          // from the platform or from a peer
-//	ready := h.Fresh(time.Now(), 3*time.Second) // may new work be taken?
+//	ready := h.Fresh(time.Now(), 3*time.Second) // may new requests be accepted?
 //
-// An error of Decode, DecodeCSV and Apply is a *Rejection: its findings name
-// row and column of everything that is wrong, not only of the first.
+// The error of DecodeRows, DecodeCSV, DecodeChangesCSV and Apply is a *Rejection:
+// its findings name the row and column of every problem, not only of the first.
 package table
 
 import (
@@ -33,27 +32,27 @@
 	"jacinthworks/domain"
 )
 
-// Version orders tables: the platform's version of the object that holds the
-// table. Zero is the empty table before the first edit.
+// Version orders tables. It is the platform's version of the object in which the
+// table is stored. Zero is the empty table before the first edit.
 type Version uint64
 
-// Key names a row.
+// Key identifies a row.
 type Key struct {
 	Service domain.Service `json:"service"`
 	Zone    domain.Zone    `json:"zone"`
 	Kind    domain.Kind    `json:"kind"`
 }
 
-// String gives the key as it is written on the command line.
+// String returns the key as it is written on the command line.
 func (k Key) String() string {
 	return string(k.Service) + "/" + string(k.Zone) + "/" + string(k.Kind)
 }
 
-// Key gives the name of the row.
+// Key returns the key of the row.
 func (r Row) Key() Key { return Key{Service: r.Service, Zone: r.Zone, Kind: r.Kind} }
 
-// Table is a version of the rows. The zero value is the empty table. A Table
-// is never changed once made and may be shared between goroutines.
+// Table is a version of the rows. The zero value is the empty table. A Table is
+// immutable and may be shared between goroutines.
 type Table struct {
 	version Version
 	rows    []Row
@@ -61,7 +60,7 @@
 	edits   []AppliedEdit
 }
 
-// New gives a table of the rows, sorted by key. It does not check them.
+// New returns a table of the rows, sorted by key. It does not check them.
 func New(version Version, rows []Row) Table {
 	t := Table{version: version, rows: append([]Row(nil), rows...)}
 	slices.SortStableFunc(t.rows, func(a, b Row) int { return compareKeys(a.Key(), b.Key()) })
@@ -72,23 +71,24 @@
 	return t
 }
 
-// Version gives the table's version.
+// Version returns the table's version.
 func (t Table) Version() Version { return t.version }
 
-// WithVersion gives the same rows at the version under which the platform holds them.
+// WithVersion returns the same rows and history with the given version, which is
+// the version of the stored object.
 func (t Table) WithVersion(v Version) Table {
 	t.version = v
 	return t
 }
 
-// Rows gives a copy of the rows, sorted by service, zone and kind.
+// Rows returns a copy of the rows, sorted by service, zone and kind.
 func (t Table) Rows() []Row { return slices.Clone(t.rows) }
 
-// Len gives the number of rows.
+// Len returns the number of rows.
 func (t Table) Len() int { return len(t.rows) }
 
-// Find gives the row for the zone, or else the service's row for AnyZone. Its
-// cost does not grow with the table: at most two lookups in a hash map.
+// Find returns the row for the zone, or else the service's row for AnyZone. Its
+// cost is constant: at most two lookups in a hash map.
 func (t Table) Find(service domain.Service, zone domain.Zone, kind domain.Kind) (Row, bool) {
 	i, ok := t.index[Key{service, zone, kind}]
 	if !ok {
@@ -100,7 +100,7 @@
 	return t.rows[i], true
 }
 
-// HasService reports whether any row names the service.
+// HasService reports whether any row is for the service.
 func (t Table) HasService(service domain.Service) bool {
 	i, _ := slices.BinarySearchFunc(t.rows, service, func(r Row, s domain.Service) int { return cmp.Compare(r.Service, s) })
 	return i < len(t.rows) && t.rows[i].Service == service
--- a/table/table_test.go
+++ b/table/table_test.go
@@ -33,12 +33,12 @@
 	require.False(t, Table{}.HasService(""))
 }
 
-func TestTheSampleIsValid(t *testing.T) {
+func TestSampleTablePassesCheck(t *testing.T) {
 	require.Empty(t, sampleTable().Check())
 	require.Empty(t, Table{}.Check())
 }
 
-func TestBothFormsComeBackAsTheyWere(t *testing.T) {
+func TestJSONAndCSVRoundTripPreserveTable(t *testing.T) {
 	table := sampleTable()
 	next, err := table.Apply(Edit{ID: "e-1", Changes: []Change{Set(sample(AnyZone, "appraisal").Key(), Cell{Column: "weight", Value: "3"})}}, asha)
 	require.NoError(t, err)
@@ -62,20 +62,20 @@
 	require.True(t, strings.HasPrefix(string(text), "service,zone,kind,team,weight,in_flight,"))
 }
 
-// Both zones of an appraisal were edited, one to idempotent and one not. A
-// request whose outcome was lost in the first zone was sent on to the second,
-// where its row forbids a second run. The table must not hold such a pair.
-func TestAKindIsIdempotentInAllZonesOrNone(t *testing.T) {
+// A request whose outcome was lost in one zone is retried in another. If the kind is
+// idempotent in the first zone only, it would run twice in a zone that forbids it,
+// so a table must not contain such a pair of rows.
+func TestCheckRejectsKindIdempotentInSomeZonesOnly(t *testing.T) {
 	_, err := sampleTable().Apply(Edit{ID: "e-1", Changes: []Change{
 		Set(sample(AnyZone, "appraisal").Key(), Cell{Column: "idempotent", Value: "true"})}}, asha)
 	require.Equal(t, []string{"row 2 appraiser-lm/salt-lake/appraisal idempotent: " +
 		"false here and true at row 1 appraiser-lm/*/appraisal: a kind has one value in all zones"}, lines(err))
 }
 
-// An operator pasted a sheet of many thousand rows. The platform refuses a
-// value above a megabyte, at every retry and with no reason that a person
-// could act on. The check says so before anything is written.
-func TestATableTooLargeForThePlatformIsAFinding(t *testing.T) {
+// The platform rejects a value above a megabyte at every retry, and without a
+// reason that an operator could act on. A table of many thousand rows must
+// therefore fail the check before it is written.
+func TestCheckRejectsTableLargerThanMaxSize(t *testing.T) {
 	var rows []Row
 	for i := range 4000 {
 		rows = append(rows, sample(domain.Zone(fmt.Sprintf("zone-%d", i)), "appraisal"))
@@ -85,7 +85,7 @@
 	require.Contains(t, found[0].String(), "the platform holds 1048576: remove rows")
 }
 
-func TestSizeOfARowAndOfTheHistory(t *testing.T) {
+func TestEncodedRowSizeIsBounded(t *testing.T) {
 	var rows []Row
 	for i := range 1000 {
 		rows = append(rows, sample(domain.Zone(fmt.Sprintf("zone-%d", i)), "appraisal"))
@@ -96,7 +96,7 @@
 	require.Less(t, len(text), 1000*320)
 }
 
-// naiveFind looks at every row.
+// naiveFind scans all rows.
 func naiveFind(rows []Row, s domain.Service, z domain.Zone, k domain.Kind) (Row, bool) {
 	var any Row
 	found := false
@@ -127,7 +127,7 @@
 	return rows
 }
 
-func TestFindAgreesWithTheNaiveSearch(t *testing.T) {
+func TestFindMatchesNaiveFind(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		rows := drawRows(rt)
 		table := New(1, rows)
@@ -143,7 +143,7 @@
 	})
 }
 
-func TestApplyingADiffGivesTheOtherTable(t *testing.T) {
+func TestApplyOfDiffYieldsSecondTable(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		a, b := New(1, drawRows(rt)), New(2, drawRows(rt))
 		changes := Diff(a, b)
@@ -158,7 +158,7 @@
 	})
 }
 
-func TestDiffReadsLikeADiff(t *testing.T) {
+func TestDiffStringListsRemovedSetAndAddedRows(t *testing.T) {
 	a := New(1, []Row{sample("x", "k"), sample("y", "k")})
 	changed := sample("y", "k")
 	changed.Weight, changed.MayWait = 4, true
@@ -185,7 +185,7 @@
 	}
 }
 
-// BenchmarkDecode gives what a host pays for each new version.
+// BenchmarkDecode measures the cost of a new version on each host.
 func BenchmarkDecode(b *testing.B) {
 	for _, n := range []int{18, 516, 3000} {
 		var rows []Row
@@ -205,8 +205,8 @@
 	}
 }
 
-// BenchmarkApply gives what an entry pays for an edit, check and encoding
-// included.
+// BenchmarkApply measures the cost of an edit on an entry, including the check and
+// the encoding.
 func BenchmarkApply(b *testing.B) {
 	for _, n := range []int{18, 516, 3000} {
 		var rows []Row
