--- a/editor/attempt.go
+++ b/editor/attempt.go
@@ -12,68 +12,69 @@
 	"jacinthworks/table"
 )
 
-// attempt is one submission on its way to an outcome.
+// attempt is the state of one submission until its outcome is determined.
 type attempt struct {
 	*Editor
 	Submission
-	// floor is the lowest version that a true read can have now.
-	floor table.Version
-	// seen is the newest version read.
-	seen table.Version
-	// waiting says that a write to version base got no answer.
-	waiting bool
-	base    table.Version
-	// last is the latest trouble with the platform.
-	last error
+	// minVersion is the lowest version that an up-to-date read can return.
+	minVersion table.Version
+	// lastRead is the version of the latest read that was not below minVersion.
+	lastRead table.Version
+	// writePending says that a write conditional on version base got no response.
+	writePending bool
+	base         table.Version
+	// lastErr is the latest error of the platform.
+	lastErr error
 }
 
-// try reads, settles what is open, and writes if nothing is; false means to
-// try again after a pause.
+// try reads the table, determines the outcome of a write without a response, and
+// writes the edit if no such write is pending. It returns false if the caller must
+// try again after the retry interval.
 func (a *attempt) try(ctx context.Context) (Outcome, bool) {
-	asked := time.Now()
+	requested := time.Now()
 	t, err := a.Read(ctx)
 	if err != nil {
-		a.last = err
+		a.lastErr = err
 		return Outcome{}, false
 	}
-	if t.Version() < a.floor {
-		a.last = errors.Errorf("editor: the platform served version %d, known to be at least at %d", t.Version(), a.floor)
+	if t.Version() < a.minVersion {
+		a.lastErr = errors.Errorf("editor: read version %d, although the table is at least at version %d", t.Version(), a.minVersion)
 		return Outcome{}, false
 	}
-	a.floor, a.seen = t.Version(), t.Version()
+	a.minVersion, a.lastRead = t.Version(), t.Version()
 	if applied, ok := t.FindEdit(a.Edit.ID); ok {
 		if applied.Checksum != a.Edit.Checksum() || applied.Operator != a.Operator.Name {
 			return a.refused(ReasonFindings, check.Findings{{Location: "id", Problem: "is that of another edit"}}), true
 		}
-		return a.confirmed(ctx, t, asked), true
+		return a.confirmed(ctx, t, requested), true
 	}
-	if a.waiting && !a.settle(t) {
-		return a.forgotten(t)
+	if a.writePending && !a.writeFailed(t) {
+		return a.historyLost(t)
 	}
 	if o, done := a.checkMatch(t); done || a.behindMatch(t) {
 		return o, done
 	}
-	return a.write(ctx, t, asked)
+	return a.write(ctx, t, requested)
 }
 
-// settle reports whether the write without an answer is known to have failed,
-// given a table that doesn't list it.
+// writeFailed reports whether the write without a response has certainly failed,
+// given a table whose history doesn't list the edit.
 //
-// The write asked for version base. While the table is still at base it may
-// arrive yet, and to call it refused, or to write another edit in its place,
-// would be undone by it. Once the table has passed base the platform refuses
-// it for good. Only a table that remembers all edits since base shows that it
-// wasn't the one that took base's place.
-func (a *attempt) settle(t table.Table) bool {
+// The write was conditional on version base. While the table is still at base, the
+// write may yet arrive, so the edit must not be reported as refused or written
+// again. Once the table is past base, the platform rejects the write. Only a
+// history that covers base proves that the write wasn't the one that replaced base.
+func (a *attempt) writeFailed(t table.Table) bool {
 	if t.Version() <= a.base || !t.HistoryCovers(a.base) {
 		return false
 	}
-	a.waiting = false
+	a.writePending = false
 	return true
 }
 
-// forgotten ends an attempt that no read can settle any more.
-func (a *attempt) forgotten(t table.Table) (Outcome, bool) {
+// historyLost ends an attempt whose outcome can no longer be determined because the
+// history no longer covers base.
+func (a *attempt) historyLost(t table.Table) (Outcome, bool) {
 	if t.HistoryCovers(a.base) {
 		return Outcome{}, false
 	}
@@ -81,27 +82,28 @@
 		"the edit's write got no answer, and the table remembers only the %d edits since: compare the rows", table.HistoryLimit)}, true
 }
 
-// checkMatch refuses an edit that was made for an earlier version.
+// checkMatch refuses an edit that was made for an older version than the table's.
 func (a *attempt) checkMatch(t table.Table) (Outcome, bool) {
 	if a.IfMatch == nil || t.Version() <= *a.IfMatch {
 		return Outcome{}, false
 	}
 	if a.SentBefore && !t.HistoryCovers(*a.IfMatch) {
 		a.base = *a.IfMatch
-		return a.forgotten(t)
+		return a.historyLost(t)
 	}
 	o := a.refused(ReasonStale, nil)
 	o.Detail = fmt.Sprintf("the edit was made for version %d, the table is at %d", *a.IfMatch, t.Version())
 	return o, true
 }
 
-// behindMatch reports a read below the version that the operator has seen.
+// behindMatch reports whether the read is older than the version that the edit was
+// made for, and therefore stale.
 func (a *attempt) behindMatch(t table.Table) bool {
 	return a.IfMatch != nil && t.Version() < *a.IfMatch
 }
 
-// write makes the conditional update and reads its answer.
-func (a *attempt) write(ctx context.Context, t table.Table, asked time.Time) (Outcome, bool) {
+// write sends the conditional update and evaluates its response.
+func (a *attempt) write(ctx context.Context, t table.Table, requested time.Time) (Outcome, bool) {
 	next, err := t.Apply(a.Edit, a.Operator)
 	var r *table.Rejection
 	if errors.As(err, &r) {
@@ -114,38 +116,38 @@
 	v, err := a.Objects.Put(ctx, a.object(), text, infra.Version(t.Version()))
 	switch {
 	case err == nil:
-		return a.confirmed(ctx, next.WithVersion(table.Version(v)), asked), true
+		return a.confirmed(ctx, next.WithVersion(table.Version(v)), requested), true
 	case errors.Is(err, infra.ErrConflict):
-		a.floor = t.Version() + 1
+		a.minVersion = t.Version() + 1
 	case errors.Is(err, infra.ErrRefused):
-		a.last = err
+		a.lastErr = err
 	default:
-		// Whatever the error, the write may have taken effect.
-		a.last, a.waiting, a.base = err, true, t.Version()
+		// After any other error the write may have taken effect.
+		a.lastErr, a.writePending, a.base = err, true, t.Version()
 	}
 	return Outcome{}, false
 }
 
-// outOfTime gives the outcome when the time is up: a write without an answer
-// may still come into force, whatever was not written can't.
-func (a *attempt) outOfTime() Outcome {
-	if a.waiting || a.SentBefore {
-		return Outcome{State: Unsettled, Version: a.seen, Detail: fmt.Sprintf(
-			"a write of the edit got no answer and may come into force; send it again under id %q: %v", a.Edit.ID, a.last)}
+// timedOut returns the outcome at the timeout. A write without a response may still
+// come into force; an edit that was never written cannot.
+func (a *attempt) timedOut() Outcome {
+	if a.writePending || a.SentBefore {
+		return Outcome{State: Unsettled, Version: a.lastRead, Detail: fmt.Sprintf(
+			"a write of the edit got no answer and may come into force; send it again under id %q: %v", a.Edit.ID, a.lastErr)}
 	}
-	if a.IfMatch != nil && a.seen != 0 && a.seen < *a.IfMatch {
+	if a.IfMatch != nil && a.lastRead != 0 && a.lastRead < *a.IfMatch {
 		o := a.refused(ReasonStale, nil)
-		o.Detail = fmt.Sprintf("the edit was made for version %d, the table is at %d", *a.IfMatch, a.seen)
+		o.Detail = fmt.Sprintf("the edit was made for version %d, the table is at %d", *a.IfMatch, a.lastRead)
 		return o
 	}
 	o := a.refused(ReasonUnavailable, nil)
 	o.Detail = "nothing was written"
-	if a.last != nil {
-		o.Detail += ": " + a.last.Error()
+	if a.lastErr != nil {
+		o.Detail += ": " + a.lastErr.Error()
 	}
 	return o
 }
 
 func (a *attempt) refused(why Reason, found check.Findings) Outcome {
-	return Outcome{State: Refused, Reason: why, Version: a.seen, Findings: found}
+	return Outcome{State: Refused, Reason: why, Version: a.lastRead, Findings: found}
 }
--- a/editor/editor_test.go
+++ b/editor/editor_test.go
@@ -23,8 +23,9 @@
 
 func version(v table.Version) *table.Version { return &v }
 
-// times gives how often the edit entered the table, over all of its history.
-func (p *platform) times(id table.EditID) int {
+// timesApplied returns how often the edit was applied, over all versions of the
+// table.
+func (p *platform) timesApplied(id table.EditID) int {
 	n := 0
 	for i := 1; i < len(p.history); i++ {
 		_, before := p.history[i-1].FindEdit(id)
@@ -36,57 +37,59 @@
 	return n
 }
 
-// repeat gives a platform that fails the same way for good.
+// repeat returns the faults of a platform whose calls, from some call on, all fail in
+// the same way.
 func repeat(f fault, after ...fault) []fault {
 	return append(after, slices.Repeat([]fault{f}, 200)...)
 }
 
-func TestThePlatformsLimitIsTheTables(t *testing.T) {
+func TestTableMaxSizeEqualsPlatformMaxValue(t *testing.T) {
 	require.Equal(t, infra.MaxValue, table.MaxSize)
 }
 
-// failures says for each way the platform fails what becomes of one edit of
-// the appraisal's weight, how often it enters the table, and how many writes
-// were sent. Calls alternate: a read, a write, a read...
+// failures lists sequences of platform faults with the expected outcome of one edit
+// of the appraisal's weight, how often it is applied, and how many writes are sent.
+// Calls alternate: a read, a write, a read...
 var failures = []struct {
 	name    string
 	faults  []fault
 	ifMatch *table.Version
 	state   State
 	reason  Reason
-	times   int
+	applied int
 	puts    int
 }{
-	{"all goes well", nil, nil, Accepted, "", 1, 1},
-	{"for the version read", nil, version(1), Accepted, "", 1, 1},
-	{"the write's answer is lost", []fault{none, answerLost}, nil, Accepted, "", 1, 1},
-	{"and so are those of the reads after it", []fault{none, answerLost, lost, down, lost}, nil, Accepted, "", 1, 1},
-	{"and then a read is old", []fault{none, answerLost, oldRead, oldRead}, nil, Accepted, "", 1, 1},
-	{"the answer is lost and the platform stays down", repeat(down, none, answerLost), nil, Unsettled, "", 1, 1},
-	{"the answer is lost and all reads are old", repeat(oldRead, none, answerLost), nil, Unsettled, "", 1, 1},
-	{"the write is lost", []fault{none, lost}, nil, Unsettled, "", 0, 1},
-	{"the write comes late", []fault{none, late}, nil, Accepted, "", 1, 1},
-	{"another edit is faster", []fault{none, conflict}, nil, Accepted, "", 1, 2},
-	{"three others are faster", []fault{none, conflict, none, conflict, none, conflict}, nil, Accepted, "", 1, 4},
-	{"another edit is faster than one for a version", []fault{none, conflict}, version(1), Refused, ReasonStale, 0, 1},
-	{"made for an older version", nil, version(0), Refused, ReasonStale, 0, 0},
-	{"made for a version to come", nil, version(9), Refused, ReasonStale, 0, 0},
-	{"the platform is down", repeat(down), nil, Refused, ReasonUnavailable, 0, 0},
-	{"the platform is down for a moment", []fault{down, lost, none, down, none}, nil, Accepted, "", 1, 2},
-	{"the platform takes no write", slices.Repeat([]fault{none, down}, 100), nil, Refused, ReasonUnavailable, 0, 30},
-	{"the first read is old", []fault{oldRead}, version(1), Accepted, "", 1, 1},
+	{"no fault", nil, nil, Accepted, "", 1, 1},
+	{"edit for the current version", nil, version(1), Accepted, "", 1, 1},
+	{"write response lost", []fault{none, responseLost}, nil, Accepted, "", 1, 1},
+	{"write response and subsequent read responses lost", []fault{none, responseLost, lost, down, lost}, nil, Accepted, "", 1, 1},
+	{"write response lost, then stale reads", []fault{none, responseLost, staleRead, staleRead}, nil, Accepted, "", 1, 1},
+	{"write response lost, then the platform is down", repeat(down, none, responseLost), nil, Unsettled, "", 1, 1},
+	{"write response lost, then all reads are stale", repeat(staleRead, none, responseLost), nil, Unsettled, "", 1, 1},
+	{"write lost", []fault{none, lost}, nil, Unsettled, "", 0, 1},
+	{"write delayed", []fault{none, late}, nil, Accepted, "", 1, 1},
+	{"one version conflict", []fault{none, conflict}, nil, Accepted, "", 1, 2},
+	{"three version conflicts", []fault{none, conflict, none, conflict, none, conflict}, nil, Accepted, "", 1, 4},
+	{"version conflict of an edit for a version", []fault{none, conflict}, version(1), Refused, ReasonStale, 0, 1},
+	{"edit for an older version", nil, version(0), Refused, ReasonStale, 0, 0},
+	{"edit for a later version", nil, version(9), Refused, ReasonStale, 0, 0},
+	{"platform down", repeat(down), nil, Refused, ReasonUnavailable, 0, 0},
+	{"platform down for a short time", []fault{down, lost, none, down, none}, nil, Accepted, "", 1, 2},
+	{"platform rejects all writes", slices.Repeat([]fault{none, down}, 100), nil, Refused, ReasonUnavailable, 0, 30},
+	{"first read stale", []fault{staleRead}, version(1), Accepted, "", 1, 1},
 }
 
-// An operator edits a weight while the platform fails. What they are told must
-// be what became of the edit: accepted and in the table once, refused and
-// never in it, or plainly not settled. No write follows one that is not
-// settled: the second would hide whether the first took effect.
-func TestTheOutcomeIsTrueHoweverThePlatformFails(t *testing.T) {
+// An operator edits a weight while the platform fails. The reported outcome must be
+// the real one: accepted and applied once, refused and never applied, or unsettled.
+// No second write may follow a write whose outcome is unknown: it would hide whether
+// the first write took effect.
+func TestSubmitOutcomeIsCorrectUnderPlatformFaults(t *testing.T) {
 	for _, c := range failures {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				p := newPlatform(c.faults...)
-				// Not a multiple of the pause: nothing ends at the instant of a try.
+				// Not a multiple of the retry interval, so that the timeout never coincides
+				// with a try.
 				e := Editor{Objects: p, Timeout: 2950 * time.Millisecond}
 				begin := time.Now()
 				o := e.Submit(t.Context(), Submission{Edit: weightEdit("e-1", "appraisal", "5"), Operator: asha, IfMatch: c.ifMatch})
@@ -94,7 +97,7 @@
 				p.pending.Wait()
 				require.Equal(t, c.state, o.State, o.Detail)
 				require.Equal(t, c.reason, o.Reason)
-				require.Equal(t, c.times, p.times("e-1"))
+				require.Equal(t, c.applied, p.timesApplied("e-1"))
 				require.Equal(t, c.puts, p.puts)
 				if o.State == Accepted {
 					require.Equal(t, p.newest().Version(), o.Version)
@@ -104,10 +107,10 @@
 	}
 }
 
-// An edit got no answer and the operator was told that it is not settled. The
-// first write then arrives, just before the second send of the same edit. It
-// must not enter the table twice, and the operator learns that it is accepted.
-func TestAnEditSentAgainEntersTheTableOnce(t *testing.T) {
+// An edit got no response and was reported as unsettled. Its write then arrives just
+// before the same edit is submitted again. The edit must not be applied twice, and
+// must be reported as accepted.
+func TestResubmittedEditIsAppliedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPlatform(none, late)
 		e := Editor{Objects: p, Timeout: 500 * time.Millisecond}
@@ -116,27 +119,27 @@
 		p.pending.Wait()
 		o := e.Submit(t.Context(), s)
 		require.Equal(t, Accepted, o.State)
-		require.Equal(t, 1, p.times("e-1"))
+		require.Equal(t, 1, p.timesApplied("e-1"))
 		require.Equal(t, 1, p.puts)
 	})
 }
 
-// The same, but the platform is down when the edit is sent again. The second
-// send wrote nothing; to call the edit refused would be false all the same,
-// for the first send's write took effect.
-func TestAnEditSentAgainIntoAnOutageStaysUnsettled(t *testing.T) {
+// The platform is down when an unsettled edit is submitted again. The second
+// submission writes nothing, but must not report the edit as refused, because the
+// write of the first submission took effect.
+func TestResubmittedEditIsUnsettledDuringOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPlatform(repeat(down, none, answerLost)...)
+		p := newPlatform(repeat(down, none, responseLost)...)
 		e := Editor{Objects: p}
 		s := Submission{Edit: weightEdit("e-1", "appraisal", "5"), Operator: asha}
 		require.Equal(t, Unsettled, e.Submit(t.Context(), s).State)
 		s.SentBefore = true
 		require.Equal(t, Unsettled, e.Submit(t.Context(), s).State)
-		require.Equal(t, 1, p.times("e-1"))
+		require.Equal(t, 1, p.timesApplied("e-1"))
 	})
 }
 
-func TestAnotherEditUnderTheSameIDIsRefused(t *testing.T) {
+func TestDifferentEditWithUsedIDIsRefused(t *testing.T) {
 	p := newPlatform()
 	e := Editor{Objects: p}
 	require.Equal(t, Accepted, e.Submit(t.Context(), Submission{Edit: weightEdit("e-1", "appraisal", "5"), Operator: asha}).State)
@@ -148,13 +151,13 @@
 	require.Equal(t, Refused, o.State)
 }
 
-// The answer to a write is lost, and so many edits follow before the next read
-// that the table has forgotten the one in doubt. That it isn't listed says
-// nothing; the operator is told so instead of "refused".
-func TestAnEditThatTheTableForgotIsNotCalledRefused(t *testing.T) {
+// The response to a write is lost, and so many edits follow before the next read that
+// the history no longer covers the write. The missing entry then proves nothing, and
+// the edit must be reported as unsettled instead of refused.
+func TestEditBeyondHistoryIsUnsettled(t *testing.T) {
 	p := newPlatform()
 	a := attempt{Editor: &Editor{Objects: p}, Submission: Submission{Edit: weightEdit("e-1", "appraisal", "5"), Operator: asha},
-		waiting: true, base: 1}
+		writePending: true, base: 1}
 	p.otherOperator()
 	for range table.HistoryLimit {
 		p.otherOperator()
@@ -164,24 +167,24 @@
 	require.Equal(t, Unsettled, o.State)
 	require.Zero(t, p.puts)
 
-	again := Submission{Edit: weightEdit("e-1", "appraisal", "5"), Operator: asha, IfMatch: version(1), SentBefore: true}
-	require.Equal(t, Unsettled, (&Editor{Objects: p}).Submit(t.Context(), again).State)
-	again.SentBefore = false
-	require.Equal(t, ReasonStale, (&Editor{Objects: p}).Submit(t.Context(), again).Reason)
+	resubmission := Submission{Edit: weightEdit("e-1", "appraisal", "5"), Operator: asha, IfMatch: version(1), SentBefore: true}
+	require.Equal(t, Unsettled, (&Editor{Objects: p}).Submit(t.Context(), resubmission).State)
+	resubmission.SentBefore = false
+	require.Equal(t, ReasonStale, (&Editor{Objects: p}).Submit(t.Context(), resubmission).Reason)
 }
 
-// The writer is the only host that heard of the edit when the platform fails
-// and the writer dies. The others go on by the old table, though the operator
-// was told "accepted". So another host must hold the edit first.
-func TestAnEditIsAcceptedOnlyOnceAnotherHostHoldsIt(t *testing.T) {
+// If the writer is the only host with an edit when the platform fails and the writer
+// crashes, the other hosts keep the old table although the operator was told
+// "accepted". Therefore another host must store the edit first.
+func TestEditIsAcceptedOnlyAfterReplication(t *testing.T) {
 	p := newPlatform()
-	var here, there table.Holder
+	var local, remote table.Holder
 	reachable := false
-	e := Editor{Objects: p, Holder: &here, Replicate: func(_ context.Context, tb table.Table) error {
+	e := Editor{Objects: p, Holder: &local, Replicate: func(_ context.Context, tb table.Table) error {
 		if !reachable {
 			return errors.New("no peer answered")
 		}
-		there.Update(tb, time.Now())
+		remote.Update(tb, time.Now())
 		return nil
 	}}
 	s := Submission{Edit: weightEdit("e-1", "appraisal", "5"), Operator: asha}
@@ -191,12 +194,12 @@
 	reachable = true
 	o = e.Submit(t.Context(), s)
 	require.Equal(t, Accepted, o.State)
-	require.Equal(t, o.Version, here.Version())
-	require.Equal(t, o.Version, there.Version())
-	require.Equal(t, 1, p.times("e-1"))
+	require.Equal(t, o.Version, local.Version())
+	require.Equal(t, o.Version, remote.Version())
+	require.Equal(t, 1, p.timesApplied("e-1"))
 }
 
-func TestTheFirstEditMakesTheTable(t *testing.T) {
+func TestFirstEditCreatesTable(t *testing.T) {
 	p := &platform{history: []table.Table{{}}}
 	e := Editor{Objects: p}
 	o := e.Submit(t.Context(), Submission{Operator: asha, IfMatch: version(0),
@@ -207,7 +210,7 @@
 	require.Equal(t, 1, now.Len())
 }
 
-func TestRejectionsBecomeRefusals(t *testing.T) {
+func TestTableRejectionIsReportedAsRefused(t *testing.T) {
 	e := Editor{Objects: newPlatform()}
 	o := e.Submit(t.Context(), Submission{Edit: weightEdit("e-1", "enquiry", "5"), Operator: asha})
 	require.Equal(t, ReasonForbidden, o.Reason)
@@ -216,17 +219,17 @@
 	require.Equal(t, ReasonFindings, o.Reason)
 }
 
-// An operator adds a row, is told that it is accepted, and edits it. The
-// platform serves a read from before; "there is no such row" would be false.
-// This host holds a later version, so it reads again.
-func TestAReadBelowWhatThisHostHoldsIsReadAgain(t *testing.T) {
+// An operator adds a row and then edits it. If the platform returns a stale read,
+// "there is no such row" would be false. This host has a later version, so it must
+// read again.
+func TestReadBelowHeldVersionIsRetried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPlatform()
 		var h table.Holder
 		e := Editor{Objects: p, Holder: &h}
 		add := table.Edit{ID: "e-1", Changes: []table.Change{table.Add(row("blurb", "appraisal"))}}
 		require.Equal(t, Accepted, e.Submit(t.Context(), Submission{Edit: add, Operator: asha}).State)
-		p.faults = []fault{oldRead}
+		p.faults = []fault{staleRead}
 		o := e.Submit(t.Context(), Submission{Edit: weightEdit("e-2", "blurb", "3"), Operator: asha})
 		require.Equal(t, Accepted, o.State, o.Findings)
 	})
--- a/editor/fake_test.go
+++ b/editor/fake_test.go
@@ -15,27 +15,27 @@
 	"jacinthworks/test/seeded"
 )
 
-// Random tests draw from one seed, so that two runs of the tests agree.
+// Property tests use a fixed seed, so that every run draws the same cases.
 func TestMain(m *testing.M) { seeded.Main(m) }
 
-// fault is what goes wrong with one call.
+// fault is the fault of one call.
 type fault int
 
 const (
-	none       fault = iota
-	down             // the platform answers that it does nothing
-	lost             // the call never arrives, and no answer comes
-	answerLost       // the call takes effect, and no answer comes
-	late             // the write arrives a second after its caller gave up
-	oldRead          // a read serves the version before the newest
-	conflict         // the write finds another operator's in its place
-	faults           // the number of faults
+	none         fault = iota
+	down               // the platform responds that it did nothing
+	lost               // the call never arrives, and there is no response
+	responseLost       // the call takes effect, and there is no response
+	late               // the write arrives a second after its caller timed out
+	staleRead          // a read returns the version before the newest
+	conflict           // another operator's edit is written first
+	faultCount         // the number of kinds of faults
 )
 
-// platform is a fake object API with one object. Each call takes the next of
-// its faults; with none left all goes well. It keeps every value it ever held.
+// platform is a fake object API with one object. Each call consumes the next of its
+// faults; once there are none left, calls succeed. It keeps every version.
 type platform struct {
-	infra.Objects // the calls that an editor doesn't make
+	infra.Objects // nil: an editor doesn't make the other calls
 
 	mu      sync.Mutex
 	faults  []fault
@@ -72,9 +72,9 @@
 	switch p.next() {
 	case down:
 		return infra.Object{}, infra.ErrRefused
-	case lost, answerLost:
+	case lost, responseLost:
 		return infra.Object{}, infra.ErrNoReply
-	case oldRead:
+	case staleRead:
 		t = p.history[max(0, len(p.history)-2)]
 	}
 	if t.Version() == 0 {
@@ -93,7 +93,7 @@
 		return 0, infra.ErrRefused
 	case lost:
 		return 0, infra.ErrNoReply
-	case answerLost:
+	case responseLost:
 		_, _ = p.write(value, at)
 		return 0, infra.ErrNoReply
 	case late:
@@ -123,12 +123,12 @@
 	return at + 1, nil
 }
 
-// otherOperator writes an edit of the other row in between.
+// otherOperator writes another operator's edit of the other row.
 func (p *platform) otherOperator() {
-	now := p.newest()
-	id := table.EditID(fmt.Sprintf("other-%d", now.Version()))
-	t, err := now.Apply(weightEdit(id, "enquiry", "2"), table.Operator{Name: "ravi", Teams: []string{"listing"}})
+	current := p.newest()
+	id := table.EditID(fmt.Sprintf("other-%d", current.Version()))
+	t, err := current.Apply(weightEdit(id, "enquiry", "2"), table.Operator{Name: "ravi", Teams: []string{"listing"}})
 	if err == nil {
-		p.history = append(p.history, t.WithVersion(now.Version()+1))
+		p.history = append(p.history, t.WithVersion(current.Version()+1))
 	}
 }
--- a/editor/race_test.go
+++ b/editor/race_test.go
@@ -13,62 +13,62 @@
 	"jacinthworks/table"
 )
 
-// slowly delays each call of one operator before it arrives at the platform
-// and its answer on the way back, by the next of the drawn times.
-type slowly struct {
+// delayedObjects delays each request of one operator to the platform, and each
+// response, by the next of the drawn delays.
+type delayedObjects struct {
 	infra.Objects
 	delays []time.Duration
 }
 
-func (s *slowly) wait() {
+func (s *delayedObjects) wait() {
 	if len(s.delays) > 0 {
 		time.Sleep(s.delays[0]) // on the bubble's clock
 		s.delays = s.delays[1:]
 	}
 }
 
-func (s *slowly) Get(ctx context.Context, name string) (infra.Object, error) {
+func (s *delayedObjects) Get(ctx context.Context, name string) (infra.Object, error) {
 	s.wait()
 	defer s.wait()
 	return s.Objects.Get(ctx, name)
 }
 
-func (s *slowly) Put(ctx context.Context, name string, value []byte, at infra.Version) (infra.Version, error) {
+func (s *delayedObjects) Put(ctx context.Context, name string, value []byte, at infra.Version) (infra.Version, error) {
 	s.wait()
 	defer s.wait()
 	return s.Objects.Put(ctx, name, value, at)
 }
 
-// script is what one operator does: edits of one row's weight, one after the
-// other, each sent again once if it isn't settled.
+// script is the behaviour of one operator: sequential edits of one row's weight,
+// each submitted a second time if its outcome is unsettled.
 type script struct {
 	name   string
 	edits  int
 	delays []time.Duration
 }
 
-func drawScript(rt *rapid.T, name string, odd time.Duration) script {
+func drawScript(rt *rapid.T, name string, offset time.Duration) script {
 	s := script{name: name, edits: rapid.IntRange(1, 3).Draw(rt, name+" edits")}
 	for range 40 {
-		// Odd and even microseconds keep the two operators' calls from
-		// falling on one instant, whose order would be the scheduler's.
+		// Odd and even microseconds keep calls of the two operators from
+		// happening at the same instant, where the scheduler would order them.
 		d := time.Duration(rapid.IntRange(0, 200).Draw(rt, name+" delay")) * time.Millisecond
-		s.delays = append(s.delays, d+odd)
+		s.delays = append(s.delays, d+offset)
 	}
 	return s
 }
 
-type sent struct {
+type submitted struct {
 	id      table.EditID
 	weight  int
 	outcome Outcome
 }
 
-// run submits the script's edits and gives their outcomes.
-func (s script) run(p *platform, h *table.Holder) []sent {
-	e := Editor{Objects: &slowly{Objects: p, delays: s.delays}, Holder: h}
+// run submits the script's edits and returns their outcomes.
+func (s script) run(p *platform, h *table.Holder) []submitted {
+	e := Editor{Objects: &delayedObjects{Objects: p, delays: s.delays}, Holder: h}
 	by := table.Operator{Name: s.name, Teams: []string{"appraisal"}}
-	var all []sent
+	var all []submitted
 	for i := range s.edits {
 		weight := 100*len(s.name) + i
 		id := table.EditID(fmt.Sprintf("%s-%d", s.name, i))
@@ -78,21 +78,22 @@
 			sub.SentBefore = true
 			o = e.Submit(context.Background(), sub)
 		}
-		all = append(all, sent{id, weight, o})
+		all = append(all, submitted{id, weight, o})
 	}
 	return all
 }
 
-// judge gives the first promise that the history breaks for an edit.
-func judge(p *platform, s sent) string {
-	n := p.times(s.id)
+// violation describes the first invariant that the history violates for an edit, or
+// returns "".
+func violation(p *platform, s submitted) string {
+	n := p.timesApplied(s.id)
 	switch {
 	case n > 1:
-		return fmt.Sprintf("%s entered the table %d times", s.id, n)
+		return fmt.Sprintf("%s was applied %d times", s.id, n)
 	case s.outcome.State == Accepted && n != 1:
-		return fmt.Sprintf("%s was accepted and never entered the table", s.id)
+		return fmt.Sprintf("%s was accepted and never applied", s.id)
 	case s.outcome.State == Refused && n != 0:
-		return fmt.Sprintf("%s was refused (%s) and entered the table", s.id, s.outcome.Reason)
+		return fmt.Sprintf("%s was refused (%s) and applied", s.id, s.outcome.Reason)
 	}
 	for i, t := range p.history {
 		edits := t.Edits()
@@ -101,43 +102,43 @@
 			return fmt.Sprintf("version %d should hold the weight of %s", i, s.id)
 		}
 		if i > 0 && len(edits) < len(p.history[i-1].Edits()) {
-			return fmt.Sprintf("version %d forgets an edit", i)
+			return fmt.Sprintf("the history of version %d lacks an edit", i)
 		}
 	}
 	return ""
 }
 
-// Two operators edit the weight of the same row at once, while the platform
-// loses calls and answers, delays writes, serves old reads, and is down. At
-// the end each of them looks for what they were told: an accepted edit entered
-// the table once and wasn't undone but by a later one, a refused one is
-// nowhere in its history, and one that is not settled entered at most once.
-func TestTwoOperatorsRaceOverOneRow(t *testing.T) {
+// Two operators edit the weight of the same row concurrently, while the platform
+// loses calls and responses, delays writes, returns stale reads, and is down. An
+// accepted edit must have been applied once and only been overwritten by a later
+// edit, a refused edit must not be in the history, and an unsettled edit must have
+// been applied at most once.
+func TestConcurrentEditsOfOneRowKeepReportedOutcomes(t *testing.T) {
 	count := make(map[State]int)
 	rapid.Check(t, func(rt *rapid.T) {
-		var fs []fault
+		var drawn []fault
 		for range rapid.IntRange(0, 30).Draw(rt, "faults") {
-			fs = append(fs, fault(rapid.IntRange(0, int(faults)-1).Draw(rt, "fault")))
+			drawn = append(drawn, fault(rapid.IntRange(0, int(faultCount)-1).Draw(rt, "fault")))
 		}
 		one, two := drawScript(rt, "asha", time.Microsecond), drawScript(rt, "bimal", 2*time.Microsecond)
-		wrong := ""
+		firstViolation := ""
 		synctest.Test(t, func(*testing.T) {
-			p := newPlatform(fs...)
-			var here, there table.Holder
-			done := make(chan []sent)
-			go func() { done <- one.run(p, &here) }()
-			go func() { done <- two.run(p, &there) }()
+			p := newPlatform(drawn...)
+			var local, remote table.Holder
+			done := make(chan []submitted)
+			go func() { done <- one.run(p, &local) }()
+			go func() { done <- two.run(p, &remote) }()
 			all := append(<-done, <-done...)
 			p.pending.Wait()
 			for _, s := range all {
 				count[s.outcome.State]++
-				if why := judge(p, s); why != "" && wrong == "" {
-					wrong = why
+				if why := violation(p, s); why != "" && firstViolation == "" {
+					firstViolation = why
 				}
 			}
 		})
-		if wrong != "" {
-			rt.Fatal(wrong)
+		if firstViolation != "" {
+			rt.Fatal(firstViolation)
 		}
 	})
 	t.Logf("accepted %d, refused %d, unsettled %d", count[Accepted], count[Refused], count[Unsettled])
