--- a/admin/admin.go
+++ b/admin/admin.go
@@ -1,29 +1,29 @@
-// Package admin is the operators' interface over HTTP, both ends of it: Server
-// on an entry's administration address, and Client for the commands.
+// Package admin implements the operators' HTTP interface: Server on an entry's
+// administration address, and Client for the commands.
 //
 // # Usage
 //
 //	s := admin.Server{Operators: settings.Operators, Tables: &holder, Editor: &ed,
-//		Status: entry, Stories: entry, Drains: entry, Log: log}
+//		Status: entry, Traces: entry, Drainer: entry, Log: log}
 //	http.Serve(listener, s.Handler())
 //
 //	c := admin.Client{Address: netip.MustParseAddrPort("127.0.0.1:8001"), Token: token}
 //	t, err := c.Table(ctx)
 //	o, err := c.Edit(ctx, admin.EditRequest{Edit: edit, IfMatch: &version})
 //
-// The paths, all with an operator's bearer token:
+// The paths, all of which require an operator's bearer token:
 //
 //	GET   /admin/v1/table           JSON or CSV by Accept; ETag is the version
 //	PATCH /admin/v1/table           a table.Edit as JSON, or CSV records to put
-//	GET   /admin/v1/status          which host holds which version, since when
-//	GET   /admin/v1/requests/{id}   the story of a request
+//	GET   /admin/v1/status          state and table version of each host
+//	GET   /admin/v1/requests/{id}   the trace of a request
 //	POST  /admin/v1/drain           {"host": "..."}
 //	POST  /admin/v1/orders          an OrderRequest
 //
-// PATCH takes If-Match with the ETag that the edit was made for, or none for
-// an edit that holds for any version. Idempotency-Key, or "id" in JSON, is the
-// edit's id; "?sent_before=true" says that it was sent before and is not
-// settled. An error is application/problem+json: a Problem.
+// PATCH accepts If-Match with the ETag that the edit was made for; without it the
+// edit applies to any version. Idempotency-Key, or "id" in JSON, is the edit's id;
+// "?sent_before=true" says that the edit was sent before and is unsettled. An error
+// is a Problem as application/problem+json.
 package admin
 
 import (
@@ -59,75 +59,78 @@
 
 const headerEditID = "Idempotency-Key"
 
-// The errors of sources.
+// The errors of TraceSource, Drainer and Orderer.
 var (
-	// ErrNoTrace says that nothing is known of a request.
+	// ErrNoTrace says that no event of the request was found.
 	ErrNoTrace = errors.New("admin: no story of this request")
-	// ErrUnknownHost says that no such host is known.
+	// ErrUnknownHost says that the entry has no host with this name.
 	ErrUnknownHost = errors.New("admin: no such host")
 )
 
-// TableSource gives the table in force on this host; *table.Holder does.
+// TableSource returns the table in force on this host; *table.Holder implements it.
 type TableSource interface {
 	Table() table.Table
 }
 
-// Editor writes edits; *editor.Editor does.
+// Editor submits edits; *editor.Editor implements it.
 type Editor interface {
 	Submit(ctx context.Context, s editor.Submission) editor.Outcome
 }
 
-// StatusSource knows the hosts.
+// StatusSource returns the state of the hosts.
 type StatusSource interface {
 	Status(ctx context.Context) (Status, error)
 }
 
-// TraceSource finds the story of a request; ErrNoTrace when there is none.
+// TraceSource returns the trace of a request, or ErrNoTrace if there is none.
 type TraceSource interface {
 	Trace(ctx context.Context, id domain.RequestID) (trace.Trace, error)
 }
 
-// Drainer makes a host take no new work; ErrUnknownHost when there is no such host.
+// Drainer makes a host accept no new work. It returns ErrUnknownHost if there is no
+// such host.
 type Drainer interface {
 	Drain(ctx context.Context, host domain.Host, by string) error
 }
 
-// Status is the state of the hosts as the host that answers knows it.
+// Status is the state of the hosts as seen by the host that responds.
 type Status struct {
-	// Host is the one that answers.
+	// Host is the host that responds.
 	Host domain.Host `json:"host"`
-	// Version is the newest version of the table it knows of.
+	// Version is the newest version of the table that it has received.
 	Version table.Version `json:"table_version"`
 	Hosts   []HostStatus  `json:"hosts"`
 }
 
-// HostStatus is what is known of one host.
+// HostStatus is the state of one host.
 type HostStatus struct {
 	Host    domain.Host    `json:"host"`
 	Zone    domain.Zone    `json:"zone"`
 	Role    domain.Role    `json:"role"`
 	Service domain.Service `json:"service,omitempty"`
 	State   HostState      `json:"state"`
-	// Version is the table's version in force there, since Since; zero for
-	// hosts that hold no table.
+	// Version is the version of the table in force on the host since Since; zero
+	// for hosts without a table.
 	Version table.Version `json:"table_version,omitempty"`
 	Since   time.Time     `json:"in_force_since,omitzero"`
-	// InFlight counts requests in progress.
+	// InFlight is the number of requests in progress.
 	InFlight int `json:"in_flight"`
-	// LastSeen is when the host was last heard, on the answering host's clock.
+	// LastSeen is when the last message of the host was received, on the
+	// responding host's clock.
 	LastSeen time.Time `json:"heard,omitzero"`
 }
 
-// HostState says whether a host takes work.
+// HostState says whether a host accepts work.
 type HostState string
 
 // The states of a host.
 const (
 	HostServing  HostState = "serving"
 	HostDraining HostState = "draining"
-	// HostStale hears of the table from nobody and takes no new work.
+	// HostStale has not received a confirmation of its table in time and
+	// accepts no new work.
 	HostStale HostState = "stale"
-	// HostUnreachable is not heard from.
+	// HostUnreachable has sent no message within the timeout.
 	HostUnreachable HostState = "silent"
 )
 
@@ -144,7 +147,7 @@
 	Findings check.Findings `json:"findings,omitempty"`
 }
 
-// Error gives title, detail and findings.
+// Error returns title, detail and findings.
 func (p *Problem) Error() string {
 	text := p.Title
 	if p.Detail != "" {
@@ -156,7 +159,7 @@
 	return text
 }
 
-// EditReply is the answer to an edit that is in force.
+// EditReply is the response to an accepted edit.
 type EditReply struct {
 	EditID  table.EditID  `json:"edit_id"`
 	State   editor.State  `json:"state"`
--- a/admin/client.go
+++ b/admin/client.go
@@ -22,25 +22,26 @@
 	"jacinthworks/trace"
 )
 
-// ErrUnreachable says that no answer came. Anything sent may have arrived.
+// ErrUnreachable says that no response was received. The request may have arrived.
 var ErrUnreachable = errors.New("admin: no answer from the administration address")
 
-// clientTimeout is above the 3s within which an editor gives its outcome and
-// the second in which it hands the table to another host.
+// clientTimeout is above the 3s in which an editor determines its outcome plus the
+// second in which it replicates the table to another host.
 const clientTimeout = 10 * time.Second
 
-// editTries bounds how often an edit that isn't settled is sent again.
+// editTries bounds how often an unsettled edit is sent.
 const editTries = 3
 
-// Client asks one entry's administration address. Address must be set.
+// Client sends requests to the administration address of one entry. Address must be
+// set.
 type Client struct {
 	Address netip.AddrPort
 	Token   conf.Secret
-	// TLS, if set, is how to connect; nil connects without TLS.
+	// TLS is the TLS configuration; nil connects without TLS.
 	TLS *tls.Config
-	// Transport, if set, takes the place of one made for TLS.
+	// Transport, if set, replaces the transport that is made from TLS.
 	Transport http.RoundTripper
-	// RetryInterval is the time before an edit is sent again; default 1s.
+	// RetryInterval is the delay before an edit is sent again; default 1s.
 	RetryInterval time.Duration
 }
 
@@ -51,42 +52,43 @@
 	IfMatch *table.Version
 }
 
-// Table gives the table in force on the host that answers.
+// Table returns the table in force on the host that responds.
 func (c *Client) Table(ctx context.Context) (table.Table, error) {
 	var t table.Table
 	err := c.call(ctx, http.MethodGet, pathTable, nil, nil, &t)
 	return t, err
 }
 
-// Edit sends an edit and gives its outcome. One that isn't settled, or got no
-// answer, is sent again under its id, which applies it at most once. An error
-// says that nothing was sent or that the request itself was wrong.
+// Edit sends an edit and returns its outcome. An edit that is unsettled, or got no
+// response, is sent again under the same id, which applies it at most once. An
+// error means that nothing was sent or that the request was invalid.
 func (c *Client) Edit(ctx context.Context, e EditRequest) (editor.Outcome, error) {
 	if e.Edit.ID == "" {
 		e.Edit.ID = NewEditID()
 	}
-	sent := false
+	sentBefore := false
 	for try := 1; ; try++ {
-		o, err := c.sendEdit(ctx, e, sent)
+		o, err := c.sendEdit(ctx, e, sentBefore)
 		switch {
-		case err != nil && !sent && neverSent(err):
+		case err != nil && !sentBefore && neverSent(err):
 			return editor.Outcome{}, err
-		case errors.Is(err, ErrUnreachable), err != nil && sent:
-			// Whatever this send met, an earlier one may have arrived.
+		case errors.Is(err, ErrUnreachable), err != nil && sentBefore:
+			// Whatever the error of this try, an earlier try may have arrived.
 			o = editor.Outcome{State: editor.Unsettled, Detail: err.Error()}
 		case err != nil:
 			return editor.Outcome{}, err
 		case o.State != editor.Unsettled:
 			return o, nil
 		}
-		sent = true
-		if try == editTries || !c.pause(ctx) {
+		sentBefore = true
+		if try == editTries || !c.waitRetryInterval(ctx) {
 			return o, nil
 		}
 	}
 }
 
-// sendEdit sends an edit once; an outcome of any kind is no error.
+// sendEdit sends an edit once. It returns refused and unsettled outcomes as outcomes,
+// not as errors.
 func (c *Client) sendEdit(ctx context.Context, e EditRequest, sentBefore bool) (editor.Outcome, error) {
 	header := make(http.Header)
 	if e.IfMatch != nil {
@@ -108,37 +110,37 @@
 	return editor.Outcome{State: a.State, Version: a.Version}, nil
 }
 
-// Trace gives the account of a request.
+// Trace returns the trace of a request.
 func (c *Client) Trace(ctx context.Context, id domain.RequestID) (trace.Trace, error) {
 	var a trace.Trace
 	err := c.call(ctx, http.MethodGet, pathRequests+url.PathEscape(string(id)), nil, nil, &a)
 	return a, err
 }
 
-// Status gives the state of the hosts as the host that answers knows it.
+// Status returns the state of the hosts as seen by the host that responds.
 func (c *Client) Status(ctx context.Context) (Status, error) {
 	var s Status
 	err := c.call(ctx, http.MethodGet, pathStatus, nil, nil, &s)
 	return s, err
 }
 
-// Drain makes a host take no new work.
+// Drain makes a host accept no new work.
 func (c *Client) Drain(ctx context.Context, host domain.Host) error {
 	return c.call(ctx, http.MethodPost, pathDrain, nil, drainRequest{Host: host}, &drainRequest{})
 }
 
-// call sends a request once and reads its JSON answer. The error is a *Problem
-// that the server gave, or wraps ErrUnreachable.
+// call sends a request once and decodes the JSON response. The error is a *Problem
+// for an error response, and wraps ErrUnreachable if there is no readable response.
 func (c *Client) call(ctx context.Context, method, path string, header http.Header, body, into any) error {
 	ctx, cancel := context.WithTimeout(ctx, clientTimeout)
 	defer cancel()
 	text, err := json.Marshal(body)
 	if err != nil {
-		return errors.Wrap(err, "admin: encoding the request")
+		return errors.Wrap(err, "admin: encode the request")
 	}
 	r, err := http.NewRequestWithContext(ctx, method, c.base()+path, bytes.NewReader(text))
 	if err != nil {
-		return errors.Wrap(err, "admin: making the request")
+		return errors.Wrap(err, "admin: create the request")
 	}
 	if header != nil {
 		r.Header = header
@@ -153,10 +155,10 @@
 		return &unreachable{cause: err}
 	}
 	defer func() { _ = w.Body.Close() }()
-	return readAnswer(w, into)
+	return readResponse(w, into)
 }
 
-func readAnswer(w *http.Response, into any) error {
+func readResponse(w *http.Response, into any) error {
 	text, err := io.ReadAll(io.LimitReader(w.Body, 2*defaultMaxBody))
 	if err != nil {
 		return &unreachable{cause: err}
@@ -184,7 +186,8 @@
 	return "http://" + c.Address.String()
 }
 
-// transport gives the way to send one request, and how to close it after.
+// transport returns the transport for one request, and a function that closes its
+// idle connections afterwards.
 func (c *Client) transport() (http.RoundTripper, func()) {
 	if c.Transport != nil {
 		return c.Transport, func() {}
@@ -193,7 +196,7 @@
 	return t, t.CloseIdleConnections
 }
 
-func (c *Client) pause(ctx context.Context) bool {
+func (c *Client) waitRetryInterval(ctx context.Context) bool {
 	d := c.RetryInterval
 	if d == 0 {
 		d = time.Second
@@ -215,8 +218,8 @@
 func (u *unreachable) Is(t error) bool { return t == ErrUnreachable }
 func (u *unreachable) Unwrap() error   { return u.cause }
 
-// neverSent reports whether no connection came about, so that nothing of the
-// request can have arrived.
+// neverSent reports whether the connection failed, so that no part of the request
+// can have arrived.
 func neverSent(err error) bool {
 	var o *net.OpError
 	return errors.As(err, &o) && o.Op == "dial"
--- a/admin/client_test.go
+++ b/admin/client_test.go
@@ -13,8 +13,8 @@
 	"jacinthworks/table"
 )
 
-func TestTheClientReadsWhatTheServerSays(t *testing.T) {
-	b := newBench(t)
+func TestClientReadsServerResponses(t *testing.T) {
+	b := newFixture(t)
 	got, err := b.client.Table(t.Context())
 	require.NoError(t, err)
 	require.Equal(t, b.holder.Table(), got)
@@ -35,8 +35,8 @@
 	require.Equal(t, domain.Host("side-1"), b.host.drained)
 }
 
-func TestTheClientGivesOutcomes(t *testing.T) {
-	b := newBench(t)
+func TestClientEditReturnsOutcome(t *testing.T) {
+	b := newFixture(t)
 	stale, now := table.Version(0), table.Version(1)
 	o, err := b.client.Edit(t.Context(), EditRequest{Edit: weightEdit("appraisal", "3"), IfMatch: &stale})
 	require.NoError(t, err)
@@ -49,8 +49,8 @@
 	require.Equal(t, editor.Outcome{State: editor.Accepted, Version: 2}, o)
 }
 
-func TestTheClientTellsNoAnswerFromARefusal(t *testing.T) {
-	b := newBench(t)
+func TestClientDistinguishesNoResponseFromProblem(t *testing.T) {
+	b := newFixture(t)
 	b.client.Token = callerToken
 	_, err := b.client.Edit(t.Context(), EditRequest{Edit: weightEdit("appraisal", "3")})
 	var p *Problem
@@ -59,36 +59,36 @@
 
 	b.http.Close()
 	_, err = b.client.Edit(t.Context(), EditRequest{Edit: weightEdit("appraisal", "3")})
-	require.ErrorIs(t, err, ErrUnreachable, "nothing was sent, so the edit isn't in doubt")
+	require.ErrorIs(t, err, ErrUnreachable, "nothing was sent, so the edit isn't unsettled")
 	_, err = b.client.Table(t.Context())
 	require.ErrorIs(t, err, ErrUnreachable)
 }
 
-// losing loses the first answers after the server has acted on the request.
-type losing struct{ answers int }
+// losingTransport drops the first responses, after the server has processed the
+// requests.
+type losingTransport struct{ responses int }
 
-func (l *losing) RoundTrip(r *http.Request) (*http.Response, error) {
+func (l *losingTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	w, err := http.DefaultTransport.RoundTrip(r)
-	if l.answers == 0 || err != nil {
+	if l.responses == 0 || err != nil {
 		return w, err
 	}
-	l.answers--
+	l.responses--
 	_ = w.Body.Close()
 	return nil, errors.New("connection reset")
 }
 
-// An operator's connection breaks after the entry has accepted the edit. The
-// command sends it again under its id: it is in the table once, and the
-// operator reads "accepted". If no answer ever comes they read that it isn't
-// settled, never that it was refused.
-func TestAnEditWhoseAnswersAreLostIsAppliedOnce(t *testing.T) {
-	b := newBench(t)
-	b.client.Transport = &losing{answers: 2}
+// The connection breaks after the entry has accepted the edit. The client sends the
+// edit again under the same id: it must be applied once and reported as accepted. If
+// there is never a response, it must be reported as unsettled, not as refused.
+func TestClientEditWithLostResponsesIsAppliedOnce(t *testing.T) {
+	b := newFixture(t)
+	b.client.Transport = &losingTransport{responses: 2}
 	o, err := b.client.Edit(t.Context(), EditRequest{Edit: weightEdit("appraisal", "3")})
 	require.NoError(t, err)
 	require.Equal(t, editor.Outcome{State: editor.Accepted, Version: 2}, o)
 
-	b.client.Transport = &losing{answers: editTries}
+	b.client.Transport = &losingTransport{responses: editTries}
 	second := weightEdit("appraisal", "4")
 	second.ID = "e-2"
 	o, err = b.client.Edit(t.Context(), EditRequest{Edit: second})
@@ -97,7 +97,7 @@
 	require.EqualValues(t, 3, b.objects.version)
 }
 
-func TestTheClientGivesUpOnAnAddressThatRefuses(t *testing.T) {
+func TestClientReportsRefusedConnectionAsNeverSent(t *testing.T) {
 	c := Client{Address: netip.MustParseAddrPort("127.0.0.1:1")}
 	_, err := c.Status(t.Context())
 	require.ErrorIs(t, err, ErrUnreachable)
--- a/admin/edits.go
+++ b/admin/edits.go
@@ -15,7 +15,7 @@
 	"jacinthworks/table"
 )
 
-// NewEditID gives an id that no other edit has.
+// NewEditID returns a new random edit id.
 func NewEditID() table.EditID { return table.EditID("edit-" + strings.ToLower(rand.Text())) }
 
 func (s *Server) getTable(w http.ResponseWriter, r *http.Request, _ table.Operator) {
@@ -36,13 +36,14 @@
 			return
 		}
 		w.Header().Set("Content-Type", typeCSV+"; charset=utf-8")
-		_, _ = w.Write(text) // the operator is gone: nobody to tell
+		_, _ = w.Write(text) // the client has disconnected: the error cannot be reported
 	default:
 		writeProblem(w, problem(http.StatusNotAcceptable, "the table comes as "+typeJSON+" or "+typeCSV))
 	}
 }
 
-// acceptable picks the first type of an Accept header that the table comes in.
+// acceptable returns the first media type of an Accept header in which the table is
+// available, or "". It ignores quality values.
 func acceptable(accept string) string {
 	if strings.TrimSpace(accept) == "" {
 		return typeJSON
@@ -85,8 +86,8 @@
 	writeProblem(w, outcomeProblem(sub.Edit.ID, o))
 }
 
-// outcomeProblem tells what became of an edit that isn't accepted. An edit
-// that is not settled is no success and no refusal: 504, no answer in time.
+// outcomeProblem returns the problem for an edit that is not accepted. An unsettled
+// edit is neither a success nor a refusal: its status is 504, as after a timeout.
 func outcomeProblem(id table.EditID, o editor.Outcome) *Problem {
 	status := http.StatusGatewayTimeout
 	if o.State == editor.Refused {
@@ -161,7 +162,7 @@
 		Reason: editor.ReasonFindings, Findings: found}
 }
 
-// readIfMatch reads If-Match with one ETag of ours, or * for any version.
+// readIfMatch parses If-Match: one ETag of the table, or * for any version.
 func readIfMatch(values []string) (*table.Version, *Problem) {
 	if len(values) == 0 || len(values) == 1 && strings.TrimSpace(values[0]) == "*" {
 		return nil, nil
--- a/admin/fake_test.go
+++ b/admin/fake_test.go
@@ -25,9 +25,9 @@
 	callerToken = "a-callers-own-token"
 )
 
-// objects is a fake object API that holds the table and can be down.
+// objects is a fake object API that stores the table and can be down.
 type objects struct {
-	infra.Objects // the calls that nothing here makes
+	infra.Objects // nil: the tests don't make the other calls
 
 	mu      sync.Mutex
 	version infra.Version
@@ -57,7 +57,7 @@
 	return o.version, nil
 }
 
-// host answers for the rest of an entry.
+// host is a fake of the other parts of an entry.
 type host struct{ drained domain.Host }
 
 func (h *host) Status(context.Context) (Status, error) {
@@ -85,8 +85,8 @@
 		Deadline: table.Duration(time.Minute)}
 }
 
-// bench is a server with its fakes and a client for it.
-type bench struct {
+// fixture is a server with its fakes, and a client for it.
+type fixture struct {
 	objects *objects
 	host    *host
 	holder  *table.Holder
@@ -94,11 +94,11 @@
 	client  Client
 }
 
-func newBench(t *testing.T) *bench {
+func newFixture(t *testing.T) *fixture {
 	first := table.New(1, []table.Row{row("appraisal", "appraisal"), row("enquiry", "listing")})
 	text, err := first.Encode()
 	require.NoError(t, err)
-	b := &bench{objects: &objects{version: 1, value: text}, host: new(host), holder: new(table.Holder)}
+	b := &fixture{objects: &objects{version: 1, value: text}, host: new(host), holder: new(table.Holder)}
 	b.holder.Update(first, time.Now())
 	s := Server{
 		Operators: []conf.Operator{{Name: "asha", Token: ashaToken, Teams: []string{"appraisal"}},
--- a/admin/orders.go
+++ b/admin/orders.go
@@ -12,31 +12,32 @@
 	"jacinthworks/table"
 )
 
-// ErrNotTeamMember says that none of the operator's teams owns a row of the service.
+// ErrNotTeamMember says that no row of the service belongs to one of the operator's
+// teams.
 var ErrNotTeamMember = errors.New("admin: no row of the service belongs to your teams")
 
 // DefaultOrderTimeout is how long an order may wait for the order lease of its
-// engine, below the time that clients wait. The lease of a side that died lasts
-// longer: an order then has to be given again.
+// engine; it is below the timeout of clients. The lease of a side that crashed lasts
+// longer, so the operator must then repeat the order.
 const DefaultOrderTimeout = 8 * time.Second
 
-// OrderRequest is an order to the engine beside a side.
+// OrderRequest is an order to the engine that a side serves.
 type OrderRequest struct {
 	// Host is the side's name.
 	Host domain.Host `json:"host"`
-	// Kind is load or adapter, Value what to load.
+	// Kind is load or adapter; Value names what to load.
 	Kind  engine.OrderKind `json:"kind"`
 	Value string           `json:"value"`
 }
 
-// OrderReply says that the engine took the order.
+// OrderReply says that the engine accepted the order.
 type OrderReply struct {
 	OrderRequest
-	// Fence is the fencing number that went with it.
+	// Fence is the fencing token of the order.
 	Fence uint64 `json:"fence"`
 }
 
-// Orderer passes an order on; ErrUnknownHost when there is no such side.
+// Orderer forwards an order. It returns ErrUnknownHost if there is no such side.
 type Orderer interface {
 	SendOrder(ctx context.Context, o OrderRequest, by table.Operator) (OrderReply, error)
 }
@@ -51,8 +52,8 @@
 		writeProblem(w, problem(http.StatusBadRequest, "needs host, kind (load or adapter) and value"))
 		return
 	}
-	given, err := s.Orderer.SendOrder(r.Context(), o, by)
-	s.log().Info("order", "operator", by.Name, "target", o.Host, "kind", o.Kind, "value", o.Value, "fence", given.Fence, "err", err)
+	reply, err := s.Orderer.SendOrder(r.Context(), o, by)
+	s.log().Info("order", "operator", by.Name, "target", o.Host, "kind", o.Kind, "value", o.Value, "fence", reply.Fence, "err", err)
 	switch {
 	case errors.Is(err, ErrUnknownHost):
 		writeProblem(w, problem(http.StatusNotFound, "no side "+string(o.Host)+" is known"))
@@ -61,13 +62,13 @@
 	case err != nil:
 		writeProblem(w, problem(http.StatusServiceUnavailable, err.Error()))
 	default:
-		writeJSON(w, typeJSON, http.StatusOK, given)
+		writeJSON(w, typeJSON, http.StatusOK, reply)
 	}
 }
 
-// SendOrder gives an order to the engine beside a side.
+// SendOrder sends an order to the engine that a side serves.
 func (c *Client) SendOrder(ctx context.Context, o OrderRequest) (OrderReply, error) {
-	var given OrderReply
-	err := c.call(ctx, http.MethodPost, pathOrders, nil, o, &given)
-	return given, err
+	var reply OrderReply
+	err := c.call(ctx, http.MethodPost, pathOrders, nil, o, &reply)
+	return reply, err
 }
--- a/admin/server.go
+++ b/admin/server.go
@@ -16,11 +16,11 @@
 	"jacinthworks/table"
 )
 
-// defaultMaxBody holds an edit of every cell of the largest table: a cell
-// takes about four times its stored size when it stands in an edit.
+// defaultMaxBody is large enough for an edit of every cell of the largest table: a
+// cell takes about four times its stored size in an edit.
 const defaultMaxBody = 4 * table.MaxSize
 
-// Server answers operators. All fields but MaxBody and Log must be set.
+// Server serves operators. All fields except Orderer, MaxBody and Log must be set.
 type Server struct {
 	Operators []conf.Operator
 	Tables    TableSource
@@ -28,15 +28,15 @@
 	Status    StatusSource
 	Traces    TraceSource
 	Drainer   Drainer
-	// Orderer may be nil; orders are then not served.
+	// Orderer may be nil; the server then has no path for orders.
 	Orderer Orderer
-	// MaxBody bounds the body of a request in bytes; default 4 MiB.
+	// MaxBody is the largest request body in bytes; default 4 MiB.
 	MaxBody int64
-	// Log gets a line for each edit and each drain.
+	// Log gets a line for each edit, drain and order.
 	Log hclog.Logger
 }
 
-// Handler gives the handler of all paths under /admin/v1.
+// Handler returns the handler of all paths under /admin/.
 func (s *Server) Handler() http.Handler {
 	m := http.NewServeMux()
 	m.Handle("GET "+pathTable, s.operator(s.getTable))
@@ -55,7 +55,8 @@
 
 type operatorHandler func(w http.ResponseWriter, r *http.Request, by table.Operator)
 
-// operator lets a request through with an operator's token only.
+// operator authenticates a request by an operator's token, and rejects it without
+// one.
 func (s *Server) operator(h operatorHandler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		by, ok := s.findOperator(r.Header.Get("Authorization"))
@@ -69,11 +70,11 @@
 	})
 }
 
-// findOperator compares the token with every operator's.
+// findOperator returns the operator whose token is in the Authorization header.
 //
-// A comparison that ends at the first difference tells by its time how much of
-// a guess was right. Hashes have one length and subtle compares all of it, and
-// the loop goes on after a match.
+// A comparison that ends at the first difference would reveal by its duration how
+// many bytes of a guessed token are correct. Therefore hashes of equal length are
+// compared in constant time, and the loop continues after a match.
 func (s *Server) findOperator(header string) (table.Operator, bool) {
 	scheme, token, _ := strings.Cut(header, " ")
 	given := sha256.Sum256([]byte(token))
@@ -150,7 +151,8 @@
 	return s.Log
 }
 
-// readJSON reads one JSON value without unknown fields and nothing after it.
+// readJSON decodes a body that contains one JSON value without unknown fields, and
+// nothing after it.
 func readJSON(body io.Reader, into any) *Problem {
 	text, p := readBody(body)
 	if p != nil {
@@ -191,5 +193,5 @@
 	}
 	w.Header().Set("Content-Type", mediaType)
 	w.WriteHeader(status)
-	_, _ = w.Write(append(text, '\n')) // the operator is gone: nobody to tell
+	_, _ = w.Write(append(text, '\n')) // the client has disconnected: the error cannot be reported
 }
--- a/admin/server_test.go
+++ b/admin/server_test.go
@@ -14,8 +14,8 @@
 
 const editWeight = `{"id":"e-1","changes":[{"op":"set","service":"appraiser-lm","zone":"*","kind":"appraisal","cells":[{"column":"weight","value":4}]}]}`
 
-// send makes a request by hand; headers are "Name: value".
-func (b *bench) send(t *testing.T, method, path, token, body string, headers ...string) (*http.Response, string) {
+// send sends a raw request; headers have the form "Name: value".
+func (b *fixture) send(t *testing.T, method, path, token, body string, headers ...string) (*http.Response, string) {
 	r, err := http.NewRequestWithContext(t.Context(), method, b.http.URL+path, strings.NewReader(body))
 	require.NoError(t, err)
 	if token != "" {
@@ -34,8 +34,8 @@
 	return w, string(text)
 }
 
-// badRequests names each way to get a request wrong, its status, and what the
-// problem must say.
+// badRequests lists invalid requests with the expected status and texts of the
+// problem.
 var badRequests = []struct {
 	name    string
 	method  string
@@ -50,21 +50,21 @@
 	{"wrong token", "GET", pathTable, "operator-token-ashb", "", nil, 401, nil},
 	{"a caller's token", "GET", pathTable, callerToken, "", nil, 401, nil},
 	{"a caller's token on an edit", "PATCH", pathTable, callerToken, editWeight, nil, 401, nil},
-	{"a caller's token on a story", "GET", pathRequests + "entry-1.1.7", callerToken, "", nil, 401, nil},
+	{"a caller's token on a trace", "GET", pathRequests + "entry-1.1.7", callerToken, "", nil, 401, nil},
 	{"a caller's token on a drain", "POST", pathDrain, callerToken, `{"host":"side-1"}`, nil, 401, nil},
-	{"an empty token, as of an operator without one", "GET", pathTable, "", "", []string{"Authorization: Bearer "}, 401, nil},
+	{"an empty token, with an operator that has none", "GET", pathTable, "", "", []string{"Authorization: Bearer "}, 401, nil},
 	{"basic authentication", "GET", pathTable, "", "", []string{"Authorization: Basic " + ashaToken}, 401, nil},
 	{"no such path", "GET", "/admin/v1/tables", ashaToken, "", nil, 404, []string{"no GET of this path"}},
 	{"no such method", "DELETE", pathTable, ashaToken, "", nil, 404, []string{"no DELETE of this path"}},
-	{"a type that the table doesn't come in", "GET", pathTable, ashaToken, "", []string{"Accept: application/xml"}, 406, nil},
-	{"a type that an edit doesn't come in", "PATCH", pathTable, ashaToken, "<edit/>", []string{"Content-Type: text/xml"}, 415, nil},
+	{"unsupported media type in Accept", "GET", pathTable, ashaToken, "", []string{"Accept: application/xml"}, 406, nil},
+	{"unsupported media type of an edit", "PATCH", pathTable, ashaToken, "<edit/>", []string{"Content-Type: text/xml"}, 415, nil},
 	{"broken JSON", "PATCH", pathTable, ashaToken, `{"id":`, nil, 400, []string{"not the JSON expected"}},
 	{"an unknown field", "PATCH", pathTable, ashaToken, `{"idd":"e-1"}`, nil, 400, []string{`unknown field`}},
-	{"something after the edit", "PATCH", pathTable, ashaToken, editWeight + "{}", nil, 400, []string{"something follows"}},
+	{"trailing data after the edit", "PATCH", pathTable, ashaToken, editWeight + "{}", nil, 400, []string{"something follows"}},
 	{"a body over the limit", "PATCH", pathTable, ashaToken, strings.Repeat(" ", 2001), nil, 413, []string{"over the limit of 2000 bytes"}},
-	{"two ids", "PATCH", pathTable, ashaToken, editWeight, []string{"Idempotency-Key: e-2"}, 400, []string{`\"e-1\" in the body and \"e-2\"`}},
+	{"different ids in header and body", "PATCH", pathTable, ashaToken, editWeight, []string{"Idempotency-Key: e-2"}, 400, []string{`\"e-1\" in the body and \"e-2\"`}},
 	{"a weak ETag", "PATCH", pathTable, ashaToken, editWeight, []string{`If-Match: W/"1"`}, 400, []string{"If-Match must be"}},
-	{"sent_before", "PATCH", pathTable + "?sent_before=maybe", ashaToken, editWeight, nil, 400, []string{"sent_before must be"}},
+	{"invalid sent_before", "PATCH", pathTable + "?sent_before=maybe", ashaToken, editWeight, nil, 400, []string{"sent_before must be"}},
 	{"a stale If-Match", "PATCH", pathTable, ashaToken, editWeight, []string{`If-Match: "0"`}, 412,
 		[]string{`"reason":"stale"`, `"table_version":1`, "made for version 0, the table is at 1"}},
 	{"three wrong cells", "PATCH", pathTable, ashaToken, `{"changes":[{"op":"set","service":"appraiser-lm","zone":"*","kind":"appraisal","cells":[
@@ -74,13 +74,13 @@
 		[]string{`there is no service \"aprraiser-lm\" in the table`}},
 	{"another team's row", "PATCH", pathTable, raviToken, editWeight, nil, 403, []string{`belongs to team \"appraisal\", which ravi isn't in`}},
 	{"broken CSV", "PATCH", pathTable, ashaToken, "service,zone,colour\n", []string{"Content-Type: text/csv"}, 422, []string{"line 1 colour"}},
-	{"no story", "GET", pathRequests + "entry-1.1.8", ashaToken, "", nil, 404, []string{"no story of this request"}},
+	{"no trace", "GET", pathRequests + "entry-1.1.8", ashaToken, "", nil, 404, []string{"no story of this request"}},
 	{"draining an unknown host", "POST", pathDrain, ashaToken, `{"host":"side-9"}`, nil, 404, []string{"no host side-9"}},
-	{"draining nothing", "POST", pathDrain, ashaToken, `{}`, nil, 400, []string{"host is missing"}},
+	{"draining without a host", "POST", pathDrain, ashaToken, `{}`, nil, 400, []string{"host is missing"}},
 }
 
-func TestABadRequestGetsItsClearError(t *testing.T) {
-	b := newBench(t)
+func TestBadRequestReturnsProblem(t *testing.T) {
+	b := newFixture(t)
 	for _, c := range badRequests {
 		t.Run(c.name, func(t *testing.T) {
 			w, body := b.send(t, c.method, c.path, c.token, c.body, c.headers...)
@@ -96,13 +96,13 @@
 			require.NotContains(t, body, ashaToken)
 		})
 	}
-	require.EqualValues(t, 1, b.objects.version, "none of them wrote anything")
+	require.EqualValues(t, 1, b.objects.version, "no bad request wrote anything")
 	w, _ := b.send(t, "PATCH", pathTable, ashaToken, editWeight, `If-Match: "1"`)
-	require.Equal(t, 200, w.StatusCode, "and the server goes on")
+	require.Equal(t, 200, w.StatusCode, "the server still serves valid requests")
 }
 
-func TestTheTableComesAsJSONAndCSVWithItsETag(t *testing.T) {
-	b := newBench(t)
+func TestGetTableReturnsJSONOrCSVWithETag(t *testing.T) {
+	b := newFixture(t)
 	w, body := b.send(t, "GET", pathTable, ashaToken, "")
 	require.Equal(t, `"1"`, w.Header.Get("ETag"))
 	var got table.Table
@@ -120,8 +120,8 @@
 	require.Empty(t, body)
 }
 
-func TestAnEditIsInForceWhenAccepted(t *testing.T) {
-	b := newBench(t)
+func TestAcceptedEditIsInForce(t *testing.T) {
+	b := newFixture(t)
 	w, body := b.send(t, "PATCH", pathTable, ashaToken, editWeight, `If-Match: "1"`)
 	require.Equal(t, 200, w.StatusCode, body)
 	require.Equal(t, `"2"`, w.Header.Get("ETag"))
@@ -135,11 +135,11 @@
 	require.Equal(t, 9, r.Weight)
 }
 
-// The platform is down and an operator edits. Nothing was written, and the
-// answer says so with the time to come back. Sent again after a send whose
-// answer was lost, the same edit can't be called refused.
-func TestAnEditDuringAnOutageGetsATrueAnswer(t *testing.T) {
-	b := newBench(t)
+// While the platform is down, an edit is refused with Retry-After, because nothing
+// was written. An edit whose earlier response was lost is unsettled instead: it may
+// have been written.
+func TestEditDuringOutageIsRefusedOrUnsettled(t *testing.T) {
+	b := newFixture(t)
 	b.objects.down = true
 	w, body := b.send(t, "PATCH", pathTable, ashaToken, editWeight)
 	require.Equal(t, 503, w.StatusCode)
