--- a/infra/http.go
+++ b/infra/http.go
@@ -10,77 +10,77 @@
 	"jacinthworks/send"
 )
 
-// CallError is the error of a call to the platform.
+// CallError is the error of a failed call to the platform.
 type CallError struct {
-	// Call names what was asked.
+	// Call identifies the request: its target, mostly preceded by its method.
 	Call string
 	// Kind is one of the package's errors.
 	Kind error
-	// Cause says more.
+	// Cause is the underlying error.
 	Cause error
 }
 
-// Error gives call, class and cause.
+// Error returns kind, call and cause.
 func (f *CallError) Error() string {
 	return f.Kind.Error() + ": " + f.Call + ": " + f.Cause.Error()
 }
 
-// Unwrap gives class and cause.
+// Unwrap returns kind and cause.
 func (f *CallError) Unwrap() []error { return []error{f.Kind, f.Cause} }
 
-// maxAnswer bounds an answer in bytes. A value is a megabyte at most; a list of
-// names may be longer: at about 100 bytes each, three hundred thousand segments
-// of stories. Bound to one value's size, a list was refused beyond 11,400 names,
-// and no story was found any more.
-const maxAnswer = 32 << 20
+// maxResponse is the largest response body in bytes. A value is at most a megabyte,
+// but a list of names may be longer: at about 100 bytes each, this bound allows three
+// hundred thousand trace segments. With the bound of a single value, lists of more
+// than 11,400 names were rejected, and no trace could be found any more.
+const maxResponse = 32 << 20
 
-// ask sends one call and gives status, header and whole body of its answer.
-func ask(ctx context.Context, c *send.Client, r send.Request) (*send.Response, []byte, error) {
+// do sends one request, and returns the response and its whole body.
+func do(ctx context.Context, c *send.Client, r send.Request) (*send.Response, []byte, error) {
 	call := r.Method + " " + r.Target
 	reply, err := c.Do(ctx, r)
 	if err != nil {
-		return nil, nil, lost(call, err)
+		return nil, nil, noResponse(call, err)
 	}
-	value, err := reply.ReadAll(maxAnswer)
+	value, err := reply.ReadAll(maxResponse)
 	if err != nil {
-		return nil, nil, lost(call, err)
+		return nil, nil, noResponse(call, err)
 	}
-	return reply, value, answered(call, reply.Status, value)
+	return reply, value, statusError(call, reply.Status, value)
 }
 
-// lost sorts a call without a whole answer. Without a connection the platform
-// did nothing, which is as good as its own word; everything else is open.
-func lost(call string, err error) error {
+// noResponse classifies the error of a call without a complete response. If the
+// request was not sent, the platform did nothing, as if it had refused the call;
+// after any other error the outcome is unknown.
+func noResponse(call string, err error) error {
 	if send.StageOf(err) == send.NotSent {
 		return &CallError{Call: call, Kind: ErrRefused, Cause: err}
 	}
 	return &CallError{Call: call, Kind: ErrNoReply, Cause: err}
 }
 
-// answered sorts an answer by its status. Only the statuses by which the
-// platform says that it did nothing are ErrRefused: an internal error may come
-// after the write.
-func answered(call string, status int, value []byte) error {
-	class := ErrNoReply
+// statusError classifies a response by its status. Only statuses that say that the
+// platform did nothing are ErrRefused: an internal error may happen after the write.
+func statusError(call string, status int, value []byte) error {
+	kind := ErrNoReply
 	switch status {
 	case http.StatusOK, http.StatusNoContent:
 		return nil
 	case http.StatusNotModified:
-		class = ErrUnchanged
+		kind = ErrUnchanged
 	case http.StatusNotFound:
-		class = ErrNotFound
+		kind = ErrNotFound
 	case http.StatusPreconditionFailed:
-		class = ErrConflict
+		kind = ErrConflict
 	case http.StatusBadRequest, http.StatusRequestEntityTooLarge, http.StatusPreconditionRequired,
 		http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		class = ErrRefused
+		kind = ErrRefused
 	}
-	return &CallError{Call: call, Kind: class, Cause: errors.Errorf("infra: status %d: %.200s", status, value)}
+	return &CallError{Call: call, Kind: kind, Cause: errors.Errorf("infra: status %d: %.200s", status, value)}
 }
 
-// read asks for a JSON value.
+// read gets a JSON value.
 func read(ctx context.Context, c *send.Client, target string, into any) error {
-	_, value, err := ask(ctx, c, send.Request{Method: http.MethodGet, Target: target})
+	_, value, err := do(ctx, c, send.Request{Method: http.MethodGet, Target: target})
 	if err != nil {
 		return err
 	}
--- a/infra/http_hosts.go
+++ b/infra/http_hosts.go
@@ -9,12 +9,13 @@
 	"jacinthworks/send"
 )
 
-// HTTPHosts is the host list over HTTP: GET /hosts. The zero value with a Base
-// is ready to use; it must not be copied after its first use.
+// HTTPHosts reads the host list over HTTP, by GET /hosts. The zero value with Base
+// set is ready to use; it must not be copied after first use.
 type HTTPHosts struct {
 	// Base is the platform's address.
 	Base netip.AddrPort
-	// ReadTimeout is how long an answer may take; zero is send.DefaultReadTimeout.
+	// ReadTimeout is the longest wait for a response; zero means
+	// send.DefaultReadTimeout.
 	ReadTimeout time.Duration
 
 	once   sync.Once
@@ -23,7 +24,7 @@
 
 var _ Hosts = (*HTTPHosts)(nil)
 
-// Hosts gives the list as the platform knows it now.
+// Hosts returns the current host list of the platform.
 func (h *HTTPHosts) Hosts(ctx context.Context) ([]ListedHost, error) {
 	h.once.Do(func() { h.client.Base, h.client.ReadTimeout = h.Base, h.ReadTimeout })
 	var list []ListedHost
--- a/infra/http_objects.go
+++ b/infra/http_objects.go
@@ -15,14 +15,15 @@
 	"jacinthworks/send"
 )
 
-// HTTPObjects is the object API over HTTP. The version travels as ETag, the
-// condition as If-Match, or If-None-Match: * to create. The zero value with a
-// Base is ready to use; it must not be copied after its first use.
+// HTTPObjects is the client of the object API over HTTP. The version is sent as ETag,
+// the condition of a write as If-Match, or as If-None-Match: * to create an object.
+// The zero value with Base set is ready to use; it must not be copied after first
+// use.
 type HTTPObjects struct {
 	// Base is the platform's address.
 	Base netip.AddrPort
-	// ReadTimeout is how long an answer may take beyond a watch's wait; zero is
-	// send.DefaultReadTimeout.
+	// ReadTimeout is the longest wait for a response, in addition to the wait time of
+	// a watch; zero means send.DefaultReadTimeout.
 	ReadTimeout time.Duration
 
 	once   sync.Once
@@ -36,14 +37,15 @@
 	return h.object(ctx, name, send.Request{Method: http.MethodGet, Target: objectTarget(name)})
 }
 
-// List gives the names that start with prefix, sorted.
+// List returns the names that start with prefix, sorted.
 func (h *HTTPObjects) List(ctx context.Context, prefix string) ([]string, error) {
 	var names []string
-	err := read(ctx, h.open(), "/objects?prefix="+url.QueryEscape(prefix), &names)
+	err := read(ctx, h.initClient(), "/objects?prefix="+url.QueryEscape(prefix), &names)
 	return names, err
 }
 
-// Put writes the value if the object is at the given version.
+// Put writes the value if the object is at the given version, and returns the new
+// version. Version zero creates the object.
 func (h *HTTPObjects) Put(ctx context.Context, name string, value []byte, at Version) (Version, error) {
 	header := http.Header{"Content-Type": {"application/octet-stream"}}
 	if at == 0 {
@@ -52,42 +54,43 @@
 		header.Set("If-Match", at.ETag())
 	}
 	r := send.Request{Method: http.MethodPut, Target: objectTarget(name), Header: header, Body: value}
-	reply, _, err := ask(ctx, h.open(), r)
+	reply, _, err := do(ctx, h.initClient(), r)
 	if err != nil {
 		return 0, err
 	}
-	return versionOf(r.Target, reply)
+	return responseVersion(r.Target, reply)
 }
 
 // Delete removes the object if it is at the given version.
 func (h *HTTPObjects) Delete(ctx context.Context, name string, at Version) error {
 	header := http.Header{"If-Match": {at.ETag()}}
-	_, _, err := ask(ctx, h.open(), send.Request{Method: http.MethodDelete, Target: objectTarget(name), Header: header})
+	_, _, err := do(ctx, h.initClient(), send.Request{Method: http.MethodDelete, Target: objectTarget(name), Header: header})
 	return err
 }
 
-// Watch waits for a version after the given one.
+// Watch returns the object once it is newer than the given version, or
+// ErrUnchanged after the wait time.
 func (h *HTTPObjects) Watch(ctx context.Context, name string, after Version, wait time.Duration) (Object, error) {
 	query := url.Values{"after": {strconv.FormatUint(uint64(after), 10)}, "wait": {wait.String()}}
-	silence := h.ReadTimeout
-	if silence <= 0 {
-		silence = send.DefaultReadTimeout
+	readTimeout := h.ReadTimeout
+	if readTimeout <= 0 {
+		readTimeout = send.DefaultReadTimeout
 	}
 	return h.object(ctx, name, send.Request{
-		Method: http.MethodGet, Target: objectTarget(name) + "?" + query.Encode(), ReadTimeout: wait + silence,
+		Method: http.MethodGet, Target: objectTarget(name) + "?" + query.Encode(), ReadTimeout: wait + readTimeout,
 	})
 }
 
 func (h *HTTPObjects) object(ctx context.Context, name string, r send.Request) (Object, error) {
-	reply, value, err := ask(ctx, h.open(), r)
+	reply, value, err := do(ctx, h.initClient(), r)
 	if err != nil {
 		return Object{}, err
 	}
-	version, err := versionOf(r.Target, reply)
+	version, err := responseVersion(r.Target, reply)
 	return Object{Name: name, Version: version, Value: value}, err
 }
 
-func (h *HTTPObjects) open() *send.Client {
+func (h *HTTPObjects) initClient() *send.Client {
 	h.once.Do(func() { h.client.Base, h.client.ReadTimeout = h.Base, h.ReadTimeout })
 	return &h.client
 }
@@ -96,16 +99,16 @@
 	return (&url.URL{Path: "/objects/" + name}).EscapedPath()
 }
 
-// ETag gives the version as an entity tag.
+// ETag returns the version as an entity tag.
 func (v Version) ETag() string { return strconv.Quote(strconv.FormatUint(uint64(v), 10)) }
 
-// ParseETag reads what ETag writes.
+// ParseETag parses the output of Version.ETag.
 func ParseETag(tag string) (Version, error) {
 	v, err := strconv.ParseUint(strings.Trim(tag, `"`), 10, 64)
-	return Version(v), errors.Wrap(err, "infra: reading entity tag")
+	return Version(v), errors.Wrap(err, "infra: parse entity tag")
 }
 
-func versionOf(call string, reply *send.Response) (Version, error) {
+func responseVersion(call string, reply *send.Response) (Version, error) {
 	v, err := ParseETag(reply.Header.Get("ETag"))
 	if err != nil {
 		return 0, &CallError{Call: call, Kind: ErrNoReply, Cause: err}
--- a/infra/http_test.go
+++ b/infra/http_test.go
@@ -15,7 +15,7 @@
 	"jacinthworks/infra"
 )
 
-const silence = 50 * time.Millisecond
+const readTimeout = 50 * time.Millisecond
 
 func start(t *testing.T, p *store.Platform) *infra.HTTPObjects {
 	t.Helper()
@@ -34,7 +34,7 @@
 	first, err := o.Put(ctx, "lease/side-1", []byte("one"), 0)
 	require.NoError(t, err)
 	_, err = o.Put(ctx, "lease/side-1", []byte("two"), 0)
-	require.ErrorIs(t, err, infra.ErrConflict, "it exists")
+	require.ErrorIs(t, err, infra.ErrConflict, "the object exists")
 	second, err := o.Put(ctx, "lease/side-1", []byte("two"), first)
 	require.NoError(t, err)
 	require.Greater(t, second, first)
@@ -51,7 +51,7 @@
 	require.NoError(t, o.Delete(ctx, "lease/side-1", second))
 	third, err := o.Put(ctx, "lease/side-1", nil, 0)
 	require.NoError(t, err)
-	require.Greater(t, third, second, "an object made again is newer")
+	require.Greater(t, third, second, "a recreated object has a higher version")
 	_, err = o.Put(ctx, "large", make([]byte, infra.MaxValue+1), 0)
 	require.ErrorIs(t, err, infra.ErrRefused)
 }
@@ -76,28 +76,27 @@
 	require.NoError(t, <-failed)
 
 	p.SetFault(store.Fault{WatchSilent: true})
-	silent := &infra.HTTPObjects{Base: o.Base, ReadTimeout: silence}
+	silent := &infra.HTTPObjects{Base: o.Base, ReadTimeout: readTimeout}
 	_, err = silent.Watch(ctx, "table", 0, time.Millisecond)
 	require.ErrorIs(t, err, infra.ErrNoReply)
 }
 
-// Story: an operator's edit is written, and the answer is lost on its way. The
-// editor may not take the edit for refused, nor write it again unread: its own
-// first write is then the conflict.
-func TestALostAnswerLeavesTheWriteOpen(t *testing.T) {
+// A write whose response is lost must not be reported as refused, nor be repeated by
+// the client: the repetition would conflict with the first write.
+func TestPutWithLostResponseReturnsErrNoReply(t *testing.T) {
 	var p store.Platform
 	o, ctx := start(t, &p), t.Context()
 	p.SetFault(store.Fault{LoseAnswers: 1})
 	_, err := o.Put(ctx, "table", []byte("edit"), 0)
 	require.ErrorIs(t, err, infra.ErrNoReply)
 	require.NotErrorIs(t, err, infra.ErrRefused)
-	require.Equal(t, 1, p.Counts().Put, "the write is not repeated")
+	require.Equal(t, 1, p.Counts().Put, "the client does not repeat the write")
 	got, err := o.Get(ctx, "table")
 	require.NoError(t, err)
-	require.Equal(t, "edit", string(got.Value), "it took effect")
+	require.Equal(t, "edit", string(got.Value), "the write took effect")
 }
 
-func TestEachErrorClass(t *testing.T) {
+func TestFaultsMapToErrorKinds(t *testing.T) {
 	for name, c := range map[string]struct {
 		fault store.Fault
 		want  error
@@ -108,7 +107,7 @@
 		t.Run(name, func(t *testing.T) {
 			var p store.Platform
 			o := start(t, &p)
-			o.ReadTimeout = silence
+			o.ReadTimeout = readTimeout
 			p.SetFault(c.fault)
 			_, err := o.Put(t.Context(), "table", nil, 0)
 			require.ErrorIs(t, err, c.want)
@@ -116,17 +115,17 @@
 			require.ErrorIs(t, err, c.want)
 			p.SetFault(store.Fault{})
 			_, err = o.Get(t.Context(), "table")
-			require.ErrorIs(t, err, infra.ErrNotFound, "the fault is over and nothing was written")
+			require.ErrorIs(t, err, infra.ErrNotFound, "after the fault there is no object, so nothing was written")
 		})
 	}
 	for name, fault := range map[string]store.Fault{
 		"frozen": {Frozen: true},
-		"slow":   {Delay: 4 * silence},
+		"slow":   {Delay: 4 * readTimeout},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var p store.Platform
 			o := start(t, &p)
-			o.ReadTimeout = silence
+			o.ReadTimeout = readTimeout
 			p.SetFault(fault)
 			_, err := o.Put(t.Context(), "table", nil, 0)
 			require.ErrorIs(t, err, infra.ErrNoReply)
@@ -134,10 +133,10 @@
 			require.Eventually(t, func() bool {
 				_, err := o.Get(t.Context(), "table")
 				return err == nil
-			}, 10*time.Second, time.Millisecond, "a write without an answer takes effect later")
+			}, 10*time.Second, time.Millisecond, "a write without a response takes effect later")
 		})
 	}
-	t.Run("nobody listens", func(t *testing.T) {
+	t.Run("connection refused", func(t *testing.T) {
 		s := serve.Server{Handler: &store.Platform{}}
 		addr, err := s.Start(t.Context(), netip.MustParseAddrPort("127.0.0.1:0"))
 		require.NoError(t, err)
@@ -145,17 +144,17 @@
 		_, err = (&infra.HTTPObjects{Base: addr}).Put(t.Context(), "table", nil, 0)
 		require.ErrorIs(t, err, infra.ErrRefused, "a write that was never sent took no effect")
 	})
-	t.Run("caller gives up", func(t *testing.T) {
+	t.Run("context deadline exceeded", func(t *testing.T) {
 		var p store.Platform
 		o := start(t, &p)
 		p.SetFault(store.Fault{Frozen: true})
-		ctx, cancel := context.WithTimeout(t.Context(), silence)
+		ctx, cancel := context.WithTimeout(t.Context(), readTimeout)
 		defer cancel()
 		_, err := o.Put(ctx, "table", nil, 0)
 		require.ErrorIs(t, err, infra.ErrNoReply)
 		require.ErrorIs(t, err, context.DeadlineExceeded)
 	})
-	t.Run("over the rate", func(t *testing.T) {
+	t.Run("rate limited", func(t *testing.T) {
 		p := store.Platform{WriteRate: 1}
 		o := start(t, &p)
 		var err error
@@ -166,7 +165,7 @@
 	})
 }
 
-func TestStaleReadsAndLateHosts(t *testing.T) {
+func TestStaleReadsLaggingHostsAndWeights(t *testing.T) {
 	var p store.Platform
 	o, ctx := start(t, &p), t.Context()
 	first, err := o.Put(ctx, "table", []byte("old"), 0)
@@ -183,7 +182,7 @@
 	p.SetHost(infra.ListedHost{Host: "appraiser-1", Zone: "howrah", State: infra.HostLeaving})
 	list, err := hosts.Hosts(ctx)
 	require.NoError(t, err)
-	require.Equal(t, infra.HostLive, list[0].State, "the list lags")
+	require.Equal(t, infra.HostLive, list[0].State, "the host list lags")
 	p.SetFault(store.Fault{})
 	list, err = hosts.Hosts(ctx)
 	require.NoError(t, err)
@@ -195,18 +194,18 @@
 	require.Positive(t, size)
 }
 
-// A support engineer asks for a story after a day of traffic and is told that
-// there is none: the list of segments was longer than one value may be.
-func TestListLongerThanAValue(t *testing.T) {
+// Guards against traces that can't be found after a day of traffic: the list of their
+// segments is longer than the largest value, and was rejected for its size.
+func TestListLongerThanMaxValue(t *testing.T) {
 	var p store.Platform
 	o, ctx := start(t, &p), t.Context()
-	const many = 1_200
+	const count = 1_200
 	name := strings.Repeat("n", 1000)
-	for i := range many {
+	for i := range count {
 		_, err := o.Put(ctx, fmt.Sprintf("stories/%s-%05d", name, i), []byte("x"), 0)
 		require.NoError(t, err)
 	}
 	names, err := o.List(ctx, "stories/")
 	require.NoError(t, err)
-	require.Len(t, names, many)
+	require.Len(t, names, count)
 }
--- a/infra/http_weights.go
+++ b/infra/http_weights.go
@@ -11,20 +11,22 @@
 	"jacinthworks/send"
 )
 
-// WeightsInfo is what GET /weights/{model} answers.
+// WeightsInfo is the response body of GET /weights/{model}.
 type WeightsInfo struct {
-	// BytesPerSecond is the store's limit, shared by all that load.
+	// BytesPerSecond is the rate limit of the store, shared by all engines that load
+	// weights.
 	BytesPerSecond int64 `json:"bytes_per_second"`
-	// Size is that of the model's weights in bytes.
+	// Size is the size of the model's weights in bytes.
 	Size int64 `json:"size"`
 }
 
-// HTTPWeights is the weight store over HTTP. The zero value with a Base is
-// ready to use; it must not be copied after its first use.
+// HTTPWeights is the client of the weight store over HTTP. The zero value with Base
+// set is ready to use; it must not be copied after first use.
 type HTTPWeights struct {
 	// Base is the platform's address.
 	Base netip.AddrPort
-	// ReadTimeout is how long an answer may take; zero is send.DefaultReadTimeout.
+	// ReadTimeout is the longest wait for a response; zero means
+	// send.DefaultReadTimeout.
 	ReadTimeout time.Duration
 
 	once   sync.Once
@@ -33,7 +35,8 @@
 
 var _ Weights = (*HTTPWeights)(nil)
 
-// Info gives the store's limit in bytes a second and the size of the model.
+// Info returns the rate limit of the store in bytes per second, and the size of the
+// model's weights in bytes.
 func (h *HTTPWeights) Info(ctx context.Context, model domain.Service) (bytesPerSecond, size int64, err error) {
 	h.once.Do(func() { h.client.Base, h.client.ReadTimeout = h.Base, h.ReadTimeout })
 	var info WeightsInfo
--- a/infra/infra.go
+++ b/infra/infra.go
@@ -1,7 +1,6 @@
-// Package infra meets the platform: its object API, its host list and its
-// weight store. Each stands behind one narrow interface with its adapter in
-// one file, so that another form of the platform takes another file and
-// nothing else.
+// Package infra accesses the platform: its object API, its host list and its weight
+// store. Each has a narrow interface with an HTTP client in one file, so that another
+// kind of platform needs only another file.
 //
 // # Usage
 //
@@ -9,8 +8,8 @@
 //	o, err := objects.Get(ctx, "table")
 //	v, err := objects.Put(ctx, "table", value, o.Version) // conditional
 //
-// An error for which errors.Is(err, ErrNoReply) holds says nothing of whether
-// a write took effect: read before writing again.
+// After an error for which errors.Is(err, ErrNoReply) holds, it is unknown whether a
+// write took effect: read before writing again.
 package infra
 
 import (
@@ -22,12 +21,12 @@
 	"jacinthworks/domain"
 )
 
-// MaxValue is the largest value the object API holds, in bytes.
+// MaxValue is the size limit of a value in the object API, in bytes.
 const MaxValue = 1 << 20
 
-// Version is an object's version. It grows with each write to the object; one with
-// revision zero means that the object does not exist. Where the platform counts eras it
-// is an epoch.Position.
+// Version is the version of an object. It increases with each write to the object; a
+// version whose revision is zero means that the object does not exist. If the platform
+// counts eras, a Version is an epoch.Position.
 type Version uint64
 
 // Object is a named value at a version.
@@ -39,39 +38,38 @@
 
 // The errors of the object API.
 var (
-	// ErrNotFound says that there is no such object.
+	// ErrNotFound: the object does not exist.
 	ErrNotFound = errors.New("infra: no such object")
-	// ErrConflict says that the object is not at the version given, and that
-	// nothing was written.
+	// ErrConflict: the object is not at the given version, and nothing was written.
 	ErrConflict = errors.New("infra: version conflict")
-	// ErrUnchanged ends a watch whose wait passed with no newer version.
+	// ErrUnchanged: there was no newer version within the wait time of a watch.
 	ErrUnchanged = errors.New("infra: unchanged")
-	// ErrRefused says that the platform answered and did nothing (outage,
-	// rate limit, oversized value).
+	// ErrRefused: the platform did nothing (outage, rate limit, oversized value), or
+	// the request was not sent.
 	ErrRefused = errors.New("infra: refused")
-	// ErrNoReply says that no answer came; a write may have taken effect.
-	ErrNoReply = errors.New("infra: no answer")
+	// ErrNoReply: there was no complete response; a write may have taken effect.
+	ErrNoReply = errors.New("infra: no reply")
 )
 
-// Objects is the platform's object API. Each call counts against its rate, a
-// waiting watch as one.
+// Objects is the platform's object API. Each call counts against its rate limit; a
+// watch counts once.
 type Objects interface {
-	// Get reads an object. With ErrNotFound it gives the version at which one can be
-	// created.
+	// Get reads an object. With ErrNotFound it returns the version with which the
+	// object can be created.
 	Get(ctx context.Context, name string) (Object, error)
-	// List gives the names that start with prefix, sorted.
+	// List returns the names that start with prefix, sorted.
 	List(ctx context.Context, prefix string) ([]string, error)
-	// Put writes the value if the object is at the given version; version
-	// zero creates it.
+	// Put writes the value if the object is at the given version, and returns the
+	// new version. Version zero creates the object.
 	Put(ctx context.Context, name string, value []byte, at Version) (Version, error)
 	// Delete removes the object if it is at the given version.
 	Delete(ctx context.Context, name string, at Version) error
-	// Watch waits until the object is newer than the given version, at most
-	// for the given time, and gives it.
+	// Watch waits until the object is newer than the given version and returns it, or
+	// returns ErrUnchanged after the given time.
 	Watch(ctx context.Context, name string, after Version, wait time.Duration) (Object, error)
 }
 
-// HostState is what the host list says of a host.
+// HostState is the state of a host in the host list.
 type HostState string
 
 // The states of a host.
@@ -80,22 +78,22 @@
 	HostLeaving HostState = "leaving"
 )
 
-// ListedHost is one line of the host list.
+// ListedHost is an entry of the host list.
 type ListedHost struct {
 	Host  domain.Host `json:"host"`
 	Zone  domain.Zone `json:"zone"`
 	State HostState   `json:"state"`
 }
 
-// Hosts is the platform's host list. It lags.
+// Hosts is the platform's host list. The list lags behind the real state.
 type Hosts interface {
-	// Hosts gives the list as the platform knows it now.
+	// Hosts returns the current host list of the platform.
 	Hosts(ctx context.Context) ([]ListedHost, error)
 }
 
-// Weights is the weight store that engines load from; it is rate-limited.
+// Weights is the weight store from which engines load models; it is rate-limited.
 type Weights interface {
-	// Info gives the store's limit in bytes a second and the size of the
-	// weights of a model in bytes.
+	// Info returns the rate limit of the store in bytes per second, and the size of
+	// the model's weights in bytes.
 	Info(ctx context.Context, model domain.Service) (bytesPerSecond, size int64, err error)
 }
