--- a/conf/any.go
+++ b/conf/check_file.go
@@ -2,9 +2,9 @@
 
 import "github.com/pelletier/go-toml/v2"
 
-// CheckFile checks the settings of an entry, a side or a direct entry. A file
-// with one of the keys that only a side or a direct entry has is taken for
-// theirs. The error is check.Findings.
+// CheckFile checks the settings of an entry, a side or a direct entry. It detects the
+// kind of the file by keys that only a side or only a direct entry has. The error is
+// check.Findings.
 func CheckFile(file string, text []byte) error {
 	var err error
 	switch {
@@ -21,7 +21,7 @@
 func hasKey(text []byte, keys ...string) bool {
 	values := make(map[string]any)
 	if err := toml.Unmarshal(text, &values); err != nil {
-		return false // either parser reports it
+		return false // the parser that CheckFile selects reports the error
 	}
 	for _, key := range keys {
 		if _, ok := values[key]; ok {
--- a/conf/conf.go
+++ b/conf/conf.go
@@ -1,6 +1,6 @@
-// Package conf reads the settings of `entry` and `side`: TOML files that are
-// checked whole before anything listens. Unknown keys and bad values are
-// findings, each with file, line and key, and all are reported together.
+// Package conf reads the settings of `entry`, `side` and `direct`: TOML files that are
+// checked completely before the process listens. Unknown keys and invalid values are
+// findings with file, line and key, and all findings are reported together.
 //
 // # Usage
 //
@@ -45,8 +45,9 @@
 //	token = "at least sixteen characters"
 //	teams = ["appraisal"]
 //
-// A key that is left out, or zero, takes the default that stands beside its
-// field. Parsing fills the defaults in, so that readers see what is in force.
+// A key that is missing or zero has the default that the comment of its field states.
+// The parse functions fill in the defaults, so that a result shows the settings in
+// force.
 package conf
 
 import (
@@ -62,16 +63,16 @@
 type Entry struct {
 	Name domain.Host
 	Zone domain.Zone
-	// Listen is where callers connect.
+	// Listen is the listen address for callers.
 	Listen netip.AddrPort
-	// AdminListen is where operators connect; expvar is served there only.
+	// AdminListen is the listen address for operators; expvar is served only there.
 	AdminListen netip.AddrPort
-	// PeerListen is where other entries connect; optional.
+	// PeerListen is the listen address for other entries; optional.
 	PeerListen netip.AddrPort
-	// PeerAdvertise is where other entries reach PeerListen, if not there;
-	// optional.
+	// PeerAdvertise is the address at which other entries reach PeerListen, if it
+	// differs; optional.
 	PeerAdvertise netip.AddrPort
-	// Peers are other entries' PeerListen addresses.
+	// Peers are the PeerListen addresses of other entries.
 	Peers []netip.AddrPort
 	// Platform is the address of the platform's object API and host list.
 	Platform  netip.AddrPort
@@ -87,28 +88,28 @@
 type Side struct {
 	Name domain.Host
 	Zone domain.Zone
-	// Role says what the upstream does.
+	// Role is the role of the upstream.
 	Role domain.Role
-	// Service is what the upstream serves.
+	// Service is the service of the upstream.
 	Service domain.Service
-	// Listen is where entries connect.
+	// Listen is the listen address for entries.
 	Listen netip.AddrPort
-	// Advertise is where entries reach Listen, if not there; optional.
+	// Advertise is the address at which entries reach Listen, if it differs; optional.
 	Advertise netip.AddrPort
-	// Upstream is the address of the engine or application beside the side.
+	// Upstream is the address of the engine or application server behind the side.
 	Upstream netip.AddrPort
 	// Platform is the address of the platform's object API and host list.
 	Platform netip.AddrPort
-	// AdminListen serves expvar; optional.
+	// AdminListen is the listen address for expvar; optional.
 	AdminListen netip.AddrPort
-	// TLS is for connections from entries and other sides.
+	// TLS applies to connections from entries and other sides.
 	TLS     TLS
 	Log     Log
 	Limits  Limits
 	Timings Timings
 }
 
-// Log says how to log.
+// Log holds the settings of the log.
 type Log struct {
 	// Level is trace, debug, info, warn or error; default info.
 	Level string
@@ -120,29 +121,31 @@
 type TLS struct {
 	CertFile string
 	KeyFile  string
-	// CAFile, if set, turns on TLS between processes of ours, both ways: each
-	// shows the certificate and accepts only those that this authority signed.
+	// CAFile, if set, enables mutual TLS between entries and sides: each process
+	// presents its certificate and accepts only certificates signed by this
+	// authority.
 	CAFile string
 }
 
-// Limits bound what a connection may ask for. Zero means the default.
+// Limits bounds the use of connections. Zero means the default.
 type Limits struct {
-	// MaxBody is the longest request body in bytes; default 4 MiB, which
+	// MaxBody is the largest request body in bytes; default 4 MiB, which
 	// holds the text of a pedigree file of several hundred pages.
 	MaxBody int64
-	// HeaderTimeout is the time to send the request's header; default 5s.
+	// HeaderTimeout bounds the time to receive the header of a request; default 5s.
 	HeaderTimeout time.Duration
-	// ReadTimeout is the time to send the whole request; default 30s.
+	// ReadTimeout bounds the time to receive a whole request; default 30s.
 	ReadTimeout time.Duration
-	// WriteTimeout is the time one write to a caller may block; default 10s.
+	// WriteTimeout bounds the time for which one write to a caller may block; default
+	// 10s.
 	WriteTimeout time.Duration
-	// IdleTimeout closes a kept connection without requests; default 60s.
+	// IdleTimeout is how long a keep-alive connection may be idle; default 60s.
 	IdleTimeout time.Duration
-	// MaxConnections bounds open connections per listener; default 4096.
+	// MaxConnections bounds the open connections of each listener; default 4096.
 	MaxConnections int
 }
 
-// WithDefaults gives the limits with each zero replaced by its default.
+// WithDefaults returns the limits with each zero replaced by its default.
 func (l Limits) WithDefaults() Limits {
 	orDefault(&l.MaxBody, 4<<20)
 	orDefault(&l.HeaderTimeout, 5*time.Second)
@@ -153,22 +156,24 @@
 	return l
 }
 
-// Timings set how soon a loss is noticed. Zero means the default.
+// Timings holds the settings of failure detection and of a graceful stop. Zero means
+// the default.
 type Timings struct {
-	// Heartbeat is the time between heartbeats on a connection; default 200ms.
+	// Heartbeat is the interval of heartbeats on a connection; default 200ms.
 	Heartbeat time.Duration
-	// HeartbeatTimeout gives up a connection that has been silent; default 800ms,
-	// four heartbeats, so that a single lost one blames nobody. It is the
-	// first part of the two seconds in which an engine's memory is freed.
+	// HeartbeatTimeout is the time without any message after which a connection is
+	// closed; default 800ms. That is four heartbeats, so that a single lost heartbeat
+	// doesn't close it. The timeout is the first part of the two seconds in which the
+	// memory of an engine is freed.
 	HeartbeatTimeout time.Duration
-	// StaleAfter bounds the age of the newest word about the table before a
-	// host takes no new work; default 3s.
+	// StaleAfter is the age of the latest confirmation of the table at which a host
+	// stops accepting new requests; default 3s.
 	StaleAfter time.Duration
-	// StopTimeout bounds a planned stop; default 30s.
+	// StopTimeout bounds a graceful stop; default 30s.
 	StopTimeout time.Duration
 }
 
-// WithDefaults gives the timings with each zero replaced by its default.
+// WithDefaults returns the timings with each zero replaced by its default.
 func (t Timings) WithDefaults() Timings {
 	orDefault(&t.Heartbeat, 200*time.Millisecond)
 	orDefault(&t.HeartbeatTimeout, 800*time.Millisecond)
@@ -177,31 +182,31 @@
 	return t
 }
 
-// Caller ties a bearer token to the account it speaks for.
+// Caller maps a bearer token to a client account.
 type Caller struct {
 	Account domain.Account
 	Token   Secret
 }
 
-// Operator ties a bearer token to a person and the teams whose rows they edit.
+// Operator maps a bearer token to a person, and to the teams whose rows they may edit.
 type Operator struct {
 	Name  string
 	Token Secret
 	Teams []string
 }
 
-// Secret is a text that is never printed, logged or marshalled. Convert it to
-// a string where it is compared.
+// Secret is a string that is never printed, logged or marshalled. Convert it to a
+// string to use its value.
 type Secret string
 
-// String hides the secret.
+// String returns a placeholder.
 func (s Secret) String() string { return "[secret]" }
 
-// Format hides the secret from every verb of package fmt, the wrong ones too:
-// without it %d prints the text in its complaint.
+// Format writes the placeholder for every verb of package fmt, including invalid verbs:
+// without it, %d would print the value as part of the error text.
 func (s Secret) Format(f fmt.State, _ rune) { _, _ = io.WriteString(f, s.String()) }
 
-// MarshalText hides the secret from JSON and other encoders.
+// MarshalText returns the placeholder to JSON and other encoders.
 func (s Secret) MarshalText() ([]byte, error) { return []byte("[secret]"), nil }
 
 func orDefault[T comparable](field *T, value T) {
--- a/conf/conf_test.go
+++ b/conf/conf_test.go
@@ -30,7 +30,7 @@
 platform = "127.0.0.1:7000"
 `
 
-func TestEntryTakesDefaultsForWhatIsLeftOut(t *testing.T) {
+func TestParseEntryFillsInDefaults(t *testing.T) {
 	e, err := conf.ParseEntry("entry.toml", []byte(goodEntry))
 	require.NoError(t, err)
 	require.Equal(t, domain.Zone("salt-lake"), e.Zone)
@@ -40,7 +40,7 @@
 	require.Equal(t, 200*time.Millisecond, e.Timings.Heartbeat)
 }
 
-func TestEntryReadsEachSetting(t *testing.T) {
+func TestParseEntryReadsEachSetting(t *testing.T) {
 	e, err := conf.ParseEntry("entry.toml", []byte(goodEntry+`
 peer_listen = "[::1]:8002"
 peers = ["127.0.0.1:8012", "127.0.0.1:8022"]
@@ -72,7 +72,7 @@
 	require.Equal(t, []string{"appraisal", "listing"}, e.Operators[0].Teams)
 }
 
-func TestSideReadsItsRole(t *testing.T) {
+func TestParseSideReadsRoleAndService(t *testing.T) {
 	s, err := conf.ParseSide("side.toml", []byte(goodSide))
 	require.NoError(t, err)
 	require.Equal(t, domain.RoleDecode, s.Role)
@@ -80,42 +80,42 @@
 	require.False(t, s.AdminListen.IsValid())
 }
 
-// badInput names each way to get a file wrong and every finding it must give,
-// word for word and in order.
+// badInput lists invalid files with the findings that each must produce, verbatim and
+// in order.
 var badInput = []struct {
 	name     string
 	side     bool
 	text     string
 	findings []string
 }{
-	{"broken TOML", false, "name = \"entry-1\"\nzone = \n", []string{
+	{"syntax error", false, "name = \"entry-1\"\nzone = \n", []string{
 		`f.toml:2: not TOML: unexpected character U+000A at start of value`}},
-	{"nothing there", false, "", []string{
+	{"empty file", false, "", []string{
 		"f.toml name: is missing", "f.toml zone: is missing", "f.toml listen: is missing",
 		"f.toml admin_listen: is missing", "f.toml platform: is missing"}},
 	{"unknown keys", false, goodEntry + "colour = 1\n[logs]\nlevel = \"info\"\n[log]\nlevl = \"info\"\n", []string{
 		"f.toml:6 colour: unknown key", "f.toml:7 logs: unknown key", "f.toml:10 log.levl: unknown key"}},
-	{"unknown key inside an inline table", false, goodEntry + "tls = {cert_file = \"c\", key_file = \"k\", pin = 1}\n", []string{
+	{"unknown key in an inline table", false, goodEntry + "tls = {cert_file = \"c\", key_file = \"k\", pin = 1}\n", []string{
 		"f.toml:6 tls.pin: unknown key"}},
-	{"wrong types, all of them", false, goodEntry + "peers = \"127.0.0.1:1\"\n[limits]\nmax_body = \"big\"\nidle_timeout = 5\n", []string{
+	{"several wrong types", false, goodEntry + "peers = \"127.0.0.1:1\"\n[limits]\nmax_body = \"big\"\nidle_timeout = 5\n", []string{
 		"f.toml:6 peers: must be a list of texts, not text",
 		"f.toml:8 limits.max_body: must be a whole number, not text",
 		"f.toml:9 limits.idle_timeout: must be a text in quotes, not a whole number"}},
-	{"bad values, all of them", false, goodEntry + "peers = [\"localhost:1\", \"127.0.0.1:0\"]\n[log]\nlevel = \"loud\"\n[timings]\nheartbeat = \"soon\"\nstop_within = \"-1s\"\n", []string{
+	{"several invalid values", false, goodEntry + "peers = [\"localhost:1\", \"127.0.0.1:0\"]\n[log]\nlevel = \"loud\"\n[timings]\nheartbeat = \"soon\"\nstop_within = \"-1s\"\n", []string{
 		`f.toml:6 peers[0]: not an IP address and port: "localhost:1"`,
 		"f.toml:6 peers[1]: needs a port: 127.0.0.1:0",
 		`f.toml:8 log.level: must be one of trace, debug, info, warn, error, not "loud"`,
 		"f.toml:10 timings.heartbeat: not a duration such as \"250ms\" or \"1m30s\": \"soon\"",
 		"f.toml:11 timings.stop_within: must not be negative: -1s"}},
-	{"a heartbeat that its timeouts do not allow for", false, goodEntry + "[timings]\nheartbeat = \"2s\"\n", []string{
+	{"heartbeat interval too long for its timeouts", false, goodEntry + "[timings]\nheartbeat = \"2s\"\n", []string{
 		"f.toml:6 timings.silence_after: 800ms is under two heartbeats of 2s: one lost heartbeat would end a connection",
 		"f.toml:6 timings.stale_after: 3s is under two heartbeats of 2s: one lost heartbeat would stop new work"}},
-	{"half of TLS", false, goodEntry + "[tls]\ncert_file = \"c\"\n", []string{
+	{"TLS certificate without key", false, goodEntry + "[tls]\ncert_file = \"c\"\n", []string{
 		"f.toml:6 tls: needs both cert_file and key_file, or neither"}},
-	{"one address twice", false, goodEntry + "peer_listen = \"127.0.0.1:8000\"\npeers = [\"127.0.0.1:8000\"]\n", []string{
+	{"duplicate address", false, goodEntry + "peer_listen = \"127.0.0.1:8000\"\npeers = [\"127.0.0.1:8000\"]\n", []string{
 		"f.toml:6 peer_listen: is the same address as listen",
 		"f.toml:7 peers: names this entry's own peer_listen 127.0.0.1:8000"}},
-	{"tokens short, doubled and missing", false, goodEntry + `[[caller]]
+	{"short, duplicate and missing tokens", false, goodEntry + `[[caller]]
 account = "a"
 token = "short"
 [[caller]]
@@ -131,21 +131,21 @@
 		"f.toml:16 operator[1].name: is empty",
 		"f.toml:15 operator[1].token: is missing",
 		"f.toml:14 operator[0].token: is the same token as caller[1].token"}},
-	{"a caller that is no table", false, goodEntry + "caller = [1]\noperator = 2\n", []string{
+	{"caller and operator of wrong types", false, goodEntry + "caller = [1]\noperator = 2\n", []string{
 		"f.toml:6 caller[0]: must be a table",
 		"f.toml:7 operator: must be an array of tables: write [[operator]]"}},
-	{"a dot in a name", false, "name = \"entry.1\"\nzone = \"\"\nlisten = \"127.0.0.1:8000\"\nadmin_listen = \"127.0.0.1:8001\"\nplatform = \"127.0.0.1:0\"\n", []string{
+	{"dot in a name", false, "name = \"entry.1\"\nzone = \"\"\nlisten = \"127.0.0.1:8000\"\nadmin_listen = \"127.0.0.1:8001\"\nplatform = \"127.0.0.1:0\"\n", []string{
 		`f.toml:1 name: must be 1 to 63 of a-z, 0-9, - and _, with a letter or digit at both ends: "entry.1"`,
 		"f.toml:2 zone: is empty",
 		"f.toml:5 platform: needs a port: 127.0.0.1:0"}},
-	{"a side with an entry's keys", true, goodSide + "peers = []\n", []string{
+	{"side with a key of an entry", true, goodSide + "peers = []\n", []string{
 		"f.toml:8 peers: unknown key"}},
-	{"a side without role and with a bad upstream", true, "name = \"side-1\"\nzone = \"z\"\nservice = \"s\"\nlisten = \"127.0.0.1:0\"\nupstream = \"engine:80\"\nplatform = \"127.0.0.1:1\"\n", []string{
+	{"side without role and with an invalid upstream", true, "name = \"side-1\"\nzone = \"z\"\nservice = \"s\"\nlisten = \"127.0.0.1:0\"\nupstream = \"engine:80\"\nplatform = \"127.0.0.1:1\"\n", []string{
 		`f.toml:5 upstream: not an IP address and port: "engine:80"`,
 		"f.toml role: is missing"}},
 }
 
-func TestBadInputIsRefusedWithEveryFinding(t *testing.T) {
+func TestParseInvalidFileReturnsEveryFinding(t *testing.T) {
 	for _, c := range badInput {
 		t.Run(c.name, func(t *testing.T) {
 			var err error
@@ -165,10 +165,9 @@
 	}
 }
 
-// A person on call pastes a log line into a ticket. Settings were logged whole
-// at the start, so the ticket holds every token. A Secret shows nothing of
-// itself under any verb or encoder.
-func TestSecretsAreNeverPrinted(t *testing.T) {
+// Guards against tokens that leak because whole settings are logged. No verb and no
+// encoder may reveal any part of a Secret.
+func TestSecretIsHiddenByAllVerbsAndEncoders(t *testing.T) {
 	c := conf.Caller{Account: "stud", Token: "caller-token-0123"}
 	encoded, err := json.Marshal(c)
 	require.NoError(t, err)
--- a/conf/direct.go
+++ b/conf/direct.go
@@ -9,8 +9,8 @@
 	"jacinthworks/quota"
 )
 
-// Direct holds the settings of `direct`: an entry that reaches upstreams
-// without a side. A file for it:
+// Direct holds the settings of `direct`, an entry that sends requests to upstreams
+// without sides. A file for it:
 //
 //	name = "front-1"
 //	zone = "salt-lake"
@@ -36,54 +36,57 @@
 type Direct struct {
 	Name domain.Host
 	Zone domain.Zone
-	// Listen is where callers connect, ReadyListen where the balancer asks.
+	// Listen is the listen address for callers, ReadyListen the one for readiness
+	// probes of the load balancer.
 	Listen      netip.AddrPort
 	ReadyListen netip.AddrPort
-	// MetricsListen serves metrics as text; optional.
+	// MetricsListen is the listen address for metrics in text format; optional.
 	MetricsListen netip.AddrPort
-	// PeerListen is where the other entries ask what this one has heard; optional.
+	// PeerListen is the listen address for other entries, which read the state that
+	// this entry has received; optional.
 	PeerListen netip.AddrPort
-	// Seeds are PeerListen addresses of some entries, which this one asks when it starts;
-	// optional, and possibly out of date.
+	// Seeds are PeerListen addresses of some entries, to which this entry sends
+	// requests when it starts; optional, and possibly out of date.
 	Seeds []netip.AddrPort
-	// Cores is the host's share of a processor: the largest hosts watch the
-	// platform for the others. Default 1.
+	// Cores is the processor capacity of the host in cores. The hosts with the most
+	// cores watch the platform for the other hosts. Default 1.
 	Cores float64
-	// RelayMinEntries is the number of entries from which few watch the platform for all;
-	// default 12.
+	// RelayMinEntries is the number of entries from which only some entries, the
+	// relays, watch the platform for all entries. Zero, which parsing doesn't
+	// replace, means the default of package relay, 12.
 	RelayMinEntries int
 	// Platform is the address of the platform's store.
 	Platform netip.AddrPort
-	// StopTimeout bounds a planned stop; default 8s.
+	// StopTimeout bounds a graceful stop; default 8s.
 	StopTimeout time.Duration
-	// WatchTimeout is how long a watch at the store waits; default 10s.
+	// WatchTimeout is how long a watch request to the store waits; default 10s.
 	WatchTimeout time.Duration
-	// FirstStart says that the whole system starts for the first time, on a store that was
-	// just set up; default false.
+	// FirstStart says that the whole system starts for the first time, on a new store;
+	// default false.
 	FirstStart  bool
 	RetryBudget RetryBudget
-	// Quotas is how far client accounts may go over their quotas: an overage, which is a
-	// part of them, and a slack, in whatever quotas count, in any window. By default
-	// not at all.
+	// Quotas is how far client accounts may exceed their quotas in any window: by an
+	// overage, which is a fraction of the quota, and by a slack, which is a fixed amount
+	// in the unit of the quota. The default is zero.
 	Quotas quota.Tolerance
 	Log    Log
 	Limits Limits
 }
 
-// RetryBudget bound the sends beyond the first of each request, for all entries
-// together: a part of a service's requests and a fixed number, in every span.
+// RetryBudget bounds the retries of all entries together, in every window: by a
+// fraction of the service's requests plus a fixed number.
 type RetryBudget struct {
-	// Ratio is the part; default 0.2.
+	// Ratio is the fraction of the requests; default 0.2.
 	Ratio float64
-	// Fixed is the number, whole or not: it is shared out among the entries;
-	// default 50.
+	// Fixed is the fixed number. It need not be an integer, since it is divided among
+	// the entries; default 50.
 	Fixed float64
-	// Window is the sliding window; default 10s.
+	// Window is the length of the sliding window; default 10s.
 	Window time.Duration
 }
 
-// ParseDirect reads the settings of `direct`; file is the name given in
-// findings. The error is check.Findings.
+// ParseDirect reads the settings of `direct`; file is the file name for findings. The
+// error is check.Findings.
 func ParseDirect(file string, text []byte) (Direct, error) {
 	r, err := newReader(file, text)
 	if err != nil {
@@ -95,7 +98,8 @@
 	return d, r.findings.Err()
 }
 
-// readDirect reads every setting.
+// readDirect reads every setting. A test compares the settings that it reads with the
+// page that documents them.
 func readDirect(r *reader) Direct {
 	d := Direct{
 		Name:            domain.Host(r.name("name")),
@@ -111,7 +115,7 @@
 		StopTimeout:     r.duration("stop_within"),
 		WatchTimeout:    r.duration("watch_wait"),
 		FirstStart:      r.boolean("first_start"),
-		RetryBudget:     r.repeats(),
+		RetryBudget:     r.retryBudget(),
 		Quotas:          r.quotas(),
 		Log:             r.log(),
 		Limits:          r.limits(),
@@ -122,7 +126,7 @@
 	return d
 }
 
-func (r *reader) repeats() RetryBudget {
+func (r *reader) retryBudget() RetryBudget {
 	r.table("repeats")
 	p := RetryBudget{Ratio: r.number("repeats.ratio"), Fixed: r.number("repeats.fixed"), Window: r.duration("repeats.span")}
 	orDefault(&p.Ratio, 0.2)
@@ -136,7 +140,7 @@
 	return quota.Tolerance{Window: r.duration("quotas.window"), Fraction: r.number("quotas.overage"), FixedExcess: r.number("quotas.slack")}
 }
 
-// number gives a number that is not negative, whole or not.
+// number reads a non-negative number, which may be a TOML integer or float.
 func (r *reader) number(path string) float64 {
 	var n float64
 	switch v := r.value(path).(type) {
--- a/conf/direct_test.go
+++ b/conf/direct_test.go
@@ -23,7 +23,7 @@
 span = "10s"
 `
 
-func TestDirect(t *testing.T) {
+func TestParseDirect(t *testing.T) {
 	d, err := conf.ParseDirect("direct.toml", []byte(directFile))
 	require.NoError(t, err)
 	require.Equal(t, conf.RetryBudget{Ratio: 0.2, Fixed: 54, Window: 10 * time.Second}, d.RetryBudget)
@@ -38,9 +38,9 @@
 	require.NoError(t, conf.CheckFile("direct.toml", []byte(directFile)))
 }
 
-// Story: no entry starts. The platform fills a share of a quota into the
-// settings, which is no whole number for a deployment of some sizes.
-func TestTheFixedNumberOfRepeatsMayBeADecimal(t *testing.T) {
+// Guards against an entry that doesn't start: the platform writes a fraction of a quota
+// into the settings, which for some deployment sizes is not an integer.
+func TestRetryBudgetFixedMayBeFractional(t *testing.T) {
 	for text, want := range map[string]float64{"38.26": 38.26, "54.0": 54, "54": 54, "0.4": 0.4, "1e3": 1000} {
 		d, err := conf.ParseDirect("direct.toml", []byte(strings.Replace(directFile, "fixed = 54", "fixed = "+text, 1)))
 		require.NoError(t, err, text)
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestDirectFindingsComeTogether(t *testing.T) {
+func TestCheckFileReturnsAllFindingsOfDirect(t *testing.T) {
 	err := conf.CheckFile("direct.toml", []byte(`name = "A b"
 ready_listen = "somewhere"
 colour = 1
--- a/conf/fuzz_test.go
+++ b/conf/fuzz_test.go
@@ -9,8 +9,8 @@
 	"jacinthworks/conf"
 )
 
-// FuzzSettings looks for a text that makes a parser panic, or end with an
-// error that is not findings.
+// FuzzSettings looks for a text that makes a parser panic, or return an error that is
+// not check.Findings.
 func FuzzSettings(f *testing.F) {
 	f.Add(goodEntry)
 	f.Add(goodSide)
@@ -20,7 +20,7 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		_, err := conf.ParseEntry("f.toml", []byte(text))
 		_, sideErr := conf.ParseSide("f.toml", []byte(text))
-		require.False(t, err == nil && sideErr == nil, "a file is an entry's or a side's")
+		require.False(t, err == nil && sideErr == nil, "no file is valid both for an entry and for a side")
 		for _, err := range []error{err, sideErr, conf.CheckFile("f.toml", []byte(text))} {
 			var found check.Findings
 			if err != nil {
--- a/conf/lines.go
+++ b/conf/lines.go
@@ -8,11 +8,11 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// keyLines gives the line of each key and table of a document that parses.
-// Members of an array of tables are numbered from 0: caller[0].token.
+// keyLines returns the line of each key and table of a valid document, by path.
+// Elements of an array of tables are numbered from 0: caller[0].token.
 func keyLines(text []byte) map[string]int {
 	lines := make(map[string]int)
-	members := make(map[string]int)
+	elements := make(map[string]int)
 	table := ""
 	var p unstable.Parser
 	p.Reset(text)
@@ -21,18 +21,18 @@
 		if e.Kind == unstable.Comment {
 			continue
 		}
-		names, line := keyOf(&p, e)
+		names, line := dottedKey(&p, e)
 		switch e.Kind {
 		case unstable.Table:
-			table = inMember(names, members)
+			table = inLatestElement(names, elements)
 			lines[table] = line
 		case unstable.ArrayTable:
 			path := strings.Join(names, ".")
 			if _, ok := lines[path]; !ok {
 				lines[path] = line
 			}
-			table = at(path, members[path])
-			members[path]++
+			table = at(path, elements[path])
+			elements[path]++
 			lines[table] = line
 		case unstable.KeyValue:
 			path := strings.TrimPrefix(table+"."+strings.Join(names, "."), ".")
@@ -42,8 +42,8 @@
 	return lines
 }
 
-// keyOf gives the dotted key of an expression and the line it stands on.
-func keyOf(p *unstable.Parser, e *unstable.Node) ([]string, int) {
+// dottedKey returns the parts of the dotted key of an expression, and its line.
+func dottedKey(p *unstable.Parser, e *unstable.Node) ([]string, int) {
 	var names []string
 	line := 0
 	for it := e.Key(); it.Next(); {
@@ -56,10 +56,11 @@
 	return names, line
 }
 
-// inMember puts [caller.x] inside the latest [[caller]].
-func inMember(names []string, members map[string]int) string {
+// inLatestElement returns the path of a table such as [caller.x], which belongs to the
+// latest element of [[caller]].
+func inLatestElement(names []string, elements map[string]int) string {
 	first := names[0]
-	if n := members[first]; n > 0 {
+	if n := elements[first]; n > 0 {
 		first = at(first, n-1)
 	}
 	return strings.Join(append([]string{first}, names[1:]...), ".")
@@ -67,7 +68,7 @@
 
 func at(path string, i int) string { return fmt.Sprintf("%s[%d]", path, i) }
 
-// parent gives the path around a path, or nothing at the top.
+// parent returns the path of the enclosing table or array, or "" at the top.
 func parent(path string) string {
 	if i := strings.LastIndexAny(path, ".["); i >= 0 {
 		return path[:i]
@@ -75,7 +76,7 @@
 	return ""
 }
 
-// splitIndex splits caller[2] into its name and index; -1 means none.
+// splitIndex splits caller[2] into name and index; the index is -1 if there is none.
 func splitIndex(step string) (string, int) {
 	name, rest, ok := strings.Cut(step, "[")
 	if !ok {
@@ -88,7 +89,7 @@
 	return name, i
 }
 
-// typeName names a TOML type for a person.
+// typeName returns the name of a value's TOML type for findings.
 func typeName(v any) string {
 	switch v.(type) {
 	case string:
--- a/conf/parse.go
+++ b/conf/parse.go
@@ -7,14 +7,15 @@
 	"jacinthworks/domain"
 )
 
-// minToken is the shortest token in characters; a shorter one can be guessed.
-const minToken = 16
+// minTokenLength is the minimum length of a token in bytes; shorter tokens can be
+// guessed.
+const minTokenLength = 16
 
-// hostName keeps dots out of names: a request id joins its parts with them.
+// hostName allows no dots, because dots separate the parts of a request id.
 var hostName = regexp.MustCompile(`^[a-z0-9]([a-z0-9_-]{0,61}[a-z0-9])?$`)
 
-// ParseEntry reads an entry's settings; file is the name given in findings.
-// The error is check.Findings.
+// ParseEntry reads the settings of an entry; file is the file name for findings. The
+// error is check.Findings.
 func ParseEntry(file string, text []byte) (Entry, error) {
 	r, err := newReader(file, text)
 	if err != nil {
@@ -37,7 +38,7 @@
 		Operators:     r.operators(),
 	}
 	r.distinct("listen", "admin_listen", "peer_listen")
-	r.tokens(e)
+	r.distinctTokens(e)
 	for _, p := range e.Peers {
 		if p == e.PeerListen {
 			r.add("peers", "names this entry's own peer_listen %s", p)
@@ -47,8 +48,8 @@
 	return e, r.findings.Err()
 }
 
-// ParseSide reads a side's settings; file is the name given in findings.
-// The error is check.Findings.
+// ParseSide reads the settings of a side; file is the file name for findings. The error
+// is check.Findings.
 func ParseSide(file string, text []byte) (Side, error) {
 	r, err := newReader(file, text)
 	if err != nil {
@@ -157,9 +158,10 @@
 	return operators
 }
 
-// tokens refuses a token that stands twice: it would leave open who speaks,
-// and a caller's token would open the administration address.
-func (r *reader) tokens(e Entry) {
+// distinctTokens adds a finding for each duplicate token: it would not identify a
+// single account or operator, and a caller's token could give access to the
+// administration address.
+func (r *reader) distinctTokens(e Entry) {
 	places := make(map[Secret]string)
 	see := func(place string, token Secret) {
 		if token == "" {
@@ -179,7 +181,8 @@
 	}
 }
 
-// distinct refuses two listeners on one address; port 0 asks for any port.
+// distinct adds a finding for each two listeners with the same address, except for port
+// 0, which selects any free port.
 func (r *reader) distinct(keys ...string) {
 	seen := make(map[netip.AddrPort]string)
 	for _, k := range keys {
--- a/conf/reader.go
+++ b/conf/reader.go
@@ -15,9 +15,8 @@
 	"jacinthworks/check"
 )
 
-// reader hands out the values of one TOML document by their path and notes a
-// finding for each that does not fit. Decoding straight into a struct would
-// stop at the first value of the wrong type.
+// reader returns the values of one TOML document by path, and adds a finding for each
+// invalid value. Decoding into a struct would stop at the first value of a wrong type.
 type reader struct {
 	file     string
 	lines    map[string]int
@@ -42,8 +41,8 @@
 	return r, nil
 }
 
-// add notes a finding at the path's line, or at that of the closest table
-// around it that stands in the file.
+// add adds a finding at the line of the path, or of the closest enclosing table that is
+// in the file.
 func (r *reader) add(path, problem string, args ...any) {
 	place := r.file
 	if line := r.line(path); line > 0 {
@@ -52,7 +51,7 @@
 	r.findings.Add(place+" "+path, problem, args...)
 }
 
-// line gives the line of the path or of what stands around it; zero when
+// line returns the line of the path or of its closest enclosing table, or zero if
 // neither is in the file.
 func (r *reader) line(path string) int {
 	for p := path; p != ""; p = parent(p) {
@@ -63,7 +62,7 @@
 	return 0
 }
 
-// value gives the value at the path, or nil, and marks the path as known.
+// value returns the value at the path, or nil, and marks the path as a known key.
 func (r *reader) value(path string) any {
 	r.used[path] = true
 	var v any = r.values
@@ -90,7 +89,7 @@
 	}
 }
 
-// tables gives the paths of the members of an array of tables.
+// tables returns the paths of the elements of an array of tables.
 func (r *reader) tables(path string) []string {
 	v := r.value(path)
 	list, ok := v.([]any)
@@ -98,8 +97,8 @@
 		r.add(path, "must be an array of tables: write [[%s]]", path)
 	}
 	var paths []string
-	for i, member := range list {
-		if _, ok := member.(map[string]any); !ok {
+	for i, element := range list {
+		if _, ok := element.(map[string]any); !ok {
 			r.add(at(path, i), "must be a table")
 			continue
 		}
@@ -118,7 +117,7 @@
 	return s
 }
 
-// required gives a text that must stand there and not be empty.
+// required reads a string that must be present and not empty.
 func (r *reader) required(path string) string {
 	s := r.text(path)
 	switch {
@@ -140,8 +139,8 @@
 
 func (r *reader) secret(path string) Secret {
 	s := r.required(path)
-	if s != "" && len(s) < minToken {
-		r.add(path, "is shorter than %d characters", minToken)
+	if s != "" && len(s) < minTokenLength {
+		r.add(path, "is shorter than %d characters", minTokenLength)
 	}
 	return Secret(s)
 }
@@ -153,8 +152,8 @@
 		r.add(path, "must be a list of texts, not %s", typeName(v))
 	}
 	var texts []string
-	for i, member := range list {
-		s, ok := member.(string)
+	for i, element := range list {
+		s, ok := element.(string)
 		if !ok || s == "" {
 			r.add(at(path, i), "must be a text in quotes, and not empty")
 			continue
@@ -222,7 +221,7 @@
 	return d
 }
 
-// listenAddr reads an address to listen on; port 0 takes any free port.
+// listenAddr reads a listen address; port 0 selects any free port.
 func (r *reader) listenAddr(path string, required bool) netip.AddrPort {
 	if !required && r.value(path) == nil {
 		return netip.AddrPort{}
@@ -230,7 +229,7 @@
 	return r.addrPort(path, r.required(path))
 }
 
-// dialAddr reads an address to connect to, which needs its port.
+// dialAddr reads an address to connect to, whose port must not be 0.
 func (r *reader) dialAddr(path string) netip.AddrPort {
 	a := r.addrPort(path, r.required(path))
 	if a.IsValid() && a.Port() == 0 {
@@ -239,7 +238,7 @@
 	return a
 }
 
-// advertised reads an optional address that others dial.
+// advertised reads an optional address to which other processes connect.
 func (r *reader) advertised(path string) netip.AddrPort {
 	if r.text(path) == "" {
 		return netip.AddrPort{}
@@ -273,7 +272,7 @@
 	return a
 }
 
-// unknownKeys notes each key that nothing asked for, in the order of the file.
+// unknownKeys adds a finding for each key that was not read, in the order of the file.
 func (r *reader) unknownKeys() {
 	var unknown []string
 	r.walk("", r.values, &unknown)
@@ -294,8 +293,8 @@
 			r.walk(strings.TrimPrefix(path+"."+name, "."), v[name], unknown)
 		}
 	case []any:
-		for i, member := range v {
-			if m, ok := member.(map[string]any); ok {
+		for i, element := range v {
+			if m, ok := element.(map[string]any); ok {
 				r.walk(at(path, i), m, unknown)
 			}
 		}
--- a/conf/settings_test.go
+++ b/conf/settings_test.go
@@ -10,14 +10,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// settingsPage is the page that names every setting of `direct`.
+// settingsPage is the page that documents every setting of `direct`.
 const settingsPage = "../docs/settings.md"
 
-// needed is a file with what has no default.
-const needed = "name = \"front-1\"\nzone = \"z\"\nlisten = \"10.1.0.38:8149\"\nready_listen = \"10.1.0.38:8141\"\nplatform = \"10.200.1.7:8142\"\n"
+// requiredSettings is a file with the settings that have no default.
+const requiredSettings = "name = \"front-1\"\nzone = \"z\"\nlisten = \"10.1.0.38:8149\"\nready_listen = \"10.1.0.38:8141\"\nplatform = \"10.200.1.7:8142\"\n"
 
-// page gives the keys of the page, and the defaults of those that have one.
-func page(t *testing.T) (keys []string, defaults map[string]string) {
+// readSettingsPage returns the keys that the page documents, and their defaults if any.
+func readSettingsPage(t *testing.T) (keys []string, defaults map[string]string) {
 	t.Helper()
 	text, err := os.ReadFile(settingsPage)
 	require.NoError(t, err)
@@ -32,9 +32,10 @@
 	return keys, defaults
 }
 
-// Guards against a setting that the page lacks, or names though it is gone.
-func TestThePageNamesEverySetting(t *testing.T) {
-	r, err := newReader("direct.toml", []byte(needed))
+// Guards against a setting that is missing from the page, and against a removed setting
+// that is still on the page.
+func TestSettingsPageDocumentsEverySetting(t *testing.T) {
+	r, err := newReader("direct.toml", []byte(requiredSettings))
 	require.NoError(t, err)
 	readDirect(r)
 	var known []string
@@ -43,24 +44,24 @@
 			known = append(known, key)
 		}
 	}
-	keys, _ := page(t)
+	keys, _ := readSettingsPage(t)
 	sort.Strings(known)
 	sort.Strings(keys)
 	require.Equal(t, known, keys)
 }
 
-// Guards against a default on the page that is not the code's.
-func TestThePagesDefaultsAreInForce(t *testing.T) {
-	plain, err := ParseDirect("direct.toml", []byte(needed))
+// Guards against a default on the page that differs from the default in the code.
+func TestSettingsPageDefaultsMatchCode(t *testing.T) {
+	withDefaults, err := ParseDirect("direct.toml", []byte(requiredSettings))
 	require.NoError(t, err)
-	_, defaults := page(t)
+	_, defaults := readSettingsPage(t)
 	require.Len(t, defaults, 19)
 	var file strings.Builder
-	file.WriteString(needed)
+	file.WriteString(requiredSettings)
 	for key, value := range defaults {
 		file.WriteString(key + " = " + value + "\n")
 	}
-	stated, err := ParseDirect("direct.toml", []byte(file.String()))
+	explicit, err := ParseDirect("direct.toml", []byte(file.String()))
 	require.NoError(t, err)
-	require.Equal(t, plain, stated)
+	require.Equal(t, withDefaults, explicit)
 }
