--- a/check/check.go
+++ b/check/check.go
@@ -1,6 +1,5 @@
-// Package check collects findings: problems in something a person wrote, each
-// with its place. A check goes on after the first finding, so that one run
-// tells its reader everything there is to mend.
+// Package check collects findings: problems in user input, each with its location. A
+// check continues after the first finding, so that one run reports all problems.
 //
 // # Usage
 //
@@ -9,7 +8,7 @@
 //	f.Add("entry.toml:9 zone", "is empty")
 //	return f.Err() // nil when nothing was found
 //
-// Findings is an error itself; errors.As finds it behind a wrapped error.
+// Findings implements error; errors.As finds it in a wrapped error.
 package check
 
 import (
@@ -17,27 +16,27 @@
 	"strings"
 )
 
-// Finding is one problem and where it stands.
+// Finding is one problem and its location.
 type Finding struct {
-	// Location says where: file, line and key; row and column; JSON pointer.
+	// Location is, for example, file, line and key; row and column; a JSON pointer.
 	Location string `json:"place"`
-	// Problem says what is wrong, in words a person can act on.
+	// Problem describes the problem so that a user can fix it.
 	Problem string `json:"problem"`
 }
 
-// String gives the place, a colon and the problem.
+// String returns the location, a colon and the problem.
 func (f Finding) String() string { return f.Location + ": " + f.Problem }
 
-// Findings is a list of findings in the order they were made. The zero value
+// Findings is a list of findings in the order in which they were added. The zero value
 // is empty and ready to use.
 type Findings []Finding
 
 // Add appends a finding. The problem is formatted as by fmt.Sprintf.
-func (f *Findings) Add(place, problem string, args ...any) {
-	*f = append(*f, Finding{Location: place, Problem: fmt.Sprintf(problem, args...)})
+func (f *Findings) Add(location, problem string, args ...any) {
+	*f = append(*f, Finding{Location: location, Problem: fmt.Sprintf(problem, args...)})
 }
 
-// Err gives the findings as one error, or nil when there are none.
+// Err returns the findings as one error, or nil if there are none.
 func (f Findings) Err() error {
 	if len(f) == 0 {
 		return nil
@@ -45,7 +44,7 @@
 	return f
 }
 
-// Error gives all findings, one a line.
+// Error returns all findings, one per line.
 func (f Findings) Error() string {
 	lines := make([]string, len(f))
 	for i, p := range f {
--- a/check/check_test.go
+++ b/check/check_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestFindingsAreReportedTogether(t *testing.T) {
+func TestWrappedFindingsKeepEveryFinding(t *testing.T) {
 	var f Findings
 	require.NoError(t, f.Err())
 
