--- a/spool/spool.go
+++ b/spool/spool.go
@@ -1,16 +1,16 @@
-// Package spool passes log lines on without ever holding up who writes them.
+// Package spool buffers log lines, so that a slow output never blocks the goroutines
+// that write them.
 //
 // # Usage
 //
 //	w := &spool.Writer{To: os.Stdout}
 //	go w.Run()
-//	defer w.Close() // passes on what is held, within closeWithin
+//	defer w.Close() // writes the buffered lines, waits at most closeTimeout
 //	log := hclog.New(&hclog.LoggerOptions{Output: w})
 //
-// Failure: the reader of standard output stalls. Without the spool the first
-// line that finds the pipe full stops the goroutine that wrote it, with its
-// request, and soon every one. Here lines beyond the bound are dropped and
-// counted.
+// If the reader of standard output stalls, the pipe becomes full, and an unbuffered
+// write blocks the goroutine that logs, with its request, and soon all goroutines. A
+// Writer drops and counts the lines that exceed its buffer instead.
 package spool
 
 import (
@@ -20,71 +20,72 @@
 )
 
 const (
-	// maxHeld bounds the bytes held: some seconds of lines at the peak.
-	maxHeld = 512 << 10
-	// gather is how long lines are gathered before they are written together:
-	// a write costs about as much processor time as ten lines.
-	gather = 100 * time.Millisecond
-	// closeWithin bounds the wait for the reader at the end.
-	closeWithin = 200 * time.Millisecond
+	// maxBuffered bounds the buffer in bytes: some seconds of lines at the peak rate.
+	maxBuffered = 512 << 10
+	// flushDelay is how long lines are collected before they are written together: a
+	// write costs about as much processor time as the processing of ten lines.
+	flushDelay = 100 * time.Millisecond
+	// closeTimeout bounds the wait for the last write in Close.
+	closeTimeout = 200 * time.Millisecond
 )
 
-// Writer holds lines until they can be written. Set To before the first
-// Write; it must not be copied. It is safe for concurrent use.
+// Writer buffers lines and writes them to Output. Set Output before the first Write. A
+// Writer must not be copied. It is safe for concurrent use.
 type Writer struct {
 	Output io.Writer
 
-	mu      sync.Mutex // a leaf
-	held    []byte
-	dropped int
-	once    sync.Once
-	wake    chan struct{}
-	stop    chan struct{}
-	ended   chan struct{}
+	mu       sync.Mutex // leaf lock: no other lock is acquired while it is held
+	buffered []byte
+	dropped  int
+	once     sync.Once
+	wakeup   chan struct{}
+	stop     chan struct{}
+	done     chan struct{}
 }
 
 func (w *Writer) init() {
 	w.once.Do(func() {
-		w.wake, w.stop, w.ended = make(chan struct{}, 1), make(chan struct{}), make(chan struct{})
+		w.wakeup, w.stop, w.done = make(chan struct{}, 1), make(chan struct{}), make(chan struct{})
 	})
 }
 
-// Write holds a line. It never blocks, and never fails.
+// Write adds a line to the buffer, or drops it if the buffer is full. It never blocks
+// on Output and never returns an error.
 func (w *Writer) Write(line []byte) (int, error) {
 	w.init()
 	w.mu.Lock()
-	if len(w.held)+len(line) > maxHeld {
+	if len(w.buffered)+len(line) > maxBuffered {
 		w.dropped++
 	} else {
-		w.held = append(w.held, line...)
+		w.buffered = append(w.buffered, line...)
 	}
 	w.mu.Unlock()
 	select {
-	case w.wake <- struct{}{}:
+	case w.wakeup <- struct{}{}:
 	default:
 	}
 	return len(line), nil
 }
 
-// Dropped counts the lines that found no room.
+// Dropped returns the number of lines dropped because the buffer was full.
 func (w *Writer) Dropped() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.dropped
 }
 
-// Run passes lines on until Close.
+// Run writes buffered lines to Output until Close is called.
 func (w *Writer) Run() {
 	w.init()
-	defer close(w.ended)
+	defer close(w.done)
 	for {
 		select {
 		case <-w.stop:
 			w.flush()
 			return
-		case <-w.wake:
+		case <-w.wakeup:
 		}
-		t := time.NewTimer(gather)
+		t := time.NewTimer(flushDelay)
 		select {
 		case <-w.stop:
 		case <-t.C:
@@ -94,26 +95,27 @@
 	}
 }
 
-// flush writes what is held. An error of the reader's side has nobody to be
-// told to: the lines are lost with it.
+// flush writes the buffered lines. An error of Output cannot be reported anywhere, so
+// the lines are lost.
 func (w *Writer) flush() {
 	w.mu.Lock()
-	lines := w.held
-	w.held = nil
+	buffered := w.buffered
+	w.buffered = nil
 	w.mu.Unlock()
-	if len(lines) > 0 {
-		_, _ = w.Output.Write(lines)
+	if len(buffered) > 0 {
+		_, _ = w.Output.Write(buffered)
 	}
 }
 
-// Close passes on what is held, and gives up where the reader stalls.
+// Close stops Run, which writes the buffered lines first, and waits for it at most
+// closeTimeout in case the reader of Output stalls. It must be called once.
 func (w *Writer) Close() {
 	w.init()
 	close(w.stop)
-	t := time.NewTimer(closeWithin)
+	t := time.NewTimer(closeTimeout)
 	defer t.Stop()
 	select {
-	case <-w.ended:
+	case <-w.done:
 	case <-t.C:
 	}
 }
--- a/spool/spool_test.go
+++ b/spool/spool_test.go
@@ -12,12 +12,12 @@
 	"jacinthworks/spool"
 )
 
-// Story: whoever reads standard output stops reading. The process goes on;
-// lines beyond the bound are dropped and counted.
-func TestAStalledReaderHoldsNobodyUp(t *testing.T) {
-	stalled, to := io.Pipe()
-	defer func() { _ = stalled.Close() }()
-	w := &spool.Writer{Output: to}
+// The reader of standard output stalls. Writers must not block, and lines that exceed
+// the buffer must be dropped and counted.
+func TestWriteDoesNotBlockWhenReaderStalls(t *testing.T) {
+	reader, output := io.Pipe()
+	defer func() { _ = reader.Close() }()
+	w := &spool.Writer{Output: output}
 	go w.Run()
 	line := []byte(strings.Repeat("x", 1023) + "\n")
 	began := time.Now()
@@ -31,7 +31,7 @@
 	w.Close()
 }
 
-func TestLinesArriveInOrder(t *testing.T) {
+func TestLinesAreWrittenInOrder(t *testing.T) {
 	var out bytes.Buffer
 	w := &spool.Writer{Output: &out}
 	go w.Run()
