--- a/trace/bench_test.go
+++ b/trace/bench_test.go
@@ -9,20 +9,21 @@
 	"jacinthworks/domain"
 )
 
-// BenchmarkRecord measures the five events of an entry's half, with Take.
+// BenchmarkRecord measures recording the five events of an entry's span, including
+// TakePending.
 func BenchmarkRecord(b *testing.B) {
 	var r Recorder
 	b.ReportAllocs()
 	for n := range b.N {
 		entry, _, _ := appraisal(uint64(n))
-		record(&r, entry)
+		recordAll(&r, entry)
 		if n%FlushSpans == 0 {
 			r.TakePending()
 		}
 	}
 }
 
-// BenchmarkFixture measures what building the events of BenchmarkRecord takes.
+// BenchmarkFixture measures the cost of building the events of BenchmarkRecord.
 func BenchmarkFixture(b *testing.B) {
 	b.ReportAllocs()
 	for n := range b.N {
@@ -31,7 +32,7 @@
 	}
 }
 
-// BenchmarkPack measures batches of entries' halves into segments.
+// BenchmarkPack measures packing batches of entries' spans into segments.
 func BenchmarkPack(b *testing.B) {
 	x := rand.New(rand.NewPCG(1, 2))
 	side := func() domain.Host { return domain.Host(fmt.Sprintf("side-%d", x.IntN(9))) }
@@ -40,7 +41,7 @@
 		entry, _, _ := appraisal(uint64(n))
 		entry[0].Caller = domain.Account(fmt.Sprintf("stud-%d", x.IntN(2100)))
 		entry[4].Tokens = x.IntN(900)
-		for i := range entry { // times, choices and costs as uneven as real ones
+		for i := range entry { // vary times, upstreams and costs, so that they compress like real ones
 			entry[i].Time = start.Add(time.Duration(n*1000+i*20)*time.Millisecond + time.Duration(x.IntN(15e6)))
 			entry[i].Upstream, entry[i].Decode = side(), side()
 		}
@@ -48,7 +49,7 @@
 			c := Candidate{Host: side(), Cost: time.Duration(x.IntN(1e9))}
 			entry[2].Evaluation.Candidates = append(entry[2].Evaluation.Candidates, c)
 		}
-		s := half(EntrySpan, entry)
+		s := newSpan(EntrySpan, entry)
 		batch = append(batch, &s)
 	}
 	p := Packer{Host: "entry-1", Incarnation: 3}
--- a/trace/id.go
+++ b/trace/id.go
@@ -10,16 +10,16 @@
 	"jacinthworks/domain"
 )
 
-// ID is a request id in its parts. It is comparable.
+// ID is a parsed request id. It is comparable.
 type ID struct {
 	Entry       domain.Host
 	Incarnation domain.Incarnation
 	Number      uint64
 }
 
-// ParseID takes a request id apart: <entry>.<incarnation>.<number>, the two
-// numbers in decimal without leading zeros. The entry's name may hold dots,
-// but no slash and no tilde, which separate the parts of a segment's name.
+// ParseID parses a request id of the form <entry>.<incarnation>.<number>, with both
+// numbers in decimal without leading zeros. The name of the entry may contain dots, but
+// no slash and no tilde, which separate the parts of a segment name.
 func ParseID(id domain.RequestID) (ID, error) {
 	host, incarnation, rest, err := splitLast(string(id))
 	if err != nil {
@@ -29,12 +29,13 @@
 	return ID{host, incarnation, number}, err
 }
 
-// RequestID puts the parts together.
+// RequestID formats the request id.
 func (d ID) RequestID() domain.RequestID {
 	return domain.RequestID(fmt.Sprintf("%s.%d.%d", d.Entry, d.Incarnation, d.Number))
 }
 
-// splitLast takes <host>.<incarnation>.<rest> apart from its right end.
+// splitLast splits <host>.<incarnation>.<rest>, starting at the end since the host may
+// contain dots.
 func splitLast(s string) (domain.Host, domain.Incarnation, string, error) {
 	last := strings.LastIndexByte(s, '.')
 	if last < 0 {
@@ -44,7 +45,7 @@
 	return host, incarnation, s[last+1:], err
 }
 
-// splitHost takes <host>.<incarnation> apart.
+// splitHost splits <host>.<incarnation>.
 func splitHost(s string) (domain.Host, domain.Incarnation, error) {
 	dot := strings.LastIndexByte(s, '.')
 	if dot < 0 || !validHost(s[:dot]) {
@@ -56,12 +57,12 @@
 
 func validHost(s string) bool { return s != "" && !strings.ContainsAny(s, "/~ \n") }
 
-// parseNumber refuses what would not be written back the same, so that one
-// request has one id.
+// parseNumber rejects a number that would be formatted differently, so that each request
+// has exactly one id.
 func parseNumber(s string) (uint64, error) {
 	n, err := strconv.ParseUint(s, 10, 64)
 	if err != nil || strconv.FormatUint(n, 10) != s {
-		return 0, errors.Errorf("trace: not a plain number: %.40q", s)
+		return 0, errors.Errorf("trace: not a canonical decimal number: %.40q", s)
 	}
 	return n, nil
 }
--- a/trace/outbox.go
+++ b/trace/outbox.go
@@ -1,18 +1,18 @@
 package trace
 
-// MaxOutbox is the default bound of an Outbox in bytes. At 100 to 200 bytes a
-// story it holds some 50,000 stories while the platform is down.
+// MaxOutbox is the default bound of an Outbox in bytes. At 100 to 200 bytes per span it
+// keeps some 50,000 spans while the platform is down.
 const MaxOutbox = 8 << 20
 
-// Outbox holds segments that are not yet written, oldest first, through an
-// outage of the platform. It is bounded by bytes: beyond MaxBytes the oldest
-// segments go and their stories are counted as dropped. The zero value is empty
-// and ready to use. It belongs to the goroutine that writes.
+// Outbox is a queue of segments that are not yet written, so that an outage of the
+// platform does not lose them. Beyond MaxBytes it drops the oldest segments and counts
+// their spans as dropped. The zero value is empty and ready to use. It is not safe for
+// concurrent use.
 type Outbox struct {
 	// MaxBytes overrides MaxOutbox when it is not zero.
 	MaxBytes int
 
-	waiting []Segment
+	pending []Segment
 	bytes   int
 	dropped int64
 }
@@ -24,26 +24,26 @@
 		limit = MaxOutbox
 	}
 	for _, s := range segments {
-		o.waiting = append(o.waiting, s)
+		o.pending = append(o.pending, s)
 		o.bytes += len(s.Data)
 	}
-	for o.bytes > limit && len(o.waiting) > 0 {
-		o.dropped += int64(o.waiting[0].Spans)
+	for o.bytes > limit && len(o.pending) > 0 {
+		o.dropped += int64(o.pending[0].Spans)
 		o.remove(0)
 	}
 }
 
-// Oldest gives the oldest segment, without removing it.
+// Oldest returns the oldest segment without removing it, and false if there is none.
 func (o *Outbox) Oldest() (Segment, bool) {
-	if len(o.waiting) == 0 {
+	if len(o.pending) == 0 {
 		return Segment{}, false
 	}
-	return o.waiting[0], true
+	return o.pending[0], true
 }
 
-// Remove removes the named segment, once it is written.
+// Remove removes the named segment. Call it once the segment is written.
 func (o *Outbox) Remove(name string) {
-	for i, s := range o.waiting {
+	for i, s := range o.pending {
 		if s.Name == name {
 			o.remove(i)
 			return
@@ -51,13 +51,13 @@
 	}
 }
 
-// Pending gives the segments and bytes that are not yet written.
-func (o *Outbox) Pending() (segments, bytes int) { return len(o.waiting), o.bytes }
+// Pending returns the number of segments and bytes that are not yet written.
+func (o *Outbox) Pending() (segments, bytes int) { return len(o.pending), o.bytes }
 
-// Dropped counts the stories lost to the bound.
+// Dropped returns the number of spans that were dropped because of the bound.
 func (o *Outbox) Dropped() int64 { return o.dropped }
 
 func (o *Outbox) remove(i int) {
-	o.bytes -= len(o.waiting[i].Data)
-	o.waiting = append(o.waiting[:i:i], o.waiting[i+1:]...)
+	o.bytes -= len(o.pending[i].Data)
+	o.pending = append(o.pending[:i:i], o.pending[i+1:]...)
 }
--- a/trace/recorder.go
+++ b/trace/recorder.go
@@ -10,132 +10,135 @@
 
 // The defaults of a Recorder.
 const (
-	// DefaultMaxClosed keeps some seconds of an entry's full rate in memory, at
-	// about 3 KB a story.
+	// DefaultMaxClosed is the number of closed spans kept in memory: some seconds at
+	// an entry's full rate, at about 3 KB per span.
 	DefaultMaxClosed = 2000
-	// DefaultMaxAge is how long a closed story is answered from memory. Segments
-	// are long written by then.
+	// DefaultMaxAge is how long a closed span is kept in memory. Its segment is
+	// written long before.
 	DefaultMaxAge = 10 * time.Minute
-	// DefaultMaxPending bounds the closed stories that wait for Take, twice a due
-	// batch. Beyond it the oldest are dropped and counted; an outage of the
-	// platform is waited out in an Outbox, in far less memory.
+	// DefaultMaxPending bounds the closed spans that wait for TakePending: twice the
+	// size of a batch. Beyond it the oldest are dropped and counted. Spans wait for
+	// the end of an outage of the platform in an Outbox, in far less memory.
 	DefaultMaxPending = 2 * FlushSpans
-	// DefaultFlushInterval is how long a closed story waits for its segment; it is what a
-	// killed host loses of its own half.
+	// DefaultFlushInterval is how long a closed span waits until it is due to be
+	// packed into a segment. A host that is killed loses the spans of this time.
 	DefaultFlushInterval = 2 * time.Second
-	// FlushSpans makes a batch due before that age. A story takes about
-	// 100 to 200 bytes of a segment, so a batch is far below MaxSegment.
+	// FlushSpans is the number of spans that makes a batch due before that interval. A
+	// span takes about 100 to 200 bytes of a segment, so a batch is far below
+	// MaxSegment.
 	FlushSpans = 2000
-	// usualEvents is the length of a half that meets no failure.
-	usualEvents = 8
+	// typicalEvents is the number of events of a span without failures.
+	typicalEvents = 8
 )
 
-// Counts are the counters that must conserve: Accepted = Answered + Refused +
-// Open at every moment.
+// Counts contains the counters of a Recorder. At any time, Accepted = Answered + Refused
+// + Open.
 type Counts struct {
 	Accepted int64 `json:"accepted"`
 	Answered int64 `json:"answered"`
 	Refused  int64 `json:"refused"`
 	Open     int64 `json:"open"`
-	// SecondEnds counts ends that came after the first.
+	// SecondEnds counts ends and acceptances that were recorded after the first one.
 	SecondEnds int64 `json:"second_ends"`
-	// Late counts events for which no story was open.
+	// Late counts events for which no span was open.
 	Late int64 `json:"late"`
-	// Dropped counts closed stories that were dropped before they were written.
+	// Dropped counts closed spans that were dropped before they were written.
 	Dropped int64 `json:"dropped"`
-	// MaxPending counts closed stories that wait to be written.
+	// Pending is the number of closed spans that wait to be written.
 	Pending int64 `json:"pending"`
 }
 
-// Balanced reports whether each accepted request is accounted for once.
+// Balanced reports whether each accepted request is counted exactly once as answered,
+// refused or open.
 func (c Counts) Balanced() bool { return c.Accepted == c.Answered+c.Refused+c.Open }
 
-// Recorder keeps the stories of one host in memory: open ones for as long as
-// they are open, closed ones by count and age, and those not yet written. The
-// zero value is an entry's recorder, ready to use; it must not be copied.
+// Recorder keeps the spans of one host in memory: open spans, closed spans up to a count
+// and an age, and spans that are not yet written. The zero value is the recorder of an
+// entry, ready to use; it must not be copied.
 //
-// It is safe for concurrent use. Lock order: mu is a leaf, under which no other
-// lock is taken and nothing is called out of this package.
+// It is safe for concurrent use. Lock order: mu is a leaf lock; while it is held, no
+// other lock is acquired and no code outside this package is called.
 //
-// Open stories at an entry are bounded by its in-flight and queue limits. A
-// side's half that has not closed within Age is closed with a finding, so that
-// a lost AttemptEnded cannot hold memory for good.
+// The in-flight and queue limits of an entry bound its open spans. A span of a side that
+// has not closed within MaxAge is closed with a finding, so that a lost AttemptEnded
+// cannot use memory forever.
 type Recorder struct {
-	// Kind says whose half is kept; set it before first use.
+	// Kind is the kind of the recorded spans; set it before first use.
 	Kind SpanKind
-	// MaxClosed, Age and Pending override the defaults when they are not zero.
+	// MaxClosed, MaxAge and MaxPending override the defaults if they are not zero.
 	MaxClosed  int
 	MaxAge     time.Duration
 	MaxPending int
-	// FlushInterval overrides DefaultFlushInterval: hosts divided by it is the platform's writes a
-	// second.
+	// FlushInterval overrides DefaultFlushInterval if it is not zero. The number of
+	// hosts divided by it is the rate of segment writes at the platform.
 	FlushInterval time.Duration
 
-	mu      sync.Mutex
-	open    map[domain.RequestID]*item
-	closed  map[domain.RequestID]*list.Element
-	byAge   list.List // of *item, oldest close first
-	openAge list.List // of *item, oldest open first; used by sides only
-	pending []*Span
-	oldest  time.Time // close of pending[0]
-	counts  Counts
+	mu           sync.Mutex
+	open         map[domain.RequestID]*trackedSpan
+	closed       map[domain.RequestID]*list.Element
+	closedByAge  list.List // of *trackedSpan, earliest closed first
+	openByAge    list.List // of *trackedSpan, earliest opened first; used by sides only
+	pending      []*Span
+	pendingSince time.Time // when pending became non-empty
+	counts       Counts
 }
 
-type item struct {
-	story Span
-	at    time.Time // last opened or closed
-	age   *list.Element
+type trackedSpan struct {
+	span        Span
+	changed     time.Time // last opened or closed
+	openElement *list.Element
 }
 
-// Record adds an event to the story of its request. It opens the story on
-// acceptance and closes it on its end.
+// Record adds an event to the span of its request. At an entry, Accepted opens the span
+// and the terminal event closes it; at a side, Claimed, Reserved or AttemptStarted opens
+// it and AttemptEnded closes it.
 func (r *Recorder) Record(e Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.init()
 	defer r.expire(e.Time)
 	i := r.open[e.Request]
-	if i == nil && (!r.Kind.opens(e) || r.closedAsEntry(e.Request)) {
-		r.late(e)
+	if i == nil && (!r.Kind.opens(e) || r.closedAtEntry(e.Request)) {
+		r.recordLate(e)
 		return
 	}
 	if i == nil {
-		i = r.start(e)
+		i = r.openSpan(e)
 	}
-	i.story.Add(e)
+	i.span.Add(e)
 	if r.Kind.closes(e) {
-		r.count(e)
-		r.close(i, e.Time)
+		r.countEnd(e)
+		r.closeSpan(i, e.Time)
 	}
 }
 
-// Get gives the story of a request, if it is in memory.
+// Get returns a copy of the span of a request, if it is in memory.
 func (r *Recorder) Get(id domain.RequestID) (Span, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if i := r.open[id]; i != nil {
-		s := i.story.clone()
+		s := i.span.clone()
 		s.Open = true
 		return s, true
 	}
 	if e := r.closed[id]; e != nil {
-		return e.Value.(*item).story.clone(), true
+		return e.Value.(*trackedSpan).span.clone(), true
 	}
 	return Span{}, false
 }
 
-// Latest gives up to n closed stories, the last closed first.
+// Latest returns copies of up to n closed spans, the last closed first.
 func (r *Recorder) Latest(n int) []Span {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var found []Span
-	for e := r.byAge.Back(); e != nil && len(found) < n; e = e.Prev() {
-		found = append(found, e.Value.(*item).story.clone())
+	for e := r.closedByAge.Back(); e != nil && len(found) < n; e = e.Prev() {
+		found = append(found, e.Value.(*trackedSpan).span.clone())
 	}
 	return found
 }
 
-// Counts gives the counters as of now.
+// Counts returns the current counters.
 func (r *Recorder) Counts() Counts {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -147,8 +150,8 @@
 	return c
 }
 
-// Due reports whether a batch should be written: because FlushSpans wait, or
-// one has waited for DefaultFlushInterval.
+// Due reports whether a batch should be written: FlushSpans spans are pending, or the
+// oldest has been pending for the flush interval.
 func (r *Recorder) Due(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -156,11 +159,11 @@
 	if age <= 0 {
 		age = DefaultFlushInterval
 	}
-	return n >= FlushSpans || n > 0 && now.Sub(r.oldest) >= age
+	return n >= FlushSpans || n > 0 && now.Sub(r.pendingSince) >= age
 }
 
-// TakePending gives the closed stories that wait to be written and forgets that they
-// do; they stay in memory for Get. The caller must not change them.
+// TakePending returns the closed spans that wait to be written, and empties the list of
+// pending spans. The spans stay in memory for Get, so the caller must not change them.
 func (r *Recorder) TakePending() []*Span {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -171,29 +174,29 @@
 
 func (r *Recorder) init() {
 	if r.open == nil {
-		r.open = make(map[domain.RequestID]*item)
+		r.open = make(map[domain.RequestID]*trackedSpan)
 		r.closed = make(map[domain.RequestID]*list.Element)
 	}
 }
 
-// closedAsEntry guards against a request accepted twice under one id: a second
-// Accepted after the end would open a second story with a second end.
-func (r *Recorder) closedAsEntry(id domain.RequestID) bool {
+// closedAtEntry guards against a request that is accepted twice under one id: a second
+// Accepted after the end would open a second span with a second end.
+func (r *Recorder) closedAtEntry(id domain.RequestID) bool {
 	return r.Kind == EntrySpan && r.closed[id] != nil
 }
 
-func (r *Recorder) start(e Event) *item {
-	i := &item{story: Span{Request: e.Request, Kind: r.Kind, Events: make([]Event, 0, usualEvents)}, at: e.Time}
+func (r *Recorder) openSpan(e Event) *trackedSpan {
+	i := &trackedSpan{span: Span{Request: e.Request, Kind: r.Kind, Events: make([]Event, 0, typicalEvents)}, changed: e.Time}
 	r.open[e.Request] = i
 	if r.Kind == EntrySpan {
 		r.counts.Accepted++
 		return i
 	}
-	i.age = r.openAge.PushBack(i)
+	i.openElement = r.openByAge.PushBack(i)
 	return i
 }
 
-func (r *Recorder) count(e Event) {
+func (r *Recorder) countEnd(e Event) {
 	switch e.Kind {
 	case Answered:
 		r.counts.Answered++
@@ -202,62 +205,64 @@
 	}
 }
 
-func (r *Recorder) close(i *item, now time.Time) {
-	delete(r.open, i.story.Request)
-	if i.age != nil {
-		r.openAge.Remove(i.age)
-		i.age = nil
+func (r *Recorder) closeSpan(i *trackedSpan, now time.Time) {
+	delete(r.open, i.span.Request)
+	if i.openElement != nil {
+		r.openByAge.Remove(i.openElement)
+		i.openElement = nil
 	}
-	if e := r.closed[i.story.Request]; e != nil {
-		// A side saw an earlier attempt of the same request: keep both.
-		earlier := r.byAge.Remove(e).(*item)
-		joined := earlier.story.clone()
-		for _, v := range i.story.Events {
-			joined.Add(v)
+	if e := r.closed[i.span.Request]; e != nil {
+		// The side has closed a span of an earlier attempt of the same request:
+		// keep both for Get.
+		earlier := r.closedByAge.Remove(e).(*trackedSpan)
+		merged := earlier.span.clone()
+		for _, v := range i.span.Events {
+			merged.Add(v)
 		}
-		r.wait(i.story, now)
-		i.story = joined
+		r.enqueue(i.span, now)
+		i.span = merged
 	} else {
-		r.wait(i.story, now)
+		r.enqueue(i.span, now)
 	}
-	i.at = now
-	r.closed[i.story.Request] = r.byAge.PushBack(i)
+	i.changed = now
+	r.closed[i.span.Request] = r.closedByAge.PushBack(i)
 }
 
-// late takes an event for which no story is open. The story in memory gets it,
-// and it is written as a small addition of its own, since the story's segment
-// may be written already; Merge puts the two together.
-func (r *Recorder) late(e Event) {
+// recordLate records an event for which no span is open. It adds the event to the closed
+// span in memory, and also enqueues it as a small span of its own, since the segment of
+// the closed span may be written already. Merge merges both spans.
+func (r *Recorder) recordLate(e Event) {
 	r.counts.Late++
 	addition := Span{Request: e.Request, Kind: r.Kind}
 	if c := r.closed[e.Request]; c != nil {
-		s := &c.Value.(*item).story
+		s := &c.Value.(*trackedSpan).span
 		before := len(s.Findings)
 		s.Add(e)
 		if len(s.Findings) > before {
 			r.counts.SecondEnds++
 			addition.Findings = append(addition.Findings, s.Findings[before:]...)
-			r.wait(addition, e.Time)
+			r.enqueue(addition, e.Time)
 			return
 		}
 	}
 	addition.Add(e)
-	r.wait(addition, e.Time)
+	r.enqueue(addition, e.Time)
 }
 
-// wait shares the events' memory with the story that stays for Get: that one
-// is only ever appended to, beyond the length which s has.
-func (r *Recorder) wait(s Span, now time.Time) {
+// enqueue adds the span to the pending spans. The pending span shares the memory of its
+// events with the span that stays for Get; this is safe because events are only
+// appended to the latter, beyond the length of the former.
+func (r *Recorder) enqueue(s Span, now time.Time) {
 	if len(r.pending) == 0 {
-		r.oldest = now
+		r.pendingSince = now
 	}
 	r.pending = append(r.pending, &s)
-	r.boundPending()
+	r.dropExcessPending()
 }
 
-// boundPending keeps a writer that hangs from filling the memory: the oldest
-// stories go, and are counted as dropped.
-func (r *Recorder) boundPending() {
+// dropExcessPending bounds the memory of pending spans if the writer hangs: it drops the
+// oldest spans and counts them as dropped.
+func (r *Recorder) dropExcessPending() {
 	limit := r.MaxPending
 	if limit <= 0 {
 		limit = DefaultMaxPending
@@ -277,17 +282,17 @@
 	if age <= 0 {
 		age = DefaultMaxAge
 	}
-	for e := r.byAge.Front(); e != nil; e = r.byAge.Front() {
-		i := e.Value.(*item)
-		if r.byAge.Len() <= count && now.Sub(i.at) < age {
+	for e := r.closedByAge.Front(); e != nil; e = r.closedByAge.Front() {
+		i := e.Value.(*trackedSpan)
+		if r.closedByAge.Len() <= count && now.Sub(i.changed) < age {
 			break
 		}
-		r.byAge.Remove(e)
-		delete(r.closed, i.story.Request)
+		r.closedByAge.Remove(e)
+		delete(r.closed, i.span.Request)
 	}
-	for e := r.openAge.Front(); e != nil && now.Sub(e.Value.(*item).at) >= age; e = r.openAge.Front() {
-		i := e.Value.(*item)
-		i.story.Findings.Add(string(i.story.Request)+" side", "attempt did not end within %s", age)
-		r.close(i, now)
+	for e := r.openByAge.Front(); e != nil && now.Sub(e.Value.(*trackedSpan).changed) >= age; e = r.openByAge.Front() {
+		i := e.Value.(*trackedSpan)
+		i.span.Findings.Add(string(i.span.Request)+" side", "attempt did not end within %s", age)
+		r.closeSpan(i, now)
 	}
 }
--- a/trace/segment.go
+++ b/trace/segment.go
@@ -15,48 +15,47 @@
 )
 
 const (
-	// MaxSegment is the largest segment in bytes, which is the largest value
-	// that the platform holds.
+	// MaxSegment is the largest segment in bytes, which is the size limit of a value
+	// of the platform.
 	MaxSegment = 1 << 20
-	// maxRaw is where a segment is cut before compression. JSON of stories
-	// shrinks more than tenfold, so that a segment comes out at some 200 KB;
-	// one that does not is cut in halves until it fits.
-	maxRaw = 4 << 20
-	// maxDecoded bounds what a damaged segment may make a reader allocate.
-	maxDecoded = 2 * maxRaw
+	// maxUncompressed is the size in bytes at which a new segment is started. The JSON
+	// of spans compresses more than tenfold, so a segment has some 200 KB. A segment
+	// that does not compress to MaxSegment is split into halves until it fits.
+	maxUncompressed = 4 << 20
+	// maxDecoded bounds the memory that a reader allocates for a damaged segment.
+	maxDecoded = 2 * maxUncompressed
 	format     = "jacinthworks-stories"
 	version    = 1
 )
 
-// header is the first line of a segment. Stories lets a reader see that lines
-// are missing.
+// header is the first line of a segment. Spans lets a reader detect missing lines.
 type header struct {
 	Format      string             `json:"format"`
 	Version     int                `json:"version"`
 	Host        domain.Host        `json:"host"`
 	Incarnation domain.Incarnation `json:"incarnation"`
-	Stories     int                `json:"stories"`
+	Spans       int                `json:"stories"`
 }
 
-// Segment is a batch of closed stories, ready to be written.
+// Segment is a compressed batch of closed spans, ready to be written.
 type Segment struct {
 	Name string
 	Data []byte
-	// Spans counts the stories inside.
+	// Spans is the number of spans in the segment.
 	Spans int
 }
 
-// Packer packs stories into segments. Set Host and Incarnation; it belongs to
-// one goroutine.
+// Packer packs spans into segments. Set Host and Incarnation. It is not safe for
+// concurrent use.
 type Packer struct {
 	Host        domain.Host
 	Incarnation domain.Incarnation
 	seq         uint64
 }
 
-// Pack compresses the stories into as few segments as their bounds allow:
-// MaxSegment bytes and MaxRanges entries each. Stories that cannot be packed
-// are left out and named by the error, a check.Findings.
+// Pack compresses the spans into as few segments as their bounds allow: MaxSegment bytes
+// and MaxRanges ranges each. It omits spans that cannot be packed; its error, a
+// check.Findings, names them.
 func (p *Packer) Pack(now time.Time, batch []*Span) ([]Segment, error) {
 	var f check.Findings
 	var segments []Segment
@@ -64,34 +63,34 @@
 	var ranges []Range
 	raw := 0
 	flush := func() {
-		segments = append(segments, p.seal(now, lines, ranges, &f)...)
+		segments = append(segments, p.compress(now, lines, ranges, &f)...)
 		lines, ranges, raw = nil, nil, 0
 	}
 	for _, s := range batch {
 		d, err := ParseID(s.Request)
 		if err != nil {
-			f.Add("story "+string(s.Request), "%v", err)
+			f.Add("span "+string(s.Request), "%v", err)
 			continue
 		}
 		line, err := json.Marshal(s)
 		if err != nil {
-			f.Add("story "+string(s.Request), "%v", err)
+			f.Add("span "+string(s.Request), "%v", err)
 			continue
 		}
-		wider, fits := widen(ranges, d)
-		if !fits || raw+len(line) > maxRaw {
+		extended, fits := extendRanges(ranges, d)
+		if !fits || raw+len(line) > maxUncompressed {
 			flush()
-			wider, _ = widen(nil, d)
+			extended, _ = extendRanges(nil, d)
 		}
-		lines, ranges, raw = append(lines, line), wider, raw+len(line)+1
+		lines, ranges, raw = append(lines, line), extended, raw+len(line)+1
 	}
 	flush()
 	return segments, f.Err()
 }
 
-// seal compresses the lines into one segment, or into two of half the lines
-// each when one would be too large. Both carry the same ranges.
-func (p *Packer) seal(now time.Time, lines [][]byte, ranges []Range, f *check.Findings) []Segment {
+// compress compresses the lines into one segment, or into two with half of the lines
+// each if one would be too large. Both have the same ranges.
+func (p *Packer) compress(now time.Time, lines [][]byte, ranges []Range, f *check.Findings) []Segment {
 	if len(lines) == 0 {
 		return nil
 	}
@@ -108,10 +107,10 @@
 	data := encoder().EncodeAll(raw.Bytes(), nil)
 	if len(data) > MaxSegment && len(lines) > 1 {
 		half := len(lines) / 2
-		return append(p.seal(now, lines[:half], ranges, f), p.seal(now, lines[half:], ranges, f)...)
+		return append(p.compress(now, lines[:half], ranges, f), p.compress(now, lines[half:], ranges, f)...)
 	}
 	if len(data) > MaxSegment {
-		f.Add("story", "%d bytes compressed, over %d", len(data), MaxSegment)
+		f.Add("span", "%d bytes compressed, over %d", len(data), MaxSegment)
 		return nil
 	}
 	p.seq++
@@ -119,9 +118,9 @@
 	return []Segment{{Name: n.String(), Data: data, Spans: len(lines)}}
 }
 
-// widen gives ranges that hold the request, too, or false when that would take
-// more than MaxRanges.
-func widen(ranges []Range, d ID) ([]Range, bool) {
+// extendRanges extends the ranges to contain the request as well, or returns false if
+// that would need more than MaxRanges.
+func extendRanges(ranges []Range, d ID) ([]Range, bool) {
 	for i := range ranges {
 		g := &ranges[i]
 		if g.Entry == d.Entry && g.Incarnation == d.Incarnation {
@@ -135,9 +134,9 @@
 	return append(ranges, Range{d.Entry, d.Incarnation, d.Number, d.Number}), true
 }
 
-// Unpack gives the stories of a segment. Damage is refused with findings: all
-// of a segment whose compression or checksum is broken, or whose header is not
-// ours; single lines that are no stories, with the rest given.
+// Unpack returns the spans of a segment, and a finding for each damage. If the
+// compression, the checksum or the header is invalid, it returns no spans; if single
+// lines are not valid spans, it returns the others.
 func Unpack(data []byte) ([]Span, check.Findings) {
 	var f check.Findings
 	if len(data) > MaxSegment {
@@ -146,7 +145,7 @@
 	}
 	raw, err := decoder().DecodeAll(data, nil)
 	if err != nil {
-		f.Add("segment", "%v", errors.Wrap(err, "trace: decompress"))
+		f.Add("segment", "%v", errors.Wrap(err, "trace: decompress segment"))
 		return nil, f
 	}
 	lines := bytes.Split(raw, []byte("\n"))
@@ -158,60 +157,60 @@
 	if tail := lines[len(lines)-1]; len(tail) != 0 {
 		f.Add(fmt.Sprintf("line %d", len(lines)), "is cut off")
 	}
-	var stories []Span
+	var spans []Span
 	for i, l := range lines[1 : len(lines)-1] {
-		if s, ok := readStory(l, fmt.Sprintf("line %d", i+2), &f); ok {
-			stories = append(stories, s)
+		if s, ok := readSpan(l, fmt.Sprintf("line %d", i+2), &f); ok {
+			spans = append(spans, s)
 		}
 	}
-	if len(stories) != h.Stories {
-		f.Add("segment", "holds %d stories, not the %d its header names", len(stories), h.Stories)
+	if len(spans) != h.Spans {
+		f.Add("segment", "contains %d spans, but its header says %d", len(spans), h.Spans)
 	}
-	return stories, f
+	return spans, f
 }
 
 func readHeader(line []byte) (header, error) {
 	var h header
 	if err := json.Unmarshal(line, &h); err != nil {
-		return h, errors.Wrap(err, "trace: header")
+		return h, errors.Wrap(err, "trace: decode segment header")
 	}
 	if h.Format != format || h.Version != version {
-		return h, errors.Errorf("trace: header of another format: %.40q version %d", h.Format, h.Version)
+		return h, errors.Errorf("trace: segment header of another format: %.40q version %d", h.Format, h.Version)
 	}
 	return h, nil
 }
 
-// readStory rebuilds the story by Add, so that what was written by another
-// program obeys the same rule as what was recorded here.
-func readStory(line []byte, place string, f *check.Findings) (Span, bool) {
+// readSpan decodes a span and rebuilds it with Span.Add, so that segments from other
+// processes obey the same rules as spans recorded here.
+func readSpan(line []byte, location string, f *check.Findings) (Span, bool) {
 	var read Span
 	if err := json.Unmarshal(line, &read); err != nil {
-		f.Add(place, "%v", errors.Wrap(err, "story"))
+		f.Add(location, "%v", errors.Wrap(err, "trace: decode span"))
 		return Span{}, false
 	}
 	before := len(*f)
 	if _, err := ParseID(read.Request); err != nil {
-		f.Add(place+" request_id", "%v", err)
+		f.Add(location+" request_id", "%v", err)
 	}
 	if read.Kind != EntrySpan && read.Kind != SideSpan {
-		f.Add(place+" half", "is neither entry's nor side's: %.40q", string(read.Kind))
+		f.Add(location+" half", "is neither entry's nor side's: %.40q", string(read.Kind))
 	}
 	s := Span{Request: read.Request, Kind: read.Kind, Dropped: max(0, read.Dropped), Findings: read.Findings}
 	for i, e := range read.Events {
-		e.Check(f, fmt.Sprintf("%s event %d", place, i+1))
+		e.Check(f, fmt.Sprintf("%s event %d", location, i+1))
 		s.Add(e)
 	}
 	return s, len(*f) == before
 }
 
-// encoder and decoder are shared: EncodeAll and DecodeAll are safe for
-// concurrent use. The small window keeps their memory to a few megabytes.
+// encoder and decoder are shared, since EncodeAll and DecodeAll are safe for concurrent
+// use. The small window limits their memory to a few megabytes.
 var (
 	encoder = sync.OnceValue(func() *zstd.Encoder {
 		e, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithWindowSize(1<<20),
 			zstd.WithLowerEncoderMem(true))
 		if err != nil {
-			panic(errors.Wrap(err, "trace: encoder options"))
+			panic(errors.Wrap(err, "trace: create zstd encoder"))
 		}
 		return e
 	})
@@ -219,7 +218,7 @@
 		d, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxDecoded),
 			zstd.WithDecoderLowmem(true))
 		if err != nil {
-			panic(errors.Wrap(err, "trace: decoder options"))
+			panic(errors.Wrap(err, "trace: create zstd decoder"))
 		}
 		return d
 	})
--- a/trace/name.go
+++ b/trace/segment_name.go
@@ -12,40 +12,41 @@
 	"jacinthworks/domain"
 )
 
-// Prefix starts the name of each segment.
+// Prefix is the prefix of all segment names.
 const Prefix = "stories/"
 
-// MaxRanges bounds the entries whose requests one segment holds, so that names
-// stay under about 600 bytes. A side with more entries writes more segments.
+// MaxRanges bounds the number of entry incarnations whose requests one segment contains,
+// so that names stay below about 600 bytes. A side that serves more entries writes more
+// segments.
 const MaxRanges = 16
 
-// Range is a run of request numbers of one life of an entry, ends included.
-// Requests close out of order, so that a segment need not hold all of them.
+// Range is an inclusive range of request numbers of one incarnation of an entry.
+// Requests end out of order, so a segment need not contain all numbers in its range.
 type Range struct {
 	Entry       domain.Host
 	Incarnation domain.Incarnation
 	First, Last uint64
 }
 
-// Contains reports whether the request lies in the range.
+// Contains reports whether the request is in the range.
 func (g Range) Contains(d ID) bool {
 	return g.Entry == d.Entry && g.Incarnation == d.Incarnation && g.First <= d.Number && d.Number <= g.Last
 }
 
-// SegmentName is a segment's name in its parts. Host, Incarnation and Seq make it
-// unique, so that a segment is only ever created: when the answer to a write is
-// lost, the same write again is harmless.
+// SegmentName is a parsed segment name. Host, Incarnation and Seq make it unique, so that
+// segments are only created and never updated: a write whose response is lost can be
+// repeated safely.
 type SegmentName struct {
 	Host        domain.Host
 	Incarnation domain.Incarnation
-	// Seq numbers the segments of one life of the host, from 1.
+	// Seq numbers the segments of one incarnation of the host, from 1.
 	Seq uint64
-	// Written is when the segment was packed, to the second.
+	// Written is when the segment was packed, with a resolution of one second.
 	Written time.Time
 	Ranges  []Range
 }
 
-// String writes the name:
+// String formats the name:
 // stories/<host>.<incarnation>/<seq>~<unix seconds>~<entry>.<incarnation>.<first>-<last>[~...]
 func (n SegmentName) String() string {
 	var b strings.Builder
@@ -56,13 +57,13 @@
 	return b.String()
 }
 
-// ParseSegmentName reads what String writes.
+// ParseSegmentName parses the output of SegmentName.String.
 func ParseSegmentName(s string) (SegmentName, error) {
 	rest, ok := strings.CutPrefix(s, Prefix)
 	owner, file, found := strings.Cut(rest, "/")
 	parts := strings.Split(file, "~")
 	if !ok || !found || len(parts) < 3 || len(parts) > 2+MaxRanges {
-		return SegmentName{}, errors.Errorf("trace: not a segment's name: %.80q", s)
+		return SegmentName{}, errors.Errorf("trace: not a segment name: %.80q", s)
 	}
 	var n SegmentName
 	var err error
@@ -74,7 +75,7 @@
 	}
 	written, err := parseNumber(parts[1])
 	if err != nil || written > 1<<40 {
-		return SegmentName{}, errors.Errorf("trace: not a time in seconds: %.40q", parts[1])
+		return SegmentName{}, errors.Errorf("trace: not a time in Unix seconds: %.40q", parts[1])
 	}
 	n.Written = time.Unix(int64(written), 0).UTC()
 	for _, p := range parts[2:] {
@@ -101,25 +102,25 @@
 		return Range{}, err
 	}
 	if g.First > g.Last {
-		return Range{}, errors.Errorf("trace: range runs backwards: %.80q", s)
+		return Range{}, errors.Errorf("trace: range with first above last: %.80q", s)
 	}
 	return g, nil
 }
 
-// EntryPrefix is the prefix under which the entry's own segments of the
-// request are listed. The sides' are found among all names under Prefix.
+// EntryPrefix returns the name prefix of the segments that the entry of the request has
+// written. Segments of sides are found only by listing all names with Prefix.
 func EntryPrefix(d ID) string {
 	return fmt.Sprintf("%s%s.%d/", Prefix, d.Entry, d.Incarnation)
 }
 
-// FindSegments gives those of the listed names whose segments may hold the request:
-// the entry's first, narrow ranges before wide ones. Names that are no
-// segment's are passed over.
+// FindSegments returns the listed names of segments that may contain the request: the
+// entry's segments first, then narrow ranges before wide ones. It ignores names that are
+// not segment names.
 func FindSegments(listed []string, d ID) []string {
 	type match struct {
-		name  string
-		other bool
-		width uint64
+		name     string
+		fromSide bool
+		width    uint64
 	}
 	var found []match
 	for _, s := range listed {
@@ -135,8 +136,8 @@
 		}
 	}
 	slices.SortStableFunc(found, func(a, b match) int {
-		if a.other != b.other {
-			if b.other {
+		if a.fromSide != b.fromSide {
+			if b.fromSide {
 				return -1
 			}
 			return 1
@@ -150,14 +151,14 @@
 	return names
 }
 
-// ExpiredSegments gives those of the listed names whose segments were written longer
-// than keep ago. Any host may delete them.
+// ExpiredSegments returns the listed names of segments that were written longer ago than
+// keep. Any host may delete them.
 func ExpiredSegments(listed []string, now time.Time, keep time.Duration) []string {
-	var old []string
+	var expired []string
 	for _, s := range listed {
 		if n, err := ParseSegmentName(s); err == nil && now.Sub(n.Written) > keep {
-			old = append(old, s)
+			expired = append(expired, s)
 		}
 	}
-	return old
+	return expired
 }
--- a/trace/trace_test.go
+++ b/trace/trace_test.go
@@ -22,8 +22,8 @@
 
 func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
-// appraisal gives the halves of one answered model request: the entry's, the
-// prefill side's and the decode side's, whose clock is 3 ms behind.
+// appraisal returns the events of one answered model request at the entry, at the
+// prefill side, and at the decode side, whose clock is 3 ms behind.
 func appraisal(n uint64) (entry, prefill, decode []Event) {
 	id := ID{"entry-1", 3, n}.RequestID()
 	owner := Event{Service: "appraiser-lm", RequestKind: "appraisal", Caller: "stud-farm"}
@@ -41,21 +41,21 @@
 	answered.Ran, answered.Tokens = domain.DidRun, 40
 	entry = []Event{accepted, ev(Queued, 1, "entry-1", 0), decided, started, answered}
 	for _, s := range []struct {
-		half *[]Event
-		host domain.Host
-		mid  EventKind
-		from int
+		events *[]Event
+		host   domain.Host
+		mid    EventKind
+		from   int
 	}{{&prefill, "side-4", PrefillDone, 5}, {&decode, "side-7", FirstToken, 0}} {
 		first := ev(AttemptStarted, s.from, s.host, 1)
 		first.Caller, first.Service, first.RequestKind = owner.Caller, owner.Service, owner.RequestKind
 		last := ev(AttemptEnded, s.from+50, s.host, 1)
 		last.Ran = domain.DidRun
-		*s.half = []Event{ev(Reserved, s.from, s.host, 1), first, ev(s.mid, s.from+20, s.host, 1), last}
+		*s.events = []Event{ev(Reserved, s.from, s.host, 1), first, ev(s.mid, s.from+20, s.host, 1), last}
 	}
 	return entry, prefill, decode
 }
 
-func half(h SpanKind, events []Event) Span {
+func newSpan(h SpanKind, events []Event) Span {
 	s := Span{Kind: h}
 	for _, e := range events {
 		s.Add(e)
@@ -63,19 +63,18 @@
 	return s
 }
 
-func record(r *Recorder, events []Event) {
+func recordAll(r *Recorder, events []Event) {
 	for _, e := range events {
 		r.Record(e)
 	}
 }
 
-// A buyer's enquiry is answered, and 5 ms later a slow path in the entry
-// refuses it as lost. The caller has the answer; a story that ended "refused"
-// would send a support engineer after a sale that was not lost.
-func TestSecondEndIsFindingNotEnd(t *testing.T) {
+// A request is answered, and 5 ms later a slow code path in the entry refuses it as
+// lost. The caller has received the answer, so the trace must not end as refused.
+func TestRecordSecondEndAddsFindingAndKeepsFirstEnd(t *testing.T) {
 	var r Recorder
 	entry, _, _ := appraisal(1)
-	record(&r, entry)
+	recordAll(&r, entry)
 	r.Record(Event{Kind: Refused, Time: at(65), Host: "entry-1", Request: entry[0].Request, Ran: domain.Unknown, Reason: domain.ReasonLost})
 	s, ok := r.Get(entry[0].Request)
 	require.True(t, ok)
@@ -85,24 +84,24 @@
 	c := r.Counts()
 	require.True(t, c.Balanced())
 	require.Equal(t, int64(1), c.SecondEnds)
-	// The finding reaches the segments, too, as an addition to the story.
-	halves := r.TakePending()
-	require.Len(t, halves, 2)
-	a := Merge(entry[0].Request, *halves[0], *halves[1])
+	// The finding is also written to a segment, as an additional span.
+	spans := r.TakePending()
+	require.Len(t, spans, 2)
+	a := Merge(entry[0].Request, *spans[0], *spans[1])
 	require.Equal(t, StateAnswered, a.State)
 	require.Len(t, a.Findings, 1)
 }
 
-func TestCountsConserveUnderAnySequence(t *testing.T) {
+func TestCountsAreBalancedForAnyEventSequence(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := Recorder{MaxClosed: 4, MaxAge: 50 * time.Millisecond}
 		kinds := rapid.SliceOfN(rapid.SampledFrom([]EventKind{Accepted, Queued, Answered, Refused, CallerGone, AttemptEnded}), 1, 80).Draw(t, "kinds")
-		naive := make(map[domain.RequestID]EventKind) // the first end, or Accepted
+		naive := make(map[domain.RequestID]EventKind) // by request: the first end, or Accepted
 		for i, k := range kinds {
 			id := ID{"e", 1, uint64(rapid.IntRange(0, 5).Draw(t, "id"))}.RequestID()
 			_, known := naive[id]
 			if _, held := r.Get(id); known && !held && k == Accepted {
-				continue // a number given twice is only seen while its story is held
+				continue // a duplicate id is detected only while its span is in memory
 			}
 			r.Record(Event{Kind: k, Time: at(i * 9), Host: "e", Request: id, Ran: domain.NotRun})
 			if k == Accepted && !known || naive[id] == Accepted && (k == Answered || k == Refused) {
@@ -127,7 +126,7 @@
 		wg.Go(func() {
 			for n := range 200 {
 				entry, _, _ := appraisal(uint64(w*1000 + n))
-				record(&r, entry)
+				recordAll(&r, entry)
 				r.Latest(2)
 			}
 		})
@@ -138,31 +137,31 @@
 	require.Equal(t, int64(1600), c.Answered)
 }
 
-func TestSideClosesWhatNeverEnds(t *testing.T) {
+func TestSideRecorderClosesSpanWithoutEndAfterMaxAge(t *testing.T) {
 	r := Recorder{Kind: SideSpan, MaxAge: time.Second}
 	_, prefill, _ := appraisal(1)
-	record(&r, prefill[:2])
+	recordAll(&r, prefill[:2])
 	_, other, _ := appraisal(2)
 	other[0].Time = at(2000)
 	r.Record(other[0])
 	batch := r.TakePending()
 	require.Len(t, batch, 1)
 	require.Contains(t, batch[0].Findings[0].Problem, "did not end")
-	require.False(t, r.Due(at(2000).Add(DefaultFlushInterval)), "nothing waits")
+	require.False(t, r.Due(at(2000).Add(DefaultFlushInterval)), "nothing is pending")
 
-	// Late news opens no half that would wait for an end.
+	// A late event does not open a span that would wait for an end.
 	r.Record(Event{Kind: CallerGone, Time: at(2001), Host: "side-4", Request: "entry-1.3.9"})
 	require.False(t, r.Due(at(2002)))
 	require.True(t, r.Due(at(2001).Add(DefaultFlushInterval)))
 	require.Len(t, r.TakePending(), 1)
 }
 
-// The entry is lost while the side still runs its request. The side's half is
-// read from the live side: it has no end yet, and that is not a loss.
-func TestOpenHalfIsNotLost(t *testing.T) {
+// The entry crashes while the side still runs the request. The span of the side is read
+// from the live side: it has no end yet, and must not be reported as lost.
+func TestMergeDoesNotReportOpenSpanAsLost(t *testing.T) {
 	r := Recorder{Kind: SideSpan}
 	entry, prefill, _ := appraisal(1)
-	record(&r, prefill[:3])
+	recordAll(&r, prefill[:3])
 	s, ok := r.Get(entry[0].Request)
 	require.True(t, ok && s.Open)
 	a := Merge(s.Request, s)
@@ -171,39 +170,39 @@
 	require.NotContains(t, strings.Join(a.Missing, "\n"), "side side-4: lost")
 
 	var e Recorder
-	record(&e, entry[:4])
+	recordAll(&e, entry[:4])
 	s, _ = e.Get(entry[0].Request)
 	a = Merge(s.Request, s)
 	require.Equal(t, StateOpen, a.State)
 	require.Empty(t, a.Missing)
 }
 
-// The entry is killed right after the answer. An engineer asks another entry,
-// which finds the sides' halves only: it must tell what ran, and say plainly
-// that the entry's half is missing in place of guessing an answer.
-func TestAccountSaysWhatIsMissing(t *testing.T) {
+// The entry is killed right after the response, and another entry finds only the spans of
+// the sides. The trace must show that the request ran, and that the entry's events are
+// missing, instead of guessing the outcome.
+func TestMergeReportsMissingSpans(t *testing.T) {
 	entry, prefill, decode := appraisal(17)
 	id := entry[0].Request
-	whole := Merge(id, half(EntrySpan, entry), half(SideSpan, prefill), half(SideSpan, decode))
+	whole := Merge(id, newSpan(EntrySpan, entry), newSpan(SideSpan, prefill), newSpan(SideSpan, decode))
 	require.Equal(t, StateAnswered, whole.State)
 	require.Empty(t, whole.Missing)
 	require.Empty(t, whole.Findings)
 
-	lost := Merge(id, half(SideSpan, prefill), half(SideSpan, decode))
+	lost := Merge(id, newSpan(SideSpan, prefill), newSpan(SideSpan, decode))
 	require.Equal(t, StateLost, lost.State)
 	require.Equal(t, domain.DidRun, lost.Ran)
 	require.Contains(t, strings.Join(lost.Missing, "\n"), "entry entry-1.3 was lost before it wrote")
 
-	cutOff := Merge(id, half(EntrySpan, entry[:4]), half(SideSpan, prefill))
+	cutOff := Merge(id, newSpan(EntrySpan, entry[:4]), newSpan(SideSpan, prefill))
 	require.Contains(t, strings.Join(cutOff.Missing, "\n"), "entry entry-1.3 lost after attempt_started")
-	require.Contains(t, strings.Join(cutOff.Missing, "\n"), "half of side side-7 for attempt 1")
+	require.Contains(t, strings.Join(cutOff.Missing, "\n"), "events of side side-7 for attempt 1")
 
-	died := Merge(id, half(EntrySpan, entry), half(SideSpan, prefill), half(SideSpan, decode[:3]))
+	died := Merge(id, newSpan(EntrySpan, entry), newSpan(SideSpan, prefill), newSpan(SideSpan, decode[:3]))
 	require.Contains(t, strings.Join(died.Missing, "\n"), "side side-7: lost after first_token")
 
 	none := Merge(id)
 	require.Equal(t, domain.Unknown, none.Ran)
-	require.Contains(t, none.Missing[0], "no half")
+	require.Contains(t, none.Missing[0], "no event")
 
 	var b bytes.Buffer
 	require.NoError(t, whole.WriteText(&b))
@@ -211,13 +210,13 @@
 	t.Log("\n" + b.String())
 }
 
-// A refusal says not_run, yet a side's half shows that the prefill was done.
-// That breaks a promise of the brief and must not stay unseen in a story.
-func TestUntrueNotRunIsFound(t *testing.T) {
+// A refusal says not_run although the span of a side shows that the prefill was done.
+// That violates a guarantee to the callers, so the trace must have a finding.
+func TestMergeFindsContradictionsOfRuns(t *testing.T) {
 	entry, prefill, _ := appraisal(5)
 	end := &entry[len(entry)-1]
 	end.Kind, end.Ran, end.Reason = Refused, domain.NotRun, domain.ReasonLost
-	a := Merge(entry[0].Request, half(EntrySpan, entry), half(SideSpan, prefill))
+	a := Merge(entry[0].Request, newSpan(EntrySpan, entry), newSpan(SideSpan, prefill))
 	require.Len(t, a.Findings, 1)
 	require.Contains(t, a.Findings[0].Problem, "refused as not_run")
 
@@ -226,26 +225,26 @@
 	for i := range again {
 		again[i].Attempt, again[i].Host = 2, "side-5"
 	}
-	a = Merge(entry[0].Request, half(EntrySpan, entry), half(SideSpan, prefill), half(SideSpan, again))
+	a = Merge(entry[0].Request, newSpan(EntrySpan, entry), newSpan(SideSpan, prefill), newSpan(SideSpan, again))
 	require.Contains(t, a.Findings.Error(), "ran in 2 attempts")
 }
 
-func TestMergeDoesNotDependOnOrderOrRepeats(t *testing.T) {
+func TestMergeIsIndependentOfOrderAndDuplicates(t *testing.T) {
 	entry, prefill, decode := appraisal(9)
-	halves := []Span{half(EntrySpan, entry), half(SideSpan, prefill), half(SideSpan, decode)}
-	want := Merge(entry[0].Request, halves...)
-	for i, e := range want.Events { // cause before effect, though side-7's clock is behind
+	spans := []Span{newSpan(EntrySpan, entry), newSpan(SideSpan, prefill), newSpan(SideSpan, decode)}
+	want := Merge(entry[0].Request, spans...)
+	for i, e := range want.Events { // causal order, although the clock of side-7 is behind
 		if e.Kind == Decided {
 			require.Equal(t, 2, i)
 		}
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		given := append(rapid.Permutation(halves).Draw(t, "order"), rapid.SampledFrom(halves).Draw(t, "twice"))
+		given := append(rapid.Permutation(spans).Draw(t, "order"), rapid.SampledFrom(spans).Draw(t, "twice"))
 		require.Equal(t, want, Merge(entry[0].Request, given...))
 	})
 }
 
-func TestSegmentsGiveBackWhatWasPacked(t *testing.T) {
+func TestUnpackReturnsPackedSpans(t *testing.T) {
 	p := Packer{Host: "side.4", Incarnation: 2}
 	var batch []*Span
 	for n := range 400 {
@@ -259,7 +258,7 @@
 	}
 	segments, err := p.Pack(start, batch)
 	require.NoError(t, err)
-	require.Greater(t, len(segments), 1, "20 entries do not fit into one name")
+	require.Greater(t, len(segments), 1, "the ranges of 20 entries do not fit into one name")
 	var names []string
 	for _, s := range segments {
 		require.LessOrEqual(t, len(s.Data), MaxSegment)
@@ -278,9 +277,9 @@
 				if s.Name != name {
 					continue
 				}
-				stories, f := Unpack(s.Data)
+				spans, f := Unpack(s.Data)
 				require.Empty(t, f)
-				for _, got := range stories {
+				for _, got := range spans {
 					if got.Request == want.Request {
 						require.Equal(t, *want, got)
 						found++
@@ -292,7 +291,7 @@
 	}
 }
 
-func TestSegmentNeverOutgrowsItsBound(t *testing.T) {
+func TestPackedSegmentsStayBelowMaxSegment(t *testing.T) {
 	p := Packer{Host: "e", Incarnation: 1}
 	var batch []*Span
 	seed := uint64(1)
@@ -314,42 +313,42 @@
 	total := 0
 	for _, s := range segments {
 		require.LessOrEqual(t, len(s.Data), MaxSegment)
-		stories, f := Unpack(s.Data)
+		spans, f := Unpack(s.Data)
 		require.Empty(t, f)
-		total += len(stories)
+		total += len(spans)
 	}
 	require.Equal(t, len(batch), total)
 }
 
-// A segment was cut off or changed on its way. Half a story that reads like a
-// whole one would be a false account, so damage has to be told.
-func TestDamageIsFound(t *testing.T) {
+// A truncated or modified segment must be detected, because an incomplete span that
+// reads like a complete one would make the trace wrong.
+func TestUnpackDetectsDamagedSegment(t *testing.T) {
 	p := Packer{Host: "entry-1", Incarnation: 3}
 	entry, _, _ := appraisal(1)
-	s := half(EntrySpan, entry)
+	s := newSpan(EntrySpan, entry)
 	segments, err := p.Pack(start, []*Span{&s, &s})
 	require.NoError(t, err)
 	data := segments[0].Data
 	for n := range data {
 		_, f := Unpack(data[:n])
-		require.NotEmpty(t, f, "cut at %d", n)
+		require.NotEmpty(t, f, "truncated at %d", n)
 		bad := bytes.Clone(data)
 		bad[n] ^= 1
-		stories, f := Unpack(bad)
-		if len(f) == 0 { // a bit without meaning to the format
-			require.Equal(t, []Span{s, s}, stories, "flipped in %d", n)
+		spans, f := Unpack(bad)
+		if len(f) == 0 { // the bit has no meaning in the format
+			require.Equal(t, []Span{s, s}, spans, "flipped in %d", n)
 		}
 	}
 	line, err := json.Marshal(s)
 	require.NoError(t, err)
 	raw := `{"format":"jacinthworks-stories","version":1,"stories":2}` + "\n" + string(line) + "\n{\"events\":[{}]}\n"
-	stories, f := Unpack(encoder().EncodeAll([]byte(raw), nil))
-	require.Len(t, stories, 1)
+	spans, f := Unpack(encoder().EncodeAll([]byte(raw), nil))
+	require.Len(t, spans, 1)
 	require.Contains(t, f.Error(), "line 3 request_id")
-	require.Contains(t, f.Error(), "holds 1 stories")
+	require.Contains(t, f.Error(), "contains 1 spans")
 }
 
-func TestOutboxIsBounded(t *testing.T) {
+func TestOutboxDropsOldestSegmentsBeyondMaxBytes(t *testing.T) {
 	o := Outbox{MaxBytes: 10}
 	o.Add(Segment{"a", make([]byte, 6), 3}, Segment{"b", make([]byte, 4), 2}, Segment{"c", make([]byte, 4), 1})
 	require.Equal(t, int64(3), o.Dropped())
@@ -363,7 +362,7 @@
 func FuzzUnpack(f *testing.F) {
 	p := Packer{Host: "entry-1", Incarnation: 3}
 	entry, prefill, _ := appraisal(1)
-	a, b := half(EntrySpan, entry), half(SideSpan, prefill)
+	a, b := newSpan(EntrySpan, entry), newSpan(SideSpan, prefill)
 	segments, err := p.Pack(start, []*Span{&a, &b})
 	require.NoError(f, err)
 	f.Add(segments[0].Data)
@@ -371,11 +370,11 @@
 	f.Add([]byte{})
 	f.Add(encoder().EncodeAll([]byte("{\"format\":\"jacinthworks-stories\",\"version\":1}\n{}\nx"), nil))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		stories, findings := Unpack(data)
-		if len(stories) == 0 && len(findings) == 0 {
+		spans, findings := Unpack(data)
+		if len(spans) == 0 && len(findings) == 0 {
 			return // an empty batch
 		}
-		for _, s := range stories {
+		for _, s := range spans {
 			Merge(s.Request, s)
 			for _, e := range s.Events {
 				require.Equal(t, s.Request, e.Request)
