--- a/admin/orders.go
+++ b/admin/orders.go
@@ -21,7 +21,7 @@
 // longer, so the operator must then repeat the order.
 const DefaultOrderTimeout = 8 * time.Second
 
-// OrderRequest is an order to the engine that a side serves.
+// OrderRequest is an order to the engine behind a side.
 type OrderRequest struct {
 	// Host is the side's name.
 	Host domain.Host `json:"host"`
@@ -66,7 +66,7 @@
 	}
 }
 
-// SendOrder sends an order to the engine that a side serves.
+// SendOrder sends an order to the engine behind a side.
 func (c *Client) SendOrder(ctx context.Context, o OrderRequest) (OrderReply, error) {
 	var reply OrderReply
 	err := c.call(ctx, http.MethodPost, pathOrders, nil, o, &reply)
--- a/admin_args.go
+++ b/admin_args.go
@@ -15,15 +15,16 @@
 	"jacinthworks/conf"
 )
 
-// adminArgs are the arguments of the commands that ask an entry.
+// adminArgs are the arguments of the commands that send requests to an entry's
+// administration address.
 type adminArgs struct {
 	Admin     netip.AddrPort `arg:"--admin,required,env:JACINTHWORKS_ADMIN" help:"administration address of any entry" placeholder:"IP:PORT"`
 	TokenFile string         `arg:"--token-file" help:"file with the operator's token; without it JACINTHWORKS_TOKEN is read" placeholder:"FILE"`
 	CAFile    string         `arg:"--ca-file" help:"connect by TLS and trust this certificate" placeholder:"FILE"`
 }
 
-// client gives the client that the arguments ask for. The token is never an
-// argument: other users of the host see those.
+// client returns a client for the arguments. The token cannot be an argument, because
+// other users of the host can see the arguments of a process.
 func (a adminArgs) client() (*admin.Client, error) {
 	c := &admin.Client{Address: a.Admin, Token: conf.Secret(os.Getenv("JACINTHWORKS_TOKEN"))}
 	if a.TokenFile != "" {
@@ -51,13 +52,13 @@
 	return c, nil
 }
 
-// connect reads a command's arguments into dest and gives the client that they
-// ask for. When there is nothing to ask, done is true.
-func connect(name string, args []string, dest any, to *adminArgs, out, errs io.Writer) (c *admin.Client, code int, done bool) {
+// connect parses the arguments of a command into dest and returns a client for them. If
+// done is true, the command must exit with the given code.
+func connect(name string, args []string, dest any, target *adminArgs, out, errs io.Writer) (c *admin.Client, code int, done bool) {
 	if code, done := parseArgs(name, args, dest, out, errs); done {
 		return nil, code, true
 	}
-	c, err := to.client()
+	c, err := target.client()
 	if err != nil {
 		fmt.Fprintln(errs, "jacinthworks:", err)
 		return nil, exitUsage, true
@@ -65,7 +66,7 @@
 	return c, exitOK, false
 }
 
-// report prints an error of a command and gives the exit code for it.
+// report prints the error of a command, if there is one, and returns the exit code.
 func report(err error, errs io.Writer) int {
 	if err == nil {
 		return exitOK
--- a/cmd_admin_test.go
+++ b/cmd_admin_test.go
@@ -27,18 +27,18 @@
 
 const operatorToken = "operator-token-asha"
 
-// oneObject is a fake object API that holds the table.
-type oneObject struct {
-	infra.Objects // the calls that no command makes
+// tableObject is a fake object API that stores only the table.
+type tableObject struct {
+	infra.Objects // nil: the commands don't make the other calls
 	version       infra.Version
 	value         []byte
 }
 
-func (o *oneObject) Get(context.Context, string) (infra.Object, error) {
+func (o *tableObject) Get(context.Context, string) (infra.Object, error) {
 	return infra.Object{Version: o.version, Value: o.value}, nil
 }
 
-func (o *oneObject) Put(_ context.Context, _ string, value []byte, at infra.Version) (infra.Version, error) {
+func (o *tableObject) Put(_ context.Context, _ string, value []byte, at infra.Version) (infra.Version, error) {
 	if at != o.version {
 		return 0, infra.ErrConflict
 	}
@@ -46,30 +46,31 @@
 	return o.version, nil
 }
 
-// entryHost answers for the rest of an entry.
-type entryHost struct{}
+// fakeEntry is a fake of the other parts of an entry.
+type fakeEntry struct{}
 
-func (entryHost) Status(context.Context) (admin.Status, error) {
+func (fakeEntry) Status(context.Context) (admin.Status, error) {
 	return admin.Status{Host: "entry-1", Version: 1, Hosts: []admin.HostStatus{
 		{Host: "entry-1", Zone: "howrah", Role: "entry", State: admin.HostServing, Version: 1, Since: time.Date(2026, 12, 2, 9, 0, 0, 0, time.UTC)},
 		{Host: "side-1", Zone: "howrah", Role: domain.RoleApp, Service: "marketplace-app", State: admin.HostDraining, InFlight: 2}}}, nil
 }
 
-func (entryHost) Trace(_ context.Context, id domain.RequestID) (trace.Trace, error) {
+func (fakeEntry) Trace(_ context.Context, id domain.RequestID) (trace.Trace, error) {
 	if id != "entry-1.1.7" {
 		return trace.Trace{}, admin.ErrNoTrace
 	}
 	return trace.Trace{Request: id, State: trace.StateRefused, Ran: domain.NotRun, Reason: domain.ReasonNoRoom}, nil
 }
 
-func (entryHost) Drain(_ context.Context, host domain.Host, _ string) error {
+func (fakeEntry) Drain(_ context.Context, host domain.Host, _ string) error {
 	if host != "side-1" {
 		return admin.ErrUnknownHost
 	}
 	return nil
 }
 
-// startAdmin serves an administration address and names it in the environment.
+// startAdmin starts an administration server, and sets its address and the token in the
+// environment.
 func startAdmin(t *testing.T) {
 	server := httptest.NewServer(adminHandler(t))
 	t.Cleanup(server.Close)
@@ -86,20 +87,20 @@
 	h.Update(first, time.Now())
 	s := admin.Server{
 		Operators: []conf.Operator{{Name: "asha", Token: operatorToken, Teams: []string{"appraisal"}}},
-		Tables:    &h, Editor: &editor.Editor{Objects: &oneObject{version: 1, value: text}, Holder: &h},
-		Status: entryHost{}, Traces: entryHost{}, Drainer: entryHost{},
+		Tables:    &h, Editor: &editor.Editor{Objects: &tableObject{version: 1, value: text}, Holder: &h},
+		Status: fakeEntry{}, Traces: fakeEntry{}, Drainer: fakeEntry{},
 	}
 	return s.Handler()
 }
 
-// run gives a command's exit code and both of its outputs.
+// run runs a command and returns its exit code, standard output and error output.
 func run(args ...string) (code int, out, errs string) {
 	var o, e bytes.Buffer
 	code = dispatch(context.Background(), args, &o, &e)
 	return code, o.String(), e.String()
 }
 
-// writeFile gives the name of a file with the text.
+// writeFile writes the text to a temporary file and returns its path.
 func writeFile(t *testing.T, name, text string) string {
 	path := filepath.Join(t.TempDir(), name)
 	require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
@@ -108,8 +109,8 @@
 
 const header = "service,zone,kind,team,weight,in_flight,queue_limit,caller_rate,deadline,first_token,token_gap,idempotent,priority,may_wait,wasted_prefill_weight\n"
 
-// calls are commands with their exit code and a part of what they print. They
-// run one after the other over one table.
+// calls are commands with their expected exit code and parts of their outputs. They run
+// sequentially on one table.
 var calls = []struct {
 	args []string
 	code int
@@ -148,7 +149,7 @@
 	{[]string{"table", "set", "--admin", "127.0.0.1:1", "a/b/c", "d=e"}, exitUnreachable, "", "no answer from the administration address"},
 }
 
-func TestOperatorsCommands(t *testing.T) {
+func TestOperatorCommands(t *testing.T) {
 	startAdmin(t)
 	files := map[string]string{
 		"new.csv":    writeFile(t, "new.csv", header+"appraiser-lm,*,appraisal,appraisal,7,8,0,0,1m,0s,0s,false,3,false,0\n"),
@@ -175,7 +176,7 @@
 	}
 }
 
-func TestACommandWithoutTokenAsksForOne(t *testing.T) {
+func TestCommandWithoutTokenReturnsUsageError(t *testing.T) {
 	startAdmin(t)
 	t.Setenv("JACINTHWORKS_TOKEN", "")
 	code, _, errs := run("status")
@@ -188,22 +189,22 @@
 	require.Equal(t, exitOK, code)
 }
 
-func TestTLSIsTrustedByItsCertificateOnly(t *testing.T) {
+func TestTLSWithCAFileTrustsServerCertificate(t *testing.T) {
 	server := httptest.NewUnstartedServer(adminHandler(t))
 	server.Config.ErrorLog = log.New(io.Discard, "", 0)
 	server.StartTLS()
 	t.Cleanup(server.Close)
 	t.Setenv("JACINTHWORKS_ADMIN", strings.TrimPrefix(server.URL, "https://"))
 	t.Setenv("JACINTHWORKS_TOKEN", operatorToken)
-	own := pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: server.Certificate().Raw})
-	code, out, errs := run("status", "--ca-file", writeFile(t, "ca.pem", string(own)))
+	certificate := pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: server.Certificate().Raw})
+	code, out, errs := run("status", "--ca-file", writeFile(t, "ca.pem", string(certificate)))
 	require.Equal(t, exitOK, code, errs)
 	require.Contains(t, out, "side-1")
 	code, _, _ = run("status")
-	require.Equal(t, exitRefused, code, "without TLS the server refuses")
+	require.Equal(t, exitRefused, code, "the server rejects a connection without TLS")
 }
 
-func TestCheckTellsEveryFinding(t *testing.T) {
+func TestCheckPrintsEveryFinding(t *testing.T) {
 	code, _, errs := run("check", writeFile(t, "side.toml", "role = \"baker\"\nname = \"a.b\"\n"))
 	require.Equal(t, exitRefused, code)
 	require.Contains(t, errs, "side.toml:1 role: must be one of prefill, decode, app, not \"baker\"")
@@ -214,7 +215,7 @@
 	require.Contains(t, errs, "entry.toml:1 listen: must be a text in quotes, not a whole number")
 	code, out, _ := run("check", filepath.Join("samples", "entry-1.toml"))
 	require.Equal(t, exitOK, code)
-	require.Equal(t, "samples/entry-1.toml is good\n", out)
+	require.Equal(t, "samples/entry-1.toml is valid\n", out)
 	code, _, errs = run("check", writeFile(t, "table.json", `{"rows":[{"weight":-1}]}`))
 	require.Equal(t, exitRefused, code)
 	require.Contains(t, errs, "row 1 // weight: must be 0 to 1000, not -1")
--- a/cmd_check.go
+++ b/cmd_check.go
@@ -17,7 +17,7 @@
 	File string `arg:"positional,required" help:"settings of an entry or a side (.toml), or a table (.json, .csv)" placeholder:"FILE"`
 }
 
-var cmdCheck = command{name: "check", help: "check a file of settings or a table, and do nothing else", run: runCheck}
+var cmdCheck = command{name: "check", help: "validate a settings file or a table file", run: runCheck}
 
 func runCheck(_ context.Context, args []string, out, errs io.Writer) int {
 	var a checkArgs
@@ -36,14 +36,14 @@
 		err = conf.CheckFile(a.File, text)
 	}
 	if err != nil {
-		fmt.Fprintf(errs, "jacinthworks: %s refused\n%s\n", a.File, findingsText(err))
+		fmt.Fprintf(errs, "jacinthworks: %s is invalid\n%s\n", a.File, findingsText(err))
 		return exitRefused
 	}
-	fmt.Fprintf(out, "%s is good\n", a.File)
+	fmt.Fprintf(out, "%s is valid\n", a.File)
 	return exitOK
 }
 
-// decodeTable reads a table from a file, as CSV or JSON by its name.
+// decodeTable decodes the text of a table file as CSV or JSON, by its extension.
 func decodeTable(file string, text []byte) (table.Table, error) {
 	if filepath.Ext(file) == ".csv" {
 		return table.DecodeCSV(text)
@@ -51,7 +51,7 @@
 	return table.DecodeRows(text)
 }
 
-// findingsText gives the findings of an error, one a line.
+// findingsText returns the findings of an error, one per line.
 func findingsText(err error) string {
 	var r *table.Rejection
 	if errors.As(err, &r) {
--- a/cmd_direct.go
+++ b/cmd_direct.go
@@ -15,7 +15,7 @@
 	"jacinthworks/spool"
 )
 
-var cmdDirect = command{name: "direct", help: "serve callers on an entry host, straight from registered upstreams", run: runDirect}
+var cmdDirect = command{name: "direct", help: "serve callers on an entry host, with direct connections to registered upstreams", run: runDirect}
 
 func runDirect(ctx context.Context, args []string, out, errs io.Writer) int {
 	d, a, code, done := readSettings(args, "direct", conf.ParseDirect, out, errs)
--- a/cmd_drain.go
+++ b/cmd_drain.go
@@ -13,7 +13,7 @@
 	Host domain.Host `arg:"positional,required" help:"name of an entry or a side" placeholder:"HOST"`
 }
 
-var cmdDrain = command{name: "drain", help: "let a host take no new work and end what it has", run: runDrain}
+var cmdDrain = command{name: "drain", help: "make a host accept no new requests and finish those in progress", run: runDrain}
 
 func runDrain(ctx context.Context, args []string, out, errs io.Writer) int {
 	var a drainArgs
--- a/cmd_order.go
+++ b/cmd_order.go
@@ -12,12 +12,12 @@
 
 type orderArgs struct {
 	adminArgs
-	Host  domain.Host      `arg:"positional,required" help:"name of the side beside the engine" placeholder:"HOST"`
-	Kind  engine.OrderKind `arg:"positional,required" help:"load (a model or a version of it) or adapter" placeholder:"KIND"`
+	Host  domain.Host      `arg:"positional,required" help:"name of the side in front of the engine" placeholder:"HOST"`
+	Kind  engine.OrderKind `arg:"positional,required" help:"load (a model or one of its versions) or adapter" placeholder:"KIND"`
 	Value string           `arg:"positional,required" help:"what to load" placeholder:"VALUE"`
 }
 
-var cmdOrder = command{name: "order", help: "have an engine load a model, a version or an adapter", run: runOrder}
+var cmdOrder = command{name: "order", help: "make an engine load a model, a version or an adapter", run: runOrder}
 
 func runOrder(ctx context.Context, args []string, out, errs io.Writer) int {
 	var a orderArgs
@@ -25,10 +25,10 @@
 	if done {
 		return code
 	}
-	given, err := c.SendOrder(ctx, admin.OrderRequest{Host: a.Host, Kind: a.Kind, Value: a.Value})
+	reply, err := c.SendOrder(ctx, admin.OrderRequest{Host: a.Host, Kind: a.Kind, Value: a.Value})
 	if err != nil {
 		return report(err, errs)
 	}
-	fmt.Fprintf(out, "%s took %s %s under fencing number %d\n", given.Host, given.Kind, given.Value, given.Fence)
+	fmt.Fprintf(out, "%s accepted %s %s under fencing token %d\n", reply.Host, reply.Kind, reply.Value, reply.Fence)
 	return exitOK
 }
--- a/cmd_side.go
+++ b/cmd_side.go
@@ -13,7 +13,7 @@
 	"jacinthworks/side"
 )
 
-var cmdSide = command{name: "side", help: "serve entries beside one upstream", run: runSide}
+var cmdSide = command{name: "side", help: "serve entries on behalf of one upstream", run: runSide}
 
 func runSide(ctx context.Context, args []string, out, errs io.Writer) int {
 	s, a, code, done := readSettings(args, "side", conf.ParseSide, out, errs)
--- a/cmd_status.go
+++ b/cmd_status.go
@@ -15,7 +15,7 @@
 	JSON bool `arg:"--json" help:"print JSON"`
 }
 
-var cmdStatus = command{name: "status", help: "show each host, its state and its version of the table", run: runStatus}
+var cmdStatus = command{name: "status", help: "show the state and the table version of each host", run: runStatus}
 
 func runStatus(ctx context.Context, args []string, out, errs io.Writer) int {
 	var a statusArgs
--- a/cmd_story.go
+++ b/cmd_story.go
@@ -10,11 +10,11 @@
 
 type storyArgs struct {
 	adminArgs
-	Request domain.RequestID `arg:"positional,required" help:"the Request-Id of the answer" placeholder:"REQUEST_ID"`
+	Request domain.RequestID `arg:"positional,required" help:"the Request-Id header of the response" placeholder:"REQUEST_ID"`
 	JSON    bool             `arg:"--json" help:"print JSON"`
 }
 
-var cmdStory = command{name: "story", help: "tell what became of one request", run: runStory}
+var cmdStory = command{name: "story", help: "show the trace of one request", run: runStory}
 
 func runStory(ctx context.Context, args []string, out, errs io.Writer) int {
 	var a storyArgs
@@ -22,14 +22,14 @@
 	if done {
 		return code
 	}
-	account, err := c.Trace(ctx, a.Request)
+	trace, err := c.Trace(ctx, a.Request)
 	if err != nil {
 		return report(err, errs)
 	}
 	if a.JSON {
-		return report(writeIndented(out, account), errs)
+		return report(writeIndented(out, trace), errs)
 	}
-	return report(account.WriteText(out), errs)
+	return report(trace.WriteText(out), errs)
 }
 
 func writeIndented(out io.Writer, v any) error {
--- a/cmd_table.go
+++ b/cmd_table.go
@@ -19,16 +19,16 @@
 	adminArgs
 	Get   *tableGetArgs   `arg:"subcommand:get" help:"print the table"`
 	Set   *tableSetArgs   `arg:"subcommand:set" help:"change cells of one row"`
-	Diff  *tableDiffArgs  `arg:"subcommand:diff" help:"print what apply would change; exit code 1 if anything"`
-	Apply *tableApplyArgs `arg:"subcommand:apply" help:"make the table like a file, whole or not at all"`
+	Diff  *tableDiffArgs  `arg:"subcommand:diff" help:"print what apply would change; exit code 1 if there are changes"`
+	Apply *tableApplyArgs `arg:"subcommand:apply" help:"make the table equal to a file, in one atomic edit"`
 }
 
 type tableGetArgs struct {
-	CSV bool `arg:"--csv" help:"print CSV; its version goes to the error output"`
+	CSV bool `arg:"--csv" help:"print CSV, and the table version to the error output"`
 }
 
 type tableSetArgs struct {
-	Row   string   `arg:"positional,required" help:"SERVICE/ZONE/KIND; zone * for all without a row of their own" placeholder:"ROW"`
+	Row   string   `arg:"positional,required" help:"SERVICE/ZONE/KIND; zone * matches all zones without a row of their own" placeholder:"ROW"`
 	Cells []string `arg:"positional,required" help:"COLUMN=VALUE" placeholder:"CELL"`
 }
 
@@ -38,7 +38,7 @@
 
 type tableApplyArgs struct {
 	File    string  `arg:"positional,required" help:"table as JSON or .csv" placeholder:"FILE"`
-	Version *uint64 `arg:"--version" help:"version that the file was made from; default what the JSON file says, or 0" placeholder:"N"`
+	Version *uint64 `arg:"--version" help:"table version that the file is based on; default is the version in a JSON file, or 0" placeholder:"N"`
 }
 
 var cmdTable = command{name: "table", help: "get, set, diff or apply the operators' table", run: runTable}
@@ -123,10 +123,11 @@
 	return exitOK
 }
 
-// run sends the difference for the version that the file was made from.
+// run submits the difference between the table and the file as one edit, and only if the
+// table is still at the version on which the file is based.
 //
-// A file made an hour ago also holds the cells of others as they were then.
-// Applied to whatever the table is now, it would undo their accepted edits.
+// A file also contains the cells of other teams as they were at that version. Applied to
+// a later version, it would undo edits that were accepted since.
 func (a *tableApplyArgs) run(ctx context.Context, c *admin.Client, out, errs io.Writer) int {
 	wanted, err := readTable(a.File)
 	if err != nil {
@@ -165,7 +166,7 @@
 	return t, nil
 }
 
-// submit sends an edit and says what became of it.
+// submit sends an edit, prints its outcome and returns the exit code.
 func submit(ctx context.Context, c *admin.Client, e admin.EditRequest, out, errs io.Writer) int {
 	e.Edit.ID = admin.NewEditID()
 	o, err := c.Edit(ctx, e)
@@ -181,7 +182,7 @@
 		printLines(errs, o.Detail, o.Findings.Error())
 		return exitRefused
 	}
-	fmt.Fprintf(errs, "jacinthworks: edit %s is not settled: it may be in force or come into force; see `jacinthworks table get`\n", e.Edit.ID)
+	fmt.Fprintf(errs, "jacinthworks: edit %s is unsettled: it may be in force or come into force; see `jacinthworks table get`\n", e.Edit.ID)
 	printLines(errs, o.Detail)
 	return exitUnreachable
 }
--- a/commands.go
+++ b/commands.go
@@ -5,7 +5,7 @@
 	"io"
 )
 
-// Exit codes, the same for every command.
+// The exit codes of all commands.
 const (
 	exitOK          = 0
 	exitRefused     = 1
@@ -13,14 +13,14 @@
 	exitUnreachable = 3
 )
 
-// command is one word of the command line.
+// command is a subcommand.
 type command struct {
 	name string
 	help string
 	run  func(ctx context.Context, args []string, out, errs io.Writer) int
 }
 
-// commands lists every command in the order in which help shows them.
+// commands returns all subcommands in the order of the help text.
 func commands() []command {
 	return []command{
 		cmdEntry,
--- a/decision_test.go
+++ b/imports_test.go
@@ -9,9 +9,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestDecisionsNeedNoNetwork fails when a decision package, or a package of
-// this module that it uses, imports the network or the operating system.
-func TestDecisionsNeedNoNetwork(t *testing.T) {
+// TestDecisionPackagesDoNotImportNetwork fails if a decision package, or a package of
+// this module that it imports, imports net, net/http or os.
+func TestDecisionPackagesDoNotImportNetwork(t *testing.T) {
 	forbidden := []string{"net", "net/http", "os"}
 	seen := map[string]bool{}
 	var visit func(path string)
@@ -24,8 +24,8 @@
 		require.NoError(t, err, path)
 		for _, i := range p.Imports {
 			require.False(t, slices.Contains(forbidden, i), "%s imports %s", path, i)
-			if inner, ok := strings.CutPrefix(i, "jacinthworks/"); ok {
-				visit(inner)
+			if imported, ok := strings.CutPrefix(i, "jacinthworks/"); ok {
+				visit(imported)
 			}
 		}
 	}
--- a/main.go
+++ b/main.go
@@ -1,5 +1,5 @@
-// Command jacinthworks routes callers' requests to pools of prefill and decode
-// engines and to plain application servers.
+// Command jacinthworks routes callers' requests to pools of prefill and decode engines
+// and to plain application servers. "jacinthworks help" lists its subcommands.
 //
 // # Usage
 //
@@ -38,7 +38,7 @@
 			return c.run(ctx, args[1:], out, errs)
 		}
 	}
-	fmt.Fprintf(errs, "jacinthworks: no command %q\n", args[0])
+	fmt.Fprintf(errs, "jacinthworks: unknown command %q\n", args[0])
 	usage(errs)
 	return exitUsage
 }
--- a/settings.go
+++ b/settings.go
@@ -14,15 +14,15 @@
 	"jacinthworks/inject"
 )
 
-// settingsArgs are the arguments of the commands that run from a file.
+// settingsArgs are the arguments of the commands that read a settings file.
 type settingsArgs struct {
 	Settings string `arg:"--settings,required" help:"TOML file with the settings" placeholder:"FILE"`
-	// Drill is for failure tests and rehearsals.
-	Drill inject.Fault `arg:"--drill" help:"exit or pause at a step, once, to rehearse a failure (exit:side_handed)" placeholder:"ACTION:STEP"`
+	// Drill injects a fault, for failure tests and drills.
+	Drill inject.Fault `arg:"--drill" help:"exit or pause once at a fault injection point, to test a failure (exit:side_handed)" placeholder:"ACTION:STEP"`
 }
 
-// parseArgs reads a command's arguments into dest; done says that the command
-// is over with the given code.
+// parseArgs parses the arguments of a command into dest. If done is true, the command
+// must exit with the given code.
 func parseArgs(name string, args []string, dest any, out, errs io.Writer) (code int, done bool) {
 	p, err := arg.NewParser(arg.Config{Program: "jacinthworks " + name, Out: errs}, dest)
 	if err != nil {
@@ -42,8 +42,9 @@
 	return exitOK, false
 }
 
-// readSettings reads and checks the file that the arguments name. When there
-// is nothing to run, as after --help, done is true and code is the exit code.
+// readSettings parses the arguments, and reads and checks the settings file that they
+// name. If done is true, as after --help or an error, the command must exit with the
+// given code.
 func readSettings[T any](args []string, name string, parse func(string, []byte) (T, error), out, errs io.Writer) (s T, a settingsArgs, code int, done bool) {
 	if code, done := parseArgs(name, args, &a, out, errs); done {
 		return s, a, code, true
@@ -55,16 +56,16 @@
 	}
 	s, err = parse(a.Settings, text)
 	if err != nil {
-		fmt.Fprintf(errs, "jacinthworks: settings refused\n%v\n", err)
+		fmt.Fprintf(errs, "jacinthworks: invalid settings\n%v\n", err)
 		return s, a, exitRefused, true
 	}
 	return s, a, exitOK, false
 }
 
-// newLog gives the log of a process. The prompt and the secrets of a request
-// are never among the values that are logged.
-func newLog(l conf.Log, name string, host domain.Host, to io.Writer) hclog.Logger {
+// newLog returns the logger of a process. Prompts and secrets of requests must never be
+// logged.
+func newLog(l conf.Log, name string, host domain.Host, output io.Writer) hclog.Logger {
 	return hclog.New(&hclog.LoggerOptions{
-		Name: name, Level: hclog.LevelFromString(l.Level), JSONFormat: l.Format == "json", Output: to,
+		Name: name, Level: hclog.LevelFromString(l.Level), JSONFormat: l.Format == "json", Output: output,
 	}).With("host", host)
 }
