--- a/editor/editor.go
+++ b/editor/editor.go
@@ -3,7 +3,7 @@
 //
 // # Usage
 //
-//	ed := editor.Editor{Objects: objects, Holder: &holder, Spread: relay}
+//	ed := editor.Editor{Objects: objects, Holder: &holder, Replicate: relay}
 //	o := ed.Submit(ctx, editor.Submission{Edit: edit, By: operator, IfMatch: &version})
 //	switch o.State {
 //	case editor.Accepted: // stored by the platform and on another host, at o.Version
--- a/infra/http_test.go
+++ b/infra/http_test.go
@@ -26,7 +26,7 @@
 	return &infra.HTTPObjects{Base: addr}
 }
 
-func TestWritesAreConditional(t *testing.T) {
+func TestPutAndDeleteAreConditional(t *testing.T) {
 	var p store.Platform
 	o, ctx := start(t, &p), t.Context()
 	_, err := o.Get(ctx, "lease/side-1")
@@ -56,7 +56,7 @@
 	require.ErrorIs(t, err, infra.ErrRefused)
 }
 
-func TestWatch(t *testing.T) {
+func TestWatchReturnsNewVersionOrError(t *testing.T) {
 	var p store.Platform
 	o, ctx := start(t, &p), t.Context()
 	_, err := o.Watch(ctx, "table", 0, time.Millisecond)
--- a/table/fuzz_test.go
+++ b/table/fuzz_test.go
@@ -28,11 +28,11 @@
 				continue
 			}
 			require.Empty(t, got.Check())
-			again, err := got.EncodeCSV()
+			encoded, err := got.EncodeCSV()
 			require.NoError(t, err)
-			back, err := DecodeCSV(again)
+			decoded, err := DecodeCSV(encoded)
 			require.NoError(t, err)
-			require.Equal(t, got.Rows(), back.Rows())
+			require.Equal(t, got.Rows(), decoded.Rows())
 		}
 	})
 }
--- a/table/holder.go
+++ b/table/holder.go
@@ -29,18 +29,18 @@
 }
 
 // Update replaces the table if the given table is newer, and reports whether it
-// did. The argument asked is when the request was sent whose response contained
+// did. The argument requested is when the request was sent whose response contained
 // the table, on this process's clock.
 //
 // A stale read, a relayed table from a peer that was suspended, and responses
 // received out of order all contain a lower version. Accepting it would undo an
 // accepted edit on some hosts. Versions come from conditional updates of a single
 // object, so a higher version contains all edits of a lower one.
-func (h *Holder) Update(t Table, asked time.Time) bool {
+func (h *Holder) Update(t Table, requested time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	newer := h.replace(t)
-	h.confirm(t.version, asked)
+	h.confirm(t.version, requested)
 	return newer
 }
 
@@ -66,28 +66,28 @@
 }
 
 // Confirm records a response of a source whose newest version is v. The argument
-// asked is when the request was sent, on this process's clock.
+// requested is when the request was sent, on this process's clock.
 //
 // A process that was frozen finds old responses in its sockets. Dated by the time
 // of reading, they would let the process accept requests under a table that may
 // be minutes old; dated by the time of the request, they have expired already. A
 // response with a version newer than the current one confirms nothing: it shows
 // that this host is behind.
-func (h *Holder) Confirm(v Version, asked time.Time) {
+func (h *Holder) Confirm(v Version, requested time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.confirm(v, asked)
+	h.confirm(v, requested)
 }
 
-func (h *Holder) confirm(v Version, asked time.Time) {
+func (h *Holder) confirm(v Version, requested time.Time) {
 	now := h.current.Load()
 	if now == nil || v > now.table.version {
 		return
 	}
-	if last := h.confirmed.Load(); last != nil && !asked.After(*last) {
+	if last := h.confirmed.Load(); last != nil && !requested.After(*last) {
 		return
 	}
-	h.confirmed.Store(&asked)
+	h.confirmed.Store(&requested)
 }
 
 // Table returns the current table, or the empty table before the first update.
--- a/table/holder_test.go
+++ b/table/holder_test.go
@@ -107,8 +107,8 @@
 type naiveHolder struct{ updates, confirmations []confirmation }
 
 type confirmation struct {
-	version Version
-	asked   time.Time
+	version   Version
+	requested time.Time
 }
 
 func (n *naiveHolder) version() Version {
@@ -123,7 +123,7 @@
 // version was not above the highest version received by then.
 func (n *naiveHolder) fresh(now time.Time) bool {
 	for _, h := range n.confirmations {
-		if now.Sub(h.asked) < staleAfter {
+		if now.Sub(h.requested) < staleAfter {
 			return true
 		}
 	}
@@ -138,10 +138,10 @@
 			m := confirmation{Version(rapid.IntRange(1, 5).Draw(rt, "version")),
 				start.Add(time.Duration(rapid.IntRange(0, 9).Draw(rt, "second")) * time.Second)}
 			if rapid.Bool().Draw(rt, "offer") {
-				h.Update(New(m.version, nil), m.asked)
+				h.Update(New(m.version, nil), m.requested)
 				n.updates = append(n.updates, m)
 			} else {
-				h.Confirm(m.version, m.asked)
+				h.Confirm(m.version, m.requested)
 			}
 			if len(n.updates) > 0 && m.version <= n.version() {
 				n.confirmations = append(n.confirmations, m)
--- a/table/table.go
+++ b/table/table.go
@@ -7,7 +7,7 @@
 // A Table is an immutable value: an edit returns a new table.
 //
 //	t, err := table.Decode(object.Value) // stored form; rows are not checked
-//	t = t.At(table.Version(object.Version))
+//	t = t.WithVersion(table.Version(object.Version))
 //	r, ok := t.Find("appraiser-lm", "salt-lake", "appraisal")
 //
 //	e := table.Edit{ID: "edit-0001", Changes: []table.Change{
@@ -18,7 +18,7 @@
 // A process keeps its table in a Holder, which never reverts to a lower version:
 //
 //	var h table.Holder
-//	h.Offer(t, asked)                          // from the platform or from a peer
+//	h.Update(t, requested)                      // from the platform or from a peer
 //	ready := h.Fresh(time.Now(), 3*time.Second) // may new requests be accepted?
 //
 // The error of DecodeRows, DecodeCSV, DecodeChangesCSV and Apply is a *Rejection:
--- a/table/table_test.go
+++ b/table/table_test.go
@@ -25,7 +25,7 @@
 	require.False(t, ok)
 }
 
-func TestHasService(t *testing.T) {
+func TestHasServiceReportsServicesOfRows(t *testing.T) {
 	table := sampleTable()
 	require.True(t, table.HasService("marketplace-app"))
 	require.True(t, table.HasService("appraiser-lm"))
@@ -45,20 +45,20 @@
 
 	text, err := next.Encode()
 	require.NoError(t, err)
-	back, err := Decode(text)
+	decoded, err := Decode(text)
 	require.NoError(t, err)
-	require.Equal(t, next, back)
+	require.Equal(t, next, decoded)
 	require.Contains(t, string(text), `"in_flight":8`)
 
-	people, err := DecodeRows(text)
+	decodedRows, err := DecodeRows(text)
 	require.NoError(t, err)
-	require.Equal(t, next.Rows(), people.Rows())
+	require.Equal(t, next.Rows(), decodedRows.Rows())
 
 	text, err = next.EncodeCSV()
 	require.NoError(t, err)
-	back, err = DecodeCSV(text)
+	decoded, err = DecodeCSV(text)
 	require.NoError(t, err)
-	require.Equal(t, next.Rows(), back.Rows())
+	require.Equal(t, next.Rows(), decoded.Rows())
 	require.True(t, strings.HasPrefix(string(text), "service,zone,kind,team,weight,in_flight,"))
 }
 
--- a/trace/trace_test.go
+++ b/trace/trace_test.go
@@ -43,14 +43,14 @@
 	for _, s := range []struct {
 		events *[]Event
 		host   domain.Host
-		mid    EventKind
+		middle EventKind
 		from   int
 	}{{&prefill, "side-4", PrefillDone, 5}, {&decode, "side-7", FirstToken, 0}} {
 		first := ev(AttemptStarted, s.from, s.host, 1)
 		first.Caller, first.Service, first.RequestKind = owner.Caller, owner.Service, owner.RequestKind
 		last := ev(AttemptEnded, s.from+50, s.host, 1)
 		last.Ran = domain.DidRun
-		*s.events = []Event{ev(Reserved, s.from, s.host, 1), first, ev(s.mid, s.from+20, s.host, 1), last}
+		*s.events = []Event{ev(Reserved, s.from, s.host, 1), first, ev(s.middle, s.from+20, s.host, 1), last}
 	}
 	return entry, prefill, decode
 }
@@ -141,9 +141,9 @@
 	r := Recorder{Kind: SideSpan, MaxAge: time.Second}
 	_, prefill, _ := appraisal(1)
 	recordAll(&r, prefill[:2])
-	_, other, _ := appraisal(2)
-	other[0].Time = at(2000)
-	r.Record(other[0])
+	_, unrelated, _ := appraisal(2)
+	unrelated[0].Time = at(2000)
+	r.Record(unrelated[0])
 	batch := r.TakePending()
 	require.Len(t, batch, 1)
 	require.Contains(t, batch[0].Findings[0].Problem, "did not end")
@@ -183,29 +183,29 @@
 func TestMergeReportsMissingSpans(t *testing.T) {
 	entry, prefill, decode := appraisal(17)
 	id := entry[0].Request
-	whole := Merge(id, newSpan(EntrySpan, entry), newSpan(SideSpan, prefill), newSpan(SideSpan, decode))
-	require.Equal(t, StateAnswered, whole.State)
-	require.Empty(t, whole.Missing)
-	require.Empty(t, whole.Findings)
+	complete := Merge(id, newSpan(EntrySpan, entry), newSpan(SideSpan, prefill), newSpan(SideSpan, decode))
+	require.Equal(t, StateAnswered, complete.State)
+	require.Empty(t, complete.Missing)
+	require.Empty(t, complete.Findings)
 
 	lost := Merge(id, newSpan(SideSpan, prefill), newSpan(SideSpan, decode))
 	require.Equal(t, StateLost, lost.State)
 	require.Equal(t, domain.DidRun, lost.Ran)
 	require.Contains(t, strings.Join(lost.Missing, "\n"), "entry entry-1.3 was lost before it wrote")
 
-	cutOff := Merge(id, newSpan(EntrySpan, entry[:4]), newSpan(SideSpan, prefill))
-	require.Contains(t, strings.Join(cutOff.Missing, "\n"), "entry entry-1.3 lost after attempt_started")
-	require.Contains(t, strings.Join(cutOff.Missing, "\n"), "events of side side-7 for attempt 1")
+	entryCutOff := Merge(id, newSpan(EntrySpan, entry[:4]), newSpan(SideSpan, prefill))
+	require.Contains(t, strings.Join(entryCutOff.Missing, "\n"), "entry entry-1.3 lost after attempt_started")
+	require.Contains(t, strings.Join(entryCutOff.Missing, "\n"), "events of side side-7 for attempt 1")
 
-	died := Merge(id, newSpan(EntrySpan, entry), newSpan(SideSpan, prefill), newSpan(SideSpan, decode[:3]))
-	require.Contains(t, strings.Join(died.Missing, "\n"), "side side-7: lost after first_token")
+	decodeLost := Merge(id, newSpan(EntrySpan, entry), newSpan(SideSpan, prefill), newSpan(SideSpan, decode[:3]))
+	require.Contains(t, strings.Join(decodeLost.Missing, "\n"), "side side-7: lost after first_token")
 
 	none := Merge(id)
 	require.Equal(t, domain.Unknown, none.Ran)
 	require.Contains(t, none.Missing[0], "no event")
 
 	var b bytes.Buffer
-	require.NoError(t, whole.WriteText(&b))
+	require.NoError(t, complete.WriteText(&b))
 	require.Contains(t, b.String(), "request entry-1.3.17: answered, ran: ran\n  caller stud-farm, kind appraisal")
 	t.Log("\n" + b.String())
 }
@@ -221,11 +221,11 @@
 	require.Contains(t, a.Findings[0].Problem, "refused as not_run")
 
 	entry, prefill, _ = appraisal(6)
-	again := append([]Event(nil), prefill...)
-	for i := range again {
-		again[i].Attempt, again[i].Host = 2, "side-5"
+	secondAttempt := append([]Event(nil), prefill...)
+	for i := range secondAttempt {
+		secondAttempt[i].Attempt, secondAttempt[i].Host = 2, "side-5"
 	}
-	a = Merge(entry[0].Request, newSpan(EntrySpan, entry), newSpan(SideSpan, prefill), newSpan(SideSpan, again))
+	a = Merge(entry[0].Request, newSpan(EntrySpan, entry), newSpan(SideSpan, prefill), newSpan(SideSpan, secondAttempt))
 	require.Contains(t, a.Findings.Error(), "ran in 2 attempts")
 }
 
@@ -383,7 +383,7 @@
 	})
 }
 
-func FuzzParseName(f *testing.F) {
+func FuzzParseSegmentName(f *testing.F) {
 	f.Add("stories/side.4.2/7~1764662400~entry-1.3.100-180~entry-2.1.5-9")
 	f.Add("stories/e.1/1~1~e.1.0-")
 	f.Fuzz(func(t *testing.T, s string) {
