--- a/admin/client_test.go
+++ b/admin/client_test.go
@@ -25,7 +25,7 @@
 
 	a, err := b.client.Trace(t.Context(), "entry-1.1.7")
 	require.NoError(t, err)
-	require.Equal(t, domain.DidRun, a.Ran)
+	require.Equal(t, domain.DidRun, a.Execution)
 	_, err = b.client.Trace(t.Context(), "entry/1?x")
 	var p *Problem
 	require.ErrorAs(t, err, &p)
--- a/admin/edits.go
+++ b/admin/edits.go
@@ -19,7 +19,7 @@
 func NewEditID() table.EditID { return table.EditID("edit-" + strings.ToLower(rand.Text())) }
 
 func (s *Server) getTable(w http.ResponseWriter, r *http.Request, _ table.Operator) {
-	t := s.Tables.Table()
+	t := s.TableSource.Table()
 	w.Header().Set("ETag", etag(t.Version()))
 	w.Header().Set("Vary", "Accept")
 	if r.Header.Get("If-None-Match") == etag(t.Version()) {
--- a/admin/fake_test.go
+++ b/admin/fake_test.go
@@ -69,7 +69,7 @@
 	if id != "entry-1.1.7" {
 		return trace.Trace{}, ErrNoTrace
 	}
-	return trace.Trace{Request: id, State: trace.StateAnswered, Ran: domain.DidRun}, nil
+	return trace.Trace{Request: id, State: trace.StateAnswered, Execution: domain.DidRun}, nil
 }
 
 func (h *host) Drain(_ context.Context, target domain.Host, _ string) error {
@@ -103,8 +103,8 @@
 	s := Server{
 		Operators: []conf.Operator{{Name: "asha", Token: ashaToken, Teams: []string{"appraisal"}},
 			{Name: "ravi", Token: raviToken, Teams: []string{"listing"}}, {Name: "nobody"}},
-		Tables: b.holder, Editor: &editor.Editor{Objects: b.objects, Holder: b.holder, Timeout: 20 * time.Millisecond, RetryInterval: time.Millisecond},
-		Status: b.host, Traces: b.host, Drainer: b.host, MaxBody: 2000,
+		TableSource: b.holder, Editor: &editor.Editor{Objects: b.objects, Holder: b.holder, Timeout: 20 * time.Millisecond, RetryInterval: time.Millisecond},
+		StatusSource: b.host, Traces: b.host, Drainer: b.host, MaxBody: 2000,
 	}
 	b.http = httptest.NewServer(s.Handler())
 	t.Cleanup(b.http.Close)
--- a/admin/server.go
+++ b/admin/server.go
@@ -22,12 +22,12 @@
 
 // Server serves operators. All fields except Orderer, MaxBody and Log must be set.
 type Server struct {
-	Operators []conf.Operator
-	Tables    TableSource
-	Editor    Editor
-	Status    StatusSource
-	Traces    TraceSource
-	Drainer   Drainer
+	Operators    []conf.Operator
+	TableSource  TableSource
+	Editor       Editor
+	StatusSource StatusSource
+	Traces       TraceSource
+	Drainer      Drainer
 	// Orderer may be nil; the server then has no path for orders.
 	Orderer Orderer
 	// MaxBody is the largest request body in bytes; default 4 MiB.
@@ -90,7 +90,7 @@
 }
 
 func (s *Server) status(w http.ResponseWriter, r *http.Request, _ table.Operator) {
-	st, err := s.Status.Status(r.Context())
+	st, err := s.StatusSource.Status(r.Context())
 	if err != nil {
 		writeProblem(w, problem(http.StatusServiceUnavailable, err.Error()))
 		return
--- a/claim/bench_test.go
+++ b/claim/bench_test.go
@@ -16,8 +16,8 @@
 // request ID that contains the entry's name.
 func benchRequest(i int, runner Process) Request {
 	return Request{Key: Key{Account: "tollygunge", Name: fmt.Sprintf("%032x-key", i)},
-		Try:  AttemptID{Request: domain.RequestID("entry-12.1764700000." + strconv.Itoa(i)), Attempt: 1},
-		Body: Body(i), Runner: runner}
+		Attempt: AttemptID{Request: domain.RequestID("entry-12.1764700000." + strconv.Itoa(i)), Attempt: 1},
+		Body:    BodyHash(i), Runner: runner}
 }
 
 func benchOwner(t require.TestingT) (*Owner, Process) {
@@ -47,7 +47,7 @@
 	list := make([]Dispatch, b.N)
 	for i := range list {
 		request := benchRequest(i, r.Self)
-		list[i] = Dispatch{Token: Token{Key: request.Key, Epoch: Epoch{1, 0}}, Try: request.Try, Body: request.Body, To: r.Self}
+		list[i] = Dispatch{Token: Token{Key: request.Key, Epoch: Epoch{1, 0}}, Attempt: request.Attempt, Body: request.Body, To: r.Self}
 	}
 	b.ReportAllocs()
 	b.ResetTimer()
@@ -121,7 +121,7 @@
 		r := FenceReply{Epoch: Epoch{1, 1}, Runner: p, Before: Epoch{1, 0}, RestoredVersion: 1}
 		for j := range 341 {
 			request := benchRequest(i*341+j, p)
-			r.Entries = append(r.Entries, Entry{Key: request.Key, Try: request.Try, Runner: p, State: StateRan})
+			r.Entries = append(r.Entries, Entry{Key: request.Key, Try: request.Attempt, Runner: p, State: StateRan})
 		}
 		replies = append(replies, r)
 	}
--- a/claim/claim.go
+++ b/claim/claim.go
@@ -23,7 +23,7 @@
 //	err = l.Resolve(res, now)                               // on the owner
 //
 // A refusal is a *Refusal; errors.As finds it. Its Ran field is what a caller may be told
-// about the key, its TryNotRun field reports whether this one attempt certainly did not
+// about the key, its AttemptNotRun field reports whether this one attempt certainly did not
 // run.
 package claim
 
@@ -60,12 +60,12 @@
 	return Shard(d.Sum64() % Shards)
 }
 
-// Body is a hash of a request's body. It detects one key used by mistake for two different
+// BodyHash is a hash of a request's body. It detects one key used by mistake for two different
 // requests; it is no protection against a body crafted to collide.
-type Body uint64
+type BodyHash uint64
 
 // HashBody returns the hash of a body.
-func HashBody(body []byte) Body { return Body(xxhash.Sum64(body)) }
+func HashBody(body []byte) BodyHash { return BodyHash(xxhash.Sum64(body)) }
 
 // AttemptID identifies one attempt of one request. Claims are granted and settled by
 // attempt and not by request: a late "not run" of attempt 1 must not free the key while
--- a/claim/failures_test.go
+++ b/claim/failures_test.go
@@ -21,13 +21,13 @@
 	g, err := f.send(testKey, testAttempt(1), 7, 0)
 	require.NoError(t, err)
 	r := requireCode(t, CodeInProgress, errorOf(f.send(testKey, testAttempt(2), 7, 1)))
-	require.Equal(t, testAttempt(1), r.Try)
+	require.Equal(t, testAttempt(1), r.Attempt)
 	require.Equal(t, g.Runner, r.Runner)
 	requireCode(t, CodeOtherBody, errorOf(f.send(testKey, testAttempt(3), 8, 1)))
 	f.settle(g, StateRan)
 	r = requireCode(t, CodeAlreadyRan, errorOf(f.send(testKey, testAttempt(4), 7, 1)))
 	require.Equal(t, domain.DidRun, r.Ran)
-	require.Equal(t, domain.ReasonAnswered, r.Reason())
+	require.Equal(t, domain.ReasonAlreadyRan, r.Reason())
 }
 
 // errorOf returns the error of a call that also returns a value.
@@ -42,13 +42,13 @@
 	late, err := f.claim(testKey, testAttempt(1), 7, 0)
 	require.NoError(t, err)
 	r := requireCode(t, CodeInProgress, errorOf(f.claim(testKey, testAttempt(2), 7, 1)))
-	resolution, err := f.ledgers[r.Runner.Host].Status(StatusRequest{Key: testKey, Try: r.Try, To: r.Runner}, f.now)
+	resolution, err := f.ledgers[r.Runner.Host].Status(StatusRequest{Key: testKey, Attempt: r.Attempt, To: r.Runner}, f.now)
 	require.NoError(t, err)
 	require.Equal(t, StateNotRun, resolution.State)
 	require.NoError(t, f.owner(testKey.Shard()).Resolve(resolution, f.now))
 	_, err = f.send(testKey, testAttempt(2), 7, 1)
 	require.NoError(t, err)
-	requireCode(t, CodeRefused, f.accept(late, 7))
+	requireCode(t, CodeBlocked, f.accept(late, 7))
 }
 
 // Attempt 1 of a key did not run and attempt 2 is running. A repeated "not run" of attempt
@@ -62,7 +62,7 @@
 	again := AttemptID{Request: g.Try.Request, Attempt: 2}
 	_, err = f.send(testKey, again, 7, 1)
 	require.NoError(t, err)
-	late := Resolution{Key: testKey, Try: g.Try, State: StateNotRun}
+	late := Resolution{Key: testKey, Attempt: g.Try, State: StateNotRun}
 	require.NoError(t, f.owner(testKey.Shard()).Resolve(late, f.now))
 	requireCode(t, CodeInProgress, errorOf(f.send(testKey, testAttempt(3), 7, 0)))
 }
@@ -119,7 +119,7 @@
 	f.restart(g.Runner.Host)
 	f.failOwner(testKey.Shard())
 	r := requireCode(t, CodeMayHaveRun, errorOf(f.send(testKey, testAttempt(2), 7, 0)))
-	require.Equal(t, domain.ReasonKeyUnknown, r.Reason())
+	require.Equal(t, domain.ReasonMayHaveRun, r.Reason())
 	_, err = f.send(f.sameShardKey(testKey), testAttempt(3), 7, 0)
 	require.NoError(t, err)
 }
@@ -156,10 +156,10 @@
 			Entries: []Entry{{Key: testKey, Try: testAttempt(i), Runner: p, State: StateGranted}}}, f.now)
 	}
 	for i := range runners {
-		o.Resolve(Resolution{Key: testKey, Try: testAttempt(i), State: StateNotRun}, f.now)
+		o.Resolve(Resolution{Key: testKey, Attempt: testAttempt(i), State: StateNotRun}, f.now)
 	}
 	o.Resolve(Resolution{Key: testKey, State: StateNotRun}, f.now)
-	requireCode(t, CodeMayHaveRun, errorOf(o.Claim(Request{Key: testKey, Try: testAttempt(9), Runner: runners[0]}, f.now)))
+	requireCode(t, CodeMayHaveRun, errorOf(o.Claim(Request{Key: testKey, Attempt: testAttempt(9), Runner: runners[0]}, f.now)))
 }
 
 // A runner that the successor cannot reach may be paused instead of dead. Unlisted keys,
@@ -200,10 +200,10 @@
 	require.Len(t, out.Handovers, 1)
 	f.deliver(out)
 	require.Equal(t, heir, f.owner(s).Self)
-	requireCode(t, CodeNotOwner, errorOf(old.Claim(Request{Key: testKey, Try: testAttempt(9), Body: 7, Runner: heir}, f.now)))
+	requireCode(t, CodeNotOwner, errorOf(old.Claim(Request{Key: testKey, Attempt: testAttempt(9), Body: 7, Runner: heir}, f.now)))
 	requireCode(t, CodeInProgress, errorOf(f.send(testKey, testAttempt(2), 7, 0)))
-	require.True(t, requireCode(t, CodeFenced, f.accept(late, 7)).TryNotRun)
-	require.NoError(t, f.owner(s).Resolve(Resolution{Key: testKey, Try: testAttempt(1), State: StateNotRun}, f.now))
+	require.True(t, requireCode(t, CodeFenced, f.accept(late, 7)).AttemptNotRun)
+	require.NoError(t, f.owner(s).Resolve(Resolution{Key: testKey, Attempt: testAttempt(1), State: StateNotRun}, f.now))
 	_, err = f.send(testKey, testAttempt(3), 7, 0)
 	require.NoError(t, err)
 }
@@ -292,7 +292,7 @@
 	require.Empty(t, owner.Overdue(time.Minute, f.now))
 	f.advance(2 * time.Minute)
 	questions := owner.Overdue(time.Minute, f.now)
-	require.Equal(t, []StatusRequest{{Key: testKey, Try: g.Try, To: g.Runner}}, questions)
+	require.Equal(t, []StatusRequest{{Key: testKey, Attempt: g.Try, To: g.Runner}}, questions)
 	resolution, err := f.ledgers[g.Runner.Host].Status(questions[0], f.now)
 	require.NoError(t, err)
 	require.NoError(t, owner.Resolve(resolution, f.now))
@@ -304,14 +304,14 @@
 // StateUnknown.
 func TestFullShardReportsUnknown(t *testing.T) {
 	r := Runner{Self: Process{"side-1", 1}, Limits: Limits{MaxKeys: 1}}
-	d := Dispatch{Token: Token{Key: testKey}, Try: testAttempt(1), To: r.Self}
+	d := Dispatch{Token: Token{Key: testKey}, Attempt: testAttempt(1), To: r.Self}
 	require.NoError(t, r.Accept(d, modelNow))
-	resolution, err := r.Status(StatusRequest{Key: Key{Name: "other"}, Try: testAttempt(2), To: r.Self}, modelNow)
+	resolution, err := r.Status(StatusRequest{Key: Key{Name: "other"}, Attempt: testAttempt(2), To: r.Self}, modelNow)
 	require.NoError(t, err)
 	require.Equal(t, StateUnknown, resolution.State)
-	require.False(t, requireCode(t, CodeKeyTaken, r.Accept(Dispatch{Token: d.Token, Try: testAttempt(3), To: r.Self}, modelNow)).TryNotRun)
+	require.False(t, requireCode(t, CodeKeyTaken, r.Accept(Dispatch{Token: d.Token, Attempt: testAttempt(3), To: r.Self}, modelNow)).AttemptNotRun)
 	resolution, err = r.Settle(testKey, testAttempt(1), StateNotRun, modelNow)
 	require.NoError(t, err)
 	require.Equal(t, StateNotRun, resolution.State)
-	requireCode(t, CodeRefused, r.Accept(d, modelNow))
+	requireCode(t, CodeBlocked, r.Accept(d, modelNow))
 }
--- a/claim/fleet_test.go
+++ b/claim/fleet_test.go
@@ -107,10 +107,10 @@
 		}
 	}
 	for _, h := range out.Handovers {
-		next, accepted, err := f.ledgers[h.To.Host].AcceptHandover(h, f.now)
+		next, accepted, err := f.ledgers[h.Heir.Host].AcceptHandover(h, f.now)
 		require.NoError(f.t, err)
 		for _, l := range f.ledgers {
-			if accepted && l.Self != h.To {
+			if accepted && l.Self != h.Heir {
 				require.NoError(f.t, l.Delivered(h.Shard))
 			}
 		}
@@ -134,14 +134,14 @@
 
 // claim sends a claim to the key's owner; pick selects the runner among the eligible
 // runners.
-func (f *fleet) claim(k Key, attempt AttemptID, body Body, pick int) (Grant, error) {
+func (f *fleet) claim(k Key, attempt AttemptID, body BodyHash, pick int) (Grant, error) {
 	eligible := f.record.Eligible(k.Shard())
-	return f.owner(k.Shard()).Claim(Request{Key: k, Try: attempt, Body: body,
+	return f.owner(k.Shard()).Claim(Request{Key: k, Attempt: attempt, Body: body,
 		Runner: eligible[pick%len(eligible)]}, f.now)
 }
 
 // send claims a key and, if the claim is granted, dispatches the request to the runner.
-func (f *fleet) send(k Key, attempt AttemptID, body Body, pick int) (Grant, error) {
+func (f *fleet) send(k Key, attempt AttemptID, body BodyHash, pick int) (Grant, error) {
 	g, err := f.claim(k, attempt, body, pick)
 	if err != nil {
 		return g, err
@@ -150,8 +150,8 @@
 }
 
 // accept dispatches a granted request to its runner.
-func (f *fleet) accept(g Grant, body Body) error {
-	d := Dispatch{Token: g.Token, Try: g.Try, Body: body, To: g.Runner}
+func (f *fleet) accept(g Grant, body BodyHash) error {
+	d := Dispatch{Token: g.Token, Attempt: g.Try, Body: body, To: g.Runner}
 	return f.ledgers[g.Runner.Host].Accept(d, f.now)
 }
 
--- a/claim/key_table.go
+++ b/claim/key_table.go
@@ -9,7 +9,7 @@
 // storedKey is what an owner or a runner remembers of a key.
 type storedKey struct {
 	attempt AttemptID
-	body    Body
+	body    BodyHash
 	runner  Process
 	state   State
 	at      time.Time // of the last change of state
@@ -76,7 +76,7 @@
 // resolve records how an attempt ended; StateNotRun frees its key.
 func (t keyTable) resolve(resolution Resolution, now time.Time) {
 	stored, listed := t[resolution.Key]
-	if !listed || stored.attempt != resolution.Try || resolution.Try == (AttemptID{}) || stored.state == StateRan {
+	if !listed || stored.attempt != resolution.Attempt || resolution.Attempt == (AttemptID{}) || stored.state == StateRan {
 		return
 	}
 	switch resolution.State {
--- a/claim/ledger.go
+++ b/claim/ledger.go
@@ -153,7 +153,7 @@
 		return Outbox{}, false, err
 	}
 	defer s.mu.Unlock()
-	s.owner.StartAt(record, handover.Epoch, now)
+	s.owner.StartAtEpoch(record, handover.Epoch, now)
 	accepted := s.owner.AcceptHandover(handover, now)
 	return s.owner.Pending(now), accepted, nil
 }
--- a/claim/message.go
+++ b/claim/message.go
@@ -57,10 +57,10 @@
 
 // Request asks the owner whether an attempt may run on a runner.
 type Request struct {
-	Key    Key       `json:"key"`
-	Try    AttemptID `json:"try"`
-	Body   Body      `json:"body"`
-	Runner Process   `json:"runner"`
+	Key     Key       `json:"key"`
+	Attempt AttemptID `json:"try"`
+	Body    BodyHash  `json:"body"`
+	Runner  Process   `json:"runner"`
 }
 
 // Grant is the owner's permission to dispatch an attempt, to this runner only.
@@ -72,10 +72,10 @@
 
 // Dispatch is what the runner checks before it hands a request to its upstream.
 type Dispatch struct {
-	Token Token     `json:"stamp"`
-	Try   AttemptID `json:"try"`
-	Body  Body      `json:"body"`
-	// To is the runner that the grant names. Another incarnation refuses the dispatch.
+	Token   Token     `json:"stamp"`
+	Attempt AttemptID `json:"try"`
+	Body    BodyHash  `json:"body"`
+	// Heir is the runner that the grant names. Another incarnation refuses the dispatch.
 	To Process `json:"to"`
 }
 
@@ -83,7 +83,7 @@
 type Entry struct {
 	Key    Key       `json:"key"`
 	Try    AttemptID `json:"try"`
-	Body   Body      `json:"body"`
+	Body   BodyHash  `json:"body"`
 	Runner Process   `json:"runner"`
 	State  State     `json:"state"`
 	// Age is the time since the key was granted, handed to the upstream or settled.
@@ -138,22 +138,22 @@
 	From  Epoch `json:"from"`
 	// Epoch is the only epoch at which the table may be used.
 	Epoch   Epoch   `json:"epoch"`
-	To      Process `json:"to"`
+	Heir    Process `json:"to"`
 	Entries []Entry `json:"entries,omitempty"`
 }
 
 // StatusRequest asks a runner for the state of an attempt that was granted to that runner.
 type StatusRequest struct {
-	Key Key       `json:"key"`
-	Try AttemptID `json:"try"`
-	To  Process   `json:"to"`
+	Key     Key       `json:"key"`
+	Attempt AttemptID `json:"try"`
+	To      Process   `json:"to"`
 }
 
 // Resolution reports to an owner how an attempt ended.
 type Resolution struct {
-	Key   Key       `json:"key"`
-	Try   AttemptID `json:"try"`
-	State State     `json:"state"`
+	Key     Key       `json:"key"`
+	Attempt AttemptID `json:"try"`
+	State   State     `json:"state"`
 }
 
 // Outbox holds messages to send; each names its receiver in To. Messages may be lost,
--- a/claim/model_steps_test.go
+++ b/claim/model_steps_test.go
@@ -95,12 +95,12 @@
 			continue
 		}
 		n := c.copyNode(v.node)
-		g, err := n.owner.Claim(Request{Key: modelKey, Try: attempt, Runner: m.Process()}, modelNow)
+		g, err := n.owner.Claim(Request{Key: modelKey, Attempt: attempt, Runner: m.Process()}, modelNow)
 		if err != nil {
 			continue
 		}
 		e := effect{claim: true, what: fmt.Sprintf("%c grants %s to %s at %s", 'a'+host, attempt, m.Host, g.Token.Epoch)}
-		c.send(&e, index(g.Runner), Dispatch{Token: g.Token, Try: g.Try, To: g.Runner})
+		c.send(&e, index(g.Runner), Dispatch{Token: g.Token, Attempt: g.Try, To: g.Runner})
 		list = append(list, c.finishEffect(&e, n))
 	}
 	return list
@@ -145,7 +145,7 @@
 func (c *checker) sendResolution(e *effect, resolution Resolution) {
 	switch {
 	case resolution.State == StateNotRun:
-		e.notRun |= attemptBit(resolution.Try) &^ e.ended
+		e.notRun |= attemptBit(resolution.Attempt) &^ e.ended
 	case c.fromStart:
 		for _, host := range c.owners() {
 			c.send(e, host, resolution)
@@ -156,7 +156,7 @@
 // resolveSteps notifies an owner that an attempt did not run.
 func (c *checker) resolveSteps(v event, host int) []effect {
 	n, attempt := c.copyNode(v.node), modelAttempt(int(-2-v.message))
-	n.owner.Resolve(Resolution{Key: modelKey, Try: attempt, State: StateNotRun}, modelNow)
+	n.owner.Resolve(Resolution{Key: modelKey, Attempt: attempt, State: StateNotRun}, modelNow)
 	return []effect{c.finishEffect(&effect{what: fmt.Sprintf("%c is notified that %s did not run", 'a'+host, attempt)}, n)}
 }
 
@@ -207,9 +207,9 @@
 	n := c.copyNode(v.node)
 	err := n.runner.Accept(d, modelNow)
 	if err == nil {
-		e.handedOver = attemptBit(d.Try)
-	} else if refusal, ok := err.(*Refusal); ok && refusal.TryNotRun {
-		c.sendResolution(&e, Resolution{Key: modelKey, Try: d.Try, State: StateNotRun})
+		e.handedOver = attemptBit(d.Attempt)
+	} else if refusal, ok := err.(*Refusal); ok && refusal.AttemptNotRun {
+		c.sendResolution(&e, Resolution{Key: modelKey, Attempt: d.Attempt, State: StateNotRun})
 		if c.rounds > 0 && refusal.Code == CodeFenced {
 			c.send(&e, index(d.Token.Owner), superseded{refusal.Epoch})
 		}
@@ -220,8 +220,8 @@
 // statusSteps asks an attempt's runner for its status, as an entry does.
 func (c *checker) statusSteps(v event, host int, d Dispatch) []effect {
 	n := c.copyNode(v.node)
-	e := effect{what: fmt.Sprintf("%c is asked about %s of incarnation %d", 'a'+host, d.Try, d.To.Incarnation)}
-	resolution, err := n.runner.Status(StatusRequest{Key: d.Token.Key, Try: d.Try, To: d.To}, modelNow)
+	e := effect{what: fmt.Sprintf("%c is asked about %s of incarnation %d", 'a'+host, d.Attempt, d.To.Incarnation)}
+	resolution, err := n.runner.Status(StatusRequest{Key: d.Token.Key, Attempt: d.Attempt, To: d.To}, modelNow)
 	if err != nil {
 		return nil
 	}
--- a/claim/model_test.go
+++ b/claim/model_test.go
@@ -210,7 +210,7 @@
 		c.send(e, index(m.To), m)
 	}
 	for _, m := range outbox.Handovers {
-		c.send(e, index(m.To), m)
+		c.send(e, index(m.Heir), m)
 	}
 	e.node = c.intern(n)
 	return *e
--- a/claim/owner.go
+++ b/claim/owner.go
@@ -77,17 +77,17 @@
 	if len(o.keys) >= o.Limits.maxKeys() {
 		return Grant{}, o.refuse(CodeFull)
 	}
-	o.keys[request.Key] = storedKey{attempt: request.Try, body: request.Body, runner: request.Runner,
+	o.keys[request.Key] = storedKey{attempt: request.Attempt, body: request.Body, runner: request.Runner,
 		state: StateGranted, at: now}
 	token := Token{Shard: o.Shard, Key: request.Key, Epoch: o.epoch, Owner: o.Self}
-	return Grant{Token: token, Try: request.Try, Runner: request.Runner}, nil
+	return Grant{Token: token, Try: request.Attempt, Runner: request.Runner}, nil
 }
 
 // refuseListed returns the refusal of a key that the table lists.
 func (o *Owner) refuseListed(request Request, stored storedKey) *Refusal {
 	refusal := o.refuse(CodeInProgress)
-	refusal.Try, refusal.Runner, refusal.Ran = stored.attempt, stored.runner, stored.execution()
-	refusal.TryNotRun = stored.attempt != request.Try
+	refusal.Attempt, refusal.Runner, refusal.Ran = stored.attempt, stored.runner, stored.execution()
+	refusal.AttemptNotRun = stored.attempt != request.Attempt
 	switch {
 	case stored.body != request.Body:
 		refusal.Code, refusal.Ran = CodeOtherBody, domain.Unknown
@@ -102,11 +102,11 @@
 // refuse returns the refusal of a claim. No owner has granted the attempt, so it has not run.
 // About the key itself an owner that may have been superseded can make no statement.
 func (o *Owner) refuse(c Code) *Refusal {
-	return &Refusal{Code: c, Ran: domain.Unknown, TryNotRun: true, Epoch: o.epoch}
+	return &Refusal{Code: c, Ran: domain.Unknown, AttemptNotRun: true, Epoch: o.epoch}
 }
 
 // Resolve records how an attempt ended. StateNotRun frees the key; it must come from the
-// attempt's own runner (Settle, Status or a refusal with TryNotRun).
+// attempt's own runner (Settle, Status or a refusal with AttemptNotRun).
 func (o *Owner) Resolve(resolution Resolution, now time.Time) {
 	o.keys.resolve(resolution, now)
 	o.inherited.resolve(resolution, now)
@@ -157,7 +157,7 @@
 	}
 	for key, k := range o.keys {
 		if k.state == StateGranted && now.Sub(k.at) > age {
-			list = append(list, StatusRequest{Key: key, Try: k.attempt, To: k.runner})
+			list = append(list, StatusRequest{Key: key, Attempt: k.attempt, To: k.runner})
 		}
 	}
 	return list
--- a/claim/record_test.go
+++ b/claim/record_test.go
@@ -54,7 +54,7 @@
 }
 
 func TestHandoverJSONRoundTrip(t *testing.T) {
-	in := Handover{Shard: 3, From: Epoch{4, 0}, Epoch: Epoch{4, 1}, To: Process{"b", 2},
+	in := Handover{Shard: 3, From: Epoch{4, 0}, Epoch: Epoch{4, 1}, Heir: Process{"b", 2},
 		Entries: []Entry{{Key: testKey, Try: testAttempt(1), Body: 1 << 63, Runner: Process{"c", 1}, State: StateRan, Age: 5}}}
 	text, err := json.Marshal(in)
 	require.NoError(t, err)
--- a/claim/reference_test.go
+++ b/claim/reference_test.go
@@ -16,12 +16,12 @@
 
 type referenceKey struct {
 	grant Grant
-	body  Body
+	body  BodyHash
 	ran   bool
 }
 
 // expectedCode returns the code with which a claim must be refused; empty if it must be granted.
-func (m referenceModel) expectedCode(k Key, body Body) Code {
+func (m referenceModel) expectedCode(k Key, body BodyHash) Code {
 	known, listed := m[k]
 	switch {
 	case !listed:
@@ -45,7 +45,7 @@
 		})
 		r.Repeat(map[string]func(*rapid.T){
 			"send": func(r *rapid.T) {
-				k, body := key.Draw(r, "key"), Body(rapid.IntRange(1, 2).Draw(r, "body"))
+				k, body := key.Draw(r, "key"), BodyHash(rapid.IntRange(1, 2).Draw(r, "body"))
 				attempts++
 				want := n.expectedCode(k, body)
 				g, err := f.send(k, testAttempt(attempts), body, rapid.IntRange(0, 9).Draw(r, "runner"))
@@ -109,7 +109,7 @@
 			for i := range 1000 {
 				k := Key{Account: "stud", Name: string(rune('a'+i%26)) + string(rune('0'+i/26))}
 				runners := f.record.Eligible(k.Shard())
-				request := Request{Key: k, Try: AttemptID{Request: domain.RequestID(rune('0' + e)), Attempt: domain.Attempt(i)},
+				request := Request{Key: k, Attempt: AttemptID{Request: domain.RequestID(rune('0' + e)), Attempt: domain.Attempt(i)},
 					Runner: runners[(e+i)%len(runners)]}
 				g, err := owners[k.Shard()].Claim(request, f.now)
 				if err == nil && f.accept(g, 0) == nil {
--- a/claim/refusal.go
+++ b/claim/refusal.go
@@ -29,8 +29,8 @@
 	CodeFenced Code = "fenced"
 	// CodeKeyTaken: the runner lists the key already.
 	CodeKeyTaken Code = "key_taken"
-	// CodeRefused: the attempt was blocked before its dispatch arrived.
-	CodeRefused Code = "refused_beforehand"
+	// CodeBlocked: the attempt was blocked before its dispatch arrived.
+	CodeBlocked Code = "refused_beforehand"
 	// CodeOtherRunner: the named runner is not eligible, is another incarnation, or did not
 	// accept the attempt.
 	CodeOtherRunner Code = "other_runner"
@@ -44,16 +44,16 @@
 	Code Code `json:"code"`
 	// Ran is what a caller may be told about its key, whichever attempt of the key ran.
 	Ran domain.Execution `json:"ran"`
-	// TryNotRun reports that this attempt did not run and never will: the entry may resolve
+	// AttemptNotRun reports that this attempt did not run and never will: the entry may resolve
 	// it as StateNotRun. If false, the refusal does not say whether the attempt ran.
-	TryNotRun bool `json:"try_not_run"`
+	AttemptNotRun bool `json:"try_not_run"`
 	// Epoch is the epoch of the refusing owner, or the runner's fence; zero if there is
 	// none.
 	Epoch Epoch `json:"epoch"`
-	// Try and Runner name the earlier attempt of the key and the runner that can report its
+	// Attempt and Runner name the earlier attempt of the key and the runner that can report its
 	// status, if known.
-	Try    AttemptID `json:"try"`
-	Runner Process   `json:"runner"`
+	Attempt AttemptID `json:"try"`
+	Runner  Process   `json:"runner"`
 }
 
 // Error returns code, execution and epoch in one line.
@@ -69,9 +69,9 @@
 	case CodeInProgress:
 		return domain.ReasonInProgress
 	case CodeAlreadyRan:
-		return domain.ReasonAnswered
+		return domain.ReasonAlreadyRan
 	case CodeMayHaveRun, CodeNotRestored, CodeKeyTaken:
-		return domain.ReasonKeyUnknown
+		return domain.ReasonMayHaveRun
 	}
 	return domain.ReasonNoClaim
 }
--- a/claim/runner.go
+++ b/claim/runner.go
@@ -59,15 +59,15 @@
 	// run" and send the request again. If the first dispatch arrived afterwards and were
 	// accepted, the request would run twice. Status recorded the attempt in blocked, so it
 	// is refused.
-	if _, blocked := r.blocked[keyAttempt{dispatch.Token.Key, dispatch.Try}]; blocked {
-		return &Refusal{Code: CodeRefused, Ran: domain.Unknown, TryNotRun: true, Epoch: r.fence}
+	if _, blocked := r.blocked[keyAttempt{dispatch.Token.Key, dispatch.Attempt}]; blocked {
+		return &Refusal{Code: CodeBlocked, Ran: domain.Unknown, AttemptNotRun: true, Epoch: r.fence}
 	}
 	// While an owner is paused, its successor may list all keys and grant this key to
 	// another runner. If the old owner's dispatch arrived afterwards and were accepted, the
 	// request would run twice. The successor's table was complete only after this runner
 	// had raised its fence, and the fence is never lowered.
 	if dispatch.Token.Epoch.Less(r.fence) && !r.disabled.fence {
-		return &Refusal{Code: CodeFenced, Ran: domain.Unknown, TryNotRun: true, Epoch: r.fence}
+		return &Refusal{Code: CodeFenced, Ran: domain.Unknown, AttemptNotRun: true, Epoch: r.fence}
 	}
 	if r.full() {
 		return &Refusal{Code: CodeFull, Ran: domain.Unknown, Epoch: r.fence}
@@ -76,7 +76,7 @@
 	if r.keys == nil {
 		r.keys = keyTable{}
 	}
-	r.keys[dispatch.Token.Key] = storedKey{attempt: dispatch.Try, body: dispatch.Body, runner: r.Self,
+	r.keys[dispatch.Token.Key] = storedKey{attempt: dispatch.Attempt, body: dispatch.Body, runner: r.Self,
 		state: StateGranted, at: now}
 	return nil
 }
@@ -85,9 +85,9 @@
 // nothing new about the listed attempt. Another attempt of the key is blocked, so that a
 // repeated dispatch of it is not accepted after the refusal reported "not run".
 func (r *Runner) refuseListed(dispatch Dispatch, stored storedKey, now time.Time) error {
-	refusal := &Refusal{Code: CodeKeyTaken, Ran: stored.execution(), Epoch: r.fence, Try: stored.attempt, Runner: stored.runner}
-	if stored.attempt != dispatch.Try {
-		refusal.TryNotRun = r.blockAttempt(dispatch.Token.Key, dispatch.Try, now)
+	refusal := &Refusal{Code: CodeKeyTaken, Ran: stored.execution(), Epoch: r.fence, Attempt: stored.attempt, Runner: stored.runner}
+	if stored.attempt != dispatch.Attempt {
+		refusal.AttemptNotRun = r.blockAttempt(dispatch.Token.Key, dispatch.Attempt, now)
 	}
 	return refusal
 }
@@ -134,17 +134,17 @@
 		return Resolution{}, &Refusal{Code: CodeOtherRunner, Ran: domain.Unknown, Epoch: r.fence}
 	}
 	if stored.state == StateRan || state == StateGranted {
-		return Resolution{Key: key, Try: attempt, State: stored.state}, nil
+		return Resolution{Key: key, Attempt: attempt, State: stored.state}, nil
 	}
 	if state == StateNotRun {
 		// The blocked attempt replaces the key, so that MaxKeys cannot prevent it.
 		delete(r.keys, key)
 		r.blockAttempt(key, attempt, now)
-		return Resolution{Key: key, Try: attempt, State: state}, nil
+		return Resolution{Key: key, Attempt: attempt, State: state}, nil
 	}
 	stored.state, stored.at = state, now
 	r.keys[key] = stored
-	return Resolution{Key: key, Try: attempt, State: state}, nil
+	return Resolution{Key: key, Attempt: attempt, State: state}, nil
 }
 
 // Status returns the state of an attempt. An attempt that never arrived is blocked first
@@ -154,15 +154,15 @@
 	if err := r.checkTarget(request.To); err != nil {
 		return Resolution{}, err
 	}
-	resolution := Resolution{Key: request.Key, Try: request.Try, State: StateNotRun}
-	if stored, listed := r.keys[request.Key]; listed && stored.attempt == request.Try {
+	resolution := Resolution{Key: request.Key, Attempt: request.Attempt, State: StateNotRun}
+	if stored, listed := r.keys[request.Key]; listed && stored.attempt == request.Attempt {
 		resolution.State = stored.state
 		return resolution, nil
 	}
 	if r.disabled.block {
 		return resolution, nil
 	}
-	if !r.blockAttempt(request.Key, request.Try, now) {
+	if !r.blockAttempt(request.Key, request.Attempt, now) {
 		resolution.State = StateUnknown
 	}
 	return resolution, nil
--- a/claim/view.go
+++ b/claim/view.go
@@ -34,10 +34,10 @@
 	return o.epoch
 }
 
-// StartAt begins an ownership at the epoch that a predecessor assigned to its heir. It does
+// StartAtEpoch begins an ownership at the epoch that a predecessor assigned to its heir. It does
 // nothing unless the record assigns the epoch to this process and the epoch is newer than
 // any that it has started or received.
-func (o *Owner) StartAt(record Record, at Epoch, now time.Time) {
+func (o *Owner) StartAtEpoch(record Record, at Epoch, now time.Time) {
 	if p, listed := record.Holder(o.Shard, at); listed && p == o.Self && o.newestEpoch().Less(at) {
 		o.startEpoch(record, at, now)
 	}
@@ -175,7 +175,7 @@
 	mayAssign := o.phase == phaseComplete || o.disabled.singleHandover && o.phase == phaseRetired
 	if mayAssign && o.epoch.Less(at) && to != o.Self {
 		o.phase = phaseRetired
-		o.handover = Handover{Shard: o.Shard, From: o.epoch, To: to, Epoch: at}
+		o.handover = Handover{Shard: o.Shard, From: o.epoch, Heir: to, Epoch: at}
 	}
 	if o.phase != phaseRetired {
 		return Handover{}, false
@@ -196,7 +196,7 @@
 // the handover: false means that this owner has not reached the epoch of the handover yet,
 // and the sender must retry.
 func (o *Owner) AcceptHandover(handover Handover, now time.Time) bool {
-	if handover.To != o.Self || handover.Epoch != o.epoch {
+	if handover.Heir != o.Self || handover.Epoch != o.epoch {
 		return o.phase != phaseNone && handover.Epoch.Less(o.epoch)
 	}
 	if o.phase != phaseFencing || !o.inheritedFrom.Less(handover.From) {
--- a/cmd_admin_test.go
+++ b/cmd_admin_test.go
@@ -59,7 +59,7 @@
 	if id != "entry-1.1.7" {
 		return trace.Trace{}, admin.ErrNoTrace
 	}
-	return trace.Trace{Request: id, State: trace.StateRefused, Ran: domain.NotRun, Reason: domain.ReasonNoRoom}, nil
+	return trace.Trace{Request: id, State: trace.StateRefused, Execution: domain.NotRun, Reason: domain.ReasonNoRoom}, nil
 }
 
 func (fakeEntry) Drain(_ context.Context, host domain.Host, _ string) error {
@@ -86,9 +86,9 @@
 	var h table.Holder
 	h.Update(first, time.Now())
 	s := admin.Server{
-		Operators: []conf.Operator{{Name: "asha", Token: operatorToken, Teams: []string{"appraisal"}}},
-		Tables:    &h, Editor: &editor.Editor{Objects: &tableObject{version: 1, value: text}, Holder: &h},
-		Status: fakeEntry{}, Traces: fakeEntry{}, Drainer: fakeEntry{},
+		Operators:   []conf.Operator{{Name: "asha", Token: operatorToken, Teams: []string{"appraisal"}}},
+		TableSource: &h, Editor: &editor.Editor{Objects: &tableObject{version: 1, value: text}, Holder: &h},
+		StatusSource: fakeEntry{}, Traces: fakeEntry{}, Drainer: fakeEntry{},
 	}
 	return s.Handler()
 }
--- a/conf/conf.go
+++ b/conf/conf.go
@@ -166,9 +166,9 @@
 	// doesn't close it. The timeout is the first part of the two seconds in which the
 	// memory of an engine is freed.
 	HeartbeatTimeout time.Duration
-	// StaleAfter is the age of the latest confirmation of the table at which a host
+	// MaxTableAge is the age of the latest confirmation of the table at which a host
 	// stops accepting new requests; default 3s.
-	StaleAfter time.Duration
+	MaxTableAge time.Duration
 	// StopTimeout bounds a graceful stop; default 30s.
 	StopTimeout time.Duration
 }
@@ -177,7 +177,7 @@
 func (t Timings) WithDefaults() Timings {
 	orDefault(&t.Heartbeat, 200*time.Millisecond)
 	orDefault(&t.HeartbeatTimeout, 800*time.Millisecond)
-	orDefault(&t.StaleAfter, 3*time.Second)
+	orDefault(&t.MaxTableAge, 3*time.Second)
 	orDefault(&t.StopTimeout, 30*time.Second)
 	return t
 }
--- a/conf/parse.go
+++ b/conf/parse.go
@@ -119,16 +119,16 @@
 	t := Timings{
 		Heartbeat:        r.duration("timings.heartbeat"),
 		HeartbeatTimeout: r.duration("timings.silence_after"),
-		StaleAfter:       r.duration("timings.stale_after"),
+		MaxTableAge:      r.duration("timings.stale_after"),
 		StopTimeout:      r.duration("timings.stop_within"),
 	}.WithDefaults()
 	if t.HeartbeatTimeout < 2*t.Heartbeat {
 		r.add("timings.silence_after", "%s is under two heartbeats of %s: one lost heartbeat would end a connection",
 			t.HeartbeatTimeout, t.Heartbeat)
 	}
-	if t.StaleAfter < 2*t.Heartbeat {
+	if t.MaxTableAge < 2*t.Heartbeat {
 		r.add("timings.stale_after", "%s is under two heartbeats of %s: one lost heartbeat would stop new work",
-			t.StaleAfter, t.Heartbeat)
+			t.MaxTableAge, t.Heartbeat)
 	}
 	return t
 }
--- a/direct/direct.go
+++ b/direct/direct.go
@@ -250,7 +250,7 @@
 // configFeed returns the feed of the configuration.
 func (s *Server) configFeed() *feed.Feed[*paths.Config] {
 	return &feed.Feed[*paths.Config]{
-		Name: feedConfigs, Source: relaySource(s, feedConfigs, s.Configs, &s.peers.configs), Log: s.Log, Wait: s.Settings.WatchTimeout,
+		Name: feedConfigs, Source: relaySource(s, feedConfigs, s.Configs, &s.peers.configs), Log: s.Log, WatchTimeout: s.Settings.WatchTimeout,
 		BatchDelay: s.batchDelay, OnRestore: s.onStoreRestored,
 		OnList: func(now time.Time, all []feed.Item[*paths.Config]) {
 			for _, c := range feed.Values(all) {
@@ -284,7 +284,7 @@
 // serverFeed returns the feed of the registry of upstreams.
 func (s *Server) serverFeed() *feed.Feed[roster.Server] {
 	return &feed.Feed[roster.Server]{
-		Name: feedUpstreams, Source: relaySource(s, feedUpstreams, s.Upstreams, &s.peers.upstreams), Log: s.Log, Wait: s.Settings.WatchTimeout,
+		Name: feedUpstreams, Source: relaySource(s, feedUpstreams, s.Upstreams, &s.peers.upstreams), Log: s.Log, WatchTimeout: s.Settings.WatchTimeout,
 		StaleStart: true, BatchDelay: s.batchDelay,
 		OnList: s.roster.SetAll, OnChange: s.roster.Apply, OnDisconnect: s.roster.RegistryLost, OnReconnect: s.roster.RegistryRecovered, OnRestore: s.roster.RegistryRestored,
 	}
--- a/direct/notice.go
+++ b/direct/notice.go
@@ -36,7 +36,7 @@
 // noticeFeed returns the feed of the notices of all entries.
 func (s *Server) noticeFeed() *feed.Feed[Notice] {
 	return &feed.Feed[Notice]{
-		Name: feedNotices, Source: relaySource(s, feedNotices, s.Notices, &s.peers.notices), Log: s.Log, Wait: s.Settings.WatchTimeout,
+		Name: feedNotices, Source: relaySource(s, feedNotices, s.Notices, &s.peers.notices), Log: s.Log, WatchTimeout: s.Settings.WatchTimeout,
 		OnList: func(now time.Time, all []feed.Item[Notice]) {
 			for _, n := range feed.Values(all) {
 				s.recordOrders(n)
--- a/domain/domain.go
+++ b/domain/domain.go
@@ -80,9 +80,9 @@
 	ReasonNoRoom      Reason = "no_room"
 	ReasonTooLate     Reason = "deadline_cannot_be_met"
 	ReasonInProgress  Reason = "key_in_progress"
-	ReasonAnswered    Reason = "key_already_ran"
+	ReasonAlreadyRan  Reason = "key_already_ran"
 	ReasonOtherBody   Reason = "key_with_other_body"
-	ReasonKeyUnknown  Reason = "key_may_have_run"
+	ReasonMayHaveRun  Reason = "key_may_have_run"
 	ReasonNoClaim     Reason = "claims_unavailable"
 	ReasonStale       Reason = "entry_out_of_touch"
 	ReasonDraining    Reason = "entry_draining"
@@ -103,7 +103,7 @@
 		return 401
 	case ReasonNoService:
 		return 404
-	case ReasonInProgress, ReasonAnswered, ReasonKeyUnknown:
+	case ReasonInProgress, ReasonAlreadyRan, ReasonMayHaveRun:
 		return 409
 	case ReasonTooLarge:
 		return 413
--- a/engine/engine.go
+++ b/engine/engine.go
@@ -5,8 +5,8 @@
 // # Usage
 //
 //	var m engine.Model = &engine.HTTPModel{Base: netip.MustParseAddrPort("127.0.0.1:9001")}
-//	kv, err := m.Prefill(ctx, engine.PrefillOrder{Request: id, Attempt: 1, Prompt: text, PromptTokens: 812})
-//	err = m.Decode(ctx, engine.DecodeOrder{Request: id, Attempt: 1, KV: kv, MaxTokens: 64}, emit)
+//	kv, err := m.Prefill(ctx, engine.PrefillRequest{Request: id, Attempt: 1, Prompt: text, PromptTokens: 812})
+//	err = m.Decode(ctx, engine.DecodeRequest{Request: id, Attempt: 1, KV: kv, MaxTokens: 64}, emit)
 //
 // If errors.Is(err, ErrNotStarted) holds, the engine reported that it never
 // began the work, or the request was never sent. After any other error the work
@@ -44,12 +44,12 @@
 	Engine netip.AddrPort `json:"engine"`
 	Handle string         `json:"handle"`
 	Tokens int            `json:"tokens"`
-	// Life is how long the engine keeps the cache after it has answered.
-	Life time.Duration `json:"life"`
+	// TTL is how long the engine keeps the cache after it has answered.
+	TTL time.Duration `json:"life"`
 }
 
-// PrefillOrder is the request to compute the KV cache of a prompt.
-type PrefillOrder struct {
+// PrefillRequest is the request to compute the KV cache of a prompt.
+type PrefillRequest struct {
 	Request      domain.RequestID `json:"request"`
 	Attempt      domain.Attempt   `json:"attempt"`
 	Prompt       string           `json:"prompt"`
@@ -59,8 +59,8 @@
 	Priority int    `json:"priority"`
 }
 
-// DecodeOrder is the request to import a KV cache and generate tokens from it.
-type DecodeOrder struct {
+// DecodeRequest is the request to import a KV cache and generate tokens from it.
+type DecodeRequest struct {
 	Request   domain.RequestID `json:"request"`
 	Attempt   domain.Attempt   `json:"attempt"`
 	KV        KV               `json:"kv"`
@@ -126,16 +126,16 @@
 // Model is a client of one model engine.
 type Model interface {
 	// Prefill computes the KV cache of a prompt and returns its location.
-	Prefill(ctx context.Context, o PrefillOrder) (KV, error)
+	Prefill(ctx context.Context, o PrefillRequest) (KV, error)
 	// Decode imports the cache and calls emit for each token. It returns nil
 	// only after the token that is marked Last.
-	Decode(ctx context.Context, o DecodeOrder, emit func(Token) error) error
+	Decode(ctx context.Context, o DecodeRequest, emit func(Token) error) error
 	// Cancel releases everything that the request holds. It is idempotent.
 	Cancel(ctx context.Context, request domain.RequestID) error
 	// State returns the state that the engine reports.
 	State(ctx context.Context) (State, error)
-	// Give sends an operator's order to the engine.
-	Give(ctx context.Context, o Order) error
+	// SendOrder sends an operator's order to the engine.
+	SendOrder(ctx context.Context, o Order) error
 	// CacheEvents returns the cache events after the given sequence number.
 	CacheEvents(ctx context.Context, after uint64) ([]CacheEvent, error)
 }
--- a/engine/http.go
+++ b/engine/http.go
@@ -39,8 +39,8 @@
 	Detail string `json:"detail"`
 }
 
-// CancelOrder is the body of POST /cancel.
-type CancelOrder struct {
+// CancelRequest is the body of POST /cancel.
+type CancelRequest struct {
 	Request domain.RequestID `json:"request"`
 }
 
@@ -48,27 +48,27 @@
 type Failure struct {
 	// Call describes the call, such as "POST /prefill".
 	Call string
-	// Class is one of the package's error variables, or nil if the caller's
+	// Kind is one of the package's error variables, or nil if the caller's
 	// context ended first.
-	Class error
+	Kind error
 	// Cause is the underlying error.
 	Cause error
 }
 
 // Error returns class, call and cause.
 func (f *Failure) Error() string {
-	if f.Class == nil {
+	if f.Kind == nil {
 		return "engine: given up: " + f.Call + ": " + f.Cause.Error()
 	}
-	return f.Class.Error() + ": " + f.Call + ": " + f.Cause.Error()
+	return f.Kind.Error() + ": " + f.Call + ": " + f.Cause.Error()
 }
 
 // Unwrap returns class and cause.
 func (f *Failure) Unwrap() []error {
-	if f.Class == nil {
+	if f.Kind == nil {
 		return []error{f.Cause}
 	}
-	return []error{f.Class, f.Cause}
+	return []error{f.Kind, f.Cause}
 }
 
 // transportFailure classifies an error of a call that has no complete response.
@@ -83,7 +83,7 @@
 	case send.Canceled:
 		class = nil
 	}
-	return &Failure{Call: call, Class: class, Cause: err}
+	return &Failure{Call: call, Kind: class, Cause: err}
 }
 
 // statusFailure classifies an engine's response with a status other than 200.
@@ -101,5 +101,5 @@
 	case status == http.StatusConflict && problem.Code == CodeFenced:
 		class = ErrFenced
 	}
-	return &Failure{Call: call, Class: class, Cause: errors.Errorf("engine: status %d: %.200s", status, problem.Detail)}
+	return &Failure{Call: call, Kind: class, Cause: errors.Errorf("engine: status %d: %.200s", status, problem.Detail)}
 }
--- a/engine/http_app.go
+++ b/engine/http_app.go
@@ -41,7 +41,7 @@
 	h.once.Do(func() { h.client.Base, h.client.ReadTimeout = h.Base, h.ReadTimeout })
 	call := c.Method + " call"
 	if !strings.HasPrefix(c.Path, "/") {
-		return Response{}, &Failure{Call: call, Class: ErrNotStarted, Cause: errors.New("engine: path does not start with /")}
+		return Response{}, &Failure{Call: call, Kind: ErrNotStarted, Cause: errors.New("engine: path does not start with /")}
 	}
 	response, err := h.client.Do(ctx, send.Request{Method: c.Method, Target: c.Path, Header: send.EndToEnd(c.Header), Body: c.Body})
 	if err != nil {
@@ -54,11 +54,11 @@
 	body, err := response.ReadAll(limit)
 	switch {
 	case errors.Is(err, send.ErrBodyTooLarge):
-		return Response{}, &Failure{Call: call, Class: ErrUnexpectedResponse, Cause: err}
+		return Response{}, &Failure{Call: call, Kind: ErrUnexpectedResponse, Cause: err}
 	case err != nil:
 		return Response{}, transportFailure(call, err)
 	case response.Status == http.StatusServiceUnavailable && response.Header.Get(NotStartedHeader) != "":
-		return Response{}, &Failure{Call: call, Class: ErrNotStarted, Cause: errors.New("engine: the server said so")}
+		return Response{}, &Failure{Call: call, Kind: ErrNotStarted, Cause: errors.New("engine: the server said so")}
 	}
 	return Response{Status: response.Status, Header: send.EndToEnd(response.Header), Body: body}, nil
 }
--- a/engine/http_model.go
+++ b/engine/http_model.go
@@ -48,7 +48,7 @@
 var _ Model = (*HTTPModel)(nil)
 
 // Prefill computes the KV cache of a prompt and returns its location.
-func (h *HTTPModel) Prefill(ctx context.Context, o PrefillOrder) (KV, error) {
+func (h *HTTPModel) Prefill(ctx context.Context, o PrefillRequest) (KV, error) {
 	timeout := h.PrefillTimeout
 	if timeout <= 0 {
 		timeout = DefaultPrefillTimeout
@@ -61,7 +61,7 @@
 // Decode imports the cache and calls emit for each token. If emit returns an
 // error, Decode returns that error; the engine continues the decode until
 // Cancel.
-func (h *HTTPModel) Decode(ctx context.Context, o DecodeOrder, emit func(Token) error) error {
+func (h *HTTPModel) Decode(ctx context.Context, o DecodeRequest, emit func(Token) error) error {
 	const call = "POST /decode"
 	body, err := json.Marshal(o)
 	if err != nil {
@@ -88,7 +88,7 @@
 	for scanner.Scan() {
 		var token Token
 		if err := json.Unmarshal(scanner.Bytes(), &token); err != nil {
-			return &Failure{Call: call, Class: ErrCrashed, Cause: errors.Wrap(err, "engine: reading token")}
+			return &Failure{Call: call, Kind: ErrCrashed, Cause: errors.Wrap(err, "engine: reading token")}
 		}
 		if err := emit(token); err != nil {
 			return err
@@ -100,12 +100,12 @@
 	if err := scanner.Err(); err != nil {
 		return transportFailure(call, err)
 	}
-	return &Failure{Call: call, Class: ErrCrashed, Cause: io.ErrUnexpectedEOF}
+	return &Failure{Call: call, Kind: ErrCrashed, Cause: io.ErrUnexpectedEOF}
 }
 
 // Cancel releases everything that the request holds.
 func (h *HTTPModel) Cancel(ctx context.Context, request domain.RequestID) error {
-	return h.roundTrip(ctx, http.MethodPost, "/cancel", 0, CancelOrder{Request: request}, nil)
+	return h.roundTrip(ctx, http.MethodPost, "/cancel", 0, CancelRequest{Request: request}, nil)
 }
 
 // State returns the state that the engine reports.
@@ -115,8 +115,8 @@
 	return state, err
 }
 
-// Give sends an operator's order to the engine.
-func (h *HTTPModel) Give(ctx context.Context, o Order) error {
+// SendOrder sends an operator's order to the engine.
+func (h *HTTPModel) SendOrder(ctx context.Context, o Order) error {
 	return h.roundTrip(ctx, http.MethodPost, "/order", 0, o, nil)
 }
 
@@ -155,7 +155,7 @@
 		return nil
 	}
 	if err := json.Unmarshal(body, result); err != nil {
-		return &Failure{Call: call, Class: ErrUnexpectedResponse, Cause: err}
+		return &Failure{Call: call, Kind: ErrUnexpectedResponse, Cause: err}
 	}
 	return nil
 }
--- a/engine/http_test.go
+++ b/engine/http_test.go
@@ -40,12 +40,12 @@
 	return &engine.HTTPModel{Base: server.Addr(), PrefillTimeout: 10 * time.Second, TokenTimeout: 10 * time.Second}
 }
 
-func prefillOrder(prompt string) engine.PrefillOrder {
-	return engine.PrefillOrder{Request: "entry-1.1.1", Attempt: 1, Prompt: prompt, PromptTokens: 400}
+func prefillOrder(prompt string) engine.PrefillRequest {
+	return engine.PrefillRequest{Request: "entry-1.1.1", Attempt: 1, Prompt: prompt, PromptTokens: 400}
 }
 
-func decodeOrder(kv engine.KV) engine.DecodeOrder {
-	return engine.DecodeOrder{Request: "entry-1.1.1", Attempt: 1, KV: kv, MaxTokens: 6}
+func decodeOrder(kv engine.KV) engine.DecodeRequest {
+	return engine.DecodeRequest{Request: "entry-1.1.1", Attempt: 1, KV: kv, MaxTokens: 6}
 }
 
 func TestHTTPModelDecodeAfterPrefillReturnsCompletion(t *testing.T) {
@@ -55,7 +55,7 @@
 	kv, err := prefillClient.Prefill(t.Context(), prefillOrder("pedigree"))
 	require.NoError(t, err)
 	require.Equal(t, prefillClient.Base, kv.Engine)
-	require.Equal(t, time.Minute, kv.Life)
+	require.Equal(t, time.Minute, kv.TTL)
 	var text strings.Builder
 	nextOffset := 0
 	err = decodeClient.Decode(t.Context(), decodeOrder(kv), func(token engine.Token) error {
@@ -86,8 +86,8 @@
 	err = client.Decode(ctx, decodeOrder(engine.KV{Engine: client.Base, Handle: "none", Tokens: 400}), discard)
 	require.ErrorIs(t, err, engine.ErrEvicted)
 
-	require.NoError(t, client.Give(ctx, engine.Order{Kind: engine.OrderLoad, Value: "logwriter", Fence: 2}))
-	err = client.Give(ctx, engine.Order{Kind: engine.OrderLoad, Value: "old", Fence: 1})
+	require.NoError(t, client.SendOrder(ctx, engine.Order{Kind: engine.OrderLoad, Value: "logwriter", Fence: 2}))
+	err = client.SendOrder(ctx, engine.Order{Kind: engine.OrderLoad, Value: "old", Fence: 1})
 	require.ErrorIs(t, err, engine.ErrFenced)
 	require.NoError(t, client.Cancel(ctx, "never-seen"))
 
--- a/entry/admin.go
+++ b/entry/admin.go
@@ -25,7 +25,7 @@
 // adminHandler serves the operators' API, metrics and readiness.
 func (e *Entry) adminHandler() http.Handler {
 	s := admin.Server{
-		Operators: e.Settings.Operators, Tables: &e.tables, Status: e, Traces: e, Drainer: e, Orderer: e, Log: e.Log,
+		Operators: e.Settings.Operators, TableSource: &e.tables, StatusSource: e, Traces: e, Drainer: e, Orderer: e, Log: e.Log,
 		Editor:  &editor.Editor{Objects: e.Objects, Holder: &e.tables, Replicate: e.replicateTable},
 		MaxBody: e.Settings.Limits.MaxBody,
 	}
--- a/entry/keys.go
+++ b/entry/keys.go
@@ -68,7 +68,7 @@
 			// lost claim blocks it, settleEarlier resolves the lost one.
 		case got.Grant != nil:
 			e.recordEvent(r, trace.Event{Kind: trace.Claimed, Upstream: runner.Member.Host, Detail: "granted at epoch " + got.Grant.Token.Epoch.String()})
-			return &claim.Dispatch{Token: got.Grant.Token, Try: got.Grant.Try, Body: claim.Body(r.bodyHash), To: got.Grant.Runner}, nil
+			return &claim.Dispatch{Token: got.Grant.Token, Attempt: got.Grant.Try, Body: claim.BodyHash(r.bodyHash), To: got.Grant.Runner}, nil
 		case got.Refusal != nil:
 			f, retryClaim := e.handleClaimRefusal(ctx, r, got.Refusal)
 			if !retryClaim {
@@ -93,7 +93,7 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	err := owner.Call(ctx, wire.MethodClaim, claim.Request{
-		Key: r.claimKey(), Try: claim.AttemptID{Request: r.id, Attempt: r.claimTries}, Body: claim.Body(r.bodyHash), Runner: runner.Member.Process(),
+		Key: r.claimKey(), Attempt: claim.AttemptID{Request: r.id, Attempt: r.claimTries}, Body: claim.BodyHash(r.bodyHash), Runner: runner.Member.Process(),
 	}, &got)
 	return got, err
 }
@@ -110,7 +110,7 @@
 		// have the newer version; the runner is then selected again.
 		return &failure{ran: domain.NotRun, reason: domain.ReasonNoRoom, detail: refusal.Error()}, false
 	case claim.CodeInProgress:
-		if refusal.Try.Request != r.id && e.isOpen(ctx, refusal.Try.Request) {
+		if refusal.Attempt.Request != r.id && e.isOpen(ctx, refusal.Attempt.Request) {
 			return f, false
 		}
 		return f, e.settleEarlier(ctx, r, refusal)
@@ -131,14 +131,14 @@
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	var found claim.Resolution
-	order := claim.StatusRequest{Key: r.claimKey(), Try: refused.Try, To: refused.Runner}
+	order := claim.StatusRequest{Key: r.claimKey(), Attempt: refused.Attempt, To: refused.Runner}
 	if runner.Call(callCtx, wire.MethodAsk, order, &found) != nil {
 		return false
 	}
 	if found.State == claim.StateGranted || found.State == 0 {
 		return false
 	}
-	e.recordEvent(r, trace.Event{Kind: trace.Claimed, Upstream: runner.Member.Host, Detail: "earlier send " + string(refused.Try.Request) + " is settled: " + found.State.String()})
+	e.recordEvent(r, trace.Event{Kind: trace.Claimed, Upstream: runner.Member.Host, Detail: "earlier send " + string(refused.Attempt.Request) + " is settled: " + found.State.String()})
 	owner := e.ownerOf(r)
 	if owner == nil || owner.Call(callCtx, wire.MethodResolve, found, nil) != nil {
 		return false
@@ -179,7 +179,7 @@
 	if d == nil {
 		return
 	}
-	res := claim.Resolution{Key: d.Token.Key, Try: d.Try, State: keyState(r, f)}
+	res := claim.Resolution{Key: d.Token.Key, Attempt: d.Attempt, State: keyState(r, f)}
 	if res.State == claim.StateUnknown && (f.reason == domain.ReasonCallerGone || f.reason == domain.ReasonDeadline) {
 		return // the work may still run; its runner is asked for the result when the key is used again
 	}
--- a/entry/keys_test.go
+++ b/entry/keys_test.go
@@ -19,7 +19,7 @@
 func fencedOutcome(epoch claim.Epoch) wire.Outcome {
 	return wire.Outcome{
 		Ran: domain.NotRun, Reason: domain.ReasonNoClaim,
-		Claim: &claim.Refusal{Code: claim.CodeFenced, Ran: domain.Unknown, TryNotRun: true, Epoch: epoch},
+		Claim: &claim.Refusal{Code: claim.CodeFenced, Ran: domain.Unknown, AttemptNotRun: true, Epoch: epoch},
 	}
 }
 
@@ -51,6 +51,6 @@
 	require.True(t, r.awaitsOwner(f, now.Add(claimTimeout-time.Millisecond)))
 	require.False(t, r.awaitsOwner(f, now.Add(claimTimeout)))
 	mayHaveRun := fencedOutcome(claim.Epoch{Version: 3, Turn: 1})
-	mayHaveRun.Claim.TryNotRun = false
+	mayHaveRun.Claim.AttemptNotRun = false
 	require.False(t, (&request{}).awaitsOwner(failureOf(mayHaveRun), now))
 }
--- a/entry/model.go
+++ b/entry/model.go
@@ -78,7 +78,7 @@
 		return f
 	}
 	e.FaultHook.Reach(inject.EntryPrefilled)
-	e.schedulers.get(r.service).setKVLifetime(kv.Life)
+	e.schedulers.get(r.service).setKVLifetime(kv.TTL)
 	began = time.Now()
 	f = e.decode(ctx, r, p, kv, d, to)
 	if f != nil { // decode may not have fetched the KV cache: free it now, not at the end of its lifetime
@@ -100,7 +100,7 @@
 	out := e.runStage(ctx, p.prefill, wire.Run{
 		AttemptRef: wire.AttemptRef{Request: r.id, Attempt: r.attempt, Stage: wire.StagePrefill}, Account: r.account, Kind: r.kind, Identity: r.identity,
 		Within: e.timeLeft(r),
-		Prefill: &engine.PrefillOrder{
+		Prefill: &engine.PrefillRequest{
 			Request: r.id, Attempt: r.attempt, Prompt: r.prompt, PromptTokens: r.promptTokens,
 			Prefix: prefixOf(r.prompt), Priority: r.row.Priority,
 		},
@@ -135,7 +135,7 @@
 	e.background.Go(ctx, "decode", func(ctx context.Context) error {
 		ended <- e.runStage(ctx, p.decode, wire.Run{
 			AttemptRef: ref, Account: r.account, Kind: r.kind, Identity: r.identity, Within: e.timeLeft(r), Tokens: r.promptTokens + r.maxTokens,
-			Decode: &engine.DecodeOrder{
+			Decode: &engine.DecodeRequest{
 				Request: r.id, Attempt: r.attempt, KV: kv, MaxTokens: r.maxTokens, Priority: r.row.Priority,
 			},
 			Dispatch: d, Idempotent: r.row.Idempotent,
--- a/entry/request.go
+++ b/entry/request.go
@@ -108,14 +108,14 @@
 
 // recordAnswered ends the request's trace with an answer.
 func (e *Entry) recordAnswered(r *request) {
-	e.recordEvent(r, trace.Event{Kind: trace.Answered, Ran: domain.DidRun, Tokens: r.tokens})
+	e.recordEvent(r, trace.Event{Kind: trace.Answered, Execution: domain.DidRun, Tokens: r.tokens})
 	e.Log.Info("answered", "request", r.id, "kind", r.kind, "account", r.account,
 		"attempts", r.attempt, "tokens", r.tokens, "took", time.Since(r.accepted))
 }
 
 // recordRefusal ends the request's trace with a refusal, and returns the refusal.
 func (e *Entry) recordRefusal(r *request, f *failure) *domain.Refusal {
-	e.recordEvent(r, trace.Event{Kind: trace.Refused, Ran: f.ran, Reason: f.reason, Detail: f.detail, Tokens: r.tokens})
+	e.recordEvent(r, trace.Event{Kind: trace.Refused, Execution: f.ran, Reason: f.reason, Detail: f.detail, Tokens: r.tokens})
 	e.Log.Info("refused", "request", r.id, "kind", r.kind, "account", r.account,
 		"attempts", r.attempt, "reason", f.reason, "ran", f.ran, "took", time.Since(r.accepted))
 	return &domain.Refusal{RequestID: r.id, Reason: f.reason, Ran: f.ran, Detail: f.detail, RetryAfter: f.retryAfter, Findings: f.findings}
@@ -124,7 +124,7 @@
 // failureOf converts the outcome of a failed stage to a failure.
 func failureOf(out wire.Outcome) *failure {
 	f := &failure{ran: out.Ran, reason: out.Reason, detail: out.Detail, death: out.Death}
-	if c := out.Claim; c != nil && (c.Code == claim.CodeKeyTaken || !c.TryNotRun) {
+	if c := out.Claim; c != nil && (c.Code == claim.CodeKeyTaken || !c.AttemptNotRun) {
 		// This attempt did not run, but another attempt with the same key may have: a
 		// side that was suspended resumes and runs work that was abandoned meanwhile.
 		f.ran, f.final = c.Ran.Merge(domain.Unknown), true
@@ -147,7 +147,7 @@
 		if f == nil {
 			return nil
 		}
-		e.recordEvent(r, trace.Event{Kind: trace.AttemptEnded, Ran: f.ran, Reason: f.reason, Detail: f.detail})
+		e.recordEvent(r, trace.Event{Kind: trace.AttemptEnded, Execution: f.ran, Reason: f.reason, Detail: f.detail})
 		// An earlier attempt may have run although the last one did not.
 		worst = worst.Merge(f.ran)
 		if r.prefilled {
--- a/entry/tables.go
+++ b/entry/tables.go
@@ -47,7 +47,7 @@
 // tableFresh reports whether the table was confirmed within stale_after, which new work
 // requires.
 func (e *Entry) tableFresh(now time.Time) bool {
-	return e.tables.Fresh(now, e.Settings.Timings.StaleAfter)
+	return e.tables.Fresh(now, e.Settings.Timings.MaxTableAge)
 }
 
 // watchTable applies each new version that the platform returns.
--- a/entry/traces.go
+++ b/entry/traces.go
@@ -63,7 +63,7 @@
 		if ctx.Err() != nil {
 			return nil
 		}
-		names, err := e.Objects.List(ctx, trace.Prefix+string(e.Settings.Name)+".")
+		names, err := e.Objects.List(ctx, trace.SegmentPrefix+string(e.Settings.Name)+".")
 		if err != nil {
 			continue
 		}
@@ -153,7 +153,7 @@
 // spansFromPlatform reads the segments on the platform that may contain the request.
 func (e *Entry) spansFromPlatform(ctx context.Context, id trace.ID) []trace.Span {
 	var spans []trace.Span
-	for _, prefix := range []string{trace.EntryPrefix(id), trace.Prefix} {
+	for _, prefix := range []string{trace.EntryPrefix(id), trace.SegmentPrefix} {
 		names, err := e.Objects.List(ctx, prefix)
 		if err != nil {
 			e.Log.Warn("listing trace segments failed", "err", err)
@@ -174,7 +174,7 @@
 				}
 			}
 		}
-		if len(spans) > 0 && prefix != trace.Prefix {
+		if len(spans) > 0 && prefix != trace.SegmentPrefix {
 			return spans // found in the accepting entry's segments: the sides have replied to spansFromProcesses
 		}
 	}
--- a/fakes/model/cache.go
+++ b/fakes/model/cache.go
@@ -20,7 +20,7 @@
 }
 
 // keep turns a prefill's reservation into KV cache with a short life.
-func (e *Engine) keep(m *memory, run *Run, o engine.PrefillOrder) (engine.KV, bool) {
+func (e *Engine) keep(m *memory, run *Run, o engine.PrefillRequest) (engine.KV, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if run.Outcome != "" {
@@ -36,7 +36,7 @@
 		crash: strings.Contains(o.Prompt, CrashInDecode), until: time.Now().Add(e.KVLifetime),
 	}
 	e.note()
-	return engine.KV{Handle: handle, Tokens: o.PromptTokens, Life: e.KVLifetime}, true
+	return engine.KV{Handle: handle, Tokens: o.PromptTokens, TTL: e.KVLifetime}, true
 }
 
 // find gives KV cache that has not been evicted.
--- a/fakes/model/decode.go
+++ b/fakes/model/decode.go
@@ -20,7 +20,7 @@
 )
 
 func (e *Engine) decode(w http.ResponseWriter, r *http.Request) {
-	var o engine.DecodeOrder
+	var o engine.DecodeRequest
 	if !serve.Read(w, r, &o) {
 		return
 	}
--- a/fakes/model/events.go
+++ b/fakes/model/events.go
@@ -24,7 +24,7 @@
 // cached gives how many of the prompt's tokens need no prefill: those of the
 // beginning that it shares with the prompt last seen under its prefix. The
 // last token is always computed.
-func (e *Engine) cached(m *memory, o engine.PrefillOrder) int {
+func (e *Engine) cached(m *memory, o engine.PrefillRequest) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	p := m.prefixes[o.Prefix]
@@ -40,7 +40,7 @@
 
 // remember caches the prompt under its prefix and evicts what was used least
 // recently until all fit.
-func (e *Engine) remember(m *memory, o engine.PrefillOrder) {
+func (e *Engine) remember(m *memory, o engine.PrefillRequest) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if o.Prefix == 0 || o.PromptTokens > e.PrefixTokens {
--- a/fakes/model/model_test.go
+++ b/fakes/model/model_test.go
@@ -34,7 +34,7 @@
 	return w
 }
 
-func prefill(t *testing.T, e *Engine, o engine.PrefillOrder) (engine.KV, time.Duration) {
+func prefill(t *testing.T, e *Engine, o engine.PrefillRequest) (engine.KV, time.Duration) {
 	t.Helper()
 	started := time.Now()
 	w := ask(t, e, http.MethodPost, "/prefill", o)
@@ -48,7 +48,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		e := &Engine{Settings: Settings{PrefillRate: 1000}}
 		head := strings.Repeat("h", 750)
-		o := engine.PrefillOrder{Request: "1", Prompt: head + strings.Repeat("a", 250), PromptTokens: 1000, Prefix: 9}
+		o := engine.PrefillRequest{Request: "1", Prompt: head + strings.Repeat("a", 250), PromptTokens: 1000, Prefix: 9}
 		_, took := prefill(t, e, o)
 		require.Equal(t, time.Second, took)
 		o.Prompt = head + strings.Repeat("b", 250)
@@ -67,16 +67,16 @@
 func TestCacheIsEvictedInUnderASecond(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := &Engine{Settings: Settings{LinkRate: 1000}}
-		late := engine.PrefillOrder{Request: "late", Prompt: "p", PromptTokens: 10}
+		late := engine.PrefillRequest{Request: "late", Prompt: "p", PromptTokens: 10}
 		kv, _ := prefill(t, e, late)
 		require.Equal(t, 10, e.CurrentState().UsedTokens)
-		time.Sleep(kv.Life + time.Millisecond)
+		time.Sleep(kv.TTL + time.Millisecond)
 		require.Zero(t, e.CurrentState().UsedTokens, "its memory is free again")
-		w := ask(t, e, http.MethodPost, "/decode", engine.DecodeOrder{Request: "late", KV: kv, MaxTokens: 2})
+		w := ask(t, e, http.MethodPost, "/decode", engine.DecodeRequest{Request: "late", KV: kv, MaxTokens: 2})
 		require.Equal(t, http.StatusGone, w.Code)
 
-		kv, _ = prefill(t, e, engine.PrefillOrder{Request: "slow", Prompt: "p", PromptTokens: 1000})
-		w = ask(t, e, http.MethodPost, "/decode", engine.DecodeOrder{Request: "slow", KV: kv, MaxTokens: 2})
+		kv, _ = prefill(t, e, engine.PrefillRequest{Request: "slow", Prompt: "p", PromptTokens: 1000})
+		w = ask(t, e, http.MethodPost, "/decode", engine.DecodeRequest{Request: "slow", KV: kv, MaxTokens: 2})
 		require.Equal(t, http.StatusGone, w.Code, "the transfer takes a second, the cache lives 0.8")
 		require.Equal(t, Evicted, e.Runs()[3].Outcome)
 	})
@@ -86,11 +86,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		e := &Engine{Settings: Settings{Slots: 3, TokenGap: 10 * time.Millisecond, BatchCost: 0.5, PrefillRate: 1e6, LinkRate: 1e9}}
 		run := func(name domain.RequestID) <-chan time.Duration {
-			kv, _ := prefill(t, e, engine.PrefillOrder{Request: name, Prompt: "p", PromptTokens: 1})
+			kv, _ := prefill(t, e, engine.PrefillRequest{Request: name, Prompt: "p", PromptTokens: 1})
 			took := make(chan time.Duration, 1)
 			go func() {
 				started := time.Now()
-				ask(t, e, http.MethodPost, "/decode", engine.DecodeOrder{Request: name, KV: kv, MaxTokens: 100})
+				ask(t, e, http.MethodPost, "/decode", engine.DecodeRequest{Request: name, KV: kv, MaxTokens: 100})
 				took <- time.Since(started)
 			}()
 			return took
@@ -98,8 +98,8 @@
 		require.InDelta(t, time.Second, <-run("alone"), 1e6)
 		first, second, third := run("a"), run("b"), run("c")
 		synctest.Wait()
-		kv, _ := prefill(t, e, engine.PrefillOrder{Request: "d", Prompt: "p", PromptTokens: 1})
-		w := ask(t, e, http.MethodPost, "/decode", engine.DecodeOrder{Request: "d", KV: kv, MaxTokens: 1})
+		kv, _ := prefill(t, e, engine.PrefillRequest{Request: "d", Prompt: "p", PromptTokens: 1})
+		w := ask(t, e, http.MethodPost, "/decode", engine.DecodeRequest{Request: "d", KV: kv, MaxTokens: 1})
 		require.Equal(t, http.StatusServiceUnavailable, w.Code)
 		require.Contains(t, w.Body.String(), engine.CodeNotStarted)
 		for _, took := range []<-chan time.Duration{first, second, third} {
@@ -114,8 +114,8 @@
 func TestOnlyACancelFreesADecode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := &Engine{Settings: Settings{TokenGap: 10 * time.Millisecond, MemoryTokens: 500}}
-		kv, _ := prefill(t, e, engine.PrefillOrder{Request: "1", Prompt: "p", PromptTokens: 100})
-		body, err := json.Marshal(engine.DecodeOrder{Request: "1", KV: kv, MaxTokens: 200})
+		kv, _ := prefill(t, e, engine.PrefillRequest{Request: "1", Prompt: "p", PromptTokens: 100})
+		body, err := json.Marshal(engine.DecodeRequest{Request: "1", KV: kv, MaxTokens: 200})
 		require.NoError(t, err)
 		ctx, hangUp := context.WithCancel(t.Context())
 		ended := make(chan struct{})
@@ -129,13 +129,13 @@
 		hangUp()
 		time.Sleep(time.Second)
 		require.Equal(t, 300, e.CurrentState().UsedTokens, "100 imported and 200 to come; the prefill's own are evicted")
-		w := ask(t, e, http.MethodPost, "/prefill", engine.PrefillOrder{Request: "2", Prompt: "p", PromptTokens: 201})
+		w := ask(t, e, http.MethodPost, "/prefill", engine.PrefillRequest{Request: "2", Prompt: "p", PromptTokens: 201})
 		require.Equal(t, http.StatusServiceUnavailable, w.Code, "there is no room")
 
 		e.SetFault(Fault{DropCancels: 1})
-		require.Equal(t, http.StatusOK, ask(t, e, http.MethodPost, "/cancel", engine.CancelOrder{Request: "1"}).Code)
+		require.Equal(t, http.StatusOK, ask(t, e, http.MethodPost, "/cancel", engine.CancelRequest{Request: "1"}).Code)
 		require.Equal(t, 300, e.CurrentState().UsedTokens, "the cancel was answered and ignored")
-		require.Equal(t, http.StatusOK, ask(t, e, http.MethodPost, "/cancel", engine.CancelOrder{Request: "1"}).Code)
+		require.Equal(t, http.StatusOK, ask(t, e, http.MethodPost, "/cancel", engine.CancelRequest{Request: "1"}).Code)
 		require.Zero(t, e.CurrentState().UsedTokens)
 		<-ended
 		run := e.Runs()[1]
@@ -148,7 +148,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		e := &Engine{Settings: Settings{PrefillRate: 100}}
 		done := make(chan domain.RequestID, 3)
-		for _, o := range []engine.PrefillOrder{
+		for _, o := range []engine.PrefillRequest{
 			{Request: "first", Priority: 1}, {Request: "low", Priority: 1}, {Request: "high", Priority: 9},
 		} {
 			o.Prompt, o.PromptTokens = "p", 100
@@ -173,7 +173,7 @@
 		require.Zero(t, report().UsedTokens)
 		time.Sleep(time.Second)
 		for i := range uint64(4) {
-			prefill(t, e, engine.PrefillOrder{Request: "1", Prompt: "p", PromptTokens: 10, Prefix: i + 1})
+			prefill(t, e, engine.PrefillRequest{Request: "1", Prompt: "p", PromptTokens: 10, Prefix: i + 1})
 		}
 		require.Zero(t, report().UsedTokens, "the report lags")
 		time.Sleep(200 * time.Millisecond)
--- a/fakes/model/orders.go
+++ b/fakes/model/orders.go
@@ -64,7 +64,7 @@
 // cancel frees whatever the request holds. A cancel of nothing is answered
 // like any other.
 func (e *Engine) cancel(w http.ResponseWriter, r *http.Request) {
-	var o engine.CancelOrder
+	var o engine.CancelRequest
 	if !serve.Read(w, r, &o) {
 		return
 	}
--- a/fakes/model/prefill.go
+++ b/fakes/model/prefill.go
@@ -16,7 +16,7 @@
 )
 
 func (e *Engine) prefill(w http.ResponseWriter, r *http.Request) {
-	var o engine.PrefillOrder
+	var o engine.PrefillRequest
 	if !serve.Read(w, r, &o) {
 		return
 	}
@@ -46,7 +46,7 @@
 }
 
 // fillCache computes what no cached prefix covers.
-func (e *Engine) fillCache(ctx context.Context, m *memory, run *Run, o engine.PrefillOrder) error {
+func (e *Engine) fillCache(ctx context.Context, m *memory, run *Run, o engine.PrefillRequest) error {
 	if err := m.lane.take(ctx, o.Priority); err != nil {
 		return err
 	}
--- a/feed/feed.go
+++ b/feed/feed.go
@@ -189,8 +189,8 @@
 	Name   string
 	Source Source[T]
 	Log    hclog.Logger
-	// Wait is how long a watch waits; zero means DefaultWatchTimeout.
-	Wait time.Duration
+	// WatchTimeout is how long a watch waits; zero means DefaultWatchTimeout.
+	WatchTimeout time.Duration
 	// StaleStart makes the first list a stale one. When every process of a fleet starts
 	// at the same moment, all of them list all upstreams in many pages, and the source
 	// limits the calls per second of all processes together. Stale pages do not count
@@ -290,7 +290,7 @@
 		f.OnList(now, all.items)
 		return nil
 	}
-	wait := f.Wait
+	wait := f.WatchTimeout
 	if wait <= 0 {
 		wait = DefaultWatchTimeout
 	}
--- a/feed/feed_test.go
+++ b/feed/feed_test.go
@@ -125,7 +125,7 @@
 	t.Helper()
 	h := feedEvents{make(chan []feed.Item[string], 8), make(chan []feed.Change[string], 8), make(chan time.Time, 8), make(chan time.Time, 8)}
 	f := &feed.Feed[string]{
-		Name: "test", Source: s, Log: hclog.NewNullLogger(), Wait: time.Minute,
+		Name: "test", Source: s, Log: hclog.NewNullLogger(), WatchTimeout: time.Minute,
 		OnList:       func(_ time.Time, all []feed.Item[string]) { h.listed <- all },
 		OnChange:     func(_ time.Time, changes []feed.Change[string]) { h.changed <- changes },
 		OnDisconnect: func(now time.Time) { h.lost <- now },
@@ -192,7 +192,7 @@
 	}
 	listed, changed := make(chan int, 8), make(chan string, 8)
 	f := &feed.Feed[string]{
-		Name: "test", Source: s, Log: hclog.NewNullLogger(), Wait: time.Hour, StaleStart: true,
+		Name: "test", Source: s, Log: hclog.NewNullLogger(), WatchTimeout: time.Hour, StaleStart: true,
 		OnList: func(_ time.Time, all []feed.Item[string]) { listed <- len(all) },
 		OnChange: func(_ time.Time, changes []feed.Change[string]) {
 			for _, c := range changes {
@@ -220,7 +220,7 @@
 	s := &source{revision: 9, names: []string{"a", "b", "c", "d", "e"}, changed: make(chan struct{}, 1), pageSize: 1}
 	listed := make(chan int, 1)
 	f := &feed.Feed[string]{
-		Name: "test", Source: s, Log: hclog.NewNullLogger(), Wait: time.Hour,
+		Name: "test", Source: s, Log: hclog.NewNullLogger(), WatchTimeout: time.Hour,
 		OnList: func(_ time.Time, all []feed.Item[string]) { listed <- len(all) },
 	}
 	ended := make(chan error, 1)
--- a/feed/rate_limit_test.go
+++ b/feed/rate_limit_test.go
@@ -63,7 +63,7 @@
 		began := time.Now()
 		for range feeds {
 			f := &feed.Feed[string]{
-				Name: "test", Source: source, Log: hclog.NewNullLogger(), Wait: 10 * time.Second,
+				Name: "test", Source: source, Log: hclog.NewNullLogger(), WatchTimeout: 10 * time.Second,
 				OnList: func(now time.Time, _ []feed.Item[string]) { listed <- now },
 			}
 			go func() { ended <- f.Run(ctx) }()
--- a/feed/watch_test.go
+++ b/feed/watch_test.go
@@ -70,7 +70,7 @@
 		s := &slowSource{version: 1, versionTime: 300 * time.Millisecond}
 		newest := make(chan string, 100)
 		f := &feed.Feed[string]{
-			Name: "configuration", Source: s, Log: hclog.NewNullLogger(), Wait: 2 * time.Second,
+			Name: "configuration", Source: s, Log: hclog.NewNullLogger(), WatchTimeout: 2 * time.Second,
 			OnList:   func(_ time.Time, all []feed.Item[string]) { newest <- all[0].Value },
 			OnChange: func(_ time.Time, changes []feed.Change[string]) { newest <- changes[len(changes)-1].Value },
 		}
@@ -103,7 +103,7 @@
 		s := &source{revision: 1, changed: make(chan struct{}, 1)}
 		batches := make(chan int, 100)
 		f := &feed.Feed[string]{
-			Name: "upstreams", Source: s, Log: hclog.NewNullLogger(), Wait: time.Minute,
+			Name: "upstreams", Source: s, Log: hclog.NewNullLogger(), WatchTimeout: time.Minute,
 			OnList:   func(time.Time, []feed.Item[string]) {},
 			OnChange: func(_ time.Time, changes []feed.Change[string]) { batches <- len(changes) },
 		}
--- a/infra/http_weights.go
+++ b/infra/http_weights.go
@@ -33,7 +33,7 @@
 	client send.Client
 }
 
-var _ Weights = (*HTTPWeights)(nil)
+var _ WeightStore = (*HTTPWeights)(nil)
 
 // Info returns the rate limit of the store in bytes per second, and the size of the
 // model's weights in bytes.
--- a/infra/infra.go
+++ b/infra/infra.go
@@ -91,8 +91,8 @@
 	Hosts(ctx context.Context) ([]ListedHost, error)
 }
 
-// Weights is the weight store from which engines load models; it is rate-limited.
-type Weights interface {
+// WeightStore is the weight store from which engines load models; it is rate-limited.
+type WeightStore interface {
 	// Info returns the rate limit of the store in bytes per second, and the size of
 	// the model's weights in bytes.
 	Info(ctx context.Context, model domain.Service) (bytesPerSecond, size int64, err error)
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -136,7 +136,7 @@
 
 func (p *process) run(ctx context.Context) {
 	f := feed.Feed[int]{
-		Name: "numbers", Log: hclog.NewNullLogger(), Wait: 10 * time.Second,
+		Name: "numbers", Log: hclog.NewNullLogger(), WatchTimeout: 10 * time.Second,
 		Source: Source[int]{Name: "numbers", Origin: p.source, Replica: &p.replica, Fleet: &p.fleet, Log: hclog.NewNullLogger()},
 		OnList: func(_ time.Time, all []feed.Item[int]) {
 			for _, i := range all {
--- a/relay/spread_test.go
+++ b/relay/spread_test.go
@@ -117,7 +117,7 @@
 			source.Origin = nonRelaySource{s}
 		}
 		f := feed.Feed[int]{
-			Name: "numbers", Log: hclog.NewNullLogger(), Wait: 10 * time.Second, Source: source,
+			Name: "numbers", Log: hclog.NewNullLogger(), WatchTimeout: 10 * time.Second, Source: source,
 			OnList: func(_ time.Time, all []feed.Item[int]) {
 				for _, i := range all {
 					p.seen.Store(max(p.seen.Load(), uint64(i.Revision)))
--- a/side/deliver.go
+++ b/side/deliver.go
@@ -25,7 +25,7 @@
 		sendsByHost[m.To.Host] = append(sendsByHost[m.To.Host], func(ctx context.Context) error { return s.sendRestore(ctx, m) })
 	}
 	for _, m := range outbox.Handovers {
-		sendsByHost[m.To.Host] = append(sendsByHost[m.To.Host], func(ctx context.Context) error { return s.sendHandover(ctx, m) })
+		sendsByHost[m.Heir.Host] = append(sendsByHost[m.Heir.Host], func(ctx context.Context) error { return s.sendHandover(ctx, m) })
 	}
 	if len(sendsByHost) == 0 {
 		return
@@ -118,12 +118,12 @@
 // it, the handover stays pending.
 func (s *Side) sendHandover(ctx context.Context, handover claim.Handover) error {
 	accepted := false
-	if err := s.callMember(ctx, handover.To.Host, wire.MethodHandover, handover, &accepted); err != nil {
+	if err := s.callMember(ctx, handover.Heir.Host, wire.MethodHandover, handover, &accepted); err != nil {
 		return err
 	}
 	if !accepted {
 		return nil
 	}
-	s.Log.Info("shard handed over", "shard", handover.Shard, "to", handover.To.Host, "epoch", handover.Epoch.String(), "keys", len(handover.Entries))
+	s.Log.Info("shard handed over", "shard", handover.Shard, "to", handover.Heir.Host, "epoch", handover.Epoch.String(), "keys", len(handover.Entries))
 	return s.claims.ledger.Delivered(handover.Shard)
 }
--- a/side/operator_orders.go
+++ b/side/operator_orders.go
@@ -89,7 +89,7 @@
 	}
 	callCtx, cancel := context.WithTimeout(ctx, engineOrderTimeout)
 	defer cancel()
-	err = s.Model.Give(callCtx, engine.Order{Kind: o.Kind, Value: o.Value, Fence: uint64(token)})
+	err = s.Model.SendOrder(callCtx, engine.Order{Kind: o.Kind, Value: o.Value, Fence: uint64(token)})
 	overrun := keeper.Complete(token)
 	switch {
 	case errors.Is(err, engine.ErrFenced), errors.Is(err, engine.ErrNotStarted):
--- a/side/order_table.go
+++ b/side/order_table.go
@@ -253,7 +253,7 @@
 		if o.state != orderEnded || now.Sub(o.endedAt) < stateLag {
 			return true
 		}
-		if kv := o.outcome.KV; kv != nil && now.Sub(o.endedAt) < kv.Life {
+		if kv := o.outcome.KV; kv != nil && now.Sub(o.endedAt) < kv.TTL {
 			return true
 		}
 	}
--- a/side/order_table_test.go
+++ b/side/order_table_test.go
@@ -17,7 +17,7 @@
 	return wire.Run{
 		AttemptRef: wire.AttemptRef{Request: domain.RequestID(fmt.Sprintf("entry-1.7.%d", number)), Attempt: 1, Stage: stage},
 		Identity:   retry.Identity(fmt.Sprintf("identity-%d", number)),
-		Prefill:    &engine.PrefillOrder{PromptTokens: 100},
+		Prefill:    &engine.PrefillRequest{PromptTokens: 100},
 	}
 }
 
--- a/side/run.go
+++ b/side/run.go
@@ -71,7 +71,7 @@
 		s.undelivered.add(r.Request)
 	}
 	s.recordEvent(o, trace.Event{
-		Kind: trace.AttemptEnded, Tokens: o.outcome.Tokens, Ran: o.outcome.Ran, Reason: outcome.Reason, Detail: outcome.Detail,
+		Kind: trace.AttemptEnded, Tokens: o.outcome.Tokens, Execution: o.outcome.Ran, Reason: outcome.Reason, Detail: outcome.Detail,
 	})
 	s.Log.Info("ended", "request", r.Request, "attempt", r.Attempt, "stage", r.Stage,
 		"ran", o.outcome.Ran, "reason", outcome.Reason, "tokens", o.outcome.Tokens)
--- a/side/upstream_work.go
+++ b/side/upstream_work.go
@@ -30,7 +30,7 @@
 		return wire.Outcome{Ran: domain.NotRun, Reason: domain.ReasonNoClaim, Detail: err.Error()}
 	}
 	outcome := s.runOnUpstream(ctx, o)
-	if _, err := s.claims.ledger.Settle(dispatch.Token.Key, dispatch.Try, claimState(o.run, outcome), time.Now()); err != nil {
+	if _, err := s.claims.ledger.Settle(dispatch.Token.Key, dispatch.Attempt, claimState(o.run, outcome), time.Now()); err != nil {
 		s.Log.Error("claim not settled", "request", o.run.Request, "err", err)
 	}
 	return outcome
--- a/table/holder.go
+++ b/table/holder.go
@@ -10,8 +10,8 @@
 // table and is ready to use. It is safe for concurrent use; reads of the table
 // and of its age take no lock.
 type Holder struct {
-	// Now is the clock used for Since; default time.Now.
-	Now func() time.Time
+	// Clock is the clock used for Since; default time.Now.
+	Clock func() time.Time
 
 	mu        sync.Mutex // guards changed, and all writes of current and confirmed
 	changed   chan struct{}
@@ -139,10 +139,10 @@
 }
 
 func (h *Holder) now() time.Time {
-	if h.Now == nil {
+	if h.Clock == nil {
 		return time.Now()
 	}
-	return h.Now()
+	return h.Clock()
 }
 
 func (h *Holder) notifyChanged() {
--- a/table/holder_test.go
+++ b/table/holder_test.go
@@ -25,7 +25,7 @@
 // was sent before the edit arrives after it. The holder keeps the higher version.
 func TestHolderIgnoresLowerVersion(t *testing.T) {
 	now := start
-	h := Holder{Now: func() time.Time { return now }}
+	h := Holder{Clock: func() time.Time { return now }}
 	require.True(t, h.Update(sampleTable().WithVersion(8), start))
 	now = start.Add(time.Second)
 	require.False(t, h.Update(sampleTable().WithVersion(7), start.Add(time.Second)))
@@ -70,7 +70,7 @@
 // it was made: the host had used the start time of the watch that returned it.
 func TestSinceIsTheTimeOfTheUpdate(t *testing.T) {
 	made := start.Add(20 * time.Second)
-	h := Holder{Now: func() time.Time { return made }}
+	h := Holder{Clock: func() time.Time { return made }}
 	h.Update(sampleTable(), start)
 	require.Equal(t, made, h.Since())
 	age, _ := h.ConfirmationAge(made)
--- a/test/operator.go
+++ b/test/operator.go
@@ -230,8 +230,8 @@
 	if want := o["state"]; want != "" && string(a.State) != want {
 		return errors.Errorf("state is %s, not %s: %+v", a.State, want, a)
 	}
-	if want := o["ran"]; want != "" && string(a.Ran) != want {
-		return errors.Errorf("ran is %s, not %s: %+v", a.Ran, want, a)
+	if want := o["ran"]; want != "" && string(a.Execution) != want {
+		return errors.Errorf("ran is %s, not %s: %+v", a.Execution, want, a)
 	}
 	for _, kind := range words(o["events"]) {
 		found := false
--- a/test/path/departures.go
+++ b/test/path/departures.go
@@ -36,7 +36,7 @@
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		var o engine.DecodeOrder
+		var o engine.DecodeRequest
 		_ = json.Unmarshal(body, &o) // the engine refuses what cannot be read
 		r.Body = io.NopCloser(bytes.NewReader(body))
 		h.ServeHTTP(&noting{ResponseWriter: w, note: func() { d.note(o.Request) }}, r)
--- a/test/path/tokens.go
+++ b/test/path/tokens.go
@@ -102,11 +102,11 @@
 	}
 	r := drive.ClosedLoop(ctx, a.Streams, a.Streams, func(ctx context.Context) error {
 		id := domain.RequestID(fmt.Sprintf("direct.%d", <-numbers))
-		kv, err := prefill.Prefill(ctx, engine.PrefillOrder{Request: id, Attempt: 1, Prompt: "pedigree", PromptTokens: 8})
+		kv, err := prefill.Prefill(ctx, engine.PrefillRequest{Request: id, Attempt: 1, Prompt: "pedigree", PromptTokens: 8})
 		if err != nil {
 			return err
 		}
-		o := engine.DecodeOrder{Request: id, Attempt: 1, KV: kv, MaxTokens: a.Tokens}
+		o := engine.DecodeRequest{Request: id, Attempt: 1, KV: kv, MaxTokens: a.Tokens}
 		return decode.Decode(ctx, o, func(t engine.Token) error { return took.add(e.left.since(id, t.Offset)) })
 	})
 	return took.times, errors.Wrap(r.First, "direct streams")
--- a/test/slopes/claims.go
+++ b/test/slopes/claims.go
@@ -133,8 +133,8 @@
 		}
 		request := domain.RequestID(fmt.Sprintf("entry-1.4242424242424242.%d", i))
 		_, err := b.Claim(claim.Request{
-			Key: claim.Key{Account: "sales-house", Name: fmt.Sprintf("0192f0c1-2b1e-7c3d-8e4f-%012d", i)},
-			Try: claim.AttemptID{Request: request, Attempt: 1}, Body: claim.Body(i), Runner: runner.Process(),
+			Key:     claim.Key{Account: "sales-house", Name: fmt.Sprintf("0192f0c1-2b1e-7c3d-8e4f-%012d", i)},
+			Attempt: claim.AttemptID{Request: request, Attempt: 1}, Body: claim.BodyHash(i), Runner: runner.Process(),
 		}, now)
 		if err == nil {
 			granted++
--- a/test/slopes/requests.go
+++ b/test/slopes/requests.go
@@ -195,7 +195,7 @@
 		return err
 	}
 	objects := infra.HTTPObjects{Base: platform.Address}
-	names, err := objects.List(ctx, trace.Prefix)
+	names, err := objects.List(ctx, trace.SegmentPrefix)
 	if err != nil {
 		return err
 	}
@@ -211,7 +211,7 @@
 			return err
 		}
 		found, _ := trace.Unpack(o.Value)
-		if !strings.HasPrefix(name, trace.Prefix+"entry-") {
+		if !strings.HasPrefix(name, trace.SegmentPrefix+"entry-") {
 			sides += len(found)
 			continue
 		}
--- a/test/steps_test.go
+++ b/test/steps_test.go
@@ -116,7 +116,7 @@
 		v := w.calls[name].look()
 		switch {
 		case v.whole && v.status == 200,
-			v.problem.Reason == domain.ReasonAnswered, v.problem.Reason == domain.ReasonKeyUnknown:
+			v.problem.Reason == domain.ReasonAlreadyRan, v.problem.Reason == domain.ReasonMayHaveRun:
 			return nil
 		}
 		pause(w.ctx, 200*time.Millisecond)
--- a/trace/event.go
+++ b/trace/event.go
@@ -85,8 +85,8 @@
 	// Tokens is the number of prompt tokens on Accepted and PrefillDone, of reserved
 	// tokens on Reserved, and of output tokens on ends.
 	Tokens int `json:"tokens,omitempty"`
-	// Ran is set on AttemptEnded, Answered and Refused.
-	Ran domain.Execution `json:"ran,omitempty"`
+	// Execution is set on AttemptEnded, Answered and Refused.
+	Execution domain.Execution `json:"ran,omitempty"`
 	// Reason is set on Refused, and on AttemptEnded if the attempt failed.
 	Reason domain.Reason `json:"reason,omitempty"`
 	// Detail is one sentence for a person. It must not contain prompts, bodies or
@@ -112,8 +112,8 @@
 		f.Add(location+" request_id", "%v", err)
 	}
 	needsRan := e.Terminal() || e.Kind == AttemptEnded
-	if needsRan && e.Ran != domain.NotRun && e.Ran != domain.DidRun && e.Ran != domain.Unknown {
-		f.Add(location+" ran", "is not not_run, ran or unknown: %.40q", string(e.Ran))
+	if needsRan && e.Execution != domain.NotRun && e.Execution != domain.DidRun && e.Execution != domain.Unknown {
+		f.Add(location+" ran", "is not not_run, ran or unknown: %.40q", string(e.Execution))
 	}
 	if e.Kind == Refused && e.Reason == "" {
 		f.Add(location+" reason", "is missing")
@@ -133,8 +133,8 @@
 	if e.Tokens != 0 {
 		appendField("tokens=%d", e.Tokens)
 	}
-	if e.Ran != "" {
-		appendField("ran=%s", e.Ran)
+	if e.Execution != "" {
+		appendField("ran=%s", e.Execution)
 	}
 	if e.Reason != "" {
 		appendField("reason=%s", e.Reason)
--- a/trace/merge.go
+++ b/trace/merge.go
@@ -28,9 +28,9 @@
 type Trace struct {
 	Request domain.RequestID `json:"request_id"`
 	State   State            `json:"state"`
-	// Ran is what the caller was told or, if the entry's end is missing, what the spans
+	// Execution is what the caller was told or, if the entry's end is missing, what the spans
 	// of the sides prove.
-	Ran domain.Execution `json:"ran"`
+	Execution domain.Execution `json:"ran"`
 	// Reason is set if the request was refused.
 	Reason domain.Reason `json:"reason,omitempty"`
 	// Events are the events of all spans in causal order: by attempt, then by time.
@@ -45,7 +45,7 @@
 // Merge merges the spans of a request into one trace. It ignores spans of other
 // requests and duplicate events. The order of the spans does not matter.
 func Merge(id domain.RequestID, spans ...Span) Trace {
-	t := Trace{Request: id, State: StateLost, Ran: domain.Unknown}
+	t := Trace{Request: id, State: StateLost, Execution: domain.Unknown}
 	m := merger{trace: &t, seen: make(map[string]bool), openHosts: make(map[domain.Host]bool)}
 	for _, s := range spans {
 		if s.Request == id {
@@ -172,10 +172,10 @@
 	for _, e := range t.Events {
 		switch {
 		case e.Kind == Answered:
-			t.State, t.Ran = StateAnswered, e.Ran
+			t.State, t.Execution = StateAnswered, e.Execution
 			return
 		case e.Kind == Refused:
-			t.State, t.Ran, t.Reason = StateRefused, e.Ran, e.Reason
+			t.State, t.Execution, t.Reason = StateRefused, e.Execution, e.Reason
 			return
 		}
 	}
@@ -183,7 +183,7 @@
 		t.State = StateOpen
 	}
 	if e, ran := t.evidence(); ran {
-		t.Ran = domain.DidRun
+		t.Execution = domain.DidRun
 		m.addMissingIf(t.State == StateLost, "the end: %s at %s proves that the request ran", e.Kind, e.Host)
 	}
 }
@@ -191,7 +191,7 @@
 // evidence returns an event that proves that the request ran.
 func (t *Trace) evidence() (Event, bool) {
 	for _, e := range t.Events {
-		ranAttempt := e.Kind == AttemptEnded && e.Ran == domain.DidRun
+		ranAttempt := e.Kind == AttemptEnded && e.Execution == domain.DidRun
 		if ranAttempt || e.Kind == PrefillDone || e.Kind == FirstToken {
 			return e, true
 		}
@@ -289,13 +289,13 @@
 	t := m.trace
 	location := string(t.Request)
 	evidence, ran := t.evidence()
-	if t.State == StateRefused && t.Ran == domain.NotRun && ran {
+	if t.State == StateRefused && t.Execution == domain.NotRun && ran {
 		m.addFinding(check.Finding{Location: location, Problem: fmt.Sprintf("refused as not_run, but %s has %s", evidence.Host, evidence)})
 	}
 	runs := make(map[domain.Attempt]bool)
 	idempotent := true
 	for _, e := range t.Events {
-		if e.Kind == AttemptEnded && e.Ran == domain.DidRun {
+		if e.Kind == AttemptEnded && e.Execution == domain.DidRun {
 			runs[e.Attempt] = true
 		}
 		if e.Kind == Accepted {
--- a/trace/segment_name.go
+++ b/trace/segment_name.go
@@ -12,8 +12,8 @@
 	"jacinthworks/domain"
 )
 
-// Prefix is the prefix of all segment names.
-const Prefix = "stories/"
+// SegmentPrefix is the prefix of all segment names.
+const SegmentPrefix = "stories/"
 
 // MaxRanges bounds the number of entry incarnations whose requests one segment contains,
 // so that names stay below about 600 bytes. A side that serves more entries writes more
@@ -50,7 +50,7 @@
 // stories/<host>.<incarnation>/<seq>~<unix seconds>~<entry>.<incarnation>.<first>-<last>[~...]
 func (n SegmentName) String() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%s%s.%d/%d~%d", Prefix, n.Host, n.Incarnation, n.Seq, n.Written.Unix())
+	fmt.Fprintf(&b, "%s%s.%d/%d~%d", SegmentPrefix, n.Host, n.Incarnation, n.Seq, n.Written.Unix())
 	for _, g := range n.Ranges {
 		fmt.Fprintf(&b, "~%s.%d.%d-%d", g.Entry, g.Incarnation, g.First, g.Last)
 	}
@@ -59,7 +59,7 @@
 
 // ParseSegmentName parses the output of SegmentName.String.
 func ParseSegmentName(s string) (SegmentName, error) {
-	rest, ok := strings.CutPrefix(s, Prefix)
+	rest, ok := strings.CutPrefix(s, SegmentPrefix)
 	owner, file, found := strings.Cut(rest, "/")
 	parts := strings.Split(file, "~")
 	if !ok || !found || len(parts) < 3 || len(parts) > 2+MaxRanges {
@@ -110,7 +110,7 @@
 // EntryPrefix returns the name prefix of the segments that the entry of the request has
 // written. Segments of sides are found only by listing all names with Prefix.
 func EntryPrefix(d ID) string {
-	return fmt.Sprintf("%s%s.%d/", Prefix, d.Entry, d.Incarnation)
+	return fmt.Sprintf("%s%s.%d/", SegmentPrefix, d.Entry, d.Incarnation)
 }
 
 // FindSegments returns the listed names of segments that may contain the request: the
--- a/trace/text.go
+++ b/trace/text.go
@@ -14,7 +14,7 @@
 // what is missing and the findings.
 func (t Trace) WriteText(w io.Writer) error {
 	var b bytes.Buffer
-	fmt.Fprintf(&b, "request %s: %s, ran: %s", t.Request, t.State, t.Ran)
+	fmt.Fprintf(&b, "request %s: %s, ran: %s", t.Request, t.State, t.Execution)
 	if t.Reason != "" {
 		fmt.Fprintf(&b, ", reason: %s", t.Reason)
 	}
--- a/trace/trace_test.go
+++ b/trace/trace_test.go
@@ -38,7 +38,7 @@
 	started := ev(AttemptStarted, 3, "entry-1", 1)
 	started.Upstream, started.Decode = "side-4", "side-7"
 	answered := ev(Answered, 60, "entry-1", 0)
-	answered.Ran, answered.Tokens = domain.DidRun, 40
+	answered.Execution, answered.Tokens = domain.DidRun, 40
 	entry = []Event{accepted, ev(Queued, 1, "entry-1", 0), decided, started, answered}
 	for _, s := range []struct {
 		events *[]Event
@@ -49,7 +49,7 @@
 		first := ev(AttemptStarted, s.from, s.host, 1)
 		first.Caller, first.Service, first.RequestKind = owner.Caller, owner.Service, owner.RequestKind
 		last := ev(AttemptEnded, s.from+50, s.host, 1)
-		last.Ran = domain.DidRun
+		last.Execution = domain.DidRun
 		*s.events = []Event{ev(Reserved, s.from, s.host, 1), first, ev(s.middle, s.from+20, s.host, 1), last}
 	}
 	return entry, prefill, decode
@@ -75,7 +75,7 @@
 	var r Recorder
 	entry, _, _ := appraisal(1)
 	recordAll(&r, entry)
-	r.Record(Event{Kind: Refused, Time: at(65), Host: "entry-1", Request: entry[0].Request, Ran: domain.Unknown, Reason: domain.ReasonLost})
+	r.Record(Event{Kind: Refused, Time: at(65), Host: "entry-1", Request: entry[0].Request, Execution: domain.Unknown, Reason: domain.ReasonLost})
 	s, ok := r.Get(entry[0].Request)
 	require.True(t, ok)
 	end, _ := s.End()
@@ -103,7 +103,7 @@
 			if _, held := r.Get(id); known && !held && k == Accepted {
 				continue // a duplicate id is detected only while its span is in memory
 			}
-			r.Record(Event{Kind: k, Time: at(i * 9), Host: "e", Request: id, Ran: domain.NotRun})
+			r.Record(Event{Kind: k, Time: at(i * 9), Host: "e", Request: id, Execution: domain.NotRun})
 			if k == Accepted && !known || naive[id] == Accepted && (k == Answered || k == Refused) {
 				naive[id] = k
 			}
@@ -190,7 +190,7 @@
 
 	lost := Merge(id, newSpan(SideSpan, prefill), newSpan(SideSpan, decode))
 	require.Equal(t, StateLost, lost.State)
-	require.Equal(t, domain.DidRun, lost.Ran)
+	require.Equal(t, domain.DidRun, lost.Execution)
 	require.Contains(t, strings.Join(lost.Missing, "\n"), "entry entry-1.3 was lost before it wrote")
 
 	entryCutOff := Merge(id, newSpan(EntrySpan, entry[:4]), newSpan(SideSpan, prefill))
@@ -201,7 +201,7 @@
 	require.Contains(t, strings.Join(decodeLost.Missing, "\n"), "side side-7: lost after first_token")
 
 	none := Merge(id)
-	require.Equal(t, domain.Unknown, none.Ran)
+	require.Equal(t, domain.Unknown, none.Execution)
 	require.Contains(t, none.Missing[0], "no event")
 
 	var b bytes.Buffer
@@ -215,7 +215,7 @@
 func TestMergeFindsContradictionsOfRuns(t *testing.T) {
 	entry, prefill, _ := appraisal(5)
 	end := &entry[len(entry)-1]
-	end.Kind, end.Ran, end.Reason = Refused, domain.NotRun, domain.ReasonLost
+	end.Kind, end.Execution, end.Reason = Refused, domain.NotRun, domain.ReasonLost
 	a := Merge(entry[0].Request, newSpan(EntrySpan, entry), newSpan(SideSpan, prefill))
 	require.Len(t, a.Findings, 1)
 	require.Contains(t, a.Findings[0].Problem, "refused as not_run")
--- a/wire/order.go
+++ b/wire/order.go
@@ -81,10 +81,10 @@
 	// Within is the time left for this stage.
 	Within time.Duration `json:"within"`
 	// Tokens is the KV memory needed in the end.
-	Tokens  int                  `json:"tokens,omitempty"`
-	Prefill *engine.PrefillOrder `json:"prefill,omitempty"`
-	Decode  *engine.DecodeOrder  `json:"decode,omitempty"`
-	Call    *engine.Call         `json:"call,omitempty"`
+	Tokens  int                    `json:"tokens,omitempty"`
+	Prefill *engine.PrefillRequest `json:"prefill,omitempty"`
+	Decode  *engine.DecodeRequest  `json:"decode,omitempty"`
+	Call    *engine.Call           `json:"call,omitempty"`
 	// Dispatch is the claim under which keyed work may be handed to the
 	// upstream; nil for work without a key.
 	Dispatch *claim.Dispatch `json:"dispatch,omitempty"`
