--- a/wire/codec.go
+++ b/wire/codec.go
@@ -10,19 +10,19 @@
 	"github.com/pkg/errors"
 )
 
-// mostKept bounds the buffer that a connection keeps between messages: calls
-// and heartbeats fit, a long prompt's buffer is let go.
-const mostKept = 64 << 10
+// maxRetainedBuffer bounds, in bytes, the read buffer that a connection keeps between
+// messages. Calls and heartbeats fit into it; a larger buffer, grown for a long prompt, is
+// released.
+const maxRetainedBuffer = 64 << 10
 
-// codec puts messages on the wire as jsonrpc2.VarintObjectCodec does, each
-// behind its length. It calls a message's own JSON methods in place of
-// encoding/json, which would go over their text once more to check and
-// compact it: a message passes through one goroutine per connection and
-// direction, so that its cost bounds what a connection carries. One codec
-// belongs to one connection, whose reads come from one goroutine.
+// codec writes each message behind its length, in the format of jsonrpc2.VarintObjectCodec. It
+// calls a message's own JSON methods instead of encoding/json, which would scan their output
+// once more to validate and compact it: all messages of a connection in one direction pass
+// through one goroutine, so the cost per message bounds the connection's throughput. A codec
+// belongs to one connection and must be read from one goroutine only.
 type codec struct{ text bytes.Buffer }
 
-// WriteObject writes one message.
+// WriteObject writes one message, preceded by its length.
 func (c *codec) WriteObject(to io.Writer, message any) error {
 	text, err := encode(message)
 	if err != nil {
@@ -37,19 +37,19 @@
 	return err
 }
 
-// ReadObject reads the next message. The buffer grows with what arrives and
-// not by the length that the other end announced.
+// ReadObject reads the next message. The buffer grows with the bytes received, not by the
+// length that the remote end announced.
 func (c *codec) ReadObject(from *bufio.Reader, message any) error {
 	n, err := binary.ReadUvarint(from)
 	if err != nil {
 		return err
 	}
 	c.text.Reset()
-	if c.text.Cap() > mostKept {
+	if c.text.Cap() > maxRetainedBuffer {
 		c.text = bytes.Buffer{}
 	}
 	if _, err := io.CopyN(&c.text, from, int64(n)); err != nil {
-		return errors.Wrap(err, "wire: message cut short")
+		return errors.Wrap(err, "wire: read message body")
 	}
 	return decode(c.text.Bytes(), message)
 }
--- a/wire/codec_test.go
+++ b/wire/codec_test.go
@@ -23,8 +23,9 @@
 	"jacinthworks/group"
 )
 
-// Processes of two releases talk to each other while one is rolled out.
-func TestCodecIsTheLibrarysOnTheWire(t *testing.T) {
+// Processes of two releases exchange messages during a rolling update, so the format must stay
+// that of the jsonrpc2 library.
+func TestCodecInteroperatesWithVarintObjectCodec(t *testing.T) {
 	params := json.RawMessage(`{"have":7,"text":"a < b \u2028"}`)
 	sent := &jsonrpc2.Request{Method: MethodTable, Params: &params, ID: jsonrpc2.ID{Num: 4}}
 	var ours, theirs bytes.Buffer
@@ -41,12 +42,11 @@
 	}
 }
 
-// What a message holds must not change when the next is read into the same
-// buffer.
-func TestCodecKeepsMessagesApart(t *testing.T) {
+// A decoded message must not change when the next message is read into the same buffer.
+func TestCodecDecodedMessagesSurviveLaterReads(t *testing.T) {
 	var line bytes.Buffer
 	var c codec
-	for _, text := range []string{strings.Repeat("a", mostKept), "bbbb", "cc"} {
+	for _, text := range []string{strings.Repeat("a", maxRetainedBuffer), "bbbb", "cc"} {
 		params, err := json.Marshal(text)
 		require.NoError(t, err)
 		raw := json.RawMessage(params)
@@ -57,16 +57,16 @@
 	for i := range all {
 		require.NoError(t, c.ReadObject(from, &all[i]))
 	}
-	require.Len(t, *all[0].Params, mostKept+2)
+	require.Len(t, *all[0].Params, maxRetainedBuffer+2)
 	require.Equal(t, `"bbbb"`, string(*all[1].Params))
 	require.Equal(t, `"cc"`, string(*all[2].Params))
 	require.ErrorIs(t, c.ReadObject(from, &all[0]), io.EOF)
 }
 
-// The failure: a connection breaks in mid-message, or the other end announces
-// a length that never comes. It must end in an error and take no more memory
-// than what arrived.
-func TestCodecRefusesWhatIsCutShort(t *testing.T) {
+// Guards against a connection that breaks within a message and against an announced length
+// whose bytes never arrive: ReadObject must return an error and allocate no more memory than
+// the bytes received need.
+func TestCodecReturnsEOFForTruncatedMessage(t *testing.T) {
 	text := binary.AppendUvarint(nil, 1<<40)
 	text = append(text, `{"method":"m"`...)
 	var c codec
@@ -74,7 +74,7 @@
 	require.Less(t, c.text.Cap(), 4096)
 }
 
-// connect gives a link to a process that answers by handle, both in this one.
+// connect returns a link to a server in this process that answers calls with handle.
 func connect(t testing.TB, handle func(context.Context, *Peer, string, json.RawMessage) (any, error)) *Link {
 	ctx, cancel := context.WithCancel(context.Background())
 	var g group.Group
@@ -90,16 +90,16 @@
 	return l
 }
 
-// The failure: a message read into the buffer of another. It would show as a
-// caller's answer that holds part of somebody else's.
-func TestCallsAtOnceGetTheirOwnAnswers(t *testing.T) {
+// Guards against a message that is read into another message's buffer: a caller's answer would
+// contain part of another caller's answer.
+func TestConcurrentCallsReceiveTheirOwnReplies(t *testing.T) {
 	l := connect(t, func(_ context.Context, _ *Peer, _ string, params json.RawMessage) (any, error) {
 		return Decode(params, func(r AttemptRef) (any, error) { return Outcome{AttemptRef: r, Detail: string(r.Request)}, nil })
 	})
 	const workers, each = 8, 200
 	wrong := make(chan string, workers)
 	for w := range workers {
-		go func() { // its end is read below
+		go func() { // its result is received below
 			for n := range each {
 				r := AttemptRef{Request: domain.RequestID(strings.Repeat(strconv.Itoa(w), 1+n*7%900)), Attempt: domain.Attempt(n)}
 				var out Outcome
@@ -116,8 +116,8 @@
 	}
 }
 
-// BenchmarkCall gives one plain call's message there and its outcome back,
-// over loopback, both ends in this process.
+// BenchmarkCall measures one round trip over loopback: a call's message to the server and its
+// outcome back, both ends in this process.
 func BenchmarkCall(b *testing.B) {
 	answer := &engine.Response{Status: 200, Body: []byte(strings.Repeat("x", 300))}
 	l := connect(b, func(_ context.Context, _ *Peer, _ string, params json.RawMessage) (any, error) {
--- a/wire/heartbeat.go
+++ b/wire/heartbeat.go
@@ -5,46 +5,48 @@
 	"time"
 )
 
-// ReceivedHeartbeat is a heartbeat that arrived.
+// ReceivedHeartbeat is a heartbeat received from the remote end.
 type ReceivedHeartbeat struct {
 	Heartbeat
-	// NotBefore is a time on this process's clock no later than the heartbeat was
-	// made; zero while that is not known.
+	// NotBefore is a time on this process's clock that is no later than the creation of the
+	// heartbeat; zero if unknown.
 	//
-	// The failure: a process that was frozen finds heartbeats from before in
-	// its sockets. It shows as work sent by reports that are seconds old.
-	// Dating a heartbeat by its echo holds, since it was made after the other
-	// end had heard the echoed one.
+	// A process that was frozen finds old heartbeats in its socket buffers. Dated by their
+	// arrival, they would have work sent by load reports that are seconds old. The send time
+	// of the echoed heartbeat is a safe lower bound, because the remote end creates its
+	// heartbeat after it received the echoed one.
 	NotBefore time.Time
 }
 
-// sentKept is how many of its own heartbeats an end can date. At the default
-// rate they cover six seconds, beyond which a connection is long given up.
-const sentKept = 32
+// maxTrackedHeartbeats is the number of sent heartbeats whose send times are kept. At the
+// default interval they cover more than six seconds, by which time a connection without an
+// echo has been closed by its timeout.
+const maxTrackedHeartbeats = 32
 
-// sentBeats remembers when this end's heartbeats were sent. The zero value is
-// ready to use; its lock is a leaf.
-type sentBeats struct {
+// sentHeartbeats records when this end's heartbeats were sent. The zero value is ready to use;
+// mu is a leaf lock.
+type sentHeartbeats struct {
 	mu    sync.Mutex
 	count uint64
-	times [sentKept]time.Time
+	times [maxTrackedHeartbeats]time.Time
 }
 
-// next numbers the heartbeat that is about to be sent.
-func (s *sentBeats) next(now time.Time) uint64 {
+// record stores the send time of the next heartbeat and returns its number, which starts at 1.
+func (s *sentHeartbeats) record(now time.Time) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.count++
-	s.times[s.count%sentKept] = now
+	s.times[s.count%maxTrackedHeartbeats] = now
 	return s.count
 }
 
-// at gives when the numbered heartbeat was sent; zero if that is forgotten.
-func (s *sentBeats) at(number uint64) time.Time {
+// sentAt returns when the numbered heartbeat was sent, or zero if its send time is no longer
+// kept.
+func (s *sentHeartbeats) sentAt(number uint64) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if number == 0 || number > s.count || s.count-number >= sentKept {
+	if number == 0 || number > s.count || s.count-number >= maxTrackedHeartbeats {
 		return time.Time{}
 	}
-	return s.times[number%sentKept]
+	return s.times[number%maxTrackedHeartbeats]
 }
--- a/wire/link.go
+++ b/wire/link.go
@@ -13,41 +13,40 @@
 	"jacinthworks/group"
 )
 
-// Waits between dials. A lost connection is dialled again at once, so that a
-// silent one costs no more than its own discovery; only a dial that failed
-// makes the next one wait.
+// Delays between dials. A lost connection is redialed at once, so that an unresponsive
+// connection costs no more than the time to detect it; only a failed dial delays the next one.
 const (
-	redialFirst = 50 * time.Millisecond
-	redialMost  = 1 * time.Second
+	initialRedialDelay = 50 * time.Millisecond
+	maxRedialDelay     = 1 * time.Second
 )
 
-// Link keeps a connection to one process of ours, dialling again after every
-// loss. The zero value with Target and Local set is ready for Run.
+// Link maintains a connection to one process of the fleet and redials after every loss. The
+// zero value with Target and Local set is ready for Run.
 type Link struct {
 	Target netip.AddrPort
 	Local  *Handlers
 	// TLS is nil for a plain connection.
 	TLS *tls.Config
 
-	peer   atomic.Pointer[Peer]
-	failed atomic.Int64
+	peer        atomic.Pointer[Peer]
+	failedDials atomic.Int64
 }
 
-// Run keeps the link until the context ends.
+// Run maintains the connection until the context ends. It returns nil.
 func (l *Link) Run(ctx context.Context) error {
-	wait := redialFirst
+	wait := initialRedialDelay
 	for ctx.Err() == nil {
 		p, err := l.dial(ctx)
 		if err != nil {
-			l.failed.Add(1)
+			l.failedDials.Add(1)
 			if !sleep(ctx, wait) {
 				break
 			}
-			wait = min(2*wait, redialMost)
+			wait = min(2*wait, maxRedialDelay)
 			continue
 		}
-		wait = redialFirst
-		l.failed.Store(0)
+		wait = initialRedialDelay
+		l.failedDials.Store(0)
 		l.peer.Store(p)
 		_ = p.run()
 		l.peer.CompareAndSwap(p, nil)
@@ -56,7 +55,7 @@
 }
 
 func (l *Link) dial(ctx context.Context) (*Peer, error) {
-	d := net.Dialer{Timeout: dialWithin}
+	d := net.Dialer{Timeout: dialTimeout}
 	c, err := d.DialContext(ctx, "tcp", l.Target.String())
 	if err != nil {
 		return nil, errors.Wrap(ErrNotSent, err.Error())
@@ -67,25 +66,27 @@
 	return newPeer(ctx, c, l.Local)
 }
 
-// Peer is the connection of the moment, or nil.
+// Peer returns the current connection, or nil if there is none.
 func (l *Link) Peer() *Peer { return l.peer.Load() }
 
-// FailedDials counts the dials that failed since one last succeeded. A
-// connection that went silent does not count: only a fresh dial that fails
-// speaks against the other process.
-func (l *Link) FailedDials() int { return int(l.failed.Load()) }
+// FailedDials returns the number of dials that failed since the last successful one. An
+// unresponsive connection does not count: only a new dial that fails shows that the remote
+// process is unreachable.
+func (l *Link) FailedDials() int { return int(l.failedDials.Load()) }
 
-// Call sends a call on the connection of the moment.
+// Call sends a call on the current connection and waits for its result; see Peer.Call for its
+// errors.
 func (l *Link) Call(ctx context.Context, method string, params, result any) error {
 	return l.Peer().Call(ctx, method, params, result)
 }
 
-// Serve accepts connections until the context ends and the last has closed.
+// Serve accepts connections until the context ends, and returns once all of them have closed.
+// It returns an error if the listener closed before the context ended.
 func Serve(ctx context.Context, ln net.Listener, l *Handlers) error {
 	var g group.Group
-	reaped := make(chan struct{})
-	go func() { // ends when the group is closed below
-		defer close(reaped)
+	exitsDone := make(chan struct{})
+	go func() { // ends once the group is closed below
+		defer close(exitsDone)
 		for range g.Exits() {
 		}
 	}()
@@ -105,14 +106,14 @@
 		})
 	}
 	g.Close()
-	<-reaped
+	<-exitsDone
 	if ctx.Err() == nil {
 		return errors.New("wire: listener closed")
 	}
 	return nil
 }
 
-// sleep waits for d and reports false if the context ended first.
+// sleep waits for d and reports whether it elapsed before the context ended.
 func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/wire/peer.go
+++ b/wire/peer.go
@@ -17,81 +17,82 @@
 	"jacinthworks/group"
 )
 
-// refusedCode is the JSON-RPC error code that carries a Refused as its data.
-const refusedCode = 1
+// refusalCode is the JSON-RPC error code that carries a RefusalError as its data.
+const refusalCode = 1
 
 const (
-	methodHello = "hello"
-	methodBeat  = "beat"
+	methodHello     = "hello"
+	methodHeartbeat = "beat"
 )
 
-// Handlers is what a process brings to each of its connections.
+// Handlers defines how a process acts on each of its connections.
 type Handlers struct {
-	// Hello introduces the process.
+	// Hello describes this process to the remote end.
 	Hello Hello
-	// Heartbeat gives the content of the next heartbeat; nil sends an empty one.
+	// Heartbeat returns the content of the next heartbeat; nil sends an empty one.
 	Heartbeat func() Heartbeat
-	// Handle answers calls, each on a goroutine of its own.
+	// Handle answers calls, each on its own goroutine.
 	Handle func(ctx context.Context, p *Peer, method string, params json.RawMessage) (any, error)
-	// HandleNotification takes notifications and heartbeats in the order of arrival. It
+	// HandleNotification receives notifications and heartbeats in the order of arrival. It
 	// must not block.
 	HandleNotification func(p *Peer, method string, params json.RawMessage)
-	// OnOpen and Closed are told of each connection whose hello was heard.
+	// OnOpen and OnClose are called for each connection whose hello was received.
 	OnOpen  func(p *Peer)
 	OnClose func(p *Peer)
-	// HeartbeatInterval and Silence time the heartbeats; zero takes the defaults.
+	// HeartbeatInterval is the time between heartbeats, HeartbeatTimeout the longest time
+	// without a received message before the connection is closed. Zero selects the defaults.
 	HeartbeatInterval time.Duration
 	HeartbeatTimeout  time.Duration
 }
 
-// Peer is one connection to another process of ours.
+// Peer is one connection to another process of the fleet.
 type Peer struct {
-	local   *Handlers
-	conn    *jsonrpc2.Conn
-	remote  Hello
-	beat    atomic.Pointer[ReceivedHeartbeat]
-	sent    sentBeats
-	heard   atomic.Int64
-	started time.Time
-	calls   group.Group
-	ctx     context.Context
-	cancel  context.CancelFunc
-	once    sync.Once
-	greeted chan struct{}
+	local         *Handlers
+	conn          *jsonrpc2.Conn
+	remote        Hello
+	lastHeartbeat atomic.Pointer[ReceivedHeartbeat]
+	sent          sentHeartbeats
+	lastReceived  atomic.Int64 // time of the last received message, in nanoseconds since started
+	started       time.Time
+	calls         group.Group
+	ctx           context.Context
+	cancel        context.CancelFunc
+	helloOnce     sync.Once
+	helloReceived chan struct{}
 }
 
-// newPeer runs the protocol on a fresh connection and returns once the other
-// side's hello was heard.
+// newPeer starts the protocol on a new connection and returns once the remote end's hello was
+// received.
 func newPeer(ctx context.Context, c net.Conn, l *Handlers) (*Peer, error) {
 	ctx, cancel := context.WithCancel(ctx)
-	p := &Peer{local: l, started: time.Now(), ctx: ctx, cancel: cancel, greeted: make(chan struct{})}
-	// The failure: the other end's host takes the connection and never speaks.
-	// It shows as a link that never dials again: under TLS already the first
-	// write waits for the other end. Closing ends both waits, here and below.
-	giveUp := time.AfterFunc(dialWithin, func() { _ = c.Close() })
-	defer giveUp.Stop()
+	p := &Peer{local: l, started: time.Now(), ctx: ctx, cancel: cancel, helloReceived: make(chan struct{})}
+	// A remote host that accepts the connection and never sends would block the link for good,
+	// and it would never redial; under TLS the first write already waits for the remote end.
+	// Closing the connection ends both that write and the wait for the hello below.
+	helloTimer := time.AfterFunc(dialTimeout, func() { _ = c.Close() })
+	defer helloTimer.Stop()
 	stream := jsonrpc2.NewBufferedStream(c, new(codec))
-	// The library's own lines about lost connections are left out: what a lost
-	// connection means is logged by whoever had work on it.
+	// The library's log lines about lost connections are discarded: whoever had work on a lost
+	// connection logs its consequences.
 	p.conn = jsonrpc2.NewConn(ctx, stream, p, jsonrpc2.SetLogger(log.New(io.Discard, "", 0)))
 	if err := p.conn.Notify(ctx, methodHello, l.Hello); err != nil {
 		p.Close()
-		return nil, errors.Wrap(err, "wire: hello")
+		return nil, errors.Wrap(err, "wire: send hello")
 	}
 	select {
-	case <-p.greeted:
+	case <-p.helloReceived:
 		return p, nil
 	case <-p.conn.DisconnectNotify():
 	case <-ctx.Done():
 	}
 	p.Close()
-	return nil, errors.Wrap(ErrNotSent, "no hello")
+	return nil, errors.Wrap(ErrNotSent, "no hello received")
 }
 
-// run keeps the heartbeat until the connection ends.
+// run sends heartbeats until the connection ends, and returns why it ended.
 func (p *Peer) run() error {
 	ends := make(chan struct{})
-	go func() { // ends with the calls of this connection, read below
+	go func() { // ends with the calls of this connection; awaited below
 		defer close(ends)
 		for range p.calls.Exits() {
 		}
@@ -99,7 +100,7 @@
 	if p.local.OnOpen != nil {
 		p.local.OnOpen(p)
 	}
-	err := p.keepBeating()
+	err := p.sendHeartbeats()
 	p.Close()
 	if p.local.OnClose != nil {
 		p.local.OnClose(p)
@@ -109,18 +110,17 @@
 	return err
 }
 
-// keepBeating sends heartbeats and gives the connection up when the other end
-// has been silent for too long. The failure: something between the two ends
-// has lost track of the connection. It shows as a connection that neither
-// errs nor delivers. Counting what was heard on this very connection holds,
-// since no other connection's health speaks for this one.
-func (p *Peer) keepBeating() error {
-	every, silence := p.local.HeartbeatInterval, p.local.HeartbeatTimeout
+// sendHeartbeats sends heartbeats, and returns an error when the remote end has sent nothing
+// within the timeout. This detects a connection that some device between the two ends has
+// dropped, which neither fails nor delivers. Only messages received on this very connection
+// count, since the health of another connection proves nothing about this one.
+func (p *Peer) sendHeartbeats() error {
+	every, timeout := p.local.HeartbeatInterval, p.local.HeartbeatTimeout
 	if every == 0 {
 		every = DefaultHeartbeatInterval
 	}
-	if silence == 0 {
-		silence = DefaultHeartbeatTimeout
+	if timeout == 0 {
+		timeout = DefaultHeartbeatTimeout
 	}
 	t := time.NewTicker(every)
 	defer t.Stop()
@@ -129,7 +129,7 @@
 	for {
 		if !sending {
 			sending = true
-			go func() { sent <- p.Notify(methodBeat, p.nextBeat()) }() // its end is read below
+			go func() { sent <- p.Notify(methodHeartbeat, p.nextHeartbeat()) }() // its result is received below
 		}
 		select {
 		case <-p.conn.DisconnectNotify():
@@ -142,66 +142,65 @@
 		case err := <-sent:
 			sending = false
 			if err != nil {
-				return errors.Wrap(err, "wire: heartbeat")
+				return errors.Wrap(err, "wire: send heartbeat")
 			}
-		default: // still in the socket: the other end takes nothing
+		default: // the previous heartbeat is still being written: the remote end does not read
 		}
-		if p.IdleTime() > silence {
-			return errors.Wrap(ErrNoReply, "connection silent")
+		if p.IdleTime() > timeout {
+			return errors.Wrap(ErrNoReply, "no message received within the heartbeat timeout")
 		}
 	}
 }
 
-func (p *Peer) nextBeat() Heartbeat {
+func (p *Peer) nextHeartbeat() Heartbeat {
 	var b Heartbeat
 	if p.local.Heartbeat != nil {
 		b = p.local.Heartbeat()
 	}
-	b.Number = p.sent.next(time.Now())
-	if last := p.beat.Load(); last != nil {
+	b.Number = p.sent.record(time.Now())
+	if last := p.lastHeartbeat.Load(); last != nil {
 		b.Echo = last.Number
 	}
 	return b
 }
 
-// Handle takes one message off the connection; it is called by jsonrpc2 in
-// the order of arrival.
+// Handle processes one received message. jsonrpc2 calls it in the order of arrival.
 func (p *Peer) Handle(_ context.Context, _ *jsonrpc2.Conn, r *jsonrpc2.Request) {
-	p.heard.Store(int64(time.Since(p.started)))
+	p.lastReceived.Store(int64(time.Since(p.started)))
 	params := json.RawMessage("null")
 	if r.Params != nil {
 		params = *r.Params
 	}
 	if !r.Notif {
-		p.answer(r.ID, r.Method, params)
+		p.handleCall(r.ID, r.Method, params)
 		return
 	}
 	switch r.Method {
 	case methodHello:
-		p.once.Do(func() {
+		p.helloOnce.Do(func() {
 			if json.Unmarshal(params, &p.remote) == nil {
-				close(p.greeted)
+				close(p.helloReceived)
 			}
 		})
-	case methodBeat:
+	case methodHeartbeat:
 		var b Heartbeat
 		if json.Unmarshal(params, &b) != nil {
 			return
 		}
-		p.beat.Store(&ReceivedHeartbeat{Heartbeat: b, NotBefore: p.sent.at(b.Echo)})
-		p.notice(r.Method, params)
+		p.lastHeartbeat.Store(&ReceivedHeartbeat{Heartbeat: b, NotBefore: p.sent.sentAt(b.Echo)})
+		p.notifyHandler(r.Method, params)
 	default:
-		p.notice(r.Method, params)
+		p.notifyHandler(r.Method, params)
 	}
 }
 
-func (p *Peer) notice(method string, params json.RawMessage) {
+func (p *Peer) notifyHandler(method string, params json.RawMessage) {
 	if p.local.HandleNotification != nil {
 		p.local.HandleNotification(p, method, params)
 	}
 }
 
-func (p *Peer) answer(id jsonrpc2.ID, method string, params json.RawMessage) {
+func (p *Peer) handleCall(id jsonrpc2.ID, method string, params json.RawMessage) {
 	p.calls.Go(p.ctx, method, func(ctx context.Context) error {
 		result, err := p.local.Handle(ctx, p, method, params)
 		if err == nil {
@@ -209,21 +208,24 @@
 		}
 		var r *RefusalError
 		if !errors.As(err, &r) {
-			// The failure: the call was cancelled because this connection ends.
-			// It shows as a refusal of work that goes on. With no answer the
-			// other end takes the work up again.
+			// An error after the end of this connection's context may come from the
+			// cancellation alone, and a reply would tell the remote end that its work was
+			// refused although the work goes on. Without a reply the remote end resumes the
+			// work.
 			if ctx.Err() != nil {
 				return errors.WithStack(err)
 			}
 			r = &RefusalError{Reason: domain.ReasonUpstream, Ran: domain.Unknown, Detail: err.Error()}
 		}
-		e := &jsonrpc2.Error{Code: refusedCode, Message: string(r.Reason)}
+		e := &jsonrpc2.Error{Code: refusalCode, Message: string(r.Reason)}
 		e.SetError(r)
 		return p.conn.ReplyWithError(ctx, id, e)
 	})
 }
 
-// Call sends a call and waits for its result.
+// Call sends a call and waits for its result. It fails with a *RefusalError if the remote
+// process refused the call, with ErrNotSent on a nil Peer, with the context's error if the
+// context ended, and with ErrNoReply otherwise.
 func (p *Peer) Call(ctx context.Context, method string, params, result any) error {
 	if p == nil {
 		return ErrNotSent
@@ -232,7 +234,7 @@
 	var e *jsonrpc2.Error
 	if errors.As(err, &e) {
 		var r RefusalError
-		if e.Code == refusedCode && e.Data != nil && json.Unmarshal(*e.Data, &r) == nil {
+		if e.Code == refusalCode && e.Data != nil && json.Unmarshal(*e.Data, &r) == nil {
 			return &r
 		}
 		return errors.Wrap(ErrNoReply, e.Message)
@@ -246,38 +248,39 @@
 	return nil
 }
 
-// Notify sends a notification. No error does not mean that it arrived.
+// Notify sends a notification. A nil error does not mean that it was received.
 func (p *Peer) Notify(method string, params any) error {
 	return errors.WithStack(p.conn.Notify(p.ctx, method, params))
 }
 
-// RemoteHello is what the other process said of itself.
+// RemoteHello returns the hello of the remote process.
 func (p *Peer) RemoteHello() Hello { return p.remote }
 
-// LastHeartbeat is the last heartbeat heard; false before the first.
+// LastHeartbeat returns the last heartbeat received, and false before the first one.
 func (p *Peer) LastHeartbeat() (ReceivedHeartbeat, bool) {
-	h := p.beat.Load()
+	h := p.lastHeartbeat.Load()
 	if h == nil {
 		return ReceivedHeartbeat{}, false
 	}
 	return *h, true
 }
 
-// IdleTime is the time since anything was heard on this connection.
+// IdleTime returns the time since the last message was received on this connection.
 func (p *Peer) IdleTime() time.Duration {
-	return time.Since(p.started) - time.Duration(p.heard.Load())
+	return time.Since(p.started) - time.Duration(p.lastReceived.Load())
 }
 
-// Done is closed when the connection is.
+// Done returns a channel that is closed when the connection closes.
 func (p *Peer) Done() <-chan struct{} { return p.conn.DisconnectNotify() }
 
-// Close ends the connection. Calls in progress on it get ErrNoReply.
+// Close ends the connection. Calls in progress on it return ErrNoReply.
 func (p *Peer) Close() {
 	p.cancel()
 	_ = p.conn.Close()
 }
 
-// Decode reads a call's parameters into the type that next takes.
+// Decode decodes a call's parameters into a T and calls next with it. Parameters that cannot
+// be decoded are refused as bad input.
 func Decode[T any](params json.RawMessage, next func(T) (any, error)) (any, error) {
 	var v T
 	if err := json.Unmarshal(params, &v); err != nil {
--- a/wire/peer_test.go
+++ b/wire/peer_test.go
@@ -15,15 +15,14 @@
 	"jacinthworks/domain"
 )
 
-// pipe is an in-memory connection with room in its sockets, which can pause
-// its second end's reader or swallow what is sent to it. Its goroutines end
-// with the connections.
+// pipe is an in-memory connection with buffers, which can pause delivery to its second end or
+// discard what is sent to that end. Its goroutines end with the connections.
 type pipe struct {
 	paused, swallowed atomic.Bool
 	carriers          sync.WaitGroup
 }
 
-// open gives the two ends.
+// open returns the two ends.
 func (p *pipe) open() (a, b net.Conn) {
 	a, farA := net.Pipe()
 	farB, b := net.Pipe()
@@ -57,8 +56,8 @@
 	_ = to.Close()
 }
 
-// meet has both ends say hello.
-func meet(t *testing.T, p *pipe, a, b *Handlers) (left, right *Peer) {
+// openPeers exchanges the hellos of two ends over the pipe and returns both.
+func openPeers(t *testing.T, p *pipe, a, b *Handlers) (left, right *Peer) {
 	connA, connB := p.open()
 	t.Cleanup(p.carriers.Wait)
 	greeted := make(chan *Peer)
@@ -74,7 +73,7 @@
 	return left, <-greeted
 }
 
-// run keeps both ends beating, and gives how each end's run ended.
+// run runs the peers and returns a channel that receives the result of each run.
 func run(ends ...*Peer) chan error {
 	runs := make(chan error, len(ends))
 	for _, p := range ends {
@@ -83,7 +82,7 @@
 	return runs
 }
 
-// stop closes both ends and waits for their goroutines.
+// stop closes the given ends and waits for both runs.
 func stop(runs chan error, ends ...*Peer) {
 	for _, p := range ends {
 		p.Close()
@@ -92,35 +91,35 @@
 	<-runs
 }
 
-// await gives what the channel brings, on the clock of the test.
+// await returns the next value of the channel, or fails the test after a minute of the test's
+// clock.
 func await[T any](t *testing.T, ch <-chan T) (got T) {
 	select {
 	case got = <-ch:
 	case <-time.After(time.Minute):
-		require.FailNow(t, "nothing came within a minute")
+		require.FailNow(t, "no value received within a minute")
 	}
 	return got
 }
 
-// blocked answers no call until its connection ends.
+// blocked answers a call only when its connection ends.
 func blocked(ctx context.Context, _ *Peer, _ string, _ json.RawMessage) (any, error) {
 	<-ctx.Done()
 	return nil, ctx.Err()
 }
 
-// The story: a buyer waits for an enquiry that never ends. Something between
-// the two ends loses track of their connection while the call runs: it neither
-// errs nor delivers. The cause would be an end that believes in a connection
-// on which it hears nothing.
-func TestSilenceOfOneDirectionEndsTheConnection(t *testing.T) {
+// Guards against a call that never ends: a device between the two ends drops the connection
+// while the call runs, so the connection neither fails nor delivers. An end must not trust a
+// connection on which it receives nothing.
+func TestPeerFailsCallWhenNothingIsReceived(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var p pipe
-		left, right := meet(t, &p, &Handlers{}, &Handlers{Handle: blocked})
+		left, right := openPeers(t, &p, &Handlers{}, &Handlers{Handle: blocked})
 		runs := run(left, right)
 		called := make(chan error, 1)
 		go func() { called <- left.Call(t.Context(), "call", nil, nil) }()
 		time.Sleep(time.Minute)
-		require.Empty(t, runs, "a connection that is idle but heard is kept")
+		require.Empty(t, runs, "a connection that carries only heartbeats is kept open")
 
 		p.swallowed.Store(true)
 		lost := time.Now()
@@ -131,11 +130,10 @@
 	})
 }
 
-// The story: an inspector's note goes to a hall server that is full. The entry
-// was frozen; when it wakes, the reports of before its pause are still in its
-// sockets, and it takes them for new. The cause would be a heartbeat that is
-// dated by when it is read.
-func TestHeartbeatIsNeverDatedLaterThanItWasMade(t *testing.T) {
+// Guards against work that is sent to a full server by an old load report: an entry that was
+// frozen finds the reports from before its pause in its socket buffers, and would treat them
+// as current if a heartbeat were dated by its arrival.
+func TestHeartbeatNotBeforePrecedesCreationAfterPausedDelivery(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var made [256]time.Time
 		count, dated := 0, 0
@@ -149,11 +147,11 @@
 			require.False(t, b.NotBefore.After(made[b.Number]), "heartbeat %d", b.Number)
 			if !b.NotBefore.IsZero() {
 				dated++
-				require.Less(t, made[b.Number].Sub(b.NotBefore), DefaultHeartbeatTimeout, "dated too far back to be of use")
+				require.Less(t, made[b.Number].Sub(b.NotBefore), DefaultHeartbeatTimeout, "NotBefore is earlier than the heartbeat by more than the timeout")
 			}
 		}}
 		var p pipe
-		left, right := meet(t, &p, sender, reader)
+		left, right := openPeers(t, &p, sender, reader)
 		runs := run(left, right)
 		for _, pause := range []time.Duration{time.Second, 3 * time.Second, 10 * time.Second} {
 			p.paused.Store(true)
@@ -167,12 +165,12 @@
 	})
 }
 
-// Tokens are notifications: a climber's route card is garbled if they cross.
-func TestNotificationsKeepTheirOrder(t *testing.T) {
+// Tokens are sent as notifications: delivered out of order, they would garble an answer.
+func TestNotificationsArriveInSendOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var got []int
 		var p pipe
-		left, right := meet(t, &p, &Handlers{}, &Handlers{HandleNotification: func(_ *Peer, method string, params json.RawMessage) {
+		left, right := openPeers(t, &p, &Handlers{}, &Handlers{HandleNotification: func(_ *Peer, method string, params json.RawMessage) {
 			var n int
 			if method == MethodFrame && json.Unmarshal(params, &n) == nil {
 				got = append(got, n)
@@ -189,12 +187,13 @@
 	})
 }
 
-// Each way in which a call ends without a result says what is known of it.
-func TestWhatACallThatFailedSays(t *testing.T) {
+// A failed call must distinguish a refusal by the remote process, a lost connection and a call
+// that was never sent.
+func TestCallErrorDistinguishesRefusalLossAndNotSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		said := &RefusalError{Reason: domain.ReasonDraining, Ran: domain.NotRun, Detail: "stopping"}
 		var p pipe
-		left, right := meet(t, &p, &Handlers{}, &Handlers{
+		left, right := openPeers(t, &p, &Handlers{}, &Handlers{
 			Handle: func(ctx context.Context, p *Peer, method string, params json.RawMessage) (any, error) {
 				if method == "blocked" {
 					return blocked(ctx, p, method, params)
@@ -217,16 +216,16 @@
 	})
 }
 
-// The story: an enquiry ends in upstream_failed while its side still runs it.
-// The side hears nothing more on the connection and closes it; the entry, which
-// hears the side well, would take the call up again. The cause would be an end
-// that answers a call with "cancelled" because its own connection ends.
-func TestEndOfTheConnectionIsNoAnswer(t *testing.T) {
+// Guards against a request that ends in upstream_failed while its side still executes it: the
+// side receives nothing more on the connection and closes it, while the entry, which still
+// receives the side's messages, would resume the call. A side must not answer a call with
+// "cancelled" because its own connection ends.
+func TestCallCanceledByClosingConnectionSendsNoReply(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var p pipe
-		left, right := meet(t, &p, &Handlers{}, &Handlers{Handle: blocked})
+		left, right := openPeers(t, &p, &Handlers{}, &Handlers{Handle: blocked})
 		calls, end := context.WithCancel(t.Context())
-		right.ctx = calls // so that the handler is always faster than the close
+		right.ctx = calls // ends the handler before the connection closes
 		called := make(chan error, 1)
 		go func() { called <- left.Call(t.Context(), "call", nil, nil) }()
 		synctest.Wait()
@@ -240,10 +239,10 @@
 	})
 }
 
-// The story: a seller's appraisal finds no side although all are well. A dial
-// is taken by a host that is frozen, or by something between: it reads or does
-// not, and never speaks. The cause would be a link that waits for it for good.
-func TestPeerThatNeverSaysHelloIsDropped(t *testing.T) {
+// Guards against a side that stays without a connection although all processes are healthy: a
+// frozen host, or a device in between, accepts a dial and never sends, whether it reads or
+// not. The dialing end must give up.
+func TestNewPeerFailsWithoutHello(t *testing.T) {
 	for _, reads := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			c, far := net.Pipe()
@@ -259,21 +258,20 @@
 				ended <- err
 			}()
 			require.Error(t, await(t, ended))
-			require.LessOrEqual(t, time.Since(began), dialWithin)
+			require.LessOrEqual(t, time.Since(began), dialTimeout)
 		})
 	}
 }
 
-// The story: a buyer's enquiry is late because its stud's side was ejected. A
-// connection went silent while new ones to the same side work. The cause would
-// be a link that counts a lost connection as a side that cannot be reached.
-func TestLinkReplacesASilentConnection(t *testing.T) {
+// Guards against the ejection of a healthy side: one connection became unresponsive while new
+// ones to the same side work. A lost connection must not count as an unreachable side.
+func TestLinkRedialsUnresponsiveConnection(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	served := make(chan error, 2)
 	silent := &Handlers{HeartbeatInterval: time.Hour, HeartbeatTimeout: time.Hour, Handle: blocked}
 	healthy := &Handlers{HeartbeatInterval: 10 * time.Millisecond, HeartbeatTimeout: time.Hour}
-	go func() { // the first connection is silent after its first heartbeat
+	go func() { // the first connection sends nothing after its first heartbeat
 		for _, l := range []*Handlers{silent, healthy} {
 			c, err := ln.Accept()
 			if err != nil {
@@ -310,9 +308,8 @@
 	require.NoError(t, ln.Close())
 }
 
-// Only a fresh dial that fails speaks against a process, and one that succeeds
-// clears it.
-func TestFailedDialsCount(t *testing.T) {
+// Only a new dial that fails counts against a process, and a successful dial resets the count.
+func TestFailedDialsResetsAfterSuccessfulDial(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	target := ln.Addr().(*net.TCPAddr).AddrPort()
--- a/wire/tls.go
+++ b/wire/tls.go
@@ -8,45 +8,46 @@
 	"github.com/pkg/errors"
 )
 
-// FleetTLS gives the configuration for connections between processes of ours,
-// for either end: each shows its certificate, and accepts any that the
-// authority signed. Names are not checked: processes reach each other by IP
-// numbers that change with every replaced host, and any holder of a signed
-// certificate is one of ours.
+// FleetTLS returns the configuration, for either end, of connections intermediates processes of the
+// fleet: each presents its certificate, and accepts any certificate that the authority signed.
+// Names are not verified: processes reach each other by IP addresses, which change whenever a
+// host is replaced, and every holder of a signed certificate belongs to the fleet. It returns
+// an error if a file cannot be read or parsed.
 func FleetTLS(certFile, keyFile, caFile string) (*tls.Config, error) {
 	pair, err := tls.LoadX509KeyPair(certFile, keyFile)
 	if err != nil {
-		return nil, errors.Wrap(err, "wire: tls")
+		return nil, errors.Wrap(err, "wire: load certificate and key")
 	}
 	text, err := os.ReadFile(caFile)
 	if err != nil {
-		return nil, errors.Wrap(err, "wire: tls")
+		return nil, errors.Wrap(err, "wire: read CA file")
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(text) {
-		return nil, errors.Errorf("wire: tls: no certificate in %s", caFile)
+		return nil, errors.Errorf("wire: read CA file: no certificate in %s", caFile)
 	}
 	return &tls.Config{
 		Certificates: []tls.Certificate{pair},
 		ClientCAs:    pool,
 		ClientAuth:   tls.RequireAndVerifyClientCert,
 		MinVersion:   tls.VersionTLS13,
-		// The standard check is of a name; ours is of the signature alone.
+		// Replaces the standard verification, which includes the name, by one of the signature
+		// alone.
 		InsecureSkipVerify: true,
-		VerifyConnection:   func(s tls.ConnectionState) error { return signedBy(pool, s.PeerCertificates) },
+		VerifyConnection:   func(s tls.ConnectionState) error { return verifySignature(pool, s.PeerCertificates) },
 	}, nil
 }
 
-func signedBy(pool *x509.CertPool, chain []*x509.Certificate) error {
+func verifySignature(pool *x509.CertPool, chain []*x509.Certificate) error {
 	if len(chain) == 0 {
-		return errors.New("wire: tls: no certificate shown")
+		return errors.New("wire: verify peer certificate: none presented")
 	}
-	between := x509.NewCertPool()
+	intermediates := x509.NewCertPool()
 	for _, c := range chain[1:] {
-		between.AddCert(c)
+		intermediates.AddCert(c)
 	}
 	_, err := chain[0].Verify(x509.VerifyOptions{
-		Roots: pool, Intermediates: between, KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageAny},
+		Roots: pool, Intermediates: intermediates, KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageAny},
 	})
-	return errors.Wrap(err, "wire: tls")
+	return errors.Wrap(err, "wire: verify peer certificate")
 }
--- a/wire/tls_test.go
+++ b/wire/tls_test.go
@@ -20,7 +20,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// authority signs certificates for a test's fleet.
+// authority signs the certificates of a test's fleet.
 type authority struct {
 	dir  string
 	cert *x509.Certificate
@@ -46,8 +46,8 @@
 	require.NoError(t, os.WriteFile(filepath.Join(a.dir, name), text, 0o600))
 }
 
-// config signs a certificate and gives a process's configuration with it; it
-// accepts what the trusted authority signed.
+// config returns the configuration of a process whose certificate this authority signed, and
+// which accepts certificates that the trusted authority signed.
 func (a authority) config(t *testing.T, trusts authority) *tls.Config {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	require.NoError(t, err)
@@ -63,8 +63,8 @@
 	return config
 }
 
-// dialFleet starts a process behind TLS and dials it, giving the dialler's
-// result.
+// dialFleet starts a TLS server, dials it and makes one call, and returns the error of the
+// dial or the call.
 func dialFleet(t *testing.T, server, client *tls.Config) error {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -85,13 +85,13 @@
 	return err
 }
 
-// A process with a certificate of another authority, or none, must not be able
-// to give orders to a side, nor stand in for one: orders decide what runs.
-func TestOnlyTheFleetConnects(t *testing.T) {
+// A process with another authority's certificate, or without one, must neither send work to a
+// side nor impersonate one: the messages decide what runs.
+func TestFleetTLSAcceptsOnlyCertificatesOfTheAuthority(t *testing.T) {
 	ours, theirs := newAuthority(t), newAuthority(t)
 	member := ours.config(t, ours)
 	require.NoError(t, dialFleet(t, member, ours.config(t, ours)))
-	require.Error(t, dialFleet(t, member, theirs.config(t, ours)), "a stranger dials")
-	require.Error(t, dialFleet(t, theirs.config(t, ours), member), "a stranger listens")
-	require.Error(t, dialFleet(t, member, &tls.Config{InsecureSkipVerify: true}), "no certificate")
+	require.Error(t, dialFleet(t, member, theirs.config(t, ours)), "client certificate of another authority")
+	require.Error(t, dialFleet(t, theirs.config(t, ours), member), "server certificate of another authority")
+	require.Error(t, dialFleet(t, member, &tls.Config{InsecureSkipVerify: true}), "client without a certificate")
 }
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -1,19 +1,17 @@
-// Package wire is how the processes of jacinthworks talk to each other:
-// JSON-RPC 2.0 messages, each behind its length, over TCP. Calls and
-// notifications go both ways on one connection, and both ends send heartbeats
-// on it.
+// Package wire is the protocol between the processes of jacinthworks: JSON-RPC 2.0 messages,
+// each behind its length, over TCP. Calls and notifications go in both directions on one
+// connection, and both ends send heartbeats on it.
 //
 // # Usage
 //
 //	l := &wire.Link{Target: addr, Local: &local}
-//	g.Go(ctx, "link", l.Run) // dials, and dials again after every loss
+//	g.Go(ctx, "link", l.Run) // dials, and redials after every loss
 //	var out wire.Outcome
-//	err := l.Call(ctx, wire.MethodRun, order, &out)
+//	err := l.Call(ctx, wire.MethodRun, run, &out)
 //
-// A call ends in one of four ways: with a result; with a *Refused, which the
-// other process said itself; with ErrNotSent, when there was no connection to
-// send it on; or with ErrNoReply, when it may or may not have arrived. Only
-// the first three are knowledge.
+// A call ends in one of four ways: with a result; with a *RefusalError from the remote
+// process; with ErrNotSent if there was no connection to send it on; or with ErrNoReply if it
+// may or may not have been received. Only the first three establish what happened.
 package wire
 
 import (
@@ -24,38 +22,38 @@
 	"jacinthworks/domain"
 )
 
-// Defaults for zero settings. A silent connection is given up after three
-// missed heartbeats and a bit, so that the loss of an entry is noticed by its
-// sides in under a second; the rest of the two seconds that engine memory may
-// stay held is left to the attachment and to the cancel order.
+// Defaults for zero settings. An unresponsive connection is closed after more than three
+// missed heartbeats, so that the sides of a lost entry detect the loss in less than a second.
+// The rest of the two seconds for which engine memory may stay reserved is left for the
+// attempt to be attached again or cancelled.
 const (
 	DefaultHeartbeatInterval = 200 * time.Millisecond
 	DefaultHeartbeatTimeout  = 800 * time.Millisecond
-	dialWithin               = 500 * time.Millisecond
+	dialTimeout              = 500 * time.Millisecond
 )
 
-// The errors of a call that the other process did not answer.
+// Errors of a call without a reply from the remote process.
 var (
-	// ErrNotSent says that the call was never sent.
-	ErrNotSent = errors.New("wire: not sent")
-	// ErrNoReply says that the call may have arrived and no answer came.
-	ErrNoReply = errors.New("wire: no answer")
+	// ErrNotSent means that the call was never sent.
+	ErrNotSent = errors.New("wire: call not sent")
+	// ErrNoReply means that the call may have been received, but no reply arrived.
+	ErrNoReply = errors.New("wire: no reply to the call")
 )
 
-// RefusalError is the other process's own refusal of a call.
+// RefusalError is the remote process's refusal of a call.
 type RefusalError struct {
 	Reason domain.Reason `json:"reason"`
-	// Ran is what the refusing process knows of the work.
+	// Ran reports whether the work ran, as far as the refusing process can tell.
 	Ran    domain.Execution `json:"ran"`
 	Detail string           `json:"detail,omitempty"`
 }
 
-// Error gives reason, account and detail.
+// Error returns the reason, whether the work ran, and the detail.
 func (r *RefusalError) Error() string {
 	return "wire: refused: " + string(r.Reason) + " (" + string(r.Ran) + ") " + r.Detail
 }
 
-// Hello is the first message each way on a connection.
+// Hello is the first message in each direction on a connection.
 type Hello struct {
 	Host        domain.Host        `json:"host"`
 	Zone        domain.Zone        `json:"zone"`
@@ -64,39 +62,40 @@
 	Service     domain.Service     `json:"service,omitempty"`
 }
 
-// Heartbeat is the heartbeat. It is sent both ways on every connection.
+// Heartbeat is the message that both ends of a connection send at each interval.
 type Heartbeat struct {
-	// Number counts the heartbeats of one end; Echo is the number of the last
-	// one heard from the other, so that each end can tell since when, on its
-	// own clock, the content is known to be true.
+	// Number is the heartbeat's sequence number at its sender. Echo is the number of the last
+	// heartbeat that the sender received, by which the receiver finds a time on its own clock
+	// from which the content is known to be valid.
 	Number uint64 `json:"number"`
 	Echo   uint64 `json:"echo"`
-	// Draining says that the sender takes no new work.
+	// Draining reports that the sender accepts no new work.
 	Draining bool `json:"draining,omitempty"`
-	// Load is a side's own exact account of its upstream.
+	// Load is the load of a side's upstream, as the side measured it; nil from other
+	// processes.
 	Load *Load `json:"load,omitempty"`
 }
 
-// Load is what a side knows of its upstream at the moment of a heartbeat.
+// Load is the state of a side's upstream at the time of a heartbeat.
 type Load struct {
-	// Running counts orders in progress; Slots how many decodes fit.
+	// Running is the number of attempts in progress, Slots the number of decodes that fit.
 	Running int `json:"running"`
 	Slots   int `json:"slots"`
-	// FreeSlots and FreeTokens are room that is not reserved.
+	// FreeSlots and FreeTokens are the unreserved decode slots and KV memory.
 	FreeSlots  int `json:"free_slots"`
 	FreeTokens int `json:"free_tokens"`
-	// QueuedTokens is prompt tokens accepted and not yet prefilled, Rate the
-	// measured speed of prefill in tokens a second.
+	// QueuedTokens is the number of prompt tokens accepted and not yet prefilled. Rate is the
+	// measured prefill speed in tokens per second.
 	QueuedTokens int     `json:"queued_tokens"`
 	Rate         float64 `json:"rate,omitempty"`
-	// GapBase and GapStep give the measured time between tokens: the base,
-	// and the step that each further decode in the batch adds.
+	// GapBase and GapStep describe the measured time between tokens: a base, and the increase
+	// for each further decode in the batch.
 	GapBase time.Duration `json:"gap_base,omitempty"`
 	GapStep time.Duration `json:"gap_step,omitempty"`
-	// LinkRate is the measured speed of KV imports in tokens a second.
+	// LinkRate is the measured speed of KV imports in tokens per second.
 	LinkRate float64 `json:"link_rate,omitempty"`
-	// Down says that the upstream does not answer its side.
+	// Down reports that the upstream does not answer its side.
 	Down bool `json:"down,omitempty"`
-	// Upstream is the upstream's incarnation.
+	// Upstream identifies the instance of the upstream.
 	Upstream domain.Incarnation `json:"upstream,omitempty"`
 }
