--- /dev/null
+++ b/wire/messages.go
@@ -0,0 +1,265 @@
+package wire
+
+import (
+	"encoding/json"
+	"time"
+
+	"jacinthworks/claim"
+	"jacinthworks/domain"
+	"jacinthworks/engine"
+	"jacinthworks/limit"
+	"jacinthworks/retry"
+)
+
+// Methods of the calls from an entry to a side.
+const (
+	// MethodReserve reserves room at a decode side: Reserve to ReserveReply.
+	MethodReserve = "reserve"
+	// MethodRun sends work to the side: Run to Outcome, preceded by Frame notifications.
+	MethodRun = "run"
+	// MethodAttach resumes an attempt that is already running: Attach to Outcome.
+	MethodAttach = "attach"
+	// MethodSettle asks how an attempt ended and, if it never arrived, makes the side refuse
+	// it from then on: AttemptRef to Outcome.
+	MethodSettle = "settle"
+	// MethodCancel ends an attempt and frees its room: AttemptRef to nothing.
+	MethodCancel = "cancel"
+	// MethodTrace requests what a process recorded of a request: TraceRequest to the trace's
+	// events as JSON.
+	MethodTrace = "story"
+	// MethodDrain makes a side refuse new work.
+	MethodDrain = "drain"
+)
+
+// MethodEvidence is the notification that carries a retry.Record, in both directions.
+const MethodEvidence = "evidence"
+
+// MethodFrame is the notification that carries tokens to the entry: Frame.
+const MethodFrame = "frame"
+
+// Stage is the part of a request that one side executes.
+type Stage string
+
+// Stages of a request. A model request runs prefill and decode; a request to an application
+// runs one call.
+const (
+	StagePrefill Stage = "prefill"
+	StageDecode  Stage = "decode"
+	StageCall    Stage = "call"
+)
+
+// AttemptRef identifies one attempt at one stage of a request.
+type AttemptRef struct {
+	Request domain.RequestID `json:"request"`
+	Attempt domain.Attempt   `json:"attempt"`
+	Stage   Stage            `json:"stage"`
+}
+
+// Reserve requests room at a decode side before prefill starts.
+type Reserve struct {
+	AttemptRef
+	// Tokens is the length of prompt and answer together, which is the KV memory needed at the
+	// end.
+	Tokens int `json:"tokens"`
+	// Hold is how long the reservation lasts; it then expires by itself.
+	Hold     time.Duration  `json:"hold"`
+	Identity retry.Identity `json:"identity"`
+}
+
+// ReserveReply is the side's unreserved room after a reservation.
+type ReserveReply struct {
+	FreeSlots  int `json:"free_slots"`
+	FreeTokens int `json:"free_tokens"`
+}
+
+// Run sends one stage of a request to a side. Exactly one of Prefill, Decode and Call is set,
+// depending on Stage.
+type Run struct {
+	AttemptRef
+	Account domain.Account `json:"account"`
+	Kind    domain.Kind    `json:"kind"`
+	// Identity identifies the caller's request independently of its request ID.
+	Identity retry.Identity `json:"identity"`
+	// Within is the time left for this stage.
+	Within time.Duration `json:"within"`
+	// Tokens is the KV memory, in tokens, needed when the answer is complete.
+	Tokens  int                    `json:"tokens,omitempty"`
+	Prefill *engine.PrefillRequest `json:"prefill,omitempty"`
+	Decode  *engine.DecodeRequest  `json:"decode,omitempty"`
+	Call    *engine.Call           `json:"call,omitempty"`
+	// Dispatch is the claim that allows work with an idempotency key to be sent to the
+	// upstream; nil for work without a key.
+	Dispatch *claim.Dispatch `json:"dispatch,omitempty"`
+	// Idempotent marks work whose key is freed if it ended without a complete answer.
+	Idempotent bool `json:"idempotent,omitempty"`
+}
+
+// Attach resumes an attempt after its connection was lost.
+type Attach struct {
+	AttemptRef
+	// From is the offset of the next token that the entry needs.
+	From int `json:"from"`
+}
+
+// Outcome is the result of a stage.
+type Outcome struct {
+	AttemptRef
+	// Ran reports whether the upstream started to execute the stage.
+	Ran domain.Execution `json:"ran"`
+	// Reason is why the stage failed; empty if it succeeded.
+	Reason domain.Reason `json:"reason,omitempty"`
+	Detail string        `json:"detail,omitempty"`
+	// Claim is set if the side refused the claim.
+	Claim *claim.Refusal `json:"claim,omitempty"`
+	// Tokens is the number of tokens of a complete answer.
+	Tokens int              `json:"tokens,omitempty"`
+	KV     *engine.KV       `json:"kv,omitempty"`
+	Answer *engine.Response `json:"answer,omitempty"`
+	// Death is set if the upstream crashed while it executed the stage.
+	Death *retry.Death `json:"death,omitempty"`
+}
+
+// Frame carries consecutive tokens of one attempt. The entry accepts a frame only if it
+// belongs to the current attempt and starts at the next offset, so that late frames of an
+// earlier attempt, gaps and overlaps never reach a caller.
+type Frame struct {
+	AttemptRef
+	// Offset is the position in the answer, from 0, of the first of Tokens.
+	Offset int      `json:"offset"`
+	Tokens []string `json:"tokens"`
+	// Last marks the end of a complete answer.
+	Last bool `json:"last,omitempty"`
+}
+
+// TraceRequest asks for what a process recorded of a request.
+type TraceRequest struct {
+	Request domain.RequestID `json:"request"`
+}
+
+// Methods of the calls between entries.
+const (
+	// MethodTable requests the operators' table: TableRequest to Table.
+	MethodTable = "table"
+	// MethodOffer pushes a newly written table: Table to Table.
+	MethodOffer = "offer"
+)
+
+// TableRequest asks for the table if it is newer than version Have.
+type TableRequest struct {
+	Have uint64 `json:"have"`
+}
+
+// Table is a version of the operators' table. Value is its stored form, empty if the requester
+// already has that version.
+type Table struct {
+	Version uint64          `json:"version"`
+	Value   json.RawMessage `json:"value,omitempty"`
+}
+
+// MethodRate asks the owner of a caller's rate limit whether the caller may send one more
+// request: RateRequest to RateReply.
+const MethodRate = "rate"
+
+// RateRequest asks for one request of a caller under the rate limit of a row of the table.
+type RateRequest struct {
+	Of limit.Key `json:"of"`
+	// Rate is the limit of that row, in requests per second.
+	Rate float64 `json:"rate"`
+	// Standby reports that the addressed entry is not the caller's primary owner.
+	Standby bool `json:"standby,omitempty"`
+}
+
+// RateReply is the decision. If the request is not granted, Wait is the time until one may be.
+type RateReply struct {
+	Granted bool          `json:"granted"`
+	Wait    time.Duration `json:"wait,omitempty"`
+}
+
+// MethodState requests an entry's state: nothing to State.
+const MethodState = "state"
+
+// State is an entry's report of its own state.
+type State struct {
+	Host     domain.Host `json:"host"`
+	Zone     domain.Zone `json:"zone"`
+	Version  uint64      `json:"table_version"`
+	Since    time.Time   `json:"in_force_since"`
+	Draining bool        `json:"draining,omitempty"`
+	// Stale reports that the entry receives table confirmations from no source and therefore
+	// accepts no new work.
+	Stale    bool `json:"stale,omitempty"`
+	InFlight int  `json:"in_flight"`
+}
+
+// MethodMembers requests a service's member record from an entry: MembersRequest to
+// member.Record.
+const MethodMembers = "members"
+
+// MembersRequest asks for a service's member record; Have is the version that the requester
+// already has.
+type MembersRequest struct {
+	Service domain.Service `json:"service"`
+	Have    uint64         `json:"have"`
+}
+
+// Methods of the calls, and of the notification, that claim requests with an idempotency key.
+// Their messages are those of package claim.
+const (
+	// MethodClaim asks the owner of a shard: claim.Request to ClaimReply.
+	MethodClaim = "claim"
+	// MethodResolve reports to the owner how an attempt ended: claim.Resolution.
+	MethodResolve = "resolve"
+	// MethodAsk asks the runner of an attempt: claim.StatusRequest to claim.Resolution.
+	MethodAsk = "ask"
+	// MethodFence, MethodRestore and MethodHandover are called between sides.
+	MethodFence    = "fence"
+	MethodRestore  = "restore"
+	MethodHandover = "handover"
+	// MethodOwned is a side's notification of the shards that it owns: Owned.
+	MethodOwned = "owned"
+)
+
+// ClaimReply answers a claim; exactly one of its fields is set.
+type ClaimReply struct {
+	Grant   *claim.Grant   `json:"grant,omitempty"`
+	Refusal *claim.Refusal `json:"refusal,omitempty"`
+}
+
+// FenceReply answers a fence call; exactly one of its fields is set.
+type FenceReply struct {
+	Reply   *claim.FenceReply `json:"reply,omitempty"`
+	Refusal *claim.Refusal    `json:"refusal,omitempty"`
+}
+
+// Owned is the complete list of the shards that a side owns.
+type Owned struct {
+	Service domain.Service    `json:"service"`
+	Shards  []claim.Ownership `json:"shards"`
+}
+
+// MethodCache is a side's notification of its engine's cache events: Cache.
+const MethodCache = "cache"
+
+// Cache carries cache events in the order of their numbers.
+type Cache struct {
+	Events []engine.CacheEvent `json:"events"`
+}
+
+// MethodOrder forwards an operator's order for an engine to the engine's side: Order to
+// OrderReply.
+const MethodOrder = "order"
+
+// Order is an operator's order to load a model or an adapter.
+type Order struct {
+	Kind  engine.OrderKind `json:"kind"`
+	Value string           `json:"value"`
+	// By is the name of the operator, for the log.
+	By string `json:"by"`
+	// Within bounds the time that the order may wait for its lease.
+	Within time.Duration `json:"within"`
+}
+
+// OrderReply reports that the engine accepted the order, with the fencing token used.
+type OrderReply struct {
+	Fence uint64 `json:"fence"`
+}
