--- a/load/arrivals.go
+++ b/load/arrivals.go
@@ -7,60 +7,67 @@
 	"time"
 )
 
-// arrival is one request of the plan.
+// arrival is one planned request.
 type arrival struct {
 	number int
-	// after is the time from the start of the run.
-	after time.Duration
-	work  *RequestClass
-	// honours says that the caller returns when Retry-After says.
-	honours bool
+	// offset is the planned send time, counted from the start of the run.
+	offset time.Duration
+	class  *RequestClass
+	// honoursRetryAfter reports whether the caller retries a refused request
+	// after the delay in its Retry-After header.
+	honoursRetryAfter bool
 }
 
-// arrivals gives the requests of a plan in order, the same for the same seed.
-type arrivals struct {
+// arrivalSequence generates the arrivals of a plan in order of their offset. The
+// same plan with the same seed generates the same arrivals.
+type arrivalSequence struct {
 	plan   Plan
 	random *rand.Rand
 	number int
-	after  time.Duration
+	offset time.Duration
 }
 
-func newArrivals(p Plan) *arrivals {
-	const stream = 0x10ad // tells this use of the seed from others
-	return &arrivals{plan: p, random: rand.New(rand.NewPCG(p.Seed, stream))}
+func newArrivalSequence(p Plan) *arrivalSequence {
+	const stream = 0x10ad // separates these random numbers from other generators with the same seed
+	return &arrivalSequence{plan: p, random: rand.New(rand.NewPCG(p.Seed, stream))}
 }
 
-func (a *arrivals) next() (arrival, bool) {
-	a.after += time.Duration(a.random.ExpFloat64() / a.plan.Rate * float64(time.Second))
-	if a.number >= a.plan.Count || a.after > a.plan.Duration {
+// next returns the next arrival, and false once the plan's count or duration is
+// reached. The time between arrivals is exponentially distributed.
+func (a *arrivalSequence) next() (arrival, bool) {
+	a.offset += time.Duration(a.random.ExpFloat64() / a.plan.Rate * float64(time.Second))
+	if a.number >= a.plan.Count || a.offset > a.plan.Duration {
 		return arrival{}, false
 	}
 	a.number++
 	return arrival{
-		number: a.number, after: a.after, work: a.pick(), honours: a.random.Float64() < a.plan.RetryShare,
+		number: a.number, offset: a.offset, class: a.pickClass(), honoursRetryAfter: a.random.Float64() < a.plan.RetryShare,
 	}, true
 }
 
-func (a *arrivals) pick() *RequestClass {
+// pickClass draws a request class in proportion to the weights of the classes.
+func (a *arrivalSequence) pickClass() *RequestClass {
 	total := 0.0
-	for _, w := range a.plan.Classes {
-		total += w.Weight
+	for _, c := range a.plan.Classes {
+		total += c.Weight
 	}
-	left := a.random.Float64() * total
+	remaining := a.random.Float64() * total
 	for i := range a.plan.Classes {
-		if left -= a.plan.Classes[i].Weight; left < 0 {
+		if remaining -= a.plan.Classes[i].Weight; remaining < 0 {
 			return &a.plan.Classes[i]
 		}
 	}
 	return &a.plan.Classes[len(a.plan.Classes)-1]
 }
 
-// prompt gives a prompt of the arrival's size that no other has.
+// prompt returns a prompt of the class's length. It begins with the seed and the
+// arrival's number, so that no two arrivals have the same prompt.
 func (a arrival) prompt(seed uint64) string {
 	const bytesPerToken = 4
-	head := fmt.Sprintf("load %d %d ", seed, a.number)
-	return head + strings.Repeat("x", max(a.work.PromptTokens*bytesPerToken-len(head), 0))
+	prefix := fmt.Sprintf("load %d %d ", seed, a.number)
+	return prefix + strings.Repeat("x", max(a.class.PromptTokens*bytesPerToken-len(prefix), 0))
 }
 
-// key gives the arrival's Idempotency-Key, the same for each of its sends.
+// key returns the arrival's Idempotency-Key, which is the same for all its
+// attempts.
 func (a arrival) key(seed uint64) string { return fmt.Sprintf("load-%d-%d", seed, a.number) }
--- a/load/load.go
+++ b/load/load.go
@@ -1,22 +1,24 @@
-// Package load is an open-loop load client: requests arrive by a Poisson
-// process with a fixed seed, whether or not earlier ones have ended, so that a
-// slow system does not slow its own load. It measures what callers receive.
+// Package load is an open-loop load generator. Requests arrive by a Poisson
+// process with a fixed seed, whether or not earlier requests have ended, so that
+// a slow system does not reduce the load on itself. The report holds what
+// callers receive.
 //
 // # Usage
 //
 //	p := load.Plan{
 //		Entries: []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:7301")},
 //		Token:   token, Rate: 50, Count: 1000, Duration: time.Minute,
-//		Work: []load.RequestClass{{Share: 1, Service: "appraiser-lm", Kind: "appraisal", PromptTokens: 800, MaxTokens: 64}},
+//		Classes: []load.RequestClass{{Weight: 1, Service: "appraiser-lm", Kind: "appraisal", PromptTokens: 800, MaxTokens: 64}},
 //	}
 //	report, err := load.Run(ctx, p)
 //	err = report.Write(os.Stdout) // tab-separated: metric value
 //
-// A request is good when its whole answer came with its time to first token
-// and the mean time between its tokens within both targets; a plain call has
-// only the first. Times count from the planned arrival, returns included;
-// client_lag says how late the client itself sent, for want of a finer timer or
-// of processor time. Smaller differences than that it does not show.
+// A request is good when it was answered completely and both its time to first
+// token and the mean time between its tokens are within their targets; a plain
+// call has only the first target. Latencies count from the planned arrival and
+// include retries. client_lag is the delay between the planned arrival and the
+// actual send, caused by timer resolution or lack of processor time in the
+// client; differences in latency smaller than client_lag are not significant.
 package load
 
 import (
@@ -30,54 +32,60 @@
 	"jacinthworks/send"
 )
 
-// The bounds of a Plan that sets none.
+// Defaults for the bounds that a Plan leaves at zero, and the most times that one
+// request is retried.
 const (
 	DefaultMaxInFlight = 2000
 	DefaultGrace       = 30 * time.Second
-	maxReturns         = 3
+	maxRetries         = 3
 )
 
-// RequestClass is one sort of request in the mix.
+// RequestClass describes one class of requests in the mix.
 type RequestClass struct {
-	// Weight of the requests, against the shares of the others.
+	// Weight is the relative frequency of the class: its part of all requests is
+	// Weight divided by the sum of the weights of all classes.
 	Weight  float64
 	Service domain.Service
 	Kind    domain.Kind
-	// PromptTokens and MaxTokens size a completion, each prompt token being
-	// four bytes. MaxTokens zero makes it a plain call.
+	// PromptTokens and MaxTokens are the size of a completion request; a prompt
+	// token is four bytes. MaxTokens zero makes the request a plain call.
 	PromptTokens, MaxTokens int
-	// Method and Path are those of a plain call to the service.
+	// Method and Path are the HTTP method and path of a plain call to the service.
 	Method, Path string
-	// FirstToken and TokenGap are the targets; zero is none.
+	// FirstToken and TokenGap are the targets for the time to first token and for
+	// the mean time between tokens; zero means no target.
 	FirstToken, TokenGap time.Duration
 }
 
-// Plan says what load to make, bounded in count and time.
+// Plan describes the load to generate. It is bounded in count and time.
 type Plan struct {
-	// Entries take the requests in turn.
+	// Entries are the addresses of the entries, which receive the requests in
+	// turn.
 	Entries []netip.AddrPort
 	// Token is the caller's bearer token.
 	Token   string
 	Classes []RequestClass
-	// Rate is arrivals a second.
+	// Rate is the mean number of arrivals per second.
 	Rate float64
-	// Count and Duration bound the arrivals; the first to be reached ends
-	// them. Both are needed.
+	// Count and Duration bound the arrivals: arrivals end at the first bound
+	// reached. Both are required.
 	Count    int
 	Duration time.Duration
-	// Grace is how long requests in flight may go on after the last arrival.
+	// Grace is added to Duration: requests in flight are cancelled once both have
+	// passed.
 	Grace time.Duration
-	// MaxInFlight bounds requests at once; an arrival over it is counted, not
-	// sent.
+	// MaxInFlight bounds the concurrent requests; an arrival above the bound is
+	// counted but not sent.
 	MaxInFlight int
-	// Seed fixes arrivals, mix and prompts.
+	// Seed determines arrival times, classes and prompts.
 	Seed uint64
-	// RetryShare is the share of refused callers that return when Retry-After
-	// says; the others do not return.
+	// RetryShare is the fraction of callers, from 0 to 1, that retry a refused
+	// request after the delay in its Retry-After header; the other callers never
+	// retry.
 	RetryShare float64
 }
 
-// Check gives what is wrong with the plan.
+// Check returns an error that lists all problems of the plan, or nil.
 func (p *Plan) Check() error {
 	var f check.Findings
 	if len(p.Entries) == 0 {
@@ -96,8 +104,8 @@
 		f.Add("honour", "is not between 0 and 1: %g", p.RetryShare)
 	}
 	total := 0.0
-	for _, w := range p.Classes {
-		total += w.Weight
+	for _, c := range p.Classes {
+		total += c.Weight
 	}
 	if total <= 0 {
 		f.Add("work", "has no share above 0")
@@ -105,8 +113,9 @@
 	return f.Err()
 }
 
-// Run makes the load and reports it. It ends at the latest after Duration and
-// Grace; what is then in flight counts as given up.
+// Run generates the load and returns a report of it. It ends at the latest after
+// Duration plus Grace; requests still in flight at that time are cancelled and
+// reported as given up. It returns an error only for a plan that Check rejects.
 func Run(ctx context.Context, p Plan) (*Report, error) {
 	if err := p.Check(); err != nil {
 		return nil, err
@@ -124,45 +133,47 @@
 		r.entries = append(r.entries, &send.Client{Base: addr})
 	}
 	started := time.Now()
-	r.arrive(ctx, started)
-	r.report.took = time.Since(started)
+	r.sendAll(ctx, started)
+	r.report.elapsed = time.Since(started)
 	return r.report, nil
 }
 
+// runner is one run of a plan.
 type runner struct {
 	plan    Plan
 	entries []*send.Client
 	report  *Report
 }
 
-// arrive starts each request at its time and waits for the end of all.
-func (r *runner) arrive(ctx context.Context, started time.Time) {
+// sendAll starts each request at its planned time and returns once all requests
+// have ended.
+func (r *runner) sendAll(ctx context.Context, started time.Time) {
 	var g group.Group
-	arrivals := newArrivals(r.plan)
-	flying := 0
+	arrivals := newArrivalSequence(r.plan)
+	inFlight := 0
 	for a, ok := arrivals.next(); ok; a, ok = arrivals.next() {
-		due := time.NewTimer(time.Until(started.Add(a.after)))
+		timer := time.NewTimer(time.Until(started.Add(a.offset)))
 		for waiting := true; waiting; {
 			select {
 			case <-g.Exits():
-				flying--
-			case <-due.C:
+				inFlight--
+			case <-timer.C:
 				waiting = false
 			case <-ctx.Done():
-				due.Stop()
+				timer.Stop()
 				g.Wait()
 				return
 			}
 		}
-		r.report.arrived()
-		if flying >= r.plan.MaxInFlight {
-			r.report.skipped()
+		r.report.recordArrival()
+		if inFlight >= r.plan.MaxInFlight {
+			r.report.recordSkipped()
 			continue
 		}
-		flying++
-		planned := started.Add(a.after)
+		inFlight++
+		planned := started.Add(a.offset)
 		g.Go(ctx, "request", func(ctx context.Context) error {
-			r.request(ctx, a, planned)
+			r.sendRequest(ctx, a, planned)
 			return nil
 		})
 	}
--- a/load/load_test.go
+++ b/load/load_test.go
@@ -18,12 +18,12 @@
 	"jacinthworks/domain"
 )
 
-func TestArrivalsAreThePlansAndTheSeeds(t *testing.T) {
+func TestArrivalsFollowThePlanAndRepeatWithTheSeed(t *testing.T) {
 	p := Plan{Rate: 100, Count: 2000, Duration: time.Hour, Seed: 7, RetryShare: 0.25, Classes: []RequestClass{
 		{Weight: 3, Kind: "appraisal", PromptTokens: 100}, {Weight: 1, Kind: "card"},
 	}}
 	all := func() (list []arrival) {
-		for a, n := newArrivals(p), 0; ; n++ {
+		for a, n := newArrivalSequence(p), 0; ; n++ {
 			next, ok := a.next()
 			if !ok {
 				return list
@@ -34,32 +34,33 @@
 	first := all()
 	require.Equal(t, first, all(), "the same seed gives the same arrivals")
 	require.Len(t, first, 2000)
-	cards, honours := 0, 0
+	cards, honouring := 0, 0
 	for _, a := range first {
-		if a.work.Kind == "card" {
+		if a.class.Kind == "card" {
 			cards++
 		}
-		if a.honours {
-			honours++
+		if a.honoursRetryAfter {
+			honouring++
 		}
 	}
 	require.InDelta(t, 500, cards, 80)
-	require.InDelta(t, 500, honours, 80)
-	require.InDelta(t, 20, first[1999].after.Seconds(), 2, "2000 arrivals at 100/s")
+	require.InDelta(t, 500, honouring, 80)
+	require.InDelta(t, 20, first[1999].offset.Seconds(), 2, "2000 arrivals at 100/s")
 	prompts := map[string]bool{}
 	for _, a := range first {
-		if a.work.Kind == "appraisal" {
+		if a.class.Kind == "appraisal" {
 			require.Len(t, a.prompt(7), 400, "100 tokens of four bytes")
 		}
 		prompts[a.prompt(7)] = true
 	}
-	require.Len(t, prompts, 2000, "no two prompts are alike")
+	require.Len(t, prompts, 2000, "all prompts are distinct")
 
 	p.Duration = 10 * time.Second
-	require.InDelta(t, 1000, len(all()), 120, "the time ends them too")
+	require.InDelta(t, 1000, len(all()), 120, "the duration bounds the arrivals as well as the count")
 }
 
-// entry answers as the router does: by kind.
+// entry stands in for an entry of the router. The Request-Kind header selects
+// how it answers.
 type entry struct {
 	mu   sync.Mutex
 	keys map[string]int
@@ -69,10 +70,10 @@
 	key := r.Header.Get("Idempotency-Key")
 	e.mu.Lock()
 	e.keys[key]++
-	sends := e.keys[key]
+	attempts := e.keys[key]
 	e.mu.Unlock()
 	switch kind := r.Header.Get("Request-Kind"); {
-	case kind == "refused", kind == "refused_once" && sends == 1:
+	case kind == "refused", kind == "refused_once" && attempts == 1:
 		w.Header().Set("Content-Type", "application/problem+json")
 		if kind == "refused_once" {
 			w.Header().Set("Retry-After", "1")
@@ -99,7 +100,7 @@
 	}
 }
 
-func TestReportCountsEachEnd(t *testing.T) {
+func TestReportCountsRequestsByOutcome(t *testing.T) {
 	e := &entry{keys: map[string]int{}}
 	s := httptest.NewServer(e)
 	defer s.Close()
@@ -121,20 +122,20 @@
 		clear(e.keys)
 		return values
 	}
-	whole := metrics(RequestClass{Kind: "appraisal", MaxTokens: 3})
-	require.Equal(t, "5", whole["arrivals"])
-	require.Equal(t, "5", whole["answered"])
-	require.Equal(t, "5", whole["good"], "without targets every whole answer is good")
-	require.Contains(t, whole, "ttft_p99_ms")
-	require.Contains(t, whole, "tbt_p95_ms")
-	require.Contains(t, whole, "client_lag_p50_ms")
+	complete := metrics(RequestClass{Kind: "appraisal", MaxTokens: 3})
+	require.Equal(t, "5", complete["arrivals"])
+	require.Equal(t, "5", complete["answered"])
+	require.Equal(t, "5", complete["good"], "without targets every complete answer is good")
+	require.Contains(t, complete, "ttft_p99_ms")
+	require.Contains(t, complete, "tbt_p95_ms")
+	require.Contains(t, complete, "client_lag_p50_ms")
 
 	late := metrics(RequestClass{Kind: "appraisal", MaxTokens: 3, FirstToken: time.Nanosecond})
 	require.Equal(t, "5", late["answered"])
-	require.Equal(t, "0", late["good"], "past its target an answer is not good")
+	require.Equal(t, "0", late["good"], "an answer later than its target is not good")
 
 	cut := metrics(RequestClass{Kind: "cut", MaxTokens: 3})
-	require.Equal(t, "0", cut["answered"], "a stream without [DONE] is no answer")
+	require.Equal(t, "0", cut["answered"], "a stream without [DONE] does not count as answered")
 	require.Equal(t, "5", cut["failed_truncated"])
 
 	require.Equal(t, "5", metrics(RequestClass{Kind: "error", MaxTokens: 3})["refused_upstream_lost"])
@@ -144,12 +145,12 @@
 	require.Equal(t, "5", plain["good"])
 	require.Contains(t, plain, "plain_p50_ms")
 
-	again := metrics(RequestClass{Kind: "refused_once", Method: http.MethodGet, Path: "/cards/17"})
-	require.Equal(t, "5", again["returns"], "each caller honours Retry-After with the same key")
-	require.Equal(t, "5", again["answered"])
+	retried := metrics(RequestClass{Kind: "refused_once", Method: http.MethodGet, Path: "/cards/17"})
+	require.Equal(t, "5", retried["returns"], "each caller retries once after Retry-After with the same key")
+	require.Equal(t, "5", retried["answered"])
 }
 
-func TestPlanCheckFindsAll(t *testing.T) {
+func TestRunReportsAllProblemsOfThePlan(t *testing.T) {
 	_, err := Run(t.Context(), Plan{RetryShare: 2})
 	require.ErrorContains(t, err, "entries")
 	require.ErrorContains(t, err, "rate")
--- a/load/report.go
+++ b/load/report.go
@@ -14,104 +14,109 @@
 	"jacinthworks/send"
 )
 
-// What the histograms hold: microseconds up to ten minutes, three digits.
+// The histograms count microseconds up to ten minutes, with three significant
+// digits.
 const (
-	mostMicroseconds  = int64(10 * time.Minute / time.Microsecond)
+	maxMicroseconds   = int64(10 * time.Minute / time.Microsecond)
 	significantDigits = 3
 )
 
-// The ends of a request that is neither answered nor refused.
+// The outcomes of a request that was neither answered nor refused.
 const (
-	endTruncated domain.Reason = "truncated"
-	endGivenUp   domain.Reason = "given_up"
-	endNotSent   domain.Reason = "not_sent"
-	endBroken    domain.Reason = "broken"
+	reasonTruncated domain.Reason = "truncated"
+	reasonGivenUp   domain.Reason = "given_up"
+	reasonNotSent   domain.Reason = "not_sent"
+	reasonBroken    domain.Reason = "broken"
 )
 
-// sample is what one request's caller saw.
+// sample holds the times at which the caller of one request received its answer.
 type sample struct {
-	work    *RequestClass
+	class *RequestClass
+	// planned is the planned arrival, firstAt and lastAt are the times of the
+	// first and the latest token.
 	planned time.Time
-	first   time.Time
-	last    time.Time
+	firstAt time.Time
+	lastAt  time.Time
 	tokens  int
 	gaps    []time.Duration
 }
 
-// token notes a token, or the whole answer of a plain call.
-func (s *sample) token() {
+// recordToken records the arrival of a token, or of the whole answer of a plain
+// call.
+func (s *sample) recordToken() {
 	now := time.Now()
 	if s.tokens == 0 {
-		s.first = now
+		s.firstAt = now
 	} else {
-		s.gaps = append(s.gaps, now.Sub(s.last))
+		s.gaps = append(s.gaps, now.Sub(s.lastAt))
 	}
-	s.last = now
+	s.lastAt = now
 	s.tokens++
 }
 
-func (s *sample) firstToken() time.Duration { return s.first.Sub(s.planned) }
+func (s *sample) firstTokenLatency() time.Duration { return s.firstAt.Sub(s.planned) }
 
-// good says whether a whole answer met both targets.
-func (s *sample) good() bool {
-	if s.work.FirstToken > 0 && s.firstToken() > s.work.FirstToken {
+// meetsTargets reports whether a complete answer met the targets of its class.
+func (s *sample) meetsTargets() bool {
+	if s.class.FirstToken > 0 && s.firstTokenLatency() > s.class.FirstToken {
 		return false
 	}
-	if s.work.TokenGap == 0 || len(s.gaps) == 0 {
+	if s.class.TokenGap == 0 || len(s.gaps) == 0 {
 		return true
 	}
-	return s.last.Sub(s.first)/time.Duration(len(s.gaps)) <= s.work.TokenGap
+	return s.lastAt.Sub(s.firstAt)/time.Duration(len(s.gaps)) <= s.class.TokenGap
 }
 
-// Report is what callers received. It is safe for use by many goroutines.
+// Report holds what the callers received. It is safe for concurrent use.
 type Report struct {
-	took time.Duration
-
-	mu       sync.Mutex
-	arrivals int
-	unsent   int
-	returns  int
-	answered int
-	met      int
-	tokens   int
-	first    *hdrhistogram.Histogram
-	between  *hdrhistogram.Histogram
-	plain    *hdrhistogram.Histogram
-	lag      *hdrhistogram.Histogram
-	refused  map[domain.Reason]int
-	failed   map[domain.Reason]int
+	elapsed time.Duration
+
+	mu         sync.Mutex
+	arrivals   int
+	skipped    int
+	retries    int
+	answered   int
+	good       int
+	tokens     int
+	firstToken *hdrhistogram.Histogram
+	tokenGaps  *hdrhistogram.Histogram
+	plain      *hdrhistogram.Histogram
+	clientLag  *hdrhistogram.Histogram
+	refused    map[domain.Reason]int
+	failed     map[domain.Reason]int
 }
 
 func newReport() *Report {
-	histogram := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, mostMicroseconds, significantDigits) }
+	histogram := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxMicroseconds, significantDigits) }
 	return &Report{
-		first: histogram(), between: histogram(), plain: histogram(), lag: histogram(),
+		firstToken: histogram(), tokenGaps: histogram(), plain: histogram(), clientLag: histogram(),
 		refused: map[domain.Reason]int{}, failed: map[domain.Reason]int{},
 	}
 }
 
-func (r *Report) arrived() { r.add(&r.arrivals) }
+func (r *Report) recordArrival() { r.increment(&r.arrivals) }
 
-func (r *Report) skipped() { r.add(&r.unsent) }
+func (r *Report) recordSkipped() { r.increment(&r.skipped) }
 
-func (r *Report) returned() { r.add(&r.returns) }
+func (r *Report) recordRetry() { r.increment(&r.retries) }
 
-func (r *Report) add(count *int) {
+func (r *Report) increment(count *int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	*count++
 }
 
-// began records how late the client itself was: the share of every time that
-// is not the system's.
-func (r *Report) began(planned time.Time) {
+// recordClientLag records the delay between the planned arrival of a request and
+// now, the time of its send. The client itself adds this delay to the request's
+// latency.
+func (r *Report) recordClientLag(planned time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	record(r.lag, time.Since(planned))
+	recordDuration(r.clientLag, time.Since(planned))
 }
 
-// ended records the end of one request.
-func (r *Report) ended(s sample, err error) {
+// recordEnd records the outcome of one request after its last attempt.
+func (r *Report) recordEnd(s sample, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.tokens += s.tokens
@@ -120,93 +125,101 @@
 	case errors.As(err, &refused):
 		r.refused[refused.Reason]++
 	case err != nil:
-		r.failed[endOf(err)]++
+		r.failed[failureReason(err)]++
 	default:
-		r.answer(s)
+		r.recordAnswer(s)
 	}
 }
 
-func endOf(err error) domain.Reason {
+// failureReason returns the outcome of a request that ended with err, which is
+// not a refusal.
+func failureReason(err error) domain.Reason {
 	switch {
 	case errors.Is(err, errTruncated):
-		return endTruncated
+		return reasonTruncated
 	case send.StageOf(err) == send.NotSent:
-		return endNotSent
+		return reasonNotSent
 	case send.StageOf(err) == send.Canceled:
-		return endGivenUp
+		return reasonGivenUp
 	}
-	return endBroken
+	return reasonBroken
 }
 
-func (r *Report) answer(s sample) {
+// recordAnswer records a complete answer. An answer without tokens has no
+// latency and is not good.
+func (r *Report) recordAnswer(s sample) {
 	r.answered++
 	if s.tokens == 0 {
 		return
 	}
-	if s.good() {
-		r.met++
+	if s.meetsTargets() {
+		r.good++
 	}
-	if s.work.MaxTokens == 0 {
-		record(r.plain, s.firstToken())
+	if s.class.MaxTokens == 0 {
+		recordDuration(r.plain, s.firstTokenLatency())
 		return
 	}
-	record(r.first, s.firstToken())
+	recordDuration(r.firstToken, s.firstTokenLatency())
 	for _, gap := range s.gaps {
-		record(r.between, gap)
+		recordDuration(r.tokenGaps, gap)
 	}
 }
 
-// record notes a time; one out of the histogram's range counts as its end.
-func record(h *hdrhistogram.Histogram, d time.Duration) {
-	_ = h.RecordValue(min(max(d.Microseconds(), 1), mostMicroseconds))
+// recordDuration adds a duration to a histogram; a duration outside the
+// histogram's range counts as the nearest bound of the range.
+func recordDuration(h *hdrhistogram.Histogram, d time.Duration) {
+	_ = h.RecordValue(min(max(d.Microseconds(), 1), maxMicroseconds))
 }
 
-// Write writes the report, one metric a line, tab-separated from its value.
+// Write writes the report as one line per metric: name, tab, value. It returns
+// the error of the first write that failed.
 func (r *Report) Write(w io.Writer) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	seconds := r.took.Seconds()
+	seconds := r.elapsed.Seconds()
 	lines := []string{
-		line("seconds", seconds), line("arrivals", float64(r.arrivals)),
-		line("over_in_flight", float64(r.unsent)), line("returns", float64(r.returns)),
-		line("answered", float64(r.answered)), line("good", float64(r.met)),
-		line("goodput_per_s", float64(r.met)/max(seconds, 1e-9)),
-		line("goodput_share", float64(r.met)/max(float64(r.arrivals), 1)),
-		line("tokens_per_s", float64(r.tokens)/max(seconds, 1e-9)),
+		metricLine("seconds", seconds), metricLine("arrivals", float64(r.arrivals)),
+		metricLine("over_in_flight", float64(r.skipped)), metricLine("returns", float64(r.retries)),
+		metricLine("answered", float64(r.answered)), metricLine("good", float64(r.good)),
+		metricLine("goodput_per_s", float64(r.good)/max(seconds, 1e-9)),
+		metricLine("goodput_share", float64(r.good)/max(float64(r.arrivals), 1)),
+		metricLine("tokens_per_s", float64(r.tokens)/max(seconds, 1e-9)),
 	}
-	lines = append(lines, quantiles("ttft", r.first)...)
-	lines = append(lines, quantiles("tbt", r.between)...)
-	lines = append(lines, quantiles("plain", r.plain)...)
-	lines = append(lines, quantiles("client_lag", r.lag)...)
-	lines = append(lines, counts("refused_", r.refused)...)
-	lines = append(lines, counts("failed_", r.failed)...)
+	lines = append(lines, quantileLines("ttft", r.firstToken)...)
+	lines = append(lines, quantileLines("tbt", r.tokenGaps)...)
+	lines = append(lines, quantileLines("plain", r.plain)...)
+	lines = append(lines, quantileLines("client_lag", r.clientLag)...)
+	lines = append(lines, countLines("refused_", r.refused)...)
+	lines = append(lines, countLines("failed_", r.failed)...)
 	for _, l := range lines {
 		if _, err := io.WriteString(w, l); err != nil {
-			return errors.Wrap(err, "load: writing report")
+			return errors.Wrap(err, "load: write the report")
 		}
 	}
 	return nil
 }
 
-func line(metric string, value float64) string { return fmt.Sprintf("%s\t%.6g\n", metric, value) }
+func metricLine(metric string, value float64) string { return fmt.Sprintf("%s\t%.6g\n", metric, value) }
 
-// quantiles gives p50, p95 and p99 in milliseconds; nothing for no samples.
-func quantiles(name string, h *hdrhistogram.Histogram) []string {
+// quantileLines returns metric lines with p50, p95 and p99 in milliseconds, or
+// no lines if the histogram is empty.
+func quantileLines(name string, h *hdrhistogram.Histogram) []string {
 	if h.TotalCount() == 0 {
 		return nil
 	}
 	var lines []string
 	for _, q := range []float64{50, 95, 99} {
 		milliseconds := float64(h.ValueAtQuantile(q)) / float64(time.Millisecond/time.Microsecond)
-		lines = append(lines, line(fmt.Sprintf("%s_p%g_ms", name, q), milliseconds))
+		lines = append(lines, metricLine(fmt.Sprintf("%s_p%g_ms", name, q), milliseconds))
 	}
 	return lines
 }
 
-func counts(prefix string, of map[domain.Reason]int) []string {
+// countLines returns a metric line for each reason, sorted by name.
+func countLines(prefix string, counts map[domain.Reason]int) []string {
 	var lines []string
-	for reason, n := range of {
-		lines = append(lines, line(prefix+string(reason), float64(n)))
+	for reason, n := range counts {
+		lines = append(lines, metricLine(prefix+string(reason), float64(n)))
 	}
 	slices.Sort(lines)
 	return lines
--- a/load/request.go
+++ b/load/request.go
@@ -16,11 +16,11 @@
 	"jacinthworks/send"
 )
 
-// maxAnswer limits a whole answer in bytes.
-const maxAnswer = 16 << 20
+// maxAnswerBytes limits the length of an answer that is read into memory.
+const maxAnswerBytes = 16 << 20
 
-// completion is the body of a completion.
-type completion struct {
+// completionBody is the JSON body of a completion request.
+type completionBody struct {
 	Model     domain.Service `json:"model"`
 	Prompt    string         `json:"prompt"`
 	MaxTokens int            `json:"max_tokens"`
@@ -34,40 +34,43 @@
 	} `json:"choices"`
 }
 
-// refusal is what a caller reads of a refusal.
+// refusal holds the fields of a refused request that the client evaluates.
 type refusal struct {
 	Reason domain.Reason `json:"reason"`
-	// retryAfter is zero where a return makes no sense.
+	// retryAfter is the delay from the Retry-After header; zero means that the
+	// client does not retry the request.
 	retryAfter time.Duration
 }
 
-// Error gives the reason.
-func (r *refusal) Error() string { return "load: refused: " + string(r.Reason) }
+// Error names the reason of the refusal.
+func (r *refusal) Error() string { return "load: request refused: " + string(r.Reason) }
 
-var errTruncated = errors.New("load: the stream ended before [DONE]")
+var errTruncated = errors.New("load: event stream ended before [DONE]")
 
-// request sends one arrival, returns if it is refused and honours Retry-After,
-// and records its end.
-func (r *runner) request(ctx context.Context, a arrival, planned time.Time) {
-	r.report.began(planned)
-	for sends := 0; ; sends++ {
-		s := sample{work: a.work, planned: planned}
-		err := r.exchange(ctx, a, sends, &s)
+// sendRequest sends the request of one arrival and records its outcome. It retries up to
+// maxRetries times if the request is refused with a Retry-After header that the
+// caller honours.
+func (r *runner) sendRequest(ctx context.Context, a arrival, planned time.Time) {
+	r.report.recordClientLag(planned)
+	for attempts := 0; ; attempts++ {
+		s := sample{class: a.class, planned: planned}
+		err := r.attempt(ctx, a, attempts, &s)
 		var refused *refusal
-		again := errors.As(err, &refused) && refused.retryAfter > 0 && a.honours && sends < maxReturns
-		if !again {
-			r.report.ended(s, err)
+		retry := errors.As(err, &refused) && refused.retryAfter > 0 && a.honoursRetryAfter && attempts < maxRetries
+		if !retry {
+			r.report.recordEnd(s, err)
 			return
 		}
-		r.report.returned()
-		if pause(ctx, refused.retryAfter) != nil {
-			r.report.ended(s, &send.Failure{Stage: send.Canceled, Cause: ctx.Err()})
+		r.report.recordRetry()
+		if sleep(ctx, refused.retryAfter) != nil {
+			r.report.recordEnd(s, &send.Failure{Stage: send.Canceled, Cause: ctx.Err()})
 			return
 		}
 	}
 }
 
-func pause(ctx context.Context, d time.Duration) error {
+// sleep waits for d, or returns the error of ctx if ctx ends first.
+func sleep(ctx context.Context, d time.Duration) error {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -78,12 +81,14 @@
 	}
 }
 
-func (r *runner) exchange(ctx context.Context, a arrival, sends int, s *sample) error {
-	q, err := r.build(a)
+// attempt sends the request of an arrival once, to an entry that changes with
+// each attempt, and reads the answer into s. A refusal is returned as *refusal.
+func (r *runner) attempt(ctx context.Context, a arrival, attempts int, s *sample) error {
+	q, err := r.buildRequest(a)
 	if err != nil {
 		return err
 	}
-	entry := r.entries[(a.number+sends)%len(r.entries)]
+	entry := r.entries[(a.number+attempts)%len(r.entries)]
 	reply, err := entry.Do(ctx, q)
 	if err != nil {
 		return err
@@ -92,23 +97,25 @@
 	if reply.Status != http.StatusOK {
 		return readRefusal(reply)
 	}
-	if a.work.MaxTokens == 0 {
-		if _, err = reply.ReadAll(maxAnswer); err == nil {
-			s.token()
+	if a.class.MaxTokens == 0 {
+		if _, err = reply.ReadAll(maxAnswerBytes); err == nil {
+			s.recordToken()
 		}
 		return err
 	}
 	return readStream(reply, s)
 }
 
-func (r *runner) build(a arrival) (send.Request, error) {
+// buildRequest returns the HTTP request of an arrival: a streamed completion, or
+// a plain call if the class has no MaxTokens.
+func (r *runner) buildRequest(a arrival) (send.Request, error) {
 	header := http.Header{
 		"Authorization":   {"Bearer " + r.plan.Token},
-		"Request-Kind":    {string(a.work.Kind)},
+		"Request-Kind":    {string(a.class.Kind)},
 		"Idempotency-Key": {a.key(r.plan.Seed)},
 		"Content-Type":    {"application/json"},
 	}
-	w := a.work
+	w := a.class
 	if w.MaxTokens == 0 {
 		target := "/services/" + string(w.Service) + w.Path
 		q := send.Request{Method: w.Method, Target: target, Header: header}
@@ -117,22 +124,23 @@
 		}
 		return q, nil
 	}
-	c := completion{Model: w.Service, Prompt: a.prompt(r.plan.Seed), MaxTokens: w.MaxTokens, Stream: true}
+	c := completionBody{Model: w.Service, Prompt: a.prompt(r.plan.Seed), MaxTokens: w.MaxTokens, Stream: true}
 	body, err := json.Marshal(c)
 	return send.Request{Method: http.MethodPost, Target: "/v1/completions", Header: header, Body: body}, err
 }
 
-// readRefusal reads an answer other than 200. An answer that is no problem
-// document is the plain service's own.
+// readRefusal reads an answer with a status other than 200 and returns it as
+// *refusal. An answer that is not a problem document comes from the plain service
+// itself; its reason is "status_" and the status code.
 func readRefusal(reply *send.Response) error {
-	body, err := reply.ReadAll(maxAnswer)
+	body, err := reply.ReadAll(maxAnswerBytes)
 	if err != nil {
 		return err
 	}
 	refused := &refusal{Reason: domain.Reason("status_" + strconv.Itoa(reply.Status))}
 	if strings.HasPrefix(reply.Header.Get("Content-Type"), "application/problem+json") {
 		if err := json.Unmarshal(body, refused); err != nil {
-			return errors.Wrap(err, "load: reading refusal")
+			return errors.Wrap(err, "load: decode a refusal")
 		}
 	}
 	if seconds, err := strconv.Atoi(reply.Header.Get("Retry-After")); err == nil {
@@ -141,8 +149,8 @@
 	return refused
 }
 
-// readStream reads server-sent events to [DONE]. A stream that ends before it
-// is an error, however it ends.
+// readStream reads server-sent events up to [DONE] and records their tokens in s.
+// A stream that ends before [DONE] is an error even if it was closed regularly.
 func readStream(body io.Reader, s *sample) error {
 	lines := bufio.NewScanner(body)
 	event := ""
@@ -156,7 +164,7 @@
 			event = ""
 		case name != "data":
 		case event == "error":
-			return readError(value)
+			return readErrorEvent(value)
 		case value == "[DONE]":
 			return nil
 		default:
@@ -171,22 +179,24 @@
 	return errTruncated
 }
 
-func readError(value string) error {
+// readErrorEvent returns the refusal in the data of an error event.
+func readErrorEvent(value string) error {
 	refused := &refusal{}
 	if err := json.Unmarshal([]byte(value), refused); err != nil {
-		return errors.Wrap(err, "load: reading error event")
+		return errors.Wrap(err, "load: decode an error event")
 	}
 	return refused
 }
 
+// readChunk records a token for each choice with text in the data of an event.
 func readChunk(value string, s *sample) error {
 	var c chunk
 	if err := json.Unmarshal([]byte(value), &c); err != nil {
-		return errors.Wrap(err, "load: reading chunk")
+		return errors.Wrap(err, "load: decode an event of the answer")
 	}
 	for _, choice := range c.Choices {
 		if choice.Text != "" {
-			s.token()
+			s.recordToken()
 		}
 	}
 	return nil
