--- a/fakes/serve/gate.go
+++ b/fakes/serve/gate.go
@@ -7,44 +7,46 @@
 	"time"
 )
 
-// Gate freezes what passes through it, as a process stopped by a signal. The
-// zero value is open.
+// Gate blocks its callers while it is frozen, like a process that was stopped by a
+// signal. The zero value is open.
 type Gate struct {
-	mu   sync.Mutex
-	shut chan struct{}
+	mu sync.Mutex
+	// opened is closed when the gate opens; nil while the gate is open.
+	opened chan struct{}
 }
 
-// Freeze shuts the gate, or opens it again.
+// Freeze closes the gate if frozen is true, and opens it otherwise.
 func (g *Gate) Freeze(frozen bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	switch {
-	case frozen && g.shut == nil:
-		g.shut = make(chan struct{})
-	case !frozen && g.shut != nil:
-		close(g.shut)
-		g.shut = nil
+	case frozen && g.opened == nil:
+		g.opened = make(chan struct{})
+	case !frozen && g.opened != nil:
+		close(g.opened)
+		g.opened = nil
 	}
 }
 
-// Pass waits until the gate is open or the context ends.
+// Pass waits until the gate is open. It returns the context's error if the context
+// has ended.
 func (g *Gate) Pass(ctx context.Context) error {
 	for {
 		g.mu.Lock()
-		shut := g.shut
+		opened := g.opened
 		g.mu.Unlock()
-		if shut == nil {
+		if opened == nil {
 			return ctx.Err()
 		}
 		select {
-		case <-shut:
+		case <-opened:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 }
 
-// Sleep waits for the time given or until the context ends.
+// Sleep waits for d. It returns the context's error if the context ends first.
 func Sleep(ctx context.Context, d time.Duration) error {
 	if d <= 0 {
 		return ctx.Err()
@@ -59,5 +61,6 @@
 	}
 }
 
-// AbortConn ends a handler and closes its connection without an answer.
+// AbortConn ends the calling HTTP handler and closes its connection without an
+// answer. It panics with http.ErrAbortHandler.
 func AbortConn() { panic(http.ErrAbortHandler) }
--- a/fakes/serve/json.go
+++ b/fakes/serve/json.go
@@ -5,20 +5,20 @@
 	"net/http"
 )
 
-// maxOrder limits the body of an order or a fault in bytes.
-const maxOrder = 16 << 20
+// maxBodyBytes limits the body of a request that Read accepts.
+const maxBodyBytes = 16 << 20
 
-// Write answers with the value as JSON.
+// Write answers with the value as JSON. It ignores write errors.
 func Write(w http.ResponseWriter, status int, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(value) // the caller may be gone
+	_ = json.NewEncoder(w).Encode(value) // the caller may have disconnected
 }
 
-// Read reads the request's JSON body, refusing unknown fields. When it fails
-// it answers with 400 and reports false.
+// Read decodes the request's JSON body and rejects unknown fields. It reports whether
+// that succeeded; otherwise it has answered with status 400.
 func Read(w http.ResponseWriter, r *http.Request, into any) bool {
-	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxOrder))
+	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	d.DisallowUnknownFields()
 	if err := d.Decode(into); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
--- a/fakes/serve/serve.go
+++ b/fakes/serve/serve.go
@@ -1,12 +1,12 @@
-// Package serve holds what every stand-in shares: a server that can crash and
-// come back at its address, a gate that freezes it, values that are reported
-// late, and reading and writing of JSON.
+// Package serve contains the parts that all stand-ins share: a server that can crash
+// and restart at its address, a gate that freezes it, values that are reported with a
+// delay, and reading and writing of JSON.
 //
 // # Usage
 //
 //	s := serve.Server{Handler: &store.Platform{}}
 //	addr, err := s.Start(ctx, netip.MustParseAddrPort("127.0.0.1:0"))
-//	s.Crash(500 * time.Millisecond) // closes all connections, refuses, comes back
+//	s.Crash(500 * time.Millisecond) // closes all connections and restarts after 500 ms
 //	s.Stop()
 package serve
 
@@ -23,29 +23,29 @@
 	"jacinthworks/group"
 )
 
-// readTimeout limits the wait for a request's header.
-const readTimeout = 10 * time.Second
+// headerTimeout limits the time to read a request's header.
+const headerTimeout = 10 * time.Second
 
-// Server serves a handler at one address for more than one life. The zero
+// Server serves a handler and can crash and restart at the same address. The zero
 // value with a Handler is ready to use.
 type Server struct {
 	Handler http.Handler
-	// OnListenError is told when the address could not be had again after a crash.
-	// It may be nil.
+	// OnListenError is called if the server cannot listen on its address again
+	// after a crash. It may be nil.
 	OnListenError func(error)
 
-	mu      sync.Mutex
-	ctx     context.Context
-	addr    netip.AddrPort
-	current *http.Server
-	serving *group.Group
-	down    *time.Timer
-	stopped bool
+	mu           sync.Mutex
+	ctx          context.Context
+	addr         netip.AddrPort
+	httpServer   *http.Server
+	handlers     *group.Group
+	restartTimer *time.Timer
+	stopped      bool
 }
 
-// Start listens at the address, port zero for a free one, and serves until
-// Stop. Handlers' contexts end with the one given. After a crash it may be
-// called at the same address to come back at once.
+// Start listens at the address, with port zero at a free port, and serves until Stop.
+// It returns the address with the actual port. The contexts of handlers end with ctx.
+// After a crash, Start with the same address restarts the server immediately.
 func (s *Server) Start(ctx context.Context, addr netip.AddrPort) (netip.AddrPort, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -56,7 +56,7 @@
 	return s.addr, nil
 }
 
-// Addr is where the server listens.
+// Addr returns the address at which the server listens.
 func (s *Server) Addr() netip.AddrPort {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -66,35 +66,36 @@
 func (s *Server) listen(addr netip.AddrPort) error {
 	l, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(addr))
 	if err != nil {
-		return errors.Wrap(err, "serve: listening")
+		return errors.Wrap(err, "serve: listen for connections")
 	}
 	s.addr = l.Addr().(*net.TCPAddr).AddrPort()
 	server := &http.Server{
 		Handler:           s.Handler,
-		ReadHeaderTimeout: readTimeout,
+		ReadHeaderTimeout: headerTimeout,
 		BaseContext:       func(net.Listener) context.Context { return s.ctx },
 	}
-	s.current, s.serving = server, &group.Group{}
-	s.serving.Go(s.ctx, "serve", func(context.Context) error { return server.Serve(l) })
+	s.httpServer, s.handlers = server, &group.Group{}
+	s.handlers.Go(s.ctx, "serve", func(context.Context) error { return server.Serve(l) })
 	return nil
 }
 
-// Crash closes the listener and all connections at once, and listens again
-// after the time given. A crash while down does nothing.
+// Crash closes the listener and all connections immediately, and listens again after
+// down. It has no effect while the server is already down.
 func (s *Server) Crash(down time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.current == nil || s.stopped {
+	if s.httpServer == nil || s.stopped {
 		return
 	}
 	s.close()
-	s.down = time.AfterFunc(down, s.comeBack)
+	s.restartTimer = time.AfterFunc(down, s.restart)
 }
 
-func (s *Server) comeBack() {
+// restart listens again after a crash, unless Start or Stop was called meanwhile.
+func (s *Server) restart() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.stopped || s.current != nil {
+	if s.stopped || s.httpServer != nil {
 		return
 	}
 	if err := s.listen(s.addr); err != nil && s.OnListenError != nil {
@@ -102,21 +103,21 @@
 	}
 }
 
-// Stop closes the listener and all connections for good.
+// Stop closes the listener and all connections and prevents a restart.
 func (s *Server) Stop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stopped = true
-	if s.down != nil {
-		s.down.Stop()
+	if s.restartTimer != nil {
+		s.restartTimer.Stop()
 	}
-	if s.current != nil {
+	if s.httpServer != nil {
 		s.close()
 	}
 }
 
 func (s *Server) close() {
-	_ = s.current.Close() // an error of closing changes nothing for a stand-in
-	s.serving.Wait()
-	s.current = nil
+	_ = s.httpServer.Close() // the listener and connections are closed in any case
+	s.handlers.Wait()
+	s.httpServer = nil
 }
--- a/fakes/serve/serve_test.go
+++ b/fakes/serve/serve_test.go
@@ -11,16 +11,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Story: an engine's process dies with answers under way and is started again
-// at its address. Each of its connections breaks; none waits for it.
-func TestACrashBreaksEachConnectionAndComesBack(t *testing.T) {
-	began := make(chan struct{}, 2)
-	over := make(chan struct{})
-	defer close(over)
+// An engine process that crashes and restarts at its address must break every open
+// connection, so that no caller goes on waiting for an answer.
+func TestCrashBreaksAllConnectionsAndServerRestarts(t *testing.T) {
+	started := make(chan struct{}, 2)
+	release := make(chan struct{})
+	defer close(release)
 	s := Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/long" {
-			began <- struct{}{}
-			<-over
+			started <- struct{}{}
+			<-release
 		}
 		_, _ = io.WriteString(w, "ok")
 	})}
@@ -28,9 +28,9 @@
 	require.NoError(t, err)
 	defer s.Stop()
 	get := func(path string) error {
-		reply, err := http.Get("http://" + addr.String() + path)
+		response, err := http.Get("http://" + addr.String() + path)
 		if err == nil {
-			err = reply.Body.Close()
+			err = response.Body.Close()
 		}
 		return err
 	}
@@ -38,8 +38,8 @@
 	for range 2 {
 		go func() { broken <- get("/long") }()
 	}
-	<-began
-	<-began
+	<-started
+	<-started
 	s.Crash(time.Millisecond)
 	require.Error(t, <-broken)
 	require.Error(t, <-broken)
@@ -47,18 +47,18 @@
 	require.Equal(t, addr, s.Addr())
 }
 
-func TestLateGivesWhatWas(t *testing.T) {
+func TestDelayedReturnsValueAtTime(t *testing.T) {
 	var l Delayed[string]
 	start := time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC)
 	require.Empty(t, l.At(start))
 	l.Set(start, "a")
 	l.Set(start.Add(time.Second), "b")
-	require.Equal(t, "a", l.At(start.Add(-time.Hour)), "nothing older is known")
+	require.Equal(t, "a", l.At(start.Add(-time.Hour)), "the oldest value applies to all earlier times")
 	require.Equal(t, "a", l.At(start.Add(999*time.Millisecond)))
 	require.Equal(t, "b", l.At(start.Add(time.Second)))
 }
 
-func TestGate(t *testing.T) {
+func TestGateBlocksWhileFrozen(t *testing.T) {
 	var g Gate
 	require.NoError(t, g.Pass(t.Context()))
 	g.Freeze(true)
