--- a/fakes/apps/apps.go
+++ b/fakes/apps/apps.go
@@ -1,17 +1,17 @@
-// Package apps is the stand-in for a plain application server: marketplace-app
-// or wallapp. It answers any path, records each call that it ran, and counts
-// the runs of each key. A call that has begun runs on when its caller is gone.
+// Package apps is the stand-in for a plain application server: marketplace-app or
+// wallapp. It answers any path, records each call that it executed, and counts the
+// executions per idempotency key. A call runs to its end even if its caller
+// disconnects.
 //
 // # Usage
 //
 //	var a apps.App
 //	s := serve.Server{Handler: &a}
-//	a.Crashed = s.Crash
+//	a.OnCrash = s.Crash
 //	addr, err := s.Start(ctx, netip.MustParseAddrPort("127.0.0.1:0"))
-//	a.Misbehave(apps.Fault{LoseAnswers: 1})
+//	a.SetFault(apps.Fault{LoseAnswers: 1})
 //
-// For tests: GET and POST /fault, POST /crash, GET /runs. Any other path is a
-// call.
+// For tests: GET and POST /fault, POST /crash, GET /runs. Any other path is a call.
 package apps
 
 import (
@@ -23,39 +23,38 @@
 	"jacinthworks/fakes/serve"
 )
 
-// CrashMarker is the marker: a call whose path or body contains it crashes the
-// server, after it was recorded as run.
+// CrashMarker crashes the server when it occurs in the path or body of a call. The
+// call is recorded as executed before the crash.
 const CrashMarker = "[crash]"
 
 // DefaultDownTime is how long a server refuses connections after a crash.
 const DefaultDownTime = 500 * time.Millisecond
 
-// Fault is how the server misbehaves. The zero value is good behaviour; a
-// fault that is set takes the place of the one before.
+// Fault describes how the server misbehaves. The zero value means no fault.
 type Fault struct {
-	// Frozen stops all work and all answers until it is over.
+	// Frozen stops all calls and answers until the fault is cleared.
 	Frozen bool `json:"frozen,omitempty"`
-	// Delay is added to the time of each call, in nanoseconds.
+	// Delay is added to the duration of each call, in nanoseconds.
 	Delay time.Duration `json:"delay,omitempty"`
-	// Refuse answers 503 with the Not-Taken header and runs nothing.
+	// Refuse answers 503 with the Not-Taken header and does not execute the call.
 	Refuse bool `json:"refuse,omitempty"`
-	// Fail answers 500 after running.
+	// Fail answers 500 after executing the call.
 	Fail bool `json:"fail,omitempty"`
-	// LoseAnswers is how many of the next calls run while their answer is
-	// lost.
+	// LoseAnswers is the number of next calls that are executed but whose
+	// connection is closed without an answer.
 	LoseAnswers int `json:"lose_answers,omitempty"`
 }
 
-// App is the stand-in. The zero value is ready to use; it must not be copied
-// after its first use.
+// App is the HTTP handler of the stand-in. The zero value is ready to use; it must not
+// be copied after its first use. It is safe for concurrent use.
 type App struct {
-	// CallTime is how long a call runs.
+	// CallTime is the duration of a call.
 	CallTime time.Duration
 	// DownTime is how long the server refuses connections after a crash; zero
-	// is DefaultDownTime.
+	// means DefaultDownTime.
 	DownTime time.Duration
-	// OnCrash is called after a crash and takes the server off the network
-	// for the time given. It may be nil.
+	// OnCrash is called after a crash and must make the server unreachable for
+	// the duration down. It may be nil.
 	OnCrash func(down time.Duration)
 
 	gate serve.Gate
@@ -64,20 +63,21 @@
 
 	mu    sync.Mutex
 	fault Fault
-	life  context.Context
-	end   context.CancelFunc
-	runs  []*Run
-	keys  map[string]int
+	// ctx is cancelled by a crash and then replaced.
+	ctx       context.Context
+	cancel    context.CancelFunc
+	runs      []*Run
+	runsByKey map[string]int
 }
 
-// ServeHTTP answers a call.
+// ServeHTTP handles a call, or a request to the test interface.
 func (a *App) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	a.once.Do(a.open)
+	a.once.Do(a.setup)
 	a.mux.ServeHTTP(w, r)
 }
 
-func (a *App) open() {
-	a.life, a.end = context.WithCancel(context.Background())
+func (a *App) setup() {
+	a.ctx, a.cancel = context.WithCancel(context.Background())
 	a.mux.HandleFunc("GET /fault", func(w http.ResponseWriter, _ *http.Request) { serve.Write(w, http.StatusOK, a.Fault()) })
 	a.mux.HandleFunc("POST /fault", a.postFault)
 	a.mux.HandleFunc("POST /crash", func(http.ResponseWriter, *http.Request) { a.crash(); serve.AbortConn() })
@@ -85,7 +85,7 @@
 	a.mux.HandleFunc("/", a.call)
 }
 
-// SetFault sets the fault in the place of the one before.
+// SetFault replaces the current fault.
 func (a *App) SetFault(f Fault) {
 	a.mu.Lock()
 	a.fault = f
@@ -93,7 +93,7 @@
 	a.gate.Freeze(f.Frozen)
 }
 
-// Fault gives the fault in force.
+// Fault returns the current fault.
 func (a *App) Fault() Fault {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -108,11 +108,11 @@
 	}
 }
 
-// crash drops all calls in progress and takes the server off the network.
+// crash cancels all calls in progress and makes the server unreachable.
 func (a *App) crash() {
 	a.mu.Lock()
-	a.end()
-	a.life, a.end = context.WithCancel(context.Background())
+	a.cancel()
+	a.ctx, a.cancel = context.WithCancel(context.Background())
 	a.mu.Unlock()
 	down := a.DownTime
 	if down <= 0 {
--- a/fakes/apps/calls.go
+++ b/fakes/apps/calls.go
@@ -15,10 +15,10 @@
 	"jacinthworks/fakes/serve"
 )
 
-// maxBody limits a call's body in bytes.
-const maxBody = 8 << 20
+// maxBodyBytes limits the body of a call.
+const maxBodyBytes = 8 << 20
 
-// Run is one call that the server ran.
+// Run is one execution of a call.
 type Run struct {
 	Request domain.RequestID `json:"request"`
 	// Key is the call's Idempotency-Key.
@@ -26,34 +26,34 @@
 	Method string    `json:"method"`
 	Path   string    `json:"path"`
 	Start  time.Time `json:"start"`
-	// End is zero for a call in progress or dropped by a crash.
+	// End is zero for a call that is in progress or was cancelled by a crash.
 	End time.Time `json:"end,omitzero"`
 }
 
-// Report is every call that the server ran and how often it ran each key. It
-// outlives crashes.
+// Report lists all calls that the server executed and counts the executions of each
+// key. It is kept across crashes.
 type Report struct {
 	Runs []Run          `json:"runs"`
 	Keys map[string]int `json:"keys"`
 }
 
-// Reply is the body of an answer. Echo depends on path and body, so that
-// crossed answers are seen.
+// Reply is the body of an answer. Echo depends on method, path and body, so that
+// tests detect an answer that was delivered to the wrong call.
 type Reply struct {
 	Request domain.RequestID `json:"request"`
 	Key     string           `json:"key"`
-	// Run is how often the key has run by now.
+	// Run is the number of executions with the key so far, including this one.
 	Run  int    `json:"run"`
 	Echo string `json:"echo"`
 }
 
-// Echo gives what a call with this method, path with query, and body is
-// answered with.
+// Echo returns the value of Reply.Echo for a call with this method, path with query,
+// and body.
 func Echo(method, path string, body []byte) string {
 	return fmt.Sprintf("%016x", xxhash.Sum64(fmt.Appendf(nil, "%s %s\n%s", method, path, body)))
 }
 
-// Report gives a copy of what ran so far.
+// Report returns a copy of the executions so far.
 func (a *App) Report() Report {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -61,18 +61,18 @@
 	for i, r := range a.runs {
 		p.Runs[i] = *r
 	}
-	for key, n := range a.keys {
+	for key, n := range a.runsByKey {
 		p.Keys[key] = n
 	}
 	return p
 }
 
 func (a *App) call(w http.ResponseWriter, r *http.Request) {
-	life := a.now()
-	if a.gate.Pass(life) != nil {
+	ctx := a.currentContext()
+	if a.gate.Pass(ctx) != nil {
 		serve.AbortConn()
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
 		serve.AbortConn()
 	}
@@ -82,12 +82,12 @@
 		http.Error(w, "told to refuse", http.StatusServiceUnavailable)
 		return
 	}
-	run, count := a.begin(r)
+	run, count := a.recordStart(r)
 	if strings.Contains(r.URL.Path, CrashMarker) || strings.Contains(string(body), CrashMarker) {
 		a.crash()
 		serve.AbortConn()
 	}
-	if serve.Sleep(life, a.CallTime+f.Delay) != nil || a.gate.Pass(life) != nil || a.finish(run) {
+	if serve.Sleep(ctx, a.CallTime+f.Delay) != nil || a.gate.Pass(ctx) != nil || a.recordEnd(run) {
 		serve.AbortConn()
 	}
 	if f.Fail {
@@ -99,13 +99,16 @@
 	})
 }
 
-func (a *App) now() context.Context {
+// currentContext returns the context that the next crash cancels.
+func (a *App) currentContext() context.Context {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.life
+	return a.ctx
 }
 
-func (a *App) begin(r *http.Request) (*Run, int) {
+// recordStart records the start of a call and returns the number of executions with
+// its key; 1 for a call without a key.
+func (a *App) recordStart(r *http.Request) (*Run, int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	run := &Run{
@@ -116,15 +119,15 @@
 	if run.Key == "" {
 		return run, 1
 	}
-	if a.keys == nil {
-		a.keys = map[string]int{}
+	if a.runsByKey == nil {
+		a.runsByKey = map[string]int{}
 	}
-	a.keys[run.Key]++
-	return run, a.keys[run.Key]
+	a.runsByKey[run.Key]++
+	return run, a.runsByKey[run.Key]
 }
 
-// finish ends a run and says whether its answer is to be lost.
-func (a *App) finish(run *Run) bool {
+// recordEnd records the end of a run and reports whether its answer must be lost.
+func (a *App) recordEnd(run *Run) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	run.End = time.Now()
