--- a/fakes/model/cache.go
+++ b/fakes/model/cache.go
@@ -9,66 +9,68 @@
 	"jacinthworks/engine"
 )
 
-// cache is KV cache that a prefill left.
-type cache struct {
+// kvCache is the KV cache that a prefill produced.
+type kvCache struct {
 	request domain.RequestID
 	tokens  int
 	seed    uint64
-	// crash says that whatever decodes it crashes.
-	crash bool
-	until time.Time
+	// crashOnDecode makes an engine that decodes from the cache crash.
+	crashOnDecode bool
+	expiresAt     time.Time
 }
 
-// keep turns a prefill's reservation into KV cache with a short life.
-func (e *Engine) keep(m *memory, run *Run, o engine.PrefillRequest) (engine.KV, bool) {
+// storeKV converts a prefill's memory reservation into KV cache that expires after
+// KVLifetime. It returns false if the run has already ended, by a crash or a cancel.
+func (e *Engine) storeKV(m *volatileState, run *Run, o engine.PrefillRequest) (engine.KV, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if run.Outcome != "" {
 		return engine.KV{}, false
 	}
-	run.end(Done)
+	run.setOutcome(Done)
 	m.running[run](nil)
 	delete(m.running, run)
-	e.handles++
-	handle := strconv.FormatUint(uint64(m.incarnation), 36) + "-" + strconv.FormatUint(e.handles, 36)
-	m.caches[handle] = &cache{
+	e.lastHandle++
+	handle := strconv.FormatUint(uint64(m.incarnation), 36) + "-" + strconv.FormatUint(e.lastHandle, 36)
+	m.caches[handle] = &kvCache{
 		request: o.Request, tokens: o.PromptTokens, seed: Seed(o.Prompt),
-		crash: strings.Contains(o.Prompt, CrashInDecode), until: time.Now().Add(e.KVLifetime),
+		crashOnDecode: strings.Contains(o.Prompt, CrashInDecode), expiresAt: time.Now().Add(e.KVLifetime),
 	}
-	e.note()
+	e.recordState()
 	return engine.KV{Handle: handle, Tokens: o.PromptTokens, TTL: e.KVLifetime}, true
 }
 
-// find gives KV cache that has not been evicted.
-func (e *Engine) find(handle string) (cache, bool) {
+// findKV returns a copy of the KV cache with the handle, and false if it was evicted.
+func (e *Engine) findKV(handle string) (kvCache, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.evict()
-	c, ok := e.memory.caches[handle]
+	e.evictExpired()
+	c, ok := e.volatile.caches[handle]
 	if !ok {
-		return cache{}, false
+		return kvCache{}, false
 	}
 	return *c, true
 }
 
-// evict drops what has outlived its life. The caller holds e.mu.
-func (e *Engine) evict() {
+// evictExpired removes the expired KV caches. The caller holds e.mu.
+func (e *Engine) evictExpired() {
 	now := time.Now()
-	for handle, c := range e.memory.caches {
-		if now.After(c.until) {
-			delete(e.memory.caches, handle)
+	for handle, c := range e.volatile.caches {
+		if now.After(c.expiresAt) {
+			delete(e.volatile.caches, handle)
 		}
 	}
 }
 
-// used gives the KV memory held, in tokens. The caller holds e.mu.
-func (e *Engine) used() int {
-	e.evict()
+// usedTokens returns the KV memory in use by caches and reservations, in tokens. The
+// caller holds e.mu.
+func (e *Engine) usedTokens() int {
+	e.evictExpired()
 	n := 0
-	for _, c := range e.memory.caches {
+	for _, c := range e.volatile.caches {
 		n += c.tokens
 	}
-	for r := range e.memory.running {
+	for r := range e.volatile.running {
 		n += r.ReservedTokens
 	}
 	return n
--- a/fakes/model/answer.go
+++ b/fakes/model/completion.go
@@ -8,11 +8,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Seed gives what the answer to a prompt is derived from.
+// Seed returns the seed from which the answer to a prompt is derived.
 func Seed(prompt string) uint64 { return xxhash.Sum64String(prompt) }
 
-// TokenAt gives the token at an offset of the answer. It differs from prompt to
-// prompt and from offset to offset, so that crossed answers are seen.
+// TokenAt returns the token at an offset of the answer. Tokens differ between prompts
+// and between offsets, so that tests detect an answer to the wrong prompt.
 func TokenAt(seed uint64, offset int) string {
 	var b [16]byte
 	binary.LittleEndian.PutUint64(b[:8], seed)
@@ -20,7 +20,7 @@
 	return fmt.Sprintf("%08x ", uint32(xxhash.Sum64(b[:])))
 }
 
-// Completion gives the whole answer to a prompt.
+// Completion returns the complete answer to a prompt, with the given number of tokens.
 func Completion(prompt string, tokens int) string {
 	var b strings.Builder
 	for i := range tokens {
--- a/fakes/model/decode.go
+++ b/fakes/model/decode.go
@@ -12,10 +12,11 @@
 )
 
 const (
-	// crashOffset is the token before which a marked decode crashes.
+	// crashOffset is the offset of the token before which a decode of a prompt
+	// with CrashInDecode crashes.
 	crashOffset = 2
-	// writeTimeout is how long the engine waits for a reader that takes
-	// nothing; then it decodes on without it.
+	// writeTimeout is how long the engine waits for a caller that does not read.
+	// After that it decodes without sending.
 	writeTimeout = 200 * time.Millisecond
 )
 
@@ -28,46 +29,47 @@
 		http.Error(w, "max_tokens or kv.tokens is not positive", http.StatusBadRequest)
 		return
 	}
-	m := e.now()
-	ctx, run, problem := e.begin(m, Run{
+	m := e.currentState()
+	ctx, run, problem := e.startRun(m, Run{
 		Request: o.Request, Attempt: o.Attempt, Work: domain.RoleDecode, ReservedTokens: o.KV.Tokens + o.MaxTokens,
 	})
 	if problem != "" {
-		notTaken(w, problem)
+		writeNotStarted(w, problem)
 		return
 	}
-	t, err := e.fetch(ctx, o.KV)
+	t, err := e.importKV(ctx, o.KV)
 	if cause := context.Cause(ctx); cause != nil {
-		e.finish(m, run, Cancelled)
-		stopped(w, cause)
+		e.finishRun(m, run, Cancelled)
+		writeCancelled(w, cause)
 		return
 	}
 	if err != nil {
-		e.finish(m, run, Evicted)
-		evicted(w, err.Error())
+		e.finishRun(m, run, Evicted)
+		writeEvicted(w, err.Error())
 		return
 	}
-	s := stream{w: w, control: http.NewResponseController(w)}
+	s := stream{w: w, controller: http.NewResponseController(w)}
 	s.flush()
-	if err := e.tokens(ctx, m, run, t, o.MaxTokens, &s); err != nil {
-		e.finish(m, run, Cancelled)
+	if err := e.decodeTokens(ctx, m, run, t, o.MaxTokens, &s); err != nil {
+		e.finishRun(m, run, Cancelled)
 		serve.AbortConn()
 	}
 }
 
-// tokens decodes to the end, whether or not anyone reads.
-func (e *Engine) tokens(ctx context.Context, m *memory, run *Run, t transfer, count int, s *stream) error {
+// decodeTokens decodes count tokens and sends them. It continues if the caller
+// disconnects, and returns an error if the run is cancelled or the engine crashes.
+func (e *Engine) decodeTokens(ctx context.Context, m *volatileState, run *Run, t transferHeader, count int, s *stream) error {
 	for i := range count {
-		if err := e.pace(ctx, e.gap(m)); err != nil {
+		if err := e.simulateWork(ctx, e.batchTokenGap(m)); err != nil {
 			return err
 		}
 		if t.Crash && i == crashOffset {
 			e.Crash()
 			return errCrashed
 		}
-		e.computed(run, 1)
+		e.addTokens(run, 1)
 		last := i == count-1
-		if last && !e.finish(m, run, Done) {
+		if last && !e.finishRun(m, run, Done) {
 			return errCancelled
 		}
 		s.write(engine.Token{Offset: i, Text: TokenAt(t.Seed, i), Last: last})
@@ -75,31 +77,32 @@
 	return nil
 }
 
-// gap is the time to the next token: it grows with the batch.
-func (e *Engine) gap(m *memory) time.Duration {
+// batchTokenGap returns the time to the next token, which grows with the number of
+// decodes in the batch.
+func (e *Engine) batchTokenGap(m *volatileState) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	others := max(m.decodes()-1, 0)
+	others := max(m.decodeCount()-1, 0)
 	return time.Duration(float64(e.TokenGap) * (1 + e.BatchCost*float64(others)))
 }
 
-// stream writes tokens until the reader is gone.
+// stream sends tokens to the caller until the caller disconnects.
 type stream struct {
-	w       http.ResponseWriter
-	control *http.ResponseController
-	gone    bool
+	w            http.ResponseWriter
+	controller   *http.ResponseController
+	disconnected bool
 }
 
 func (s *stream) write(t engine.Token) {
-	if s.gone {
+	if s.disconnected {
 		return
 	}
-	_ = s.control.SetWriteDeadline(time.Now().Add(writeTimeout)) // no network, no deadline
-	if json.NewEncoder(s.w).Encode(t) != nil || s.control.Flush() != nil {
-		s.gone = true
+	_ = s.controller.SetWriteDeadline(time.Now().Add(writeTimeout)) // fails only in tests without a network, which need no deadline
+	if json.NewEncoder(s.w).Encode(t) != nil || s.controller.Flush() != nil {
+		s.disconnected = true
 	}
 }
 
 func (s *stream) flush() {
-	s.gone = s.control.Flush() != nil
+	s.disconnected = s.controller.Flush() != nil
 }
--- a/fakes/model/events.go
+++ b/fakes/model/events.go
@@ -9,60 +9,62 @@
 	"jacinthworks/fakes/serve"
 )
 
-// prefix is a prompt whose beginning is cached under a hash.
+// prefix is a cached prompt prefix: the last prompt that was prefilled with its hash.
 type prefix struct {
-	prompt string
-	tokens int
-	used   time.Time
+	prompt   string
+	tokens   int
+	lastUsed time.Time
 }
 
+// event is a cache event with the time at which it occurred.
 type event struct {
 	at time.Time
 	engine.CacheEvent
 }
 
-// cached gives how many of the prompt's tokens need no prefill: those of the
-// beginning that it shares with the prompt last seen under its prefix. The
-// last token is always computed.
-func (e *Engine) cached(m *memory, o engine.PrefillRequest) int {
+// cachedTokens returns how many of the prompt's tokens need no prefill: the tokens of
+// the beginning that it shares with the last prompt with the same prefix hash. The last
+// token is always computed.
+func (e *Engine) cachedTokens(m *volatileState, o engine.PrefillRequest) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	p := m.prefixes[o.Prefix]
 	if o.Prefix == 0 || p == nil || len(o.Prompt) == 0 {
 		return 0
 	}
-	same := 0
-	for same < min(len(p.prompt), len(o.Prompt)) && p.prompt[same] == o.Prompt[same] {
-		same++
+	common := 0
+	for common < min(len(p.prompt), len(o.Prompt)) && p.prompt[common] == o.Prompt[common] {
+		common++
 	}
-	return min(o.PromptTokens*same/len(o.Prompt), o.PromptTokens-1)
+	return min(o.PromptTokens*common/len(o.Prompt), o.PromptTokens-1)
 }
 
-// remember caches the prompt under its prefix and evicts what was used least
-// recently until all fit.
-func (e *Engine) remember(m *memory, o engine.PrefillRequest) {
+// cachePrompt caches the prompt under its prefix hash and evicts the least recently
+// used prefixes until the rest fits into PrefixTokens.
+func (e *Engine) cachePrompt(m *volatileState, o engine.PrefillRequest) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if o.Prefix == 0 || o.PromptTokens > e.PrefixTokens {
 		return
 	}
 	if m.prefixes[o.Prefix] == nil {
-		e.happened(m, engine.CacheEvent{Prefix: o.Prefix, Tokens: o.PromptTokens})
+		e.recordEvent(m, engine.CacheEvent{Prefix: o.Prefix, Tokens: o.PromptTokens})
 	}
-	m.prefixes[o.Prefix] = &prefix{prompt: o.Prompt, tokens: o.PromptTokens, used: time.Now()}
+	m.prefixes[o.Prefix] = &prefix{prompt: o.Prompt, tokens: o.PromptTokens, lastUsed: time.Now()}
 	for m.prefixTokens() > e.PrefixTokens {
 		oldest := o.Prefix
 		for hash, p := range m.prefixes {
-			if p.used.Before(m.prefixes[oldest].used) {
+			if p.lastUsed.Before(m.prefixes[oldest].lastUsed) {
 				oldest = hash
 			}
 		}
-		e.happened(m, engine.CacheEvent{Prefix: oldest, Tokens: m.prefixes[oldest].tokens, Evicted: true})
+		e.recordEvent(m, engine.CacheEvent{Prefix: oldest, Tokens: m.prefixes[oldest].tokens, Evicted: true})
 		delete(m.prefixes, oldest)
 	}
 }
 
-func (m *memory) prefixTokens() int {
+// prefixTokens returns the size of all cached prefixes in tokens.
+func (m *volatileState) prefixTokens() int {
 	n := 0
 	for _, p := range m.prefixes {
 		n += p.tokens
@@ -70,14 +72,16 @@
 	return n
 }
 
-func (e *Engine) happened(m *memory, c engine.CacheEvent) {
-	e.seq++
-	c.Seq = e.seq
+// recordEvent appends a cache event with the next sequence number. The caller holds
+// e.mu.
+func (e *Engine) recordEvent(m *volatileState, c engine.CacheEvent) {
+	e.lastEventSeq++
+	c.Seq = e.lastEventSeq
 	m.events = append(m.events, event{at: time.Now(), CacheEvent: c})
 }
 
-// cacheEvents gives events late and with gaps. A crash empties the cache
-// without an event.
+// cacheEvents answers with the cache events that are older than EventDelay, without
+// every EventGap-th event. A crash empties the cache without an event.
 func (e *Engine) cacheEvents(w http.ResponseWriter, r *http.Request) {
 	after, err := strconv.ParseUint(r.FormValue("after"), 10, 64)
 	if err != nil {
@@ -86,11 +90,11 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	known := time.Now().Add(-max(e.EventDelay, 0))
+	visibleUntil := time.Now().Add(-max(e.EventDelay, 0))
 	events := []engine.CacheEvent{}
-	for _, v := range e.memory.events {
+	for _, v := range e.volatile.events {
 		lost := e.EventGap > 0 && v.Seq%uint64(e.EventGap) == 0
-		if v.Seq > after && !lost && !v.at.After(known) {
+		if v.Seq > after && !lost && !v.at.After(visibleUntil) {
 			events = append(events, v.CacheEvent)
 		}
 	}
--- a/fakes/model/link.go
+++ b/fakes/model/link.go
@@ -18,58 +18,63 @@
 	"jacinthworks/send"
 )
 
-// A transfer goes in pieces, so that concurrent ones share the link; a token's
-// cache is a few bytes here, and the link's rate makes it slow.
+// A transfer is sent in chunks, so that concurrent transfers share the link. The cache
+// of a token has only a few bytes here; the link's rate determines how long the
+// transfer takes.
 const (
-	pieceTokens   = 256
-	bytesPerToken = 8
-	importSilence = 2 * time.Second
-	maxTransfer   = 64 << 20
+	chunkTokens       = 256
+	bytesPerToken     = 8
+	importReadTimeout = 2 * time.Second
+	maxTransferBytes  = 64 << 20
 )
 
-// transfer is the first line of an export; the cache's bytes follow.
-type transfer struct {
+// transferHeader is the first line of an export, which the bytes of the cache follow.
+type transferHeader struct {
 	Tokens int    `json:"tokens"`
 	Seed   uint64 `json:"seed"`
 	Crash  bool   `json:"crash"`
 }
 
-// link is shared by all exports of an engine. The zero value is idle.
+// link models the outgoing link that all exports of an engine share. The zero value is
+// idle.
 type link struct {
-	mu   sync.Mutex
-	free time.Time
+	mu sync.Mutex
+	// freeAt is the time at which the accepted transfers end.
+	freeAt time.Time
 }
 
-// book gives how long to wait until tokens have gone through at the rate.
-func (l *link) book(tokens, rate int) time.Duration {
+// reserve appends a transfer of tokens to the link and returns the time until it ends;
+// rate is in tokens per second.
+func (l *link) reserve(tokens, rate int) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	if l.free.Before(now) {
-		l.free = now
+	if l.freeAt.Before(now) {
+		l.freeAt = now
 	}
-	l.free = l.free.Add(time.Duration(tokens) * time.Second / time.Duration(rate))
-	return l.free.Sub(now)
+	l.freeAt = l.freeAt.Add(time.Duration(tokens) * time.Second / time.Duration(rate))
+	return l.freeAt.Sub(now)
 }
 
-// export sends KV cache at the link's rate. Eviction meanwhile cuts it.
+// export sends a KV cache at the link's rate. It closes the connection if the cache is
+// evicted during the transfer.
 func (e *Engine) export(w http.ResponseWriter, r *http.Request) {
 	handle := r.PathValue("handle")
-	c, ok := e.find(handle)
+	c, ok := e.findKV(handle)
 	if !ok {
-		evicted(w, "no such KV cache")
+		writeEvicted(w, "no such KV cache")
 		return
 	}
-	first := transfer{Tokens: c.tokens, Seed: c.seed, Crash: c.crash}
-	if json.NewEncoder(w).Encode(first) != nil {
+	header := transferHeader{Tokens: c.tokens, Seed: c.seed, Crash: c.crashOnDecode}
+	if json.NewEncoder(w).Encode(header) != nil {
 		return
 	}
-	for left := c.tokens; left > 0; left -= pieceTokens {
-		tokens := min(left, pieceTokens)
-		if e.pace(r.Context(), e.link.book(tokens, e.LinkRate)) != nil {
+	for remaining := c.tokens; remaining > 0; remaining -= chunkTokens {
+		tokens := min(remaining, chunkTokens)
+		if e.simulateWork(r.Context(), e.link.reserve(tokens, e.LinkRate)) != nil {
 			serve.AbortConn()
 		}
-		if _, ok := e.find(handle); !ok {
+		if _, ok := e.findKV(handle); !ok {
 			serve.AbortConn()
 		}
 		if _, err := w.Write(make([]byte, tokens*bytesPerToken)); err != nil {
@@ -78,59 +83,61 @@
 	}
 }
 
-func evicted(w http.ResponseWriter, detail string) {
+func writeEvicted(w http.ResponseWriter, detail string) {
 	serve.Write(w, http.StatusGone, engine.Problem{Code: engine.CodeEvicted, Detail: detail})
 }
 
-// fetch imports KV cache from the engine that has it, or from this one where
-// no address is given.
-func (e *Engine) fetch(ctx context.Context, kv engine.KV) (transfer, error) {
+// importKV imports a KV cache from the engine at kv.Engine, or from this engine if that
+// address is zero.
+func (e *Engine) importKV(ctx context.Context, kv engine.KV) (transferHeader, error) {
 	if kv.Engine == (netip.AddrPort{}) {
-		return e.fetchOwn(ctx, kv)
+		return e.importOwnKV(ctx, kv)
 	}
-	peer := send.Client{Base: kv.Engine, ReadTimeout: importSilence}
+	peer := send.Client{Base: kv.Engine, ReadTimeout: importReadTimeout}
 	defer peer.CloseIdleConnections()
 	reply, err := peer.Do(ctx, send.Request{Method: http.MethodGet, Target: "/kv/" + kv.Handle})
 	if err != nil {
-		return transfer{}, err
+		return transferHeader{}, err
 	}
-	body, err := reply.ReadAll(maxTransfer)
+	body, err := reply.ReadAll(maxTransferBytes)
 	if err != nil {
-		return transfer{}, err
+		return transferHeader{}, err
 	}
 	if reply.Status != http.StatusOK {
-		return transfer{}, errors.Errorf("model: status %d", reply.Status)
+		return transferHeader{}, errors.Errorf("model: status %d", reply.Status)
 	}
 	return readTransfer(body)
 }
 
-func readTransfer(body []byte) (transfer, error) {
+// readTransfer decodes an export and checks that its length matches its header.
+func readTransfer(body []byte) (transferHeader, error) {
 	rest := bufio.NewReader(bytes.NewReader(body))
 	line, err := rest.ReadBytes('\n')
 	if err != nil {
-		return transfer{}, errors.Wrap(err, "model: reading transfer")
+		return transferHeader{}, errors.Wrap(err, "model: reading transfer")
 	}
-	var t transfer
+	var t transferHeader
 	if err := json.Unmarshal(line, &t); err != nil {
-		return transfer{}, errors.Wrap(err, "model: reading transfer")
+		return transferHeader{}, errors.Wrap(err, "model: reading transfer")
 	}
 	n, err := io.Copy(io.Discard, rest)
 	if err != nil || n != int64(t.Tokens)*bytesPerToken {
-		return transfer{}, errors.Errorf("model: transfer of %d tokens has %d bytes", t.Tokens, n)
+		return transferHeader{}, errors.Errorf("model: transfer of %d tokens has %d bytes", t.Tokens, n)
 	}
 	return t, nil
 }
 
-func (e *Engine) fetchOwn(ctx context.Context, kv engine.KV) (transfer, error) {
-	c, ok := e.find(kv.Handle)
+// importOwnKV transfers a KV cache within this engine, over the same link.
+func (e *Engine) importOwnKV(ctx context.Context, kv engine.KV) (transferHeader, error) {
+	c, ok := e.findKV(kv.Handle)
 	if !ok {
-		return transfer{}, errors.New("model: no such KV cache")
+		return transferHeader{}, errors.New("model: no such KV cache")
 	}
-	if err := e.pace(ctx, e.link.book(c.tokens, e.LinkRate)); err != nil {
-		return transfer{}, err
+	if err := e.simulateWork(ctx, e.link.reserve(c.tokens, e.LinkRate)); err != nil {
+		return transferHeader{}, err
 	}
-	if _, ok := e.find(kv.Handle); !ok {
-		return transfer{}, errors.New("model: evicted in mid-transfer")
+	if _, ok := e.findKV(kv.Handle); !ok {
+		return transferHeader{}, errors.New("model: evicted in mid-transfer")
 	}
-	return transfer{Tokens: c.tokens, Seed: c.seed, Crash: c.crash}, nil
+	return transferHeader{Tokens: c.tokens, Seed: c.seed, Crash: c.crashOnDecode}, nil
 }
--- a/fakes/model/model.go
+++ b/fakes/model/model.go
@@ -1,15 +1,15 @@
-// Package model is the stand-in for a model engine. It prefills one prompt at
-// a time, decodes in a batch whose token gap grows with its size, holds KV
-// cache in limited memory and evicts what a prefill left after a short life.
-// What nobody cancels runs to its end, whoever has gone.
+// Package model is the stand-in for a model engine. It prefills one prompt at a time,
+// decodes in a batch whose token gap grows with its size, keeps KV cache in limited
+// memory and evicts the KV cache of a prefill after a short lifetime. Prefills and
+// decodes that are not cancelled run to their end even if their caller disconnects.
 //
 // # Usage
 //
 //	e := model.Engine{Settings: model.Settings{Role: domain.RolePrefill}}
 //	s := serve.Server{Handler: &e}
-//	e.Crashed = s.Crash
+//	e.OnCrash = s.Crash
 //	addr, err := s.Start(ctx, netip.MustParseAddrPort("127.0.0.1:0"))
-//	e.Misbehave(model.Fault{DropCancels: 1})
+//	e.SetFault(model.Fault{DropCancels: 1})
 //
 // Over HTTP: POST /prefill, /decode, /cancel, /order; GET /state,
 // /events?after=N, /kv/{handle}; for tests GET and POST /fault, POST /crash,
@@ -29,8 +29,8 @@
 	"jacinthworks/fakes/serve"
 )
 
-// The markers: an engine that prefills, or decodes, a prompt that contains its
-// marker crashes.
+// Markers in a prompt that crash the engine that prefills it, or the engine that
+// decodes from its KV cache.
 const (
 	CrashInPrefill = "[crash-in-prefill]"
 	CrashInDecode  = "[crash-in-decode]"
@@ -41,28 +41,28 @@
 	errCancelled = errors.New("model: cancelled")
 )
 
-// Fault is how the engine misbehaves. The zero value is good behaviour; a
-// fault that is set takes the place of the one before.
+// Fault describes how the engine misbehaves. The zero value means no fault.
 type Fault struct {
-	// Frozen stops all work and all answers until it is over.
+	// Frozen stops all runs and answers until the fault is cleared.
 	Frozen bool `json:"frozen,omitempty"`
-	// Slow multiplies the time of prefills and token gaps; zero is 1.
+	// Slow multiplies the duration of prefills, token gaps, transfers and loads;
+	// zero means 1.
 	Slow float64 `json:"slow,omitempty"`
-	// Refuse answers each order for work with not_taken.
+	// Refuse answers each prefill and decode request with not_taken.
 	Refuse bool `json:"refuse,omitempty"`
-	// DropCancels is how many of the next cancels are answered and ignored.
+	// DropCancels is the number of next cancels that are answered but ignored.
 	DropCancels int `json:"drop_cancels,omitempty"`
-	// LoseAnswers is how many of the next prefills run while their answer is
-	// lost.
+	// LoseAnswers is the number of next prefills that run but whose connection is
+	// closed without an answer.
 	LoseAnswers int `json:"lose_answers,omitempty"`
 }
 
-// Engine is the stand-in. The zero value is ready to use and takes both roles;
-// it must not be copied after its first use.
+// Engine is the HTTP handler of the stand-in. The zero value is ready to use and serves
+// both roles; it must not be copied after its first use. It is safe for concurrent use.
 type Engine struct {
 	Settings
-	// OnCrash is called after a crash and takes the engine off the network
-	// for the time given. It may be nil.
+	// OnCrash is called after a crash and must make the engine unreachable for the
+	// duration down. It may be nil.
 	OnCrash func(down time.Duration)
 
 	gate serve.Gate
@@ -70,39 +70,40 @@
 	mux  http.ServeMux
 	link link
 
-	mu     sync.Mutex
-	fault  Fault
-	memory *memory
-	runs   []*Run
-	orders []ReceivedOrder
-	fence  uint64
-	// seq counts cache events, handles KV caches, through crashes too.
-	seq     uint64
-	handles uint64
+	mu       sync.Mutex
+	fault    Fault
+	volatile *volatileState
+	runs     []*Run
+	orders   []ReceivedOrder
+	fence    uint64
+	// lastEventSeq numbers the cache events and lastHandle the KV caches; a crash
+	// does not reset them.
+	lastEventSeq uint64
+	lastHandle   uint64
 }
 
-// memory is what a crash loses.
-type memory struct {
-	ctx         context.Context
-	end         context.CancelCauseFunc
-	incarnation domain.Incarnation
-	lane        lane
-	running     map[*Run]context.CancelCauseFunc
-	caches      map[string]*cache
-	prefixes    map[uint64]*prefix
-	events      []event
-	report      serve.Delayed[engine.State]
+// volatileState is the state that a crash discards.
+type volatileState struct {
+	ctx          context.Context
+	cancel       context.CancelCauseFunc
+	incarnation  domain.Incarnation
+	prefillQueue prefillQueue
+	running      map[*Run]context.CancelCauseFunc
+	caches       map[string]*kvCache
+	prefixes     map[uint64]*prefix
+	events       []event
+	report       serve.Delayed[engine.State]
 }
 
-// ServeHTTP answers a call.
+// ServeHTTP handles a call, or a request to the test interface.
 func (e *Engine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	e.once.Do(e.open)
+	e.once.Do(e.setup)
 	e.mux.ServeHTTP(w, r)
 }
 
-func (e *Engine) open() {
-	e.Settings = e.filled()
-	e.forget()
+func (e *Engine) setup() {
+	e.Settings = e.withDefaults()
+	e.resetState()
 	e.mux.HandleFunc("POST /prefill", e.gated(e.prefill))
 	e.mux.HandleFunc("POST /decode", e.gated(e.decode))
 	e.mux.HandleFunc("POST /cancel", e.gated(e.cancel))
@@ -118,18 +119,18 @@
 	e.mux.HandleFunc("GET /orders", func(w http.ResponseWriter, _ *http.Request) { serve.Write(w, http.StatusOK, e.Orders()) })
 }
 
-// gated holds a call back while the engine is frozen, and drops it if the
+// gated delays a call while the engine is frozen, and closes its connection if the
 // engine crashes meanwhile.
 func (e *Engine) gated(handle http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		if e.gate.Pass(e.now().ctx) != nil {
+		if e.gate.Pass(e.currentState().ctx) != nil {
 			serve.AbortConn()
 		}
 		handle(w, r)
 	}
 }
 
-// SetFault sets the fault in the place of the one before.
+// SetFault replaces the current fault.
 func (e *Engine) SetFault(f Fault) {
 	e.mu.Lock()
 	e.fault = f
@@ -137,7 +138,7 @@
 	e.gate.Freeze(f.Frozen)
 }
 
-// Fault gives the fault in force.
+// Fault returns the current fault.
 func (e *Engine) Fault() Fault {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -152,48 +153,50 @@
 	}
 }
 
-// Crash loses all memory and all work in progress, and comes back as a new
-// incarnation.
+// Crash discards the volatile state, ends all runs in progress with outcome Crashed, and
+// starts a new incarnation.
 func (e *Engine) Crash() {
-	e.once.Do(e.open)
+	e.once.Do(e.setup)
 	e.mu.Lock()
-	old := e.memory
+	old := e.volatile
 	for r := range old.running {
-		r.end(Crashed)
+		r.setOutcome(Crashed)
 	}
-	e.forget()
+	e.resetState()
 	e.mu.Unlock()
-	old.end(errCrashed)
+	old.cancel(errCrashed)
 	if e.OnCrash != nil {
 		e.OnCrash(e.DownTime)
 	}
 }
 
-// forget starts an incarnation with empty memory.
-func (e *Engine) forget() {
-	m := &memory{
+// resetState starts a new incarnation with empty volatile state. The caller holds e.mu,
+// except during setup.
+func (e *Engine) resetState() {
+	m := &volatileState{
 		incarnation: domain.Incarnation(time.Now().UnixNano()),
 		running:     map[*Run]context.CancelCauseFunc{},
-		caches:      map[string]*cache{},
+		caches:      map[string]*kvCache{},
 		prefixes:    map[uint64]*prefix{},
 	}
-	if e.memory != nil {
-		m.incarnation = max(m.incarnation, e.memory.incarnation+1)
+	if e.volatile != nil {
+		m.incarnation = max(m.incarnation, e.volatile.incarnation+1)
 	}
-	m.ctx, m.end = context.WithCancelCause(context.Background())
-	e.memory = m
-	e.note()
+	m.ctx, m.cancel = context.WithCancelCause(context.Background())
+	e.volatile = m
+	e.recordState()
 }
 
-func (e *Engine) now() *memory {
+func (e *Engine) currentState() *volatileState {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.memory
+	return e.volatile
 }
 
-// pace works for the time given, longer while slow, not while frozen.
-func (e *Engine) pace(ctx context.Context, d time.Duration) error {
-	const slice = 100 * time.Millisecond // how late a freeze may bite
+// simulateWork waits for d, multiplied by Fault.Slow; time in which the engine is frozen
+// does not count. It returns the cause of the context's end if the context ends first.
+func (e *Engine) simulateWork(ctx context.Context, d time.Duration) error {
+	const slice = 100 * time.Millisecond // upper bound of the delay before a change of the fault takes effect
 	for d > 0 {
 		if err := e.gate.Pass(ctx); err != nil {
 			return context.Cause(ctx)
--- a/fakes/model/model_test.go
+++ b/fakes/model/model_test.go
@@ -17,16 +17,17 @@
 	"jacinthworks/engine"
 )
 
-// ask calls the engine without a network, in virtual time.
-func ask(t *testing.T, e *Engine, method, target string, order any) *httptest.ResponseRecorder {
+// call sends a request to the engine's handler without a network, so that tests can use
+// virtual time.
+func call(t *testing.T, e *Engine, method, target string, order any) *httptest.ResponseRecorder {
 	t.Helper()
 	body, err := json.Marshal(order)
 	require.NoError(t, err)
 	w := httptest.NewRecorder()
 	func() {
 		defer func() {
-			if fault := recover(); fault != nil && fault != http.ErrAbortHandler {
-				panic(fault)
+			if cause := recover(); cause != nil && cause != http.ErrAbortHandler {
+				panic(cause)
 			}
 		}()
 		e.ServeHTTP(w, httptest.NewRequest(method, target, bytes.NewReader(body)))
@@ -37,14 +38,14 @@
 func prefill(t *testing.T, e *Engine, o engine.PrefillRequest) (engine.KV, time.Duration) {
 	t.Helper()
 	started := time.Now()
-	w := ask(t, e, http.MethodPost, "/prefill", o)
+	w := call(t, e, http.MethodPost, "/prefill", o)
 	require.Equal(t, http.StatusOK, w.Code, w.Body.String())
 	var kv engine.KV
 	require.NoError(t, json.Unmarshal(w.Body.Bytes(), &kv))
 	return kv, time.Since(started)
 }
 
-func TestPrefillTakesItsTokensLessTheCached(t *testing.T) {
+func TestPrefillTimeExcludesCachedTokens(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := &Engine{Settings: Settings{PrefillRate: 1000}}
 		head := strings.Repeat("h", 750)
@@ -61,28 +62,28 @@
 	})
 }
 
-// Story: a prefill is done, but its decode comes late or over a slow link. The
-// cache is gone by then, and the engine says so; it does not answer from
-// nothing.
-func TestCacheIsEvictedInUnderASecond(t *testing.T) {
+// If the KV cache of a prefill has been evicted, because the decode request arrives late
+// or the transfer over a slow link takes too long, the engine must refuse the decode
+// with status 410 and not answer without the cache.
+func TestDecodeIsRefusedAfterKVCacheEviction(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := &Engine{Settings: Settings{LinkRate: 1000}}
 		late := engine.PrefillRequest{Request: "late", Prompt: "p", PromptTokens: 10}
 		kv, _ := prefill(t, e, late)
 		require.Equal(t, 10, e.CurrentState().UsedTokens)
 		time.Sleep(kv.TTL + time.Millisecond)
-		require.Zero(t, e.CurrentState().UsedTokens, "its memory is free again")
-		w := ask(t, e, http.MethodPost, "/decode", engine.DecodeRequest{Request: "late", KV: kv, MaxTokens: 2})
+		require.Zero(t, e.CurrentState().UsedTokens, "the memory of the evicted cache is free")
+		w := call(t, e, http.MethodPost, "/decode", engine.DecodeRequest{Request: "late", KV: kv, MaxTokens: 2})
 		require.Equal(t, http.StatusGone, w.Code)
 
 		kv, _ = prefill(t, e, engine.PrefillRequest{Request: "slow", Prompt: "p", PromptTokens: 1000})
-		w = ask(t, e, http.MethodPost, "/decode", engine.DecodeRequest{Request: "slow", KV: kv, MaxTokens: 2})
-		require.Equal(t, http.StatusGone, w.Code, "the transfer takes a second, the cache lives 0.8")
+		w = call(t, e, http.MethodPost, "/decode", engine.DecodeRequest{Request: "slow", KV: kv, MaxTokens: 2})
+		require.Equal(t, http.StatusGone, w.Code, "the transfer takes 1 s, the cache is evicted after 0.8 s")
 		require.Equal(t, Evicted, e.Runs()[3].Outcome)
 	})
 }
 
-func TestTokenGapGrowsWithTheBatchAndSlotsEnd(t *testing.T) {
+func TestTokenGapGrowsWithBatchAndDecodeIsRefusedWithoutFreeSlot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := &Engine{Settings: Settings{Slots: 3, TokenGap: 10 * time.Millisecond, BatchCost: 0.5, PrefillRate: 1e6, LinkRate: 1e9}}
 		run := func(name domain.RequestID) <-chan time.Duration {
@@ -90,7 +91,7 @@
 			took := make(chan time.Duration, 1)
 			go func() {
 				started := time.Now()
-				ask(t, e, http.MethodPost, "/decode", engine.DecodeRequest{Request: name, KV: kv, MaxTokens: 100})
+				call(t, e, http.MethodPost, "/decode", engine.DecodeRequest{Request: name, KV: kv, MaxTokens: 100})
 				took <- time.Since(started)
 			}()
 			return took
@@ -99,25 +100,25 @@
 		first, second, third := run("a"), run("b"), run("c")
 		synctest.Wait()
 		kv, _ := prefill(t, e, engine.PrefillRequest{Request: "d", Prompt: "p", PromptTokens: 1})
-		w := ask(t, e, http.MethodPost, "/decode", engine.DecodeRequest{Request: "d", KV: kv, MaxTokens: 1})
+		w := call(t, e, http.MethodPost, "/decode", engine.DecodeRequest{Request: "d", KV: kv, MaxTokens: 1})
 		require.Equal(t, http.StatusServiceUnavailable, w.Code)
 		require.Contains(t, w.Body.String(), engine.CodeNotStarted)
 		for _, took := range []<-chan time.Duration{first, second, third} {
-			require.InDelta(t, 2*time.Second, <-took, 20e6, "three at once take twice the gap")
+			require.InDelta(t, 2*time.Second, <-took, 20e6, "the gap of three concurrent decodes is twice that of one")
 		}
 	})
 }
 
-// Story: an inspector's connection closes in mid-answer. Nobody tells the
-// engine; it decodes on and holds its memory to the last token. Whoever stands
-// beside it has to cancel, and look whether the cancel was heard.
-func TestOnlyACancelFreesADecode(t *testing.T) {
+// An engine does not notice that a caller has disconnected during an answer: it decodes to
+// the last token and keeps the memory. The side must cancel the decode, and must check
+// that the cancel took effect.
+func TestDecodeKeepsMemoryAfterDisconnectUntilCancelled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := &Engine{Settings: Settings{TokenGap: 10 * time.Millisecond, MemoryTokens: 500}}
 		kv, _ := prefill(t, e, engine.PrefillRequest{Request: "1", Prompt: "p", PromptTokens: 100})
 		body, err := json.Marshal(engine.DecodeRequest{Request: "1", KV: kv, MaxTokens: 200})
 		require.NoError(t, err)
-		ctx, hangUp := context.WithCancel(t.Context())
+		ctx, disconnect := context.WithCancel(t.Context())
 		ended := make(chan struct{})
 		go func() {
 			defer close(ended)
@@ -126,16 +127,16 @@
 			e.ServeHTTP(httptest.NewRecorder(), r)
 		}()
 		time.Sleep(100 * time.Millisecond)
-		hangUp()
+		disconnect()
 		time.Sleep(time.Second)
-		require.Equal(t, 300, e.CurrentState().UsedTokens, "100 imported and 200 to come; the prefill's own are evicted")
-		w := ask(t, e, http.MethodPost, "/prefill", engine.PrefillRequest{Request: "2", Prompt: "p", PromptTokens: 201})
-		require.Equal(t, http.StatusServiceUnavailable, w.Code, "there is no room")
+		require.Equal(t, 300, e.CurrentState().UsedTokens, "100 imported tokens and 200 output tokens; the prefill's cache is evicted")
+		w := call(t, e, http.MethodPost, "/prefill", engine.PrefillRequest{Request: "2", Prompt: "p", PromptTokens: 201})
+		require.Equal(t, http.StatusServiceUnavailable, w.Code, "the memory is full")
 
 		e.SetFault(Fault{DropCancels: 1})
-		require.Equal(t, http.StatusOK, ask(t, e, http.MethodPost, "/cancel", engine.CancelRequest{Request: "1"}).Code)
-		require.Equal(t, 300, e.CurrentState().UsedTokens, "the cancel was answered and ignored")
-		require.Equal(t, http.StatusOK, ask(t, e, http.MethodPost, "/cancel", engine.CancelRequest{Request: "1"}).Code)
+		require.Equal(t, http.StatusOK, call(t, e, http.MethodPost, "/cancel", engine.CancelRequest{Request: "1"}).Code)
+		require.Equal(t, 300, e.CurrentState().UsedTokens, "the first cancel is answered but ignored")
+		require.Equal(t, http.StatusOK, call(t, e, http.MethodPost, "/cancel", engine.CancelRequest{Request: "1"}).Code)
 		require.Zero(t, e.CurrentState().UsedTokens)
 		<-ended
 		run := e.Runs()[1]
@@ -144,7 +145,7 @@
 	})
 }
 
-func TestPrefillsGoOneByOneByPriority(t *testing.T) {
+func TestPrefillsRunOneAtATimeByPriority(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := &Engine{Settings: Settings{PrefillRate: 100}}
 		done := make(chan domain.RequestID, 3)
@@ -153,7 +154,7 @@
 		} {
 			o.Prompt, o.PromptTokens = "p", 100
 			go func() {
-				ask(t, e, http.MethodPost, "/prefill", o)
+				call(t, e, http.MethodPost, "/prefill", o)
 				done <- o.Request
 			}()
 			synctest.Wait()
@@ -162,12 +163,12 @@
 	})
 }
 
-func TestReportsLagAndEventsComeLateWithGaps(t *testing.T) {
+func TestReportsAndCacheEventsAreDelayedAndEventsHaveGaps(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := &Engine{Settings: Settings{EventGap: 2, PrefillRate: 1e6}}
 		var state engine.State
 		report := func() engine.State {
-			require.NoError(t, json.Unmarshal(ask(t, e, http.MethodGet, "/state", nil).Body.Bytes(), &state))
+			require.NoError(t, json.Unmarshal(call(t, e, http.MethodGet, "/state", nil).Body.Bytes(), &state))
 			return state
 		}
 		require.Zero(t, report().UsedTokens)
@@ -175,41 +176,41 @@
 		for i := range uint64(4) {
 			prefill(t, e, engine.PrefillRequest{Request: "1", Prompt: "p", PromptTokens: 10, Prefix: i + 1})
 		}
-		require.Zero(t, report().UsedTokens, "the report lags")
+		require.Zero(t, report().UsedTokens, "the report is delayed")
 		time.Sleep(200 * time.Millisecond)
 		require.Equal(t, 40, report().UsedTokens)
 
 		events := func() (seqs []uint64) {
 			var list []engine.CacheEvent
-			require.NoError(t, json.Unmarshal(ask(t, e, http.MethodGet, "/events?after=0", nil).Body.Bytes(), &list))
+			require.NoError(t, json.Unmarshal(call(t, e, http.MethodGet, "/events?after=0", nil).Body.Bytes(), &list))
 			for _, c := range list {
 				seqs = append(seqs, c.Seq)
 			}
 			return seqs
 		}
-		require.Empty(t, events(), "events are late")
+		require.Empty(t, events(), "events are delayed")
 		time.Sleep(200 * time.Millisecond)
-		require.Equal(t, []uint64{1, 3}, events(), "every second one is lost")
+		require.Equal(t, []uint64{1, 3}, events(), "every second event is lost")
 	})
 }
 
-func TestFencingIsHonouredOrIgnored(t *testing.T) {
+func TestOrderWithOldFenceIsExecutedOnlyIfFencingIsIgnored(t *testing.T) {
 	for _, ignores := range []bool{false, true} {
 		e := &Engine{Settings: Settings{IgnoresFencing: ignores}}
 		require.Equal(t, !ignores, e.CurrentState().HonoursFencing)
-		ask(t, e, http.MethodPost, "/order", engine.Order{Kind: engine.OrderLoad, Value: "new", Fence: 5})
-		ask(t, e, http.MethodPost, "/order", engine.Order{Kind: engine.OrderLoad, Value: "old", Fence: 4})
+		call(t, e, http.MethodPost, "/order", engine.Order{Kind: engine.OrderLoad, Value: "new", Fence: 5})
+		call(t, e, http.MethodPost, "/order", engine.Order{Kind: engine.OrderLoad, Value: "old", Fence: 4})
 		want := domain.Service("new")
 		if ignores {
 			want = "old"
 		}
 		require.Equal(t, want, e.CurrentState().Model)
-		require.Len(t, e.Orders(), 2, "both are recorded")
+		require.Len(t, e.Orders(), 2, "executed and refused orders are recorded")
 		require.Equal(t, ignores, e.Orders()[1].Executed)
 	}
 }
 
-func TestAnswersDependOnThePrompt(t *testing.T) {
+func TestCompletionDependsOnPromptAndOffset(t *testing.T) {
 	require.Equal(t, Completion("a", 4), Completion("a", 4))
 	require.NotEqual(t, Completion("a", 4), Completion("b", 4))
 	require.NotEqual(t, TokenAt(1, 0), TokenAt(1, 1))
--- a/fakes/model/orders.go
+++ b/fakes/model/orders.go
@@ -9,45 +9,48 @@
 	"jacinthworks/fakes/serve"
 )
 
-// ReceivedOrder is an order that the engine was given.
+// ReceivedOrder is an order that the engine received; Executed reports whether the
+// engine executed it.
 type ReceivedOrder struct {
 	engine.Order
 	At       time.Time `json:"at"`
 	Executed bool      `json:"obeyed"`
 }
 
-// Orders gives a copy of all orders so far.
+// Orders returns a copy of all orders received so far.
 func (e *Engine) Orders() []ReceivedOrder {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]ReceivedOrder{}, e.orders...)
 }
 
-// order obeys unless the fencing number is old. The same number again is
-// obeyed: its sender may have lost the answer.
+// order executes an order unless its fencing number is lower than that of an earlier
+// order. An equal number is accepted, since the sender retries if the answer is lost.
 func (e *Engine) order(w http.ResponseWriter, r *http.Request) {
 	var o engine.Order
 	if !serve.Read(w, r, &o) {
 		return
 	}
-	m := e.now()
-	obeyed := e.obey(o)
-	if !obeyed {
+	m := e.currentState()
+	executed := e.execute(o)
+	if !executed {
 		serve.Write(w, http.StatusConflict, engine.Problem{Code: engine.CodeFenced, Detail: "old fencing number"})
 		return
 	}
-	if o.Kind == engine.OrderLoad && e.pace(m.ctx, e.LoadTime) != nil {
+	if o.Kind == engine.OrderLoad && e.simulateWork(m.ctx, e.LoadTime) != nil {
 		serve.AbortConn()
 	}
 	serve.Write(w, http.StatusOK, o)
 }
 
-func (e *Engine) obey(o engine.Order) bool {
+// execute records an order and applies it if its fencing number permits. It reports
+// whether the order was applied.
+func (e *Engine) execute(o engine.Order) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	obeyed := e.IgnoresFencing || o.Fence >= e.fence
-	e.orders = append(e.orders, ReceivedOrder{Order: o, At: time.Now(), Executed: obeyed})
-	if !obeyed {
+	executed := e.IgnoresFencing || o.Fence >= e.fence
+	e.orders = append(e.orders, ReceivedOrder{Order: o, At: time.Now(), Executed: executed})
+	if !executed {
 		return false
 	}
 	e.fence = max(e.fence, o.Fence)
@@ -57,12 +60,12 @@
 	case engine.OrderLoad:
 		e.Model = domain.Service(o.Value)
 	}
-	e.note()
+	e.recordState()
 	return true
 }
 
-// cancel frees whatever the request holds. A cancel of nothing is answered
-// like any other.
+// cancel ends the runs of a request and removes its KV caches. A cancel of an unknown
+// request gets the same answer.
 func (e *Engine) cancel(w http.ResponseWriter, r *http.Request) {
 	var o engine.CancelRequest
 	if !serve.Read(w, r, &o) {
@@ -75,10 +78,10 @@
 		e.fault.DropCancels--
 		return
 	}
-	m := e.memory
+	m := e.volatile
 	for run, stop := range m.running {
 		if run.Request == o.Request {
-			run.end(Cancelled)
+			run.setOutcome(Cancelled)
 			stop(errCancelled)
 			delete(m.running, run)
 		}
@@ -88,5 +91,5 @@
 			delete(m.caches, handle)
 		}
 	}
-	e.note()
+	e.recordState()
 }
--- a/fakes/model/prefill.go
+++ b/fakes/model/prefill.go
@@ -24,51 +24,53 @@
 		http.Error(w, "prompt_tokens is not positive", http.StatusBadRequest)
 		return
 	}
-	m := e.now()
-	ctx, run, problem := e.begin(m, Run{
+	m := e.currentState()
+	ctx, run, problem := e.startRun(m, Run{
 		Request: o.Request, Attempt: o.Attempt, Work: domain.RolePrefill, ReservedTokens: o.PromptTokens,
 	})
 	if problem != "" {
-		notTaken(w, problem)
+		writeNotStarted(w, problem)
 		return
 	}
 	if err := e.fillCache(ctx, m, run, o); err != nil {
-		e.finish(m, run, Cancelled)
-		stopped(w, err)
+		e.finishRun(m, run, Cancelled)
+		writeCancelled(w, err)
 		return
 	}
-	kv, ok := e.keep(m, run, o)
-	if !ok || e.losesAnswer() {
+	kv, ok := e.storeKV(m, run, o)
+	if !ok || e.consumeLostAnswer() {
 		serve.AbortConn()
 	}
 	kv.Engine = localAddr(r)
 	serve.Write(w, http.StatusOK, kv)
 }
 
-// fillCache computes what no cached prefix covers.
-func (e *Engine) fillCache(ctx context.Context, m *memory, run *Run, o engine.PrefillRequest) error {
-	if err := m.lane.take(ctx, o.Priority); err != nil {
+// fillCache waits for its turn and prefills the part of the prompt that is not cached.
+func (e *Engine) fillCache(ctx context.Context, m *volatileState, run *Run, o engine.PrefillRequest) error {
+	if err := m.prefillQueue.acquire(ctx, o.Priority); err != nil {
 		return err
 	}
-	defer m.lane.free()
-	tokens := o.PromptTokens - e.cached(m, o)
-	took := time.Duration(tokens) * time.Second / time.Duration(e.PrefillRate)
+	defer m.prefillQueue.release()
+	tokens := o.PromptTokens - e.cachedTokens(m, o)
+	duration := time.Duration(tokens) * time.Second / time.Duration(e.PrefillRate)
 	if strings.Contains(o.Prompt, CrashInPrefill) {
-		if err := e.pace(ctx, took/2); err != nil {
+		if err := e.simulateWork(ctx, duration/2); err != nil {
 			return err
 		}
 		e.Crash()
 		return errCrashed
 	}
-	err := e.pace(ctx, took)
+	err := e.simulateWork(ctx, duration)
 	if err == nil {
-		e.computed(run, tokens)
-		e.remember(m, o)
+		e.addTokens(run, tokens)
+		e.cachePrompt(m, o)
 	}
 	return err
 }
 
-func (e *Engine) losesAnswer() bool {
+// consumeLostAnswer reports whether the answer must be lost, and decrements
+// Fault.LoseAnswers if so.
+func (e *Engine) consumeLostAnswer() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.fault.LoseAnswers == 0 {
@@ -78,20 +80,21 @@
 	return true
 }
 
-func notTaken(w http.ResponseWriter, detail string) {
+func writeNotStarted(w http.ResponseWriter, detail string) {
 	serve.Write(w, http.StatusServiceUnavailable, engine.Problem{Code: engine.CodeNotStarted, Detail: detail})
 }
 
-// stopped answers a run that was cancelled, and drops one that crashed.
-func stopped(w http.ResponseWriter, err error) {
+// writeCancelled answers the request of a cancelled run, and closes its connection if the
+// engine crashed.
+func writeCancelled(w http.ResponseWriter, err error) {
 	if errors.Is(err, errCrashed) {
 		serve.AbortConn()
 	}
 	serve.Write(w, http.StatusConflict, engine.Problem{Code: "cancelled", Detail: err.Error()})
 }
 
-// localAddr gives the address that the request came to; it is zero where the
-// handler is called without a network.
+// localAddr returns the address at which the request was received, zero if the handler
+// is called without a network.
 func localAddr(r *http.Request) netip.AddrPort {
 	addr, ok := r.Context().Value(http.LocalAddrContextKey).(*net.TCPAddr)
 	if !ok {
--- a/fakes/model/runs.go
+++ b/fakes/model/runs.go
@@ -7,10 +7,10 @@
 	"jacinthworks/domain"
 )
 
-// Outcome is how a run ended.
+// Outcome is the way in which a run ended.
 type Outcome string
 
-// The outcomes; a run in progress has none.
+// Outcomes of a run; a run in progress has an empty outcome.
 const (
 	Done      Outcome = "done"
 	Cancelled Outcome = "cancelled"
@@ -18,29 +18,30 @@
 	Evicted   Outcome = "evicted"
 )
 
-// Run is one piece of work that the engine began. Runs are kept through a
-// crash, for those who check.
+// Run is a prefill or decode that the engine started. Runs are kept across crashes, so
+// that tests can check them.
 type Run struct {
 	Request domain.RequestID `json:"request"`
 	Attempt domain.Attempt   `json:"attempt"`
-	// Work is what was run: prefill or decode.
+	// Work is RolePrefill or RoleDecode.
 	Work  domain.Role `json:"work"`
 	Start time.Time   `json:"start"`
 	End   time.Time   `json:"end,omitzero"`
-	// Tokens were computed so far, cached ones left out.
+	// Tokens is the number of tokens computed so far, without cached tokens.
 	Tokens int `json:"tokens"`
-	// ReservedTokens is the KV memory reserved, in tokens.
+	// ReservedTokens is the reserved KV memory, in tokens.
 	ReservedTokens int     `json:"held"`
 	Outcome        Outcome `json:"outcome,omitempty"`
 }
 
-func (r *Run) end(o Outcome) {
+// setOutcome ends the run, unless it has already ended.
+func (r *Run) setOutcome(o Outcome) {
 	if r.Outcome == "" {
 		r.Outcome, r.End = o, time.Now()
 	}
 }
 
-// Runs gives a copy of every run so far, in the order they began.
+// Runs returns a copy of all runs so far, in the order of their start.
 func (e *Engine) Runs() []Run {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -51,21 +52,21 @@
 	return runs
 }
 
-// begin reserves memory for a run and records it. It gives a problem's detail,
-// and begins nothing, when there is no room.
-func (e *Engine) begin(m *memory, r Run) (context.Context, *Run, string) {
+// startRun reserves memory for a run and records it. If the run cannot start, it returns
+// the reason as a non-empty string. The context is cancelled when the run ends.
+func (e *Engine) startRun(m *volatileState, r Run) (context.Context, *Run, string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	switch {
-	case m != e.memory:
+	case m != e.volatile:
 		return nil, nil, "the engine is restarting"
 	case e.fault.Refuse:
 		return nil, nil, "told to refuse"
 	case e.Role != "" && e.Role != r.Work:
 		return nil, nil, "the engine has role " + string(e.Role)
-	case r.Work == domain.RoleDecode && m.decodes() >= e.Slots:
+	case r.Work == domain.RoleDecode && m.decodeCount() >= e.Slots:
 		return nil, nil, "no slot is free"
-	case e.used()+r.ReservedTokens > e.MemoryTokens:
+	case e.usedTokens()+r.ReservedTokens > e.MemoryTokens:
 		return nil, nil, "KV memory is full"
 	}
 	r.Start = time.Now()
@@ -73,26 +74,27 @@
 	ctx, stop := context.WithCancelCause(m.ctx)
 	m.running[run] = stop
 	e.runs = append(e.runs, run)
-	e.note()
+	e.recordState()
 	return ctx, run, ""
 }
 
-// finish ends a run and frees its memory. It reports false if the run had
-// ended otherwise, by a crash or a cancel.
-func (e *Engine) finish(m *memory, r *Run, o Outcome) bool {
+// finishRun ends a run with an outcome and releases its memory. It reports whether the
+// outcome was recorded; it was not if a crash or a cancel had already ended the run.
+func (e *Engine) finishRun(m *volatileState, r *Run, o Outcome) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	ours := r.Outcome == ""
-	r.end(o)
+	recorded := r.Outcome == ""
+	r.setOutcome(o)
 	if stop, ok := m.running[r]; ok {
 		stop(nil)
 		delete(m.running, r)
 	}
-	e.note()
-	return ours
+	e.recordState()
+	return recorded
 }
 
-func (m *memory) decodes() int {
+// decodeCount returns the number of decodes in progress.
+func (m *volatileState) decodeCount() int {
 	n := 0
 	for r := range m.running {
 		if r.Work == domain.RoleDecode {
@@ -102,7 +104,8 @@
 	return n
 }
 
-func (e *Engine) computed(r *Run, tokens int) {
+// addTokens adds computed tokens to the count of a run.
+func (e *Engine) addTokens(r *Run, tokens int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	r.Tokens += tokens
--- a/fakes/model/state.go
+++ b/fakes/model/state.go
@@ -10,23 +10,25 @@
 	"jacinthworks/fakes/serve"
 )
 
-// CurrentState gives the engine's state without the lag of its report.
+// CurrentState returns the engine's state without ReportLag.
 func (e *Engine) CurrentState() engine.State {
-	e.once.Do(e.open)
+	e.once.Do(e.setup)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.snapshot()
 }
 
+// snapshot returns the current state. Running lists the requests with a run in progress
+// or with KV cache in memory. The caller holds e.mu.
 func (e *Engine) snapshot() engine.State {
 	s := engine.State{
-		Role: e.Role, Incarnation: e.memory.incarnation, Slots: e.Slots, UsedTokens: e.used(),
+		Role: e.Role, Incarnation: e.volatile.incarnation, Slots: e.Slots, UsedTokens: e.usedTokens(),
 		MemoryTokens: e.MemoryTokens, HonoursFencing: !e.IgnoresFencing, Model: e.Model, Running: []domain.RequestID{},
 	}
-	for r := range e.memory.running {
+	for r := range e.volatile.running {
 		s.Running = append(s.Running, r.Request)
 	}
-	for _, c := range e.memory.caches {
+	for _, c := range e.volatile.caches {
 		s.Running = append(s.Running, c.request)
 	}
 	slices.Sort(s.Running)
@@ -34,16 +36,16 @@
 	return s
 }
 
-// note records the state for the report. The caller holds e.mu.
-func (e *Engine) note() {
+// recordState records the current state for later reports. The caller holds e.mu.
+func (e *Engine) recordState() {
 	now := time.Now()
-	e.memory.report.Set(now, e.snapshot())
-	e.memory.report.At(now.Add(-max(e.ReportLag, 0))) // forgets what no report needs
+	e.volatile.report.Set(now, e.snapshot())
+	e.volatile.report.At(now.Add(-max(e.ReportLag, 0))) // discards states that no later report needs
 }
 
 func (e *Engine) state(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.note() // an eviction may have passed unnoted
-	serve.Write(w, http.StatusOK, e.memory.report.At(time.Now().Add(-max(e.ReportLag, 0))))
+	e.recordState() // KV caches may have expired since the last recorded state
+	serve.Write(w, http.StatusOK, e.volatile.report.At(time.Now().Add(-max(e.ReportLag, 0))))
 }
