--- a/fakes/store/hosts.go
+++ b/fakes/store/hosts.go
@@ -11,7 +11,7 @@
 	"jacinthworks/infra"
 )
 
-// SetHost puts a line into the host list, or changes it.
+// SetHost adds a host to the host list, or replaces its entry.
 func (p *Platform) SetHost(h infra.ListedHost) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -19,33 +19,35 @@
 		p.hosts = map[domain.Host]infra.ListedHost{}
 	}
 	p.hosts[h.Host] = h
-	p.relist()
+	p.updateHostList()
 }
 
-// RemoveHost takes a line out of the host list.
+// RemoveHost removes a host from the host list.
 func (p *Platform) RemoveHost(name domain.Host) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.hosts, name)
-	p.relist()
+	p.updateHostList()
 }
 
-func (p *Platform) relist() {
+// updateHostList records a new version of the host list, sorted by name. The caller
+// holds p.mu.
+func (p *Platform) updateHostList() {
 	list := make([]infra.ListedHost, 0, len(p.hosts))
 	for _, h := range p.hosts {
 		list = append(list, h)
 	}
 	slices.SortFunc(list, func(a, b infra.ListedHost) int { return cmp.Compare(a.Host, b.Host) })
-	p.listed.Set(time.Now(), list)
+	p.hostList.Set(time.Now(), list)
 }
 
 func (p *Platform) listHosts(w http.ResponseWriter, _ *http.Request) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.count(w, &p.reads, p.ReadRate, &p.counts.Hosts) {
+	if !p.admitCall(w, &p.reads, p.ReadRate, &p.counts.Hosts) {
 		return
 	}
-	list := p.listed.At(time.Now().Add(-p.fault.HostLag))
+	list := p.hostList.At(time.Now().Add(-p.fault.HostLag))
 	if list == nil {
 		list = []infra.ListedHost{}
 	}
--- a/fakes/store/objects.go
+++ b/fakes/store/objects.go
@@ -13,18 +13,18 @@
 	"jacinthworks/infra"
 )
 
-// maxWait limits a watch's wait.
+// maxWait limits the duration of a watch.
 const maxWait = time.Minute
 
 func (p *Platform) list(w http.ResponseWriter, r *http.Request) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.count(w, &p.reads, p.ReadRate, &p.counts.List) {
+	if !p.admitCall(w, &p.reads, p.ReadRate, &p.counts.List) {
 		return
 	}
 	names := []string{}
 	for name := range p.objects {
-		if o, ok := p.seen(name); ok && strings.HasPrefix(o.Name, r.FormValue("prefix")) {
+		if o, ok := p.visible(name); ok && strings.HasPrefix(o.Name, r.FormValue("prefix")) {
 			names = append(names, name)
 		}
 	}
@@ -32,11 +32,12 @@
 	serve.Write(w, http.StatusOK, names)
 }
 
-// seen gives the object as readers see it. The caller holds p.mu.
-func (p *Platform) seen(name string) (infra.Object, bool) {
-	o := p.objects[name].now
+// visible returns the object as readers see it, which is the previous version while
+// reads are stale, and reports whether it exists. The caller holds p.mu.
+func (p *Platform) visible(name string) (infra.Object, bool) {
+	o := p.objects[name].current
 	if p.fault.StaleReads {
-		o = p.objects[name].before
+		o = p.objects[name].previous
 	}
 	return o, o.Version > 0
 }
@@ -47,11 +48,11 @@
 		return
 	}
 	p.mu.Lock()
-	if !p.count(w, &p.reads, p.ReadRate, &p.counts.Get) {
+	if !p.admitCall(w, &p.reads, p.ReadRate, &p.counts.Get) {
 		p.mu.Unlock()
 		return
 	}
-	o, ok := p.seen(r.PathValue("name"))
+	o, ok := p.visible(r.PathValue("name"))
 	p.mu.Unlock()
 	if !ok {
 		http.Error(w, "no such object", http.StatusNotFound)
@@ -63,34 +64,36 @@
 func writeObject(w http.ResponseWriter, o infra.Object) {
 	w.Header().Set("ETag", o.Version.ETag())
 	w.Header().Set("Content-Type", "application/octet-stream")
-	_, _ = w.Write(o.Value) // the caller may be gone
+	_, _ = w.Write(o.Value) // the caller may have disconnected
 }
 
+// watch answers with the object once its version is higher than the one in the
+// parameter after, or with status 304 after the parameter wait.
 func (p *Platform) watch(w http.ResponseWriter, r *http.Request) {
 	after, err := strconv.ParseUint(r.FormValue("after"), 10, 64)
-	wait, err2 := time.ParseDuration(r.FormValue("wait"))
-	if err != nil || err2 != nil || wait < 0 {
+	wait, waitErr := time.ParseDuration(r.FormValue("wait"))
+	if err != nil || waitErr != nil || wait < 0 {
 		http.Error(w, "after is not a version or wait not a duration", http.StatusBadRequest)
 		return
 	}
 	p.mu.Lock()
-	allowed := p.count(w, &p.reads, p.ReadRate, &p.counts.Watch)
+	allowed := p.admitCall(w, &p.reads, p.ReadRate, &p.counts.Watch)
 	p.mu.Unlock()
 	if !allowed {
 		return
 	}
-	over := time.NewTimer(min(wait, maxWait))
-	defer over.Stop()
+	timeout := time.NewTimer(min(wait, maxWait))
+	defer timeout.Stop()
 	for {
-		o, silent, changed := p.look(r.PathValue("name"))
-		if !silent && o.Version > infra.Version(after) {
+		o, withheld, changed := p.observe(r.PathValue("name"))
+		if !withheld && o.Version > infra.Version(after) {
 			writeObject(w, o)
 			return
 		}
 		select {
 		case <-changed:
-		case <-over.C:
-			p.unchanged(w, r)
+		case <-timeout.C:
+			p.endWatch(w, r)
 			return
 		case <-r.Context().Done():
 			return
@@ -98,19 +101,20 @@
 	}
 }
 
-// look gives an object as watches see it, and what is closed at the next
-// change.
-func (p *Platform) look(name string) (o infra.Object, silent bool, changed <-chan struct{}) {
+// observe returns the object as watches see it, reports whether watches must not be
+// answered, and returns a channel that is closed at the next change of any object.
+func (p *Platform) observe(name string) (o infra.Object, withheld bool, changed <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	o, _ = p.seen(name)
+	o, _ = p.visible(name)
 	if p.changed == nil {
 		p.changed = make(chan struct{})
 	}
 	return o, p.fault.WatchSilent, p.changed
 }
 
-func (p *Platform) unchanged(w http.ResponseWriter, r *http.Request) {
+// endWatch answers a watch without a change, according to the current fault.
+func (p *Platform) endWatch(w http.ResponseWriter, r *http.Request) {
 	f := p.Fault()
 	switch {
 	case f.WatchSilent:
@@ -123,8 +127,8 @@
 	}
 }
 
-// wake lets watches look again. The caller holds p.mu.
-func (p *Platform) wake() {
+// notifyWatches makes all watches check their objects again. The caller holds p.mu.
+func (p *Platform) notifyWatches() {
 	if p.changed != nil {
 		close(p.changed)
 		p.changed = nil
@@ -141,56 +145,57 @@
 		}
 		serve.AbortConn()
 	}
-	p.write(w, r, &p.counts.Put, &infra.Object{Name: r.PathValue("name"), Value: value})
+	p.update(w, r, &p.counts.Put, &infra.Object{Name: r.PathValue("name"), Value: value})
 }
 
 func (p *Platform) remove(w http.ResponseWriter, r *http.Request) {
-	p.write(w, r, &p.counts.Delete, nil)
+	p.update(w, r, &p.counts.Delete, nil)
 }
 
-// write puts the object, or removes the one named when it is nil, if the
-// request's condition holds.
-func (p *Platform) write(w http.ResponseWriter, r *http.Request, kind *int, o *infra.Object) {
+// update writes the object, or deletes the object named in the request if o is nil,
+// provided that the request's precondition holds. It counts the call in counter.
+func (p *Platform) update(w http.ResponseWriter, r *http.Request, counter *int, o *infra.Object) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.count(w, &p.writes, p.WriteRate, kind) {
+	if !p.admitCall(w, &p.writes, p.WriteRate, counter) {
 		return
 	}
 	name := r.PathValue("name")
-	at, ok := condition(r.Header)
+	expected, ok := writeCondition(r.Header)
 	old := p.objects[name]
 	switch {
 	case !ok || name == "":
 		http.Error(w, "If-Match or If-None-Match: * is needed", http.StatusPreconditionRequired)
 		return
-	case old.now.Version != at:
+	case old.current.Version != expected:
 		http.Error(w, "version conflict", http.StatusPreconditionFailed)
 		return
 	}
-	next := object{before: old.now}
+	next := object{previous: old.current}
 	if o != nil {
-		p.version++ // one counter for all objects: one made again is newer too
-		next.now = *o
-		next.now.Version = p.version
+		p.lastVersion++ // one counter for all objects, so that a recreated object has a higher version too
+		next.current = *o
+		next.current.Version = p.lastVersion
 	}
 	if p.objects == nil {
 		p.objects = map[string]object{}
 	}
 	p.objects[name] = next
-	p.wake()
+	p.notifyWatches()
 	if p.fault.LoseAnswers > 0 {
 		p.fault.LoseAnswers--
 		serve.AbortConn()
 	}
-	w.Header().Set("ETag", next.now.Version.ETag())
+	w.Header().Set("ETag", next.current.Version.ETag())
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// condition gives the version that a write is for; zero creates.
-func condition(header http.Header) (infra.Version, bool) {
+// writeCondition returns the version that an update replaces, zero for an object that
+// must not exist. It reports whether the request has a valid precondition.
+func writeCondition(header http.Header) (infra.Version, bool) {
 	if header.Get("If-None-Match") == "*" {
 		return 0, true
 	}
-	at, err := infra.ParseETag(header.Get("If-Match"))
-	return at, err == nil && at > 0
+	version, err := infra.ParseETag(header.Get("If-Match"))
+	return version, err == nil && version > 0
 }
--- a/fakes/store/store.go
+++ b/fakes/store/store.go
@@ -1,13 +1,13 @@
 // Package store is the stand-in for the platform: an object API with versions,
-// conditional updates and watches, a host list that lags, and a weight store.
-// It keeps everything in memory and misbehaves as told.
+// conditional updates and watches, a host list that can be delayed, and a weight
+// store. It keeps all data in memory, and tests can inject faults.
 //
 // # Usage
 //
 //	var p store.Platform
 //	s := serve.Server{Handler: &p}
 //	addr, err := s.Start(ctx, netip.MustParseAddrPort("127.0.0.1:0"))
-//	p.Misbehave(store.Fault{LoseAnswers: 1})
+//	p.SetFault(store.Fault{LoseAnswers: 1})
 //
 // Over HTTP: GET, PUT and DELETE /objects/{name}, GET /objects?prefix=,
 // GET /hosts, PUT and DELETE /hosts/{name}, GET and PUT /weights/{model},
@@ -25,31 +25,30 @@
 	"jacinthworks/infra"
 )
 
-// Fault is how the platform misbehaves. The zero value is good behaviour; a
-// fault that is set takes the place of the one before.
+// Fault describes how the platform misbehaves. The zero value means no fault.
 type Fault struct {
-	// Down answers each call with 503 and does nothing.
+	// Down answers each call with 503 and does not execute it.
 	Down bool `json:"down,omitempty"`
-	// Cut closes each call's connection and does nothing.
+	// Cut closes the connection of each call and does not execute it.
 	Cut bool `json:"cut,omitempty"`
-	// Frozen leaves each call without an answer until it is over; a write then
-	// takes effect, late, whether or not its caller waits.
+	// Frozen blocks each call until the fault is cleared. The call is then
+	// executed, even if its caller has disconnected.
 	Frozen bool `json:"frozen,omitempty"`
-	// Delay is waited before each call, in nanoseconds; a write takes effect
-	// after it, whether or not its caller waits.
+	// Delay is the time in nanoseconds by which each call is delayed. The call is
+	// then executed, even if its caller has disconnected.
 	Delay time.Duration `json:"delay,omitempty"`
-	// LoseAnswers is how many of the next writes take effect while their
-	// answer is lost.
+	// LoseAnswers is the number of next writes that take effect but whose
+	// connection is closed without an answer.
 	LoseAnswers int `json:"lose_answers,omitempty"`
-	// StaleReads gives each read and watch the version before the last.
+	// StaleReads makes each read and watch see the previous version of an object.
 	StaleReads bool `json:"stale_reads,omitempty"`
 	// WatchSilent leaves watches without an answer.
 	WatchSilent bool `json:"watch_silent,omitempty"`
-	// HostLag is how late the host list is, in nanoseconds.
+	// HostLag is the delay of the host list, in nanoseconds.
 	HostLag time.Duration `json:"host_lag,omitempty"`
 }
 
-// Counts is how many calls came, by kind; a watch counts once.
+// Counts holds the number of calls by kind; a watch counts as one call.
 type Counts struct {
 	Get     int `json:"get"`
 	List    int `json:"list"`
@@ -58,18 +57,21 @@
 	Delete  int `json:"delete"`
 	Hosts   int `json:"hosts"`
 	Weights int `json:"weights"`
-	// Limited is how many were refused for the rate.
+	// Limited is the number of calls refused because of a rate limit.
 	Limited int `json:"limited"`
 }
 
+// object holds the current and the previous version of an object, which is returned
+// to stale reads.
 type object struct {
-	now, before infra.Object
+	current, previous infra.Object
 }
 
-// Platform is the stand-in. The zero value is ready to use and has no rate
-// limits; it must not be copied after its first use.
+// Platform is the HTTP handler of the stand-in. The zero value is ready to use and has
+// no rate limits; it must not be copied after its first use. It is safe for concurrent
+// use.
 type Platform struct {
-	// WriteRate and ReadRate limit calls a second; zero is no limit.
+	// WriteRate and ReadRate limit the calls per second; zero means no limit.
 	WriteRate, ReadRate int
 
 	gate serve.Gate
@@ -79,53 +81,53 @@
 	mu            sync.Mutex
 	fault         Fault
 	counts        Counts
-	writes, reads meter
-	version       infra.Version
+	writes, reads callCounter
+	lastVersion   infra.Version
 	objects       map[string]object
 	changed       chan struct{}
 	hosts         map[domain.Host]infra.ListedHost
-	listed        serve.Delayed[[]infra.ListedHost]
+	hostList      serve.Delayed[[]infra.ListedHost]
 	weights       map[string]infra.WeightsInfo
 }
 
-// ServeHTTP answers a call.
+// ServeHTTP handles a call, or a request to the test interface.
 func (p *Platform) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	p.once.Do(p.open)
+	p.once.Do(p.setup)
 	p.mux.ServeHTTP(w, r)
 }
 
-func (p *Platform) open() {
-	p.mux.HandleFunc("GET /objects", p.met(p.list))
-	p.mux.HandleFunc("GET /objects/{name...}", p.met(p.get))
-	p.mux.HandleFunc("PUT /objects/{name...}", p.met(p.put))
-	p.mux.HandleFunc("DELETE /objects/{name...}", p.met(p.remove))
-	p.mux.HandleFunc("GET /hosts", p.met(p.listHosts))
+func (p *Platform) setup() {
+	p.mux.HandleFunc("GET /objects", p.withFaults(p.list))
+	p.mux.HandleFunc("GET /objects/{name...}", p.withFaults(p.get))
+	p.mux.HandleFunc("PUT /objects/{name...}", p.withFaults(p.put))
+	p.mux.HandleFunc("DELETE /objects/{name...}", p.withFaults(p.remove))
+	p.mux.HandleFunc("GET /hosts", p.withFaults(p.listHosts))
 	p.mux.HandleFunc("PUT /hosts/{name}", p.putHost)
 	p.mux.HandleFunc("DELETE /hosts/{name}", p.removeHost)
-	p.mux.HandleFunc("GET /weights/{model}", p.met(p.getWeights))
+	p.mux.HandleFunc("GET /weights/{model}", p.withFaults(p.getWeights))
 	p.mux.HandleFunc("PUT /weights/{model}", p.putWeights)
 	p.mux.HandleFunc("GET /fault", func(w http.ResponseWriter, _ *http.Request) { serve.Write(w, http.StatusOK, p.Fault()) })
 	p.mux.HandleFunc("POST /fault", p.postFault)
 	p.mux.HandleFunc("GET /counts", func(w http.ResponseWriter, _ *http.Request) { serve.Write(w, http.StatusOK, p.Counts()) })
 }
 
-// SetFault sets the fault in the place of the one before.
+// SetFault replaces the current fault.
 func (p *Platform) SetFault(f Fault) {
 	p.mu.Lock()
 	p.fault = f
-	p.wake() // a stale read may have hidden a version from watches
+	p.notifyWatches() // the end of stale reads may make a newer version visible
 	p.mu.Unlock()
 	p.gate.Freeze(f.Frozen)
 }
 
-// Fault gives the fault in force.
+// Fault returns the current fault.
 func (p *Platform) Fault() Fault {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.fault
 }
 
-// Counts gives the calls so far.
+// Counts returns the number of calls so far.
 func (p *Platform) Counts() Counts {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -140,11 +142,11 @@
 	}
 }
 
-// met puts the faults that meet every call before its handler.
-func (p *Platform) met(handle http.HandlerFunc) http.HandlerFunc {
+// withFaults applies the faults that affect all calls before it calls the handler.
+func (p *Platform) withFaults(handle http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		given := context.WithoutCancel(r.Context()) // what was given is done, as by a paused process
-		if serve.Sleep(given, p.Fault().Delay) != nil || p.gate.Pass(given) != nil {
+		ctx := context.WithoutCancel(r.Context()) // a call that was received is executed even if its caller disconnects, as by a paused process
+		if serve.Sleep(ctx, p.Fault().Delay) != nil || p.gate.Pass(ctx) != nil {
 			serve.AbortConn()
 		}
 		f := p.Fault()
--- a/fakes/store/weights.go
+++ b/fakes/store/weights.go
@@ -7,7 +7,8 @@
 	"jacinthworks/infra"
 )
 
-// The weight store's figures for a model that was not put: 20 GB at 1 GB/s.
+// The size and the read rate in bytes per second of a model's weights that no test has
+// set: 20 GiB at 1 GiB/s.
 const (
 	defaultWeightsRate = 1 << 30
 	defaultWeightsSize = 20 << 30
@@ -16,7 +17,7 @@
 func (p *Platform) getWeights(w http.ResponseWriter, r *http.Request) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.count(w, &p.reads, p.ReadRate, &p.counts.Weights) {
+	if !p.admitCall(w, &p.reads, p.ReadRate, &p.counts.Weights) {
 		return
 	}
 	info, ok := p.weights[r.PathValue("model")]
