--- a/fakes/app.go
+++ b/fakes/app.go
@@ -10,12 +10,12 @@
 
 type appCommand struct {
 	listenFlag
-	Took        time.Duration `arg:"--took" help:"how long a call runs"`
-	DownTime    time.Duration `arg:"--down-time" default:"500ms" help:"after a crash"`
-	ExitOnCrash bool          `arg:"--exit-on-crash" help:"exit with code 3 in place of coming back"`
+	Took        time.Duration `arg:"--took" help:"duration of a call"`
+	DownTime    time.Duration `arg:"--down-time" default:"500ms" help:"how long connections are refused after a crash"`
+	ExitOnCrash bool          `arg:"--exit-on-crash" help:"exit with code 3 after a crash instead of restarting"`
 }
 
 func (c *appCommand) run(ctx context.Context) int {
 	a := &apps.App{CallTime: c.Took, DownTime: c.DownTime}
-	return serveUntil(ctx, c.Listen, a, func(s *serve.Server) { a.OnCrash = crashed(s, c.ExitOnCrash) })
+	return serveUntilDone(ctx, c.Listen, a, func(s *serve.Server) { a.OnCrash = onCrash(s, c.ExitOnCrash) })
 }
--- a/fakes/main.go
+++ b/fakes/main.go
@@ -8,7 +8,7 @@
 //	fakes app --listen 127.0.0.1:0
 //
 // Each prints `listening ADDRESS` as its first line and serves until it is
-// interrupted. docs/stand-ins.md lists the faults.
+// interrupted. docs/stand-ins.md describes the faults.
 package main
 
 import (
@@ -26,14 +26,14 @@
 	"jacinthworks/fakes/serve"
 )
 
-// The exit codes.
+// Exit codes of the process.
 const (
 	exitFailed  = 1
 	exitUsage   = 2
 	exitCrashed = 3
 )
 
-// listenFlag is what all commands share.
+// listenFlag holds the flag that all commands share.
 type listenFlag struct {
 	Listen netip.AddrPort `arg:"--listen" default:"127.0.0.1:0" help:"IP:port to serve at, port 0 for a free one"`
 }
@@ -66,16 +66,17 @@
 	os.Exit(exitUsage)
 }
 
-// serveUntil serves until the context ends and gives the exit code. prepare
-// is given the server before it starts.
-func serveUntil(ctx context.Context, listen netip.AddrPort, h http.Handler, prepare func(*serve.Server)) int {
+// serveUntilDone serves until the context ends, or until the server cannot listen
+// again after a crash, and returns the exit code. It calls prepare with the server
+// before the start.
+func serveUntilDone(ctx context.Context, listen netip.AddrPort, h http.Handler, prepare func(*serve.Server)) int {
 	log := hclog.New(&hclog.LoggerOptions{Name: "fakes", Output: os.Stderr})
-	failed := make(chan error, 1)
-	s := serve.Server{Handler: h, OnListenError: func(err error) { failed <- err }}
+	listenErrors := make(chan error, 1)
+	s := serve.Server{Handler: h, OnListenError: func(err error) { listenErrors <- err }}
 	prepare(&s)
 	addr, err := s.Start(ctx, listen)
 	if err != nil {
-		log.Error("cannot listen", "address", listen, "error", err)
+		log.Error("cannot listen for connections", "address", listen, "error", err)
 		return exitFailed
 	}
 	defer s.Stop()
@@ -83,7 +84,7 @@
 	select {
 	case <-ctx.Done():
 		return 0
-	case err := <-failed:
+	case err := <-listenErrors:
 		log.Error("cannot listen again after a crash", "address", addr, "error", err)
 		return exitFailed
 	}
--- a/fakes/platform.go
+++ b/fakes/platform.go
@@ -9,11 +9,11 @@
 
 type platformCommand struct {
 	listenFlag
-	WriteRate int `arg:"--write-rate" default:"300" help:"writes a second; 0 for no limit"`
-	ReadRate  int `arg:"--read-rate" default:"2000" help:"reads and watches a second; 0 for no limit"`
+	WriteRate int `arg:"--write-rate" default:"300" help:"writes per second; 0 for no limit"`
+	ReadRate  int `arg:"--read-rate" default:"2000" help:"reads and watches per second; 0 for no limit"`
 }
 
 func (c *platformCommand) run(ctx context.Context) int {
 	p := &store.Platform{WriteRate: c.WriteRate, ReadRate: c.ReadRate}
-	return serveUntil(ctx, c.Listen, p, func(*serve.Server) {})
+	return serveUntilDone(ctx, c.Listen, p, func(*serve.Server) {})
 }
