--- a/test/drive/caller.go
+++ b/test/drive/caller.go
@@ -13,7 +13,7 @@
 	"github.com/pkg/errors"
 )
 
-// Names of the deployment that the measuring programs start.
+// Services and request kinds of the deployment that the measuring programs start.
 const (
 	App        = "marketplace-app"
 	Model      = "appraiser-lm"
@@ -22,30 +22,35 @@
 	StreamKind = "appraisal"
 )
 
-// mostIdle keeps every worker's connection, so that dials are not measured.
-const mostIdle = 4096
+// maxIdleConns is high enough to keep the idle connections of all workers open, so
+// that measurements do not include dials.
+const maxIdleConns = 4096
 
-// Caller makes requests to one entry. The zero value with Base set is ready
-// to use.
+// Caller sends requests to one entry. The zero value with Base set is ready to use; it
+// must not be copied after its first use. It is safe for concurrent use.
 type Caller struct {
-	// Base is the address, as http://IP:port.
-	Base  string
+	// Base is the address of the entry, as http://IP:port.
+	Base string
+	// Token is the caller's bearer token.
 	Token string
-	// Path is the path of plain calls; empty asks the entry for App's.
+	// Path is the path of plain calls; empty means a path of service App at an
+	// entry.
 	Path string
 
 	once   sync.Once
 	client http.Client
 }
 
-func (c *Caller) open() *http.Client {
+// httpClient returns the HTTP client, which the first call sets up.
+func (c *Caller) httpClient() *http.Client {
 	c.once.Do(func() {
-		c.client.Transport = &http.Transport{MaxIdleConns: mostIdle, MaxIdleConnsPerHost: mostIdle}
+		c.client.Transport = &http.Transport{MaxIdleConns: maxIdleConns, MaxIdleConnsPerHost: maxIdleConns}
 	})
 	return &c.client
 }
 
-// Plain makes one plain call and reads its whole answer.
+// Plain sends one plain call and reads the complete answer. A status other than 200 is
+// an error.
 func (c *Caller) Plain(ctx context.Context) error {
 	path := c.Path
 	if path == "" {
@@ -55,23 +60,25 @@
 	if err != nil {
 		return err
 	}
-	c.sign(q, PlainKind)
-	return c.whole(q)
+	c.setHeaders(q, PlainKind)
+	return c.do(q)
 }
 
-// Keyed makes one call that may not be repeated, under the given key.
+// Keyed sends one call that is not idempotent, with the given Idempotency-Key. A status
+// other than 200 is an error.
 func (c *Caller) Keyed(ctx context.Context, key string) error {
 	q, err := http.NewRequestWithContext(ctx, http.MethodPost, c.Base+"/services/"+App+"/enquiry", strings.NewReader(key))
 	if err != nil {
 		return err
 	}
-	c.sign(q, KeyedKind)
+	c.setHeaders(q, KeyedKind)
 	q.Header.Set("Idempotency-Key", key)
-	return c.whole(q)
+	return c.do(q)
 }
 
-func (c *Caller) whole(q *http.Request) error {
-	answer, err := c.open().Do(q)
+// do sends a request and reads the complete answer.
+func (c *Caller) do(q *http.Request) error {
+	answer, err := c.httpClient().Do(q)
 	if err != nil {
 		return err
 	}
@@ -83,9 +90,10 @@
 	return err
 }
 
-// Stream asks for a streamed completion and gives the request's id and number
-// of tokens to each as they come. An error from each ends the stream.
-func (c *Caller) Stream(ctx context.Context, prompt string, tokens int, each func(request string, count int) error) error {
+// Stream requests a streamed completion. For each event with text it calls onText with
+// the request's id and the number of tokens in the event; an error of onText ends the
+// stream and is returned.
+func (c *Caller) Stream(ctx context.Context, prompt string, tokens int, onText func(request string, count int) error) error {
 	body, err := json.Marshal(map[string]any{"model": Model, "prompt": prompt, "max_tokens": tokens, "stream": true})
 	if err != nil {
 		return err
@@ -94,8 +102,8 @@
 	if err != nil {
 		return err
 	}
-	c.sign(q, StreamKind)
-	answer, err := c.open().Do(q)
+	c.setHeaders(q, StreamKind)
+	answer, err := c.httpClient().Do(q)
 	if err != nil {
 		return err
 	}
@@ -104,23 +112,25 @@
 		text, _ := io.ReadAll(answer.Body)
 		return errors.Errorf("drive: %s: %.200s", answer.Status, text)
 	}
-	return readEvents(answer.Body, answer.Header.Get("Request-Id"), each)
+	return readEvents(answer.Body, answer.Header.Get("Request-Id"), onText)
 }
 
-func (c *Caller) sign(q *http.Request, kind string) {
+func (c *Caller) setHeaders(q *http.Request, kind string) {
 	q.Header.Set("Authorization", "Bearer "+c.Token)
 	q.Header.Set("Request-Kind", kind)
 }
 
-// event is the part of a completion's chunk that is read.
-type event struct {
+// chunk holds the fields of a completion event; only Text is evaluated.
+type chunk struct {
 	Choices []struct {
 		Text         string  `json:"text"`
 		FinishReason *string `json:"finish_reason"`
 	} `json:"choices"`
 }
 
-func readEvents(body io.Reader, request string, each func(string, int) error) error {
+// readEvents reads the events of a completion up to [DONE]. A stream that ends before
+// [DONE] is an error.
+func readEvents(body io.Reader, request string, onText func(string, int) error) error {
 	lines := bufio.NewScanner(body)
 	for lines.Scan() {
 		text, isData := strings.CutPrefix(lines.Text(), "data: ")
@@ -130,15 +140,15 @@
 		if text == "[DONE]" {
 			return nil
 		}
-		var v event
+		var v chunk
 		if err := json.Unmarshal([]byte(text), &v); err != nil {
 			return err
 		}
 		if len(v.Choices) == 0 {
-			return errors.Errorf("drive: the stream broke off: %.200s", text)
+			return errors.Errorf("drive: stream ended with an error event: %.200s", text)
 		}
 		if n := len(strings.Fields(v.Choices[0].Text)); n > 0 {
-			if err := each(request, n); err != nil {
+			if err := onText(request, n); err != nil {
 				return err
 			}
 		}
@@ -146,5 +156,5 @@
 	if err := lines.Err(); err != nil {
 		return err
 	}
-	return errors.New("drive: the stream ended early")
+	return errors.New("drive: stream ended before [DONE]")
 }
--- a/test/drive/drive.go
+++ b/test/drive/drive.go
@@ -1,11 +1,11 @@
-// Package drive is callers for the programs that measure: a closed loop of
-// workers, and plain calls and streams over HTTP.
+// Package drive generates load for the measuring programs: a closed loop of workers,
+// and plain calls and streams over HTTP.
 //
 // # Usage
 //
 //	c := drive.Caller{Base: "http://127.0.0.1:8000", Token: token}
 //	r := drive.ClosedLoop(ctx, 16, 1000, c.Plain) // 1,000 calls by 16 workers
-//	fmt.Println(r.Rate(), r.Times.ValueAtQuantile(99))
+//	fmt.Println(r.Rate(), r.Latencies.ValueAtQuantile(99))
 package drive
 
 import (
@@ -19,56 +19,58 @@
 	"jacinthworks/group"
 )
 
-// The range and precision of the histograms: 1 us to 100 s in nanoseconds,
-// three digits.
+// The histograms count nanoseconds from 1 us to 100 s, with three significant digits.
 const (
-	shortest = int64(time.Microsecond)
-	longest  = int64(100 * time.Second)
-	digits   = 3
+	minNanoseconds    = int64(time.Microsecond)
+	maxNanoseconds    = int64(100 * time.Second)
+	significantDigits = 3
 )
 
-// NewHistogram gives an empty histogram of times in nanoseconds.
-func NewHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(shortest, longest, digits) }
+// NewHistogram returns an empty histogram of durations in nanoseconds.
+func NewHistogram() *hdrhistogram.Histogram {
+	return hdrhistogram.New(minNanoseconds, maxNanoseconds, significantDigits)
+}
 
-// Result is what a closed loop did.
+// Result holds the outcome of a closed loop.
 type Result struct {
+	// Done counts the calls that succeeded, Failed the calls that returned an error.
 	Done, Failed int
-	// First is the error of the first call that failed.
+	// First is an error of a failed call; nil if no call failed.
 	First   error
 	Elapsed time.Duration
-	// Latencies holds how long each call that did not fail took, in nanoseconds.
+	// Latencies holds the durations of the calls that succeeded, in nanoseconds.
 	Latencies *hdrhistogram.Histogram
 }
 
-// Rate is calls a second.
+// Rate returns the successful calls per second.
 func (r Result) Rate() float64 { return float64(r.Done) / r.Elapsed.Seconds() }
 
-// ClosedLoop has workers make calls one after the other until the total is made
-// or ctx ends.
-func ClosedLoop(ctx context.Context, workers, total int, do func(context.Context) error) Result {
+// ClosedLoop runs workers that each make one call after the other, until total calls
+// were started or ctx ends. It returns once all workers have ended.
+func ClosedLoop(ctx context.Context, workers, total int, call func(context.Context) error) Result {
 	var (
-		g     group.Group
-		taken atomic.Int64
-		mu    sync.Mutex
+		g       group.Group
+		started atomic.Int64
+		mu      sync.Mutex
 	)
 	r := Result{Latencies: NewHistogram()}
-	began := time.Now()
+	startedAt := time.Now()
 	for range workers {
 		g.Go(ctx, "worker", func(ctx context.Context) error {
-			own := NewHistogram()
+			latencies := NewHistogram()
 			failed, first := 0, error(nil)
-			for ctx.Err() == nil && taken.Add(1) <= int64(total) {
-				start := time.Now()
-				if err := do(ctx); err != nil {
+			for ctx.Err() == nil && started.Add(1) <= int64(total) {
+				callStart := time.Now()
+				if err := call(ctx); err != nil {
 					failed++
 					first = err
 					continue
 				}
-				_ = own.RecordValue(int64(time.Since(start)))
+				_ = latencies.RecordValue(int64(time.Since(callStart)))
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			r.Latencies.Merge(own)
+			r.Latencies.Merge(latencies)
 			r.Failed += failed
 			if r.First == nil {
 				r.First = first
@@ -77,7 +79,7 @@
 		})
 	}
 	g.Wait()
-	r.Elapsed = time.Since(began)
+	r.Elapsed = time.Since(startedAt)
 	r.Done = int(r.Latencies.TotalCount())
 	return r
 }
--- a/test/drive/drive_test.go
+++ b/test/drive/drive_test.go
@@ -12,7 +12,7 @@
 	"jacinthworks/table"
 )
 
-func TestClosedMakesJustTheTotal(t *testing.T) {
+func TestClosedLoopMakesExactlyTotalCalls(t *testing.T) {
 	var n atomic.Int64
 	r := ClosedLoop(t.Context(), 7, 100, func(context.Context) error {
 		if n.Add(1)%10 == 0 {
@@ -26,7 +26,7 @@
 	require.EqualError(t, r.First, "tenth")
 }
 
-func TestTablesAreGood(t *testing.T) {
+func TestTablesPassCheck(t *testing.T) {
 	for _, text := range []string{Table, PlainTable} {
 		got, err := table.Decode([]byte(text))
 		require.NoError(t, err)
@@ -34,27 +34,27 @@
 	}
 }
 
-// A stream that breaks off must not pass for a whole one, or its tokens would
-// be measured as if all was well.
-func TestEventsEndOnlyByDone(t *testing.T) {
+// A stream that ends before [DONE] must be an error. Otherwise the measurements would
+// count its tokens like those of a complete stream.
+func TestReadEventsFailsWithoutDone(t *testing.T) {
 	token := `data: {"choices":[{"text":"a b "}]}` + "\n\n"
 	for name, c := range map[string]struct {
 		text string
-		ends string
+		want string
 	}{
-		"whole":   {token + token + "data: [DONE]\n\n", ""},
-		"cut":     {token, "drive: the stream ended early"},
-		"refused": {token + "event: error\ndata: {\"reason\":\"x\"}\n\n", `drive: the stream broke off: {"reason":"x"}`},
+		"complete": {token + token + "data: [DONE]\n\n", ""},
+		"cut":      {token, "drive: stream ended before [DONE]"},
+		"refused":  {token + "event: error\ndata: {\"reason\":\"x\"}\n\n", `drive: stream ended with an error event: {"reason":"x"}`},
 	} {
 		t.Run(name, func(t *testing.T) {
 			got := 0
 			err := readEvents(strings.NewReader(c.text), "r", func(_ string, n int) error { got += n; return nil })
-			if c.ends == "" {
+			if c.want == "" {
 				require.NoError(t, err)
 				require.Equal(t, 4, got)
 				return
 			}
-			require.EqualError(t, err, c.ends)
+			require.EqualError(t, err, c.want)
 		})
 	}
 }
--- a/test/drive/table.go
+++ b/test/drive/table.go
@@ -1,11 +1,11 @@
 package drive
 
-// The tables of the measuring programs: no limit but the machine's, and
-// deadlines that no measurement meets.
+// Policy tables of the measuring programs. Limits and deadlines are so high that no
+// measurement reaches them.
 const (
-	// Table has a model and a plain service.
+	// Table has the rows of a model service and a plain service.
 	Table = `{"rows": [` + "\n" + modelRows + "," + plainRows + `]}`
-	// PlainTable has the plain service alone.
+	// PlainTable has only the rows of the plain service.
 	PlainTable = `{"rows": [` + "\n" + plainRows + `]}`
 )
 
