--- a/test/path/plain.go
+++ b/test/path/plain.go
@@ -11,12 +11,13 @@
 	"jacinthworks/test/drive"
 )
 
-// rounds alternates the two ways, so that both meet the same machine.
-const rounds = 8
+// roundCount is the number of rounds with calls on both paths. The paths alternate, so
+// that both run under the same load of the machine.
+const roundCount = 8
 
-// measurePlain compares plain calls at the application server with the same
-// calls through entry and side: one after the other for the time added, then
-// many at once for the rate.
+// measurePlain compares direct plain calls to the application server with the same
+// calls through entry and side: sequential calls for the added latency, then concurrent
+// calls for the rate.
 func measurePlain(ctx context.Context, bin test.Binaries, dir string, a arguments) error {
 	w, err := test.NewCluster(bin, filepath.Join(dir, "plain"), []byte(drive.Table))
 	if err != nil {
@@ -34,28 +35,28 @@
 	if err != nil {
 		return err
 	}
-	ways := []*drive.Caller{
+	callers := []*drive.Caller{
 		{Base: "http://" + server.Address.String(), Path: "/card"},
 		{Base: "http://" + e.Address.String(), Token: test.CallerToken},
 	}
-	times := []*hdrhistogram.Histogram{drive.NewHistogram(), drive.NewHistogram()}
-	for round := range rounds + 1 {
-		for i, c := range ways {
-			r := drive.ClosedLoop(ctx, 1, a.Calls/rounds, c.Plain)
+	latencies := []*hdrhistogram.Histogram{drive.NewHistogram(), drive.NewHistogram()}
+	for round := range roundCount + 1 {
+		for i, c := range callers {
+			r := drive.ClosedLoop(ctx, 1, a.Calls/roundCount, c.Plain)
 			if r.Failed > 0 {
-				return errors.Wrap(r.First, "plain call")
+				return errors.Wrap(r.First, "sequential plain calls")
 			}
-			if round > 0 { // the first warms up
-				times[i].Merge(r.Latencies)
+			if round > 0 { // the first round warms up
+				latencies[i].Merge(r.Latencies)
 			}
 		}
 	}
-	reportTimes("plain_call", times[0], times[1])
+	reportTimes("plain_call", latencies[0], latencies[1])
 	var rates []float64
-	for _, c := range ways {
+	for _, c := range callers {
 		r := drive.ClosedLoop(ctx, a.Workers, a.Load, c.Plain)
 		if r.Failed > 0 {
-			return errors.Wrap(r.First, "plain calls at once")
+			return errors.Wrap(r.First, "concurrent plain calls")
 		}
 		rates = append(rates, r.Rate())
 	}
@@ -63,16 +64,17 @@
 	return ctx.Err()
 }
 
-// reportTimes prints median and 99th percentile, and what is added to them.
+// reportTimes prints the median and the 99th percentile of both histograms.
 func reportTimes(path string, direct, through *hdrhistogram.Histogram) {
 	for _, q := range []struct {
 		name string
 		at   float64
 	}{{"p50_us", 50}, {"p99_us", 99}} {
-		report(path, q.name, micros(direct, q.at), micros(through, q.at))
+		report(path, q.name, quantileMicros(direct, q.at), quantileMicros(through, q.at))
 	}
 }
 
-func micros(h *hdrhistogram.Histogram, at float64) float64 {
-	return float64(h.ValueAtQuantile(at)) / 1000
+// quantileMicros returns a percentile of a histogram of nanoseconds, in microseconds.
+func quantileMicros(h *hdrhistogram.Histogram, percentile float64) float64 {
+	return float64(h.ValueAtQuantile(percentile)) / 1000
 }
--- a/test/path/tokens.go
+++ b/test/path/tokens.go
@@ -18,17 +18,16 @@
 	"jacinthworks/test/drive"
 )
 
-// tokenGap is that of an engine under load, at the letter's 48 ms target with
-// room for the rest.
+// tokenGap is the token gap of an engine under load. It is well below the target of
+// 48 ms, which leaves room for the latency of entry and side.
 const tokenGap = 20 * time.Millisecond
 
-// engines are a prefill and a decode stand-in in this process, so that the
-// time at which a token leaves the engine is known on the clock by which its
-// arrival is taken.
+// engines are stand-ins for a prefill and a decode engine that run in this process, so
+// that the send time and the receive time of a token are measured by the same clock.
 type engines struct {
 	prefill, decode serve.Server
-	at              [2]netip.AddrPort
-	left            departures
+	addresses       [2]netip.AddrPort
+	sends           sendTimes
 }
 
 func (e *engines) start(ctx context.Context) error {
@@ -39,10 +38,10 @@
 	settings.Role = domain.RolePrefill
 	e.prefill.Handler = &model.Engine{Settings: settings}
 	settings.Role = domain.RoleDecode
-	e.decode.Handler = e.left.around(&model.Engine{Settings: settings})
+	e.decode.Handler = e.sends.wrap(&model.Engine{Settings: settings})
 	var err error
 	for i, s := range []*serve.Server{&e.prefill, &e.decode} {
-		if e.at[i], err = s.Start(ctx, netip.MustParseAddrPort("127.0.0.1:0")); err != nil {
+		if e.addresses[i], err = s.Start(ctx, netip.MustParseAddrPort("127.0.0.1:0")); err != nil {
 			return err
 		}
 	}
@@ -54,17 +53,17 @@
 	e.decode.Stop()
 }
 
-// measureTokens compares how long a token takes from the decode engine to a
-// caller that asks the engine itself and to one that asks the entry.
+// measureTokens compares the latency of tokens from the decode engine to a caller of the
+// engine with their latency to a caller of an entry.
 func measureTokens(ctx context.Context, bin test.Binaries, dir string, a arguments) error {
 	var e engines
 	if err := e.start(ctx); err != nil {
 		return err
 	}
 	defer e.stop()
-	// Direct streams come first: a side cancels what its engine runs and it
-	// did not order.
-	direct, err := e.direct(ctx, a)
+	// Direct streams run before the sides start, since a side cancels all runs of
+	// its engine that it did not request.
+	direct, err := e.measureDirect(ctx, a)
 	if err != nil {
 		return err
 	}
@@ -74,7 +73,7 @@
 	}
 	defer w.Close()
 	for i, role := range []string{"prefill", "decode"} {
-		w.Upstream("engine-"+role, e.at[i])
+		w.Upstream("engine-"+role, e.addresses[i])
 		if _, err := w.Side(role+"-1", "salt-lake", role, drive.Model, "engine-"+role); err != nil {
 			return err
 		}
@@ -84,7 +83,7 @@
 		return err
 	}
 	caller := &drive.Caller{Base: "http://" + entry.Address.String(), Token: test.CallerToken}
-	through, err := e.through(ctx, a, caller)
+	through, err := e.measureThrough(ctx, a, caller)
 	if err != nil {
 		return err
 	}
@@ -92,10 +91,10 @@
 	return ctx.Err()
 }
 
-// direct asks the engines as a side does.
-func (e *engines) direct(ctx context.Context, a arguments) (*hdrhistogram.Histogram, error) {
-	prefill, decode := &engine.HTTPModel{Base: e.at[0]}, &engine.HTTPModel{Base: e.at[1]}
-	took := newArrivals()
+// measureDirect measures streams requested from the engines directly, as a side does.
+func (e *engines) measureDirect(ctx context.Context, a arguments) (*hdrhistogram.Histogram, error) {
+	prefill, decode := &engine.HTTPModel{Base: e.addresses[0]}, &engine.HTTPModel{Base: e.addresses[1]}
+	results := newLatencies()
 	numbers := make(chan int, a.Streams)
 	for n := range a.Streams {
 		numbers <- n
@@ -107,25 +106,25 @@
 			return err
 		}
 		o := engine.DecodeRequest{Request: id, Attempt: 1, KV: kv, MaxTokens: a.Tokens}
-		return decode.Decode(ctx, o, func(t engine.Token) error { return took.add(e.left.since(id, t.Offset)) })
+		return decode.Decode(ctx, o, func(t engine.Token) error { return results.add(e.sends.elapsed(id, t.Offset)) })
 	})
-	return took.times, errors.Wrap(r.First, "direct streams")
+	return results.histogram, errors.Wrap(r.First, "direct streams")
 }
 
-// through asks the entry.
-func (e *engines) through(ctx context.Context, a arguments, c *drive.Caller) (*hdrhistogram.Histogram, error) {
-	took := newArrivals()
+// measureThrough measures streams requested from the entry.
+func (e *engines) measureThrough(ctx context.Context, a arguments, c *drive.Caller) (*hdrhistogram.Histogram, error) {
+	results := newLatencies()
 	r := drive.ClosedLoop(ctx, a.Streams, a.Streams, func(ctx context.Context) error {
-		next := 0
+		offset := 0
 		return c.Stream(ctx, "pedigree", a.Tokens, func(request string, count int) error {
 			for range count {
-				if err := took.add(e.left.since(domain.RequestID(request), next)); err != nil {
+				if err := results.add(e.sends.elapsed(domain.RequestID(request), offset)); err != nil {
 					return err
 				}
-				next++
+				offset++
 			}
 			return nil
 		})
 	})
-	return took.times, errors.Wrap(r.First, "streams")
+	return results.histogram, errors.Wrap(r.First, "streams through the entry")
 }
