--- a/test/seeded/seeded.go
+++ b/test/seeded/seeded.go
@@ -1,11 +1,12 @@
-// Package seeded has the property tests of a package draw the same cases at each run, so
-// that a failure in CI is that of the change and not of the draw.
+// Package seeded makes the property tests of a package generate the same cases in each
+// run, so that a failure in CI is caused by the change under test and not by new random
+// cases.
 //
 // # Usage
 //
 //	func TestMain(m *testing.M) { seeded.Main(m) }
 //
-// Fresh cases are drawn with the flag -rapid.seed=0 after -args.
+// The flag -rapid.seed=0 after -args generates new cases.
 package seeded
 
 import (
@@ -19,11 +20,13 @@
 const (
 	seedFlag = "rapid.seed"
 	seed     = "1"
-	// noFileFlag keeps a failure from being written into the tree: the seed brings it back.
+	// noFileFlag keeps rapid from writing failing cases into the source tree; the
+	// fixed seed reproduces them.
 	noFileFlag = "rapid.nofailfile"
 )
 
-// Main runs the tests and ends the process.
+// Main parses the flags, sets the seed unless the command line does, runs the tests and
+// exits the process with their exit code.
 func Main(m *testing.M) {
 	flag.Parse()
 	given := false
@@ -35,6 +38,7 @@
 	os.Exit(m.Run())
 }
 
+// set sets a flag; it panics if the flag does not exist.
 func set(name, value string) {
 	if err := flag.Set(name, value); err != nil {
 		panic(err)
