--- a/test/slopes/calls.go
+++ b/test/slopes/calls.go
@@ -13,25 +13,27 @@
 
 const (
 	callsEntries = 3
-	// callsWindow spans two waits of a watch.
+	// callsWindow is long enough for two timeouts of a watch.
 	callsWindow = 61 * time.Second
-	// trickle keeps stories coming, so that they are written as under load.
-	trickle = 500 * time.Millisecond
+	// callInterval is the time between plain calls, which keep the entries
+	// producing trace spans, so that these are written as under load.
+	callInterval = 500 * time.Millisecond
 )
 
-// measureCalls counts the platform's calls over a minute: of three entries
-// that hear each other and serve a trickle of plain calls, and of one entry
-// alone, which hears nobody and so asks the platform.
-func measureCalls(ctx context.Context, b *bench) error {
+// measureCalls counts the calls to the platform during callsWindow, by three entries that
+// are connected to each other, and by a single entry, which has no peers and so reads from
+// the platform. All entries serve plain calls at a low rate.
+func measureCalls(ctx context.Context, b *environment) error {
 	alone := make(chan error, 1)
-	go func() { alone <- countCalls(ctx, b, "entry_alone", 1) }() // its end is read below
+	go func() { alone <- countCalls(ctx, b, "entry_alone", 1) }() // the error is received below
 	if err := countCalls(ctx, b, "entry", callsEntries); err != nil {
 		return err
 	}
 	return <-alone
 }
 
-func countCalls(ctx context.Context, b *bench, role string, entries int) error {
+// countCalls reports the calls to the platform per second and entry, by kind.
+func countCalls(ctx context.Context, b *environment, role string, entries int) error {
 	w, err := test.NewCluster(b.bin, filepath.Join(b.dir, "calls-"+role), []byte(drive.Table))
 	if err != nil {
 		return err
@@ -56,24 +58,24 @@
 		return err
 	}
 	var before, after store.Counts
-	pause(ctx, 2*time.Second) // past the joins
+	sleep(ctx, 2*time.Second) // until the entries have joined
 	counts := "http://" + p.Address.String() + "/counts"
 	if err := getJSON(ctx, counts, &before); err != nil {
 		return err
 	}
-	began := time.Now()
-	for time.Since(began) < callsWindow && ctx.Err() == nil {
+	startedAt := time.Now()
+	for time.Since(startedAt) < callsWindow && ctx.Err() == nil {
 		for _, c := range callers {
 			if err := c.Plain(ctx); err != nil {
 				return err
 			}
 		}
-		pause(ctx, trickle)
+		sleep(ctx, callInterval)
 	}
 	if err := getJSON(ctx, counts, &after); err != nil {
 		return err
 	}
-	per := time.Since(began).Seconds() * float64(entries)
+	entrySeconds := time.Since(startedAt).Seconds() * float64(entries)
 	for _, c := range []struct {
 		kind  string
 		count int
@@ -81,7 +83,7 @@
 		{"get", after.Get - before.Get}, {"watch", after.Watch - before.Watch}, {"list", after.List - before.List},
 		{"hosts", after.Hosts - before.Hosts}, {"put", after.Put - before.Put},
 	} {
-		report("platform_calls", role, c.kind, float64(c.count)/per, "calls/s/entry", c.count)
+		report("platform_calls", role, c.kind, float64(c.count)/entrySeconds, "calls/s/entry", c.count)
 	}
 	return nil
 }
--- a/test/slopes/claims.go
+++ b/test/slopes/claims.go
@@ -16,17 +16,16 @@
 	"jacinthworks/test/drive"
 )
 
-// keySizes are the numbers of keys that an owner remembers, and keyedSizes
-// those of keyed calls through the real processes.
+// keyCounts are the numbers of keys in the ledger of an owner, keyedCallCounts the
+// numbers of keyed calls through entry and sides.
 var (
-	keySizes   = []int{2000, 4000, 8000, 16_000}
-	keyedSizes = []int{500, 1000, 2000}
+	keyCounts       = []int{2000, 4000, 8000, 16_000}
+	keyedCallCounts = []int{500, 1000, 2000}
 )
 
-// measureClaims gives the memory of a remembered key and the time of a claim in
-// the owner, then the processor time of keyed calls through an entry and the
-// sides of three zones.
-func measureClaims(ctx context.Context, b *bench) error {
+// measureClaims reports the memory per key and the time per claim in an owner's ledger,
+// then the processor time of keyed calls through an entry and the sides of three zones.
+func measureClaims(ctx context.Context, b *environment) error {
 	if err := measureOwner(); err != nil {
 		return err
 	}
@@ -52,46 +51,46 @@
 	return measureKeyed(ctx, processes)
 }
 
-// measureKeyed makes keyed calls. The sides are taken together, since each is
-// a runner of some keys and an owner of others.
+// measureKeyed makes keyed calls. It sums the costs of all sides, since each side is the
+// runner of some keys and the owner of others.
 func measureKeyed(ctx context.Context, processes map[string]test.Process) error {
 	c := &drive.Caller{Base: "http://" + processes["entry"].Address.String(), Token: test.CallerToken}
 	var number atomic.Int64
 	call := func(ctx context.Context) error {
 		return c.Keyed(ctx, fmt.Sprintf("enquiry-%d", number.Add(1)))
 	}
-	if r := drive.ClosedLoop(ctx, plainWorkers, keyedSizes[0], call); r.Failed > 0 { // warm up
+	if r := drive.ClosedLoop(ctx, plainWorkers, keyedCallCounts[0], call); r.Failed > 0 { // warm up
 		return errors.Wrap(r.First, "keyed calls")
 	}
-	roles := map[string]string{}
+	roleOf := map[string]string{}
 	for name := range processes {
-		roles[name], _, _ = strings.Cut(name, "-")
+		roleOf[name], _, _ = strings.Cut(name, "-")
 	}
 	cpu := map[string][]point{}
 	resident := map[string][]point{}
-	for _, size := range keyedSizes {
+	for _, size := range keyedCallCounts {
 		before := map[string]usage{}
 		var err error
 		for name, p := range processes {
-			if before[name], err = look(p.PID); err != nil {
+			if before[name], err = readUsage(p.PID); err != nil {
 				return err
 			}
 		}
 		if r := drive.ClosedLoop(ctx, plainWorkers, size, call); r.Failed > 0 {
 			return errors.Wrap(r.First, "keyed calls")
 		}
-		spent, held := map[string]float64{}, map[string]float64{}
+		cpuMicros, residentBytes := map[string]float64{}, map[string]float64{}
 		for name, p := range processes {
-			after, err := look(p.PID)
+			after, err := readUsage(p.PID)
 			if err != nil {
 				return err
 			}
-			spent[roles[name]] += micros(after.cpu - before[name].cpu)
-			held[roles[name]] += after.resident
+			cpuMicros[roleOf[name]] += microseconds(after.cpu - before[name].cpu)
+			residentBytes[roleOf[name]] += after.resident
 		}
-		for role := range spent {
-			cpu[role] = append(cpu[role], point{float64(size), spent[role]})
-			resident[role] = append(resident[role], point{float64(number.Load()), held[role]})
+		for role := range cpuMicros {
+			cpu[role] = append(cpu[role], point{float64(size), cpuMicros[role]})
+			resident[role] = append(resident[role], point{float64(number.Load()), residentBytes[role]})
 		}
 	}
 	reportLine("keyed_call", "entry", "cpu", "us", "call", cpu["entry"])
@@ -100,39 +99,39 @@
 	return ctx.Err()
 }
 
-// measureOwner claims keys in an owner's book until it remembers them.
+// measureOwner reports the memory per key and the time per claim of an owner's ledger.
 func measureOwner() error {
 	var heap []point
-	for _, n := range keySizes {
-		kept, err := held(func() (*claim.Ledger, error) { return bookOf(n) })
+	for _, n := range keyCounts {
+		bytes, err := heapPerValue(func() (*claim.Ledger, error) { return ledgerWithKeys(n) })
 		if err != nil {
 			return err
 		}
-		heap = append(heap, point{float64(n), kept})
+		heap = append(heap, point{float64(n), bytes})
 	}
 	reportLine("claim", "owner", "heap", "B", "key", heap)
-	n := keySizes[len(keySizes)-1]
-	took, err := timed(func() error { _, err := bookOf(n); return err })
-	report("claim", "owner", "claim", micros(took)/float64(n), "us/claim", n)
+	n := keyCounts[len(keyCounts)-1]
+	duration, err := meanTime(func() error { _, err := ledgerWithKeys(n); return err })
+	report("claim", "owner", "claim", microseconds(duration)/float64(n), "us/claim", n)
 	return err
 }
 
-// bookOf gives the book of an owner that granted n keys to one runner.
-func bookOf(n int) (*claim.Ledger, error) {
+// ledgerWithKeys returns the ledger of an owner that has granted n keys to one runner.
+func ledgerWithKeys(n int) (*claim.Ledger, error) {
 	now := time.Now()
 	owner := claim.Member{Host: "app-1", Zone: "salt-lake", Incarnation: 1}
 	runner := claim.Member{Host: "app-2", Zone: "new-town", Incarnation: 2}
-	b, err := ownerBook(owner, runner, now)
+	ledger, err := ownerLedger(owner, runner, now)
 	if err != nil {
 		return nil, err
 	}
-	granted, last := 0, error(nil)
+	granted, lastErr := 0, error(nil)
 	for i := 0; granted < n; i++ {
 		if i > 10*n {
-			return nil, errors.Wrapf(last, "granted only %d keys of %d", granted, n)
+			return nil, errors.Wrapf(lastErr, "only %d of %d keys were granted", granted, n)
 		}
 		request := domain.RequestID(fmt.Sprintf("entry-1.4242424242424242.%d", i))
-		_, err := b.Claim(claim.Request{
+		_, err := ledger.Claim(claim.Request{
 			Key:     claim.Key{Account: "sales-house", Name: fmt.Sprintf("0192f0c1-2b1e-7c3d-8e4f-%012d", i)},
 			Attempt: claim.AttemptID{Request: request, Attempt: 1}, Body: claim.BodyHash(i), Runner: runner.Process(),
 		}, now)
@@ -140,34 +139,35 @@
 			granted++
 			continue
 		}
-		last = err // the other member owns the key's shard
+		lastErr = err // the runner owns the key's shard
 	}
-	return b, nil
+	return ledger, nil
 }
 
-// ownerBook gives an owner's book once its runner has answered its fences.
-func ownerBook(owner, runner claim.Member, now time.Time) (*claim.Ledger, error) {
+// ownerLedger returns the ledger of owner in a service with the members owner and
+// runner, after runner has replied to the owner's fence requests.
+func ownerLedger(owner, runner claim.Member, now time.Time) (*claim.Ledger, error) {
 	record := claim.Record{Generation: claim.Generation{Version: 1, First: true, Members: []claim.Member{owner, runner}}}
-	books := map[claim.Process]*claim.Ledger{}
+	ledgers := map[claim.Process]*claim.Ledger{}
 	for _, m := range record.Members {
-		books[m.Process()] = &claim.Ledger{Self: m.Process(), Limits: claim.Limits{Retention: time.Hour}}
+		ledgers[m.Process()] = &claim.Ledger{Self: m.Process(), Limits: claim.Limits{Retention: time.Hour}}
 	}
-	if _, err := books[runner.Process()].Apply(record, now); err != nil {
+	if _, err := ledgers[runner.Process()].Apply(record, now); err != nil {
 		return nil, err
 	}
-	b := books[owner.Process()]
-	out, err := b.Apply(record, now)
+	ledger := ledgers[owner.Process()]
+	out, err := ledger.Apply(record, now)
 	if err != nil {
 		return nil, err
 	}
 	for _, f := range out.Fences {
-		reply, err := books[f.To].Fence(f, now)
+		reply, err := ledgers[f.To].Fence(f, now)
 		if err != nil {
 			return nil, err
 		}
-		if _, err := b.Fenced(reply, now); err != nil {
+		if _, err := ledger.Fenced(reply, now); err != nil {
 			return nil, err
 		}
 	}
-	return b, nil
+	return ledger, nil
 }
--- a/test/slopes/fit.go
+++ b/test/slopes/fit.go
@@ -1,17 +1,18 @@
 package main
 
-// point is one measurement: a cost Y at a size X.
+// point is one measurement: cost Y at size X.
 type point struct{ X, Y float64 }
 
-// line is a cost that grows with a size.
+// line is a cost as a linear function of a size.
 type line struct {
 	Slope, Intercept float64
-	// R2 is the share of the points' spread that the line explains.
+	// R2 is the coefficient of determination; zero if all points have the same X
+	// or the same Y.
 	R2 float64
 }
 
-// fit gives the line of least squares; a flat one through the mean where all
-// points have one size.
+// fit returns the least-squares line through the points. If all points have the same
+// size, the slope is zero and the intercept is the mean cost.
 func fit(points []point) line {
 	n := float64(len(points))
 	if n == 0 {
--- a/test/slopes/links.go
+++ b/test/slopes/links.go
@@ -21,36 +21,37 @@
 	"jacinthworks/wire"
 )
 
-// linkSizes are the numbers of connections; each has a process of its own,
-// and all are measured over the same stretch of time.
+// linkSizes are the numbers of connections. Each number is measured at a separate
+// process, and all processes are measured during the same period.
 var linkSizes = []int{0, 1, 8, 32, 64}
 
-// meshSizes are the numbers of others where all connect to each other.
+// meshSizes are the numbers of peers in the deployments whose processes all connect to
+// each other.
 var meshSizes = []int{0, 2, 4, 6}
 
 const (
-	// linkSettle lets new members of a service take their shards over first.
-	linkSettle = 8 * time.Second
-	linkWindow = 10 * time.Second
+	// linkSettleTime is the wait before the measurement, in which new members of a
+	// service take over their shards.
+	linkSettleTime = 8 * time.Second
+	linkWindow     = 10 * time.Second
 )
 
-// probe is one measured process and its number of connections.
-type probe struct {
+// linkProcess is one measured process and its number of connections.
+type linkProcess struct {
 	size  int
 	pid   int
 	first usage
 }
 
-// measureLinks gives the cost of a connection that carries heartbeats and load
-// reports: at a side and at an entry, whose far ends are in this process, and
-// among the members of one service and among entries, which all connect to each
-// other.
-func measureLinks(ctx context.Context, b *bench) error {
+// measureLinks reports the cost of a connection that carries heartbeats and load reports:
+// at a side and at an entry, whose peers run in this process, and among the members of
+// one service and among entries, which all connect to each other.
+func measureLinks(ctx context.Context, b *environment) error {
 	ctx, cancel := context.WithCancel(ctx)
-	var far group.Group
-	defer far.Wait()
+	var remotes group.Group
+	defer remotes.Wait()
 	defer cancel()
-	f := &worlds{bench: b, far: &far}
+	f := &clusters{shared: b, remotes: &remotes}
 	defer f.close()
 	kinds := []struct {
 		mechanism, role, per string
@@ -62,48 +63,49 @@
 		{"members_of_a_service", "side", "other_member", meshSizes, f.members},
 		{"entries", "entry", "other_entry", meshSizes, f.entries},
 	}
-	probes := make([][]probe, len(kinds))
+	byKind := make([][]linkProcess, len(kinds))
 	var starting group.Group
 	for i, k := range kinds {
-		probes[i] = make([]probe, len(k.sizes))
+		byKind[i] = make([]linkProcess, len(k.sizes))
 		for j, size := range k.sizes {
 			starting.Go(ctx, k.mechanism, func(ctx context.Context) error {
 				r, err := k.start(ctx, size)
-				probes[i][j] = probe{size: size, pid: r.PID}
-				return errors.Wrapf(err, "%s of %d", k.role, size)
+				byKind[i][j] = linkProcess{size: size, pid: r.PID}
+				return errors.Wrapf(err, "start the %s for size %d", k.role, size)
 			})
 		}
 	}
 	if failed := starting.Wait(); len(failed) > 0 {
 		return failed[0].Err
 	}
-	pause(ctx, linkSettle)
-	for _, of := range probes {
-		for i := range of {
+	sleep(ctx, linkSettleTime)
+	for _, processes := range byKind {
+		for i := range processes {
 			var err error
-			if of[i].first, err = look(of[i].pid); err != nil {
+			if processes[i].first, err = readUsage(processes[i].pid); err != nil {
 				return err
 			}
 		}
 	}
-	pause(ctx, linkWindow)
+	sleep(ctx, linkWindow)
 	for i, k := range kinds {
-		if err := reportLinks(k.mechanism, k.role, k.per, probes[i]); err != nil {
+		if err := reportLinks(k.mechanism, k.role, k.per, byKind[i]); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func reportLinks(mechanism, role, per string, probes []probe) error {
+// reportLinks reads the usage of the processes again and reports the cost per connection.
+func reportLinks(mechanism, role, per string, processes []linkProcess) error {
 	var cpu, bytes, resident []point
-	for _, p := range probes {
-		last, err := look(p.pid)
+	for _, p := range processes {
+		last, err := readUsage(p.pid)
 		if err != nil {
 			return err
 		}
 		size, seconds := float64(p.size), last.at.Sub(p.first.at).Seconds()
-		cpu = append(cpu, point{size, micros(last.cpu-p.first.cpu) / seconds})
+		cpu = append(cpu, point{size, microseconds(last.cpu-p.first.cpu) / seconds})
 		bytes = append(bytes, point{size, (last.bytes - p.first.bytes) / seconds})
 		resident = append(resident, point{size, last.resident})
 	}
@@ -113,35 +115,35 @@
 	return nil
 }
 
-// worlds starts deployments that stay until it is closed.
-type worlds struct {
-	bench *bench
-	far   *group.Group
+// clusters starts clusters and stops them in close.
+type clusters struct {
+	shared  *environment
+	remotes *group.Group
 
 	mu  sync.Mutex
 	all []*test.Cluster
 }
 
-func (f *worlds) close() {
+func (f *clusters) close() {
 	for _, w := range f.all {
 		w.Close()
 	}
 }
 
-func (f *worlds) world() (*test.Cluster, error) {
+func (f *clusters) newCluster() (*test.Cluster, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	w, err := test.NewCluster(f.bench.bin, filepath.Join(f.bench.dir, fmt.Sprintf("links-%d", len(f.all))), []byte(drive.PlainTable))
+	w, err := test.NewCluster(f.shared.bin, filepath.Join(f.shared.dir, fmt.Sprintf("links-%d", len(f.all))), []byte(drive.PlainTable))
 	if err == nil {
 		f.all = append(f.all, w)
 	}
 	return w, err
 }
 
-// side gives a side beside an engine, the only one of its service, with as many
-// entries connected.
-func (f *worlds) side(ctx context.Context, entries int) (test.Process, error) {
-	w, err := f.world()
+// side starts the only side of a service, beside an engine, and connects the given number
+// of entries to it.
+func (f *clusters) side(ctx context.Context, entries int) (test.Process, error) {
+	w, err := f.newCluster()
 	if err != nil {
 		return test.Process{}, err
 	}
@@ -156,26 +158,27 @@
 		l := &wire.Link{Target: s.Address, Local: &wire.Handlers{
 			Hello: wire.Hello{Host: domain.Host(fmt.Sprintf("entry-%d", i)), Zone: "salt-lake", Role: "entry"},
 		}}
-		f.far.Go(ctx, "link", l.Run)
+		f.remotes.Go(ctx, "link", l.Run)
 	}
 	return s, nil
 }
 
-// entry gives an entry, the only one, with as many sides connected.
-func (f *worlds) entry(ctx context.Context, sides int) (test.Process, error) {
-	w, err := f.world()
+// entry starts a single entry with the given number of sides to connect to.
+func (f *clusters) entry(ctx context.Context, sides int) (test.Process, error) {
+	w, err := f.newCluster()
 	if err != nil {
 		return test.Process{}, err
 	}
-	if err := fakeSides(ctx, w, f.far, sides); err != nil {
+	if err := startFakeSides(ctx, w, f.remotes, sides); err != nil {
 		return test.Process{}, err
 	}
 	return w.Entry("entry-1", "salt-lake")
 }
 
-// members gives a side of a plain service with as many other members.
-func (f *worlds) members(_ context.Context, others int) (test.Process, error) {
-	w, err := f.world()
+// members starts a plain service with the given number of further members beside the
+// side that it returns.
+func (f *clusters) members(_ context.Context, others int) (test.Process, error) {
+	w, err := f.newCluster()
 	if err != nil {
 		return test.Process{}, err
 	}
@@ -195,13 +198,14 @@
 	return first, nil
 }
 
-// entries gives an entry with as many others and one side.
-func (f *worlds) entries(ctx context.Context, others int) (test.Process, error) {
-	w, err := f.world()
+// entries starts the given number of further entries and one side beside the entry that
+// it returns.
+func (f *clusters) entries(ctx context.Context, others int) (test.Process, error) {
+	w, err := f.newCluster()
 	if err != nil {
 		return test.Process{}, err
 	}
-	if err := fakeSides(ctx, w, f.far, 1); err != nil {
+	if err := startFakeSides(ctx, w, f.remotes, 1); err != nil {
 		return test.Process{}, err
 	}
 	var starting group.Group
@@ -217,8 +221,9 @@
 	return w.Process("entry-0")
 }
 
-// fakeSides serves sides that only send heartbeats, and records them.
-func fakeSides(ctx context.Context, w *test.Cluster, far *group.Group, count int) error {
+// startFakeSides starts sides in this process that only send heartbeats, and writes their
+// member record.
+func startFakeSides(ctx context.Context, w *test.Cluster, remotes *group.Group, count int) error {
 	r := member.Record{Service: drive.App}
 	for i := range count {
 		host := domain.Host(fmt.Sprintf("app-%03d", i))
@@ -232,7 +237,7 @@
 				return wire.Heartbeat{Load: &wire.Load{Running: 3, Slots: 8, FreeSlots: 5, FreeTokens: 90000}}
 			},
 		}
-		far.Go(ctx, "side", func(ctx context.Context) error { return wire.Serve(ctx, ln, local) })
+		remotes.Go(ctx, "side", func(ctx context.Context) error { return wire.Serve(ctx, ln, local) })
 		r.Members = append(r.Members, member.Member{
 			Host: host, Zone: "salt-lake", Role: domain.RoleApp, Service: drive.App,
 			Address: netip.MustParseAddrPort(ln.Addr().String()), Incarnation: domain.NewIncarnation(),
@@ -241,6 +246,7 @@
 	return putRecord(ctx, w, r)
 }
 
+// putRecord writes a member record to the platform.
 func putRecord(ctx context.Context, w *test.Cluster, r member.Record) error {
 	p, err := w.Process("platform")
 	if err != nil {
@@ -252,5 +258,5 @@
 	}
 	objects := infra.HTTPObjects{Base: p.Address}
 	_, err = objects.Put(ctx, member.Name(r.Service), text, 0)
-	return errors.Wrap(err, "slopes: record")
+	return errors.Wrap(err, "slopes: write the member record")
 }
--- a/test/slopes/main.go
+++ b/test/slopes/main.go
@@ -1,6 +1,5 @@
-// Command slopes measures what each mechanism costs per peer, request, token,
-// row and member on this machine. docs/CAPACITY.md is worked out from its
-// lines.
+// Command slopes measures the cost of each mechanism per peer, request, token, row and
+// member on this machine. docs/CAPACITY.md is calculated from its output.
 //
 // # Usage
 //
@@ -8,10 +7,10 @@
 //	go run ./test/slopes --only streams orders
 //
 // Each line is `mechanism role metric value unit n`, separated by tabs; n is
-// the number of sizes or samples behind the value. A slope is followed by its
-// intercept and R2. Processor time is the scheduler's own account of the
-// process's threads, so that other work on the machine changes it little; a
-// value with /s was taken over a stretch of wall time.
+// the number of sizes or samples behind the value. A slope is followed by its intercept
+// and R2. Processor time is read from the scheduler's statistics of the process's
+// threads, so that other load on the machine has little effect on it; a value with /s is
+// divided by wall time.
 package main
 
 import (
@@ -28,8 +27,8 @@
 	"jacinthworks/test"
 )
 
-// mostTime bounds the whole run.
-const mostTime = 3 * time.Minute
+// maxDuration bounds the whole run.
+const maxDuration = 3 * time.Minute
 
 type arguments struct {
 	Only []string `arg:"--only" help:"sections to run: calls, links, orders, requests, claims, streams, packages"`
@@ -43,13 +42,13 @@
 // section is one group of measurements.
 type section struct {
 	name string
-	run  func(context.Context, *bench) error
+	run  func(context.Context, *environment) error
 }
 
-// callsSection counts the platform's calls beside the others.
+// callsSection is the name of measureCalls, which runs concurrently with the sections.
 const callsSection = "calls"
 
-// sections are run in this order, with callsSection beside them.
+// sections returns the sections in the order in which they run.
 func sections() []section {
 	return []section{
 		{"links", measureLinks}, {"orders", measureOrders}, {"requests", measureRequests}, {"claims", measureClaims},
@@ -57,8 +56,8 @@
 	}
 }
 
-// bench is what the sections share.
-type bench struct {
+// environment holds the binaries and the temporary directory that all sections use.
+type environment struct {
 	bin test.Binaries
 	dir string
 }
@@ -68,12 +67,12 @@
 	p := arg.MustParse(&a)
 	for _, name := range a.Only {
 		if name != callsSection && !slices.ContainsFunc(sections(), func(s section) bool { return s.name == name }) {
-			p.Fail("no section " + name)
+			p.Fail("unknown section " + name)
 		}
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	ctx, cancel := context.WithTimeout(ctx, mostTime)
+	ctx, cancel := context.WithTimeout(ctx, maxDuration)
 	defer cancel()
 	if err := run(ctx, a.Only); err != nil {
 		fmt.Fprintln(os.Stderr, "slopes:", err)
@@ -87,14 +86,14 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	b := &bench{dir: dir}
+	b := &environment{dir: dir}
 	if b.bin, err = test.Build(dir); err != nil {
 		return err
 	}
 	wanted := func(name string) bool { return len(only) == 0 || slices.Contains(only, name) }
 	calls := make(chan error, 1)
 	if wanted(callsSection) {
-		go func() { calls <- measureCalls(ctx, b) }() // its end is read below
+		go func() { calls <- measureCalls(ctx, b) }() // the error is received below
 	} else {
 		calls <- nil
 	}
@@ -109,12 +108,12 @@
 	return <-calls
 }
 
-// report prints one line.
+// report prints one line of the output.
 func report(mechanism, role, metric string, value float64, unit string, n int) {
 	fmt.Printf("%s\t%s\t%s\t%.4g\t%s\t%d\n", mechanism, role, metric, value, unit, n)
 }
 
-// reportLine prints a slope with its intercept and R2.
+// reportLine prints the slope, intercept and R2 of the line through the points.
 func reportLine(mechanism, role, metric, unit, per string, points []point) {
 	l := fit(points)
 	report(mechanism, role, metric, l.Slope, unit+"/"+per, len(points))
--- a/test/slopes/orders.go
+++ b/test/slopes/orders.go
@@ -15,13 +15,14 @@
 	"jacinthworks/wire"
 )
 
-// orderSizes are the numbers of calls made one after the other.
+// orderSizes are the numbers of sequential calls.
 var orderSizes = []int{500, 1000, 2000, 4000}
 
-// measureOrders gives the cost of one small call between our processes at the
-// one that answers: an entry's confirm of the table, and an entry's cancel and
-// settle at a side. The asker is this process; its cost is as much again.
-func measureOrders(ctx context.Context, b *bench) error {
+// measureOrders reports the cost of one small call between processes of the router, at
+// the process that answers: the confirmation of a table version at an entry, and the
+// cancel of an attempt at a side. The caller is this process; its cost, about the same
+// again, is not included.
+func measureOrders(ctx context.Context, b *environment) error {
 	w, err := test.NewCluster(b.bin, filepath.Join(b.dir, "orders"), []byte(drive.PlainTable))
 	if err != nil {
 		return err
@@ -39,23 +40,23 @@
 		return err
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	var far group.Group
-	defer far.Wait()
+	var remotes group.Group
+	defer remotes.Wait()
 	defer cancel()
 	local := &wire.Handlers{Hello: wire.Hello{Host: "entry-2", Zone: "salt-lake", Role: "entry"}}
 	toEntry := &wire.Link{Target: e.Peers, Local: local}
 	toSide := &wire.Link{Target: s.Address, Local: local}
-	far.Go(ctx, "to entry", toEntry.Run)
-	far.Go(ctx, "to side", toSide.Run)
+	remotes.Go(ctx, "to entry", toEntry.Run)
+	remotes.Go(ctx, "to side", toSide.Run)
 
-	// The asker holds the newest version, as nearly always.
-	var now wire.Table
-	if err := untilConnected(ctx, toEntry, wire.MethodTable, wire.TableRequest{}, &now); err != nil {
+	// The caller has the latest version of the table, which is the usual case.
+	var latest wire.Table
+	if err := callWhenConnected(ctx, toEntry, wire.MethodTable, wire.TableRequest{}, &latest); err != nil {
 		return err
 	}
-	have := wire.TableRequest{Have: now.Version}
+	request := wire.TableRequest{Have: latest.Version}
 	err = reportOrders(ctx, "table_confirm", "entry", e.PID, func(int) error {
-		return toEntry.Call(ctx, wire.MethodTable, have, &now)
+		return toEntry.Call(ctx, wire.MethodTable, request, &latest)
 	})
 	if err != nil {
 		return err
@@ -64,7 +65,7 @@
 		return wire.AttemptRef{Request: domain.RequestID(fmt.Sprintf("entry-2.4242424242424242.%d", n)), Attempt: 1, Stage: wire.StageDecode}
 	}
 	var out wire.Outcome
-	if err := untilConnected(ctx, toSide, wire.MethodSettle, ref(0), &out); err != nil {
+	if err := callWhenConnected(ctx, toSide, wire.MethodSettle, ref(0), &out); err != nil {
 		return err
 	}
 	return reportOrders(ctx, "cancel", "side", s.PID, func(n int) error {
@@ -72,22 +73,24 @@
 	})
 }
 
-// untilConnected makes a call until the link has a connection for it.
-func untilConnected(ctx context.Context, l *wire.Link, method string, params, result any) error {
+// callWhenConnected repeats a call until the link has a connection and the call was
+// sent.
+func callWhenConnected(ctx context.Context, l *wire.Link, method string, params, result any) error {
 	for {
 		err := l.Call(ctx, method, params, result)
 		if err == nil || !errors.Is(err, wire.ErrNotSent) || ctx.Err() != nil {
 			return err
 		}
-		pause(ctx, 10*time.Millisecond)
+		sleep(ctx, 10*time.Millisecond)
 	}
 }
 
+// reportOrders makes the calls and reports their cost at the process pid.
 func reportOrders(ctx context.Context, mechanism, role string, pid int, call func(n int) error) error {
 	var cpu, bytes []point
 	number := 0
 	for _, size := range orderSizes {
-		before, err := look(pid)
+		before, err := readUsage(pid)
 		if err != nil {
 			return err
 		}
@@ -97,11 +100,11 @@
 				return err
 			}
 		}
-		after, err := look(pid)
+		after, err := readUsage(pid)
 		if err != nil {
 			return err
 		}
-		cpu = append(cpu, point{float64(size), micros(after.cpu - before.cpu)})
+		cpu = append(cpu, point{float64(size), microseconds(after.cpu - before.cpu)})
 		bytes = append(bytes, point{float64(size), after.bytes - before.bytes})
 	}
 	reportLine(mechanism, role, "cpu", "us", "call", cpu)
--- a/test/slopes/packages.go
+++ b/test/slopes/packages.go
@@ -18,6 +18,7 @@
 	"jacinthworks/wire"
 )
 
+// Numbers of table rows, service members, listed hosts and cache events.
 var (
 	rowSizes    = []int{100, 500, 1000, 2500}
 	memberSizes = []int{50, 290, 1000, 2000}
@@ -26,73 +27,73 @@
 )
 
 const (
-	// timeFor is how long one operation is repeated.
-	timeFor = 300 * time.Millisecond
-	// heldCopies is how many copies are kept to see what one takes.
-	heldCopies = 8
+	// timingDuration is the time for which meanTime repeats an operation.
+	timingDuration = 300 * time.Millisecond
+	// heapCopies is the number of values over which heapPerValue averages.
+	heapCopies = 8
 )
 
-// timed gives the mean time of one operation. It is wall time: what else runs
-// on the machine makes it longer, never shorter.
-func timed(do func() error) (time.Duration, error) {
+// meanTime returns the mean wall time of an operation. Other load on the machine can only
+// increase it.
+func meanTime(operation func() error) (time.Duration, error) {
 	count := 0
-	began := time.Now()
-	for time.Since(began) < timeFor {
-		if err := do(); err != nil {
+	startedAt := time.Now()
+	for time.Since(startedAt) < timingDuration {
+		if err := operation(); err != nil {
 			return 0, err
 		}
 		count++
 	}
-	return time.Since(began) / time.Duration(count), nil
+	return time.Since(startedAt) / time.Duration(count), nil
 }
 
-// held gives the heap that one value takes.
-func held[T any](make func() (T, error)) (float64, error) {
+// heapPerValue returns the mean heap size of one value in bytes.
+func heapPerValue[T any](newValue func() (T, error)) (float64, error) {
 	var before, after runtime.MemStats
-	var kept [heldCopies]T
+	var values [heapCopies]T
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	for i := range kept {
-		v, err := make()
+	for i := range values {
+		v, err := newValue()
 		if err != nil {
 			return 0, err
 		}
-		kept[i] = v
+		values[i] = v
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	runtime.KeepAlive(kept)
-	return (float64(after.HeapAlloc) - float64(before.HeapAlloc)) / heldCopies, nil
+	runtime.KeepAlive(values)
+	return (float64(after.HeapAlloc) - float64(before.HeapAlloc)) / heapCopies, nil
 }
 
-// measurePackages gives the costs that need no process: the table, the member
-// record, the host list and cache events.
-func measurePackages(_ context.Context, _ *bench) error {
-	err := measureValue("table", "row", rowSizes, tableOf, func(text []byte) (table.Table, error) { return table.Decode(text) })
+// measurePackages reports the costs of the table, the member record, the host list and
+// cache events, which can be measured without starting processes.
+func measurePackages(_ context.Context, _ *environment) error {
+	err := measureValue("table", "row", rowSizes, encodeTable, func(text []byte) (table.Table, error) { return table.Decode(text) })
 	if err != nil {
 		return err
 	}
-	err = measureValue("member_record", "member", memberSizes, recordOf, func(text []byte) (member.Record, error) {
+	err = measureValue("member_record", "member", memberSizes, encodeMemberRecord, func(text []byte) (member.Record, error) {
 		return member.Parse(infra.Object{Value: text})
 	})
 	if err != nil {
 		return err
 	}
-	err = measureValue("host_list", "host", listSizes, hostsOf, func(text []byte) ([]infra.ListedHost, error) {
+	err = measureValue("host_list", "host", listSizes, encodeHostList, func(text []byte) ([]infra.ListedHost, error) {
 		var l []infra.ListedHost
 		return l, json.Unmarshal(text, &l)
 	})
 	if err != nil {
 		return err
 	}
-	return measureValue("cache_events", "event", eventSizes, eventsOf, func(text []byte) (wire.Cache, error) {
+	return measureValue("cache_events", "event", eventSizes, encodeCacheEvents, func(text []byte) (wire.Cache, error) {
 		var c wire.Cache
 		return c, json.Unmarshal(text, &c)
 	})
 }
 
-// measureValue gives bytes on the wire, heap and reading time per part of a
-// value.
+// measureValue reports encoded size, heap size and decoding time per part of a value.
+// encoded returns an encoded value with a number of parts.
 func measureValue[T any](name, part string, sizes []int, encoded func(int) ([]byte, error), read func([]byte) (T, error)) error {
 	var stored, heap, decode []point
 	for _, n := range sizes {
@@ -100,18 +101,18 @@
 		if err != nil {
 			return err
 		}
-		took, err := timed(func() error { _, err := read(text); return err })
+		duration, err := meanTime(func() error { _, err := read(text); return err })
 		if err != nil {
 			return err
 		}
-		kept, err := held(func() (T, error) { return read(text) })
+		bytes, err := heapPerValue(func() (T, error) { return read(text) })
 		if err != nil {
 			return err
 		}
 		x := float64(n)
 		stored = append(stored, point{x, float64(len(text))})
-		decode = append(decode, point{x, micros(took)})
-		heap = append(heap, point{x, kept})
+		decode = append(decode, point{x, microseconds(duration)})
+		heap = append(heap, point{x, bytes})
 	}
 	reportLine(name, "any", "stored", "B", part, stored)
 	reportLine(name, "any", "decode", "us", part, decode)
@@ -119,7 +120,8 @@
 	return nil
 }
 
-func tableOf(n int) ([]byte, error) {
+// encodeTable returns an encoded table with n rows.
+func encodeTable(n int) ([]byte, error) {
 	var rows []table.Row
 	for i := range n {
 		rows = append(rows, table.Row{
@@ -132,14 +134,14 @@
 	return table.New(1, rows).Encode()
 }
 
-// joins is how many members join one by one: as many as fill the generations
-// that a record keeps for claims.
-const joins = claim.MaxPast + 1
+// joinCount is the number of members that join one by one, which fills the past
+// generations that a record keeps for claims.
+const joinCount = claim.MaxPast + 1
 
-// recordOf gives a service's record as it is after some changes of its
-// members: each is an application server or a decode engine, which own shards
-// of keys.
-func recordOf(n int) ([]byte, error) {
+// encodeMemberRecord returns the encoded record of a service with n members after the
+// last joinCount members have joined one by one. The members are decode engines, which
+// own shards of keys.
+func encodeMemberRecord(n int) ([]byte, error) {
 	r := member.Record{Service: "appraiser-lm-1"}
 	for i := range n {
 		m := member.Member{
@@ -147,7 +149,7 @@
 			Role: domain.RoleDecode, Service: r.Service, Incarnation: domain.NewIncarnation(),
 			Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 20, byte(i >> 8), byte(i)}), 17201),
 		}
-		if i < n-joins {
+		if i < n-joinCount {
 			r.Members = append(r.Members, m)
 			continue
 		}
@@ -156,7 +158,8 @@
 	return json.Marshal(r)
 }
 
-func hostsOf(n int) ([]byte, error) {
+// encodeHostList returns an encoded host list with n hosts.
+func encodeHostList(n int) ([]byte, error) {
 	var l []infra.ListedHost
 	for i := range n {
 		l = append(l, infra.ListedHost{
@@ -166,8 +169,8 @@
 	return json.Marshal(l)
 }
 
-// eventsOf gives one notification of cache events.
-func eventsOf(n int) ([]byte, error) {
+// encodeCacheEvents returns an encoded notification with n cache events.
+func encodeCacheEvents(n int) ([]byte, error) {
 	var c wire.Cache
 	for i := range n {
 		c.Events = append(c.Events, engine.CacheEvent{
--- a/test/slopes/proc.go
+++ b/test/slopes/proc.go
@@ -16,19 +16,19 @@
 	"jacinthworks/test"
 )
 
-// usage is what a process has used up to a moment.
+// usage holds the resources that a process has used up to a point in time.
 type usage struct {
 	at  time.Time
 	cpu time.Duration
-	// resident is its memory in bytes.
+	// resident is the resident memory in bytes.
 	resident float64
-	// bytes it read and wrote, nearly all of it on sockets. Headers of IP and
-	// TCP are not in it.
+	// bytes is the number of bytes read and written, nearly all of them on
+	// sockets. It does not include IP and TCP headers.
 	bytes float64
 }
 
-// look reads a process's usage from /proc.
-func look(pid int) (usage, error) {
+// readUsage reads the usage of a process from /proc.
+func readUsage(pid int) (usage, error) {
 	u := usage{at: time.Now()}
 	dir := filepath.Join("/proc", strconv.Itoa(pid))
 	tasks, err := filepath.Glob(filepath.Join(dir, "task", "*", "schedstat"))
@@ -38,29 +38,30 @@
 	for _, t := range tasks {
 		text, err := os.ReadFile(t)
 		if err != nil {
-			continue // the thread has just ended
+			continue // the thread has ended since the listing
 		}
-		var ran int64
-		if _, err := fmt.Sscan(string(text), &ran); err != nil {
+		var nanoseconds int64
+		if _, err := fmt.Sscan(string(text), &nanoseconds); err != nil {
 			return u, errors.Wrap(err, t)
 		}
-		u.cpu += time.Duration(ran)
+		u.cpu += time.Duration(nanoseconds)
 	}
-	if u.resident, err = field(filepath.Join(dir, "status"), "VmRSS"); err != nil {
+	if u.resident, err = readNumber(filepath.Join(dir, "status"), "VmRSS"); err != nil {
 		return u, err
 	}
 	u.resident *= 1024
-	read, err := field(filepath.Join(dir, "io"), "rchar")
+	read, err := readNumber(filepath.Join(dir, "io"), "rchar")
 	if err != nil {
 		return u, err
 	}
-	written, err := field(filepath.Join(dir, "io"), "wchar")
+	written, err := readNumber(filepath.Join(dir, "io"), "wchar")
 	u.bytes = read + written
 	return u, err
 }
 
-// field reads a number from a file of `name: number` lines.
-func field(path, name string) (float64, error) {
+// readNumber reads the number after a name from a file with lines of the form
+// `name: number`.
+func readNumber(path, name string) (float64, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return 0, err
@@ -74,11 +75,12 @@
 	return 0, errors.Errorf("%s: no %s", path, name)
 }
 
-// micros gives a time in microseconds.
-func micros(d time.Duration) float64 { return float64(d) / float64(time.Microsecond) }
+// microseconds returns a duration in microseconds.
+func microseconds(d time.Duration) float64 { return float64(d) / float64(time.Microsecond) }
 
-// allocated reads from an entry's metrics how many bytes it has allocated.
-func allocated(ctx context.Context, r test.Process) (float64, error) {
+// readAllocated reads the cumulative number of allocated heap bytes from the metrics of
+// an entry.
+func readAllocated(ctx context.Context, r test.Process) (float64, error) {
 	var v struct {
 		Memory struct {
 			TotalAlloc float64
@@ -88,21 +90,22 @@
 	return v.Memory.TotalAlloc, err
 }
 
+// getJSON decodes the JSON answer to a GET request.
 func getJSON(ctx context.Context, url string, into any) error {
 	q, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return err
 	}
-	answer, err := http.DefaultClient.Do(q)
+	response, err := http.DefaultClient.Do(q)
 	if err != nil {
 		return err
 	}
-	defer answer.Body.Close()
-	return json.NewDecoder(answer.Body).Decode(into)
+	defer response.Body.Close()
+	return json.NewDecoder(response.Body).Decode(into)
 }
 
-// pause waits for d or the end of the context.
-func pause(ctx context.Context, d time.Duration) {
+// sleep waits for d or until the context ends.
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(d):
--- a/test/slopes/requests.go
+++ b/test/slopes/requests.go
@@ -13,69 +13,71 @@
 	"jacinthworks/trace"
 )
 
-// Sizes of the request path. Calls and streams are many at once, as under
-// load; the idle cost of a process is taken off by time.
+// Numbers of plain calls, and of tokens per stream. Calls and streams are concurrent, as
+// under load. The idle processor time of a process is subtracted from its cost.
 var (
 	plainSizes = []int{1000, 2000, 4000, 8000}
 	tokenSizes = []int{1, 33, 65, 129}
 )
 
 const (
-	plainWorkers  = 16
-	streamWorkers = 50
-	streamsEach   = 100
-	idleWindow    = 3 * time.Second
-	// promptBytes is some 250 tokens, as for a short note.
+	plainWorkers   = 16
+	streamWorkers  = 50
+	streamsPerSize = 100
+	idleWindow     = 3 * time.Second
+	// promptBytes corresponds to about 250 tokens, a short prompt.
 	promptBytes = 1000
 	tokenGap    = "10ms"
 )
 
-// part is one process of the path while it is measured.
-type part struct {
-	role string
-	at   test.Process
-	idle float64 // us a second
-	// cpu and alloc hold the costs at each size.
-	cpu, alloc, bytes, resident []point
+// pathProcess is a measured process of the request path.
+type pathProcess struct {
+	role    string
+	process test.Process
+	idleCPU float64 // microseconds per second
+	// The costs at each size. allocated is measured only for an entry.
+	cpu, allocated, bytes, resident []point
 }
 
-func newParts(ctx context.Context, processes map[string]test.Process) ([]*part, error) {
-	var parts []*part
+// measureIdle returns the given processes in the order of the path, with their idle
+// processor time over idleWindow.
+func measureIdle(ctx context.Context, started map[string]test.Process) ([]*pathProcess, error) {
+	var processes []*pathProcess
 	for _, role := range []string{"entry", "side_app", "side_prefill", "side_decode"} {
-		if at, found := processes[role]; found {
-			parts = append(parts, &part{role: role, at: at})
+		if at, found := started[role]; found {
+			processes = append(processes, &pathProcess{role: role, process: at})
 		}
 	}
-	before := make([]usage, len(parts))
+	before := make([]usage, len(processes))
 	var err error
-	for i, p := range parts {
-		if before[i], err = look(p.at.PID); err != nil {
+	for i, p := range processes {
+		if before[i], err = readUsage(p.process.PID); err != nil {
 			return nil, err
 		}
 	}
-	pause(ctx, idleWindow)
-	for i, p := range parts {
-		after, err := look(p.at.PID)
+	sleep(ctx, idleWindow)
+	for i, p := range processes {
+		after, err := readUsage(p.process.PID)
 		if err != nil {
 			return nil, err
 		}
-		p.idle = micros(after.cpu-before[i].cpu) / after.at.Sub(before[i].at).Seconds()
+		p.idleCPU = microseconds(after.cpu-before[i].cpu) / after.at.Sub(before[i].at).Seconds()
 	}
-	return parts, nil
+	return processes, nil
 }
 
-// during runs the load and adds its cost to each part at the size x; per
-// divides the cost.
-func during(ctx context.Context, parts []*part, x, per float64, load func() error) error {
-	before := make([]usage, len(parts))
-	heap := make([]float64, len(parts))
+// measureLoad runs load and appends its cost to each process as the point at the given
+// size. The costs other than resident memory are divided by divisor.
+func measureLoad(ctx context.Context, processes []*pathProcess, size, divisor float64, load func() error) error {
+	before := make([]usage, len(processes))
+	allocatedBefore := make([]float64, len(processes))
 	var err error
-	for i, p := range parts {
-		if before[i], err = look(p.at.PID); err != nil {
+	for i, p := range processes {
+		if before[i], err = readUsage(p.process.PID); err != nil {
 			return err
 		}
 		if p.role == "entry" {
-			if heap[i], err = allocated(ctx, p.at); err != nil {
+			if allocatedBefore[i], err = readAllocated(ctx, p.process); err != nil {
 				return err
 			}
 		}
@@ -83,61 +85,62 @@
 	if err := load(); err != nil {
 		return err
 	}
-	for i, p := range parts {
-		after, err := look(p.at.PID)
+	for i, p := range processes {
+		after, err := readUsage(p.process.PID)
 		if err != nil {
 			return err
 		}
-		spent := micros(after.cpu-before[i].cpu) - p.idle*after.at.Sub(before[i].at).Seconds()
-		p.cpu = append(p.cpu, point{x, spent / per})
-		p.bytes = append(p.bytes, point{x, (after.bytes - before[i].bytes) / per})
-		p.resident = append(p.resident, point{x, after.resident})
+		cpuMicros := microseconds(after.cpu-before[i].cpu) - p.idleCPU*after.at.Sub(before[i].at).Seconds()
+		p.cpu = append(p.cpu, point{size, cpuMicros / divisor})
+		p.bytes = append(p.bytes, point{size, (after.bytes - before[i].bytes) / divisor})
+		p.resident = append(p.resident, point{size, after.resident})
 		if p.role != "entry" {
 			continue
 		}
-		now, err := allocated(ctx, p.at)
+		allocatedAfter, err := readAllocated(ctx, p.process)
 		if err != nil {
 			return err
 		}
-		p.alloc = append(p.alloc, point{x, (now - heap[i]) / per})
+		p.allocated = append(p.allocated, point{size, (allocatedAfter - allocatedBefore[i]) / divisor})
 	}
 	return ctx.Err()
 }
 
-// measureRequests gives the cost of a plain call, of a model request and of a
-// token streamed, and the size of their stories.
-func measureRequests(ctx context.Context, b *bench) error {
-	p, err := newPath(b, "requests", tokenGap)
+// measureRequests reports the cost of a plain call, of a model request and of a streamed
+// token, and the size of their trace spans.
+func measureRequests(ctx context.Context, b *environment) error {
+	p, err := newRequestPath(b, "requests", tokenGap)
 	if err != nil {
 		return err
 	}
-	defer p.world.Close()
+	defer p.cluster.Close()
 	if err := measurePlain(ctx, p); err != nil {
 		return err
 	}
-	seen := make(map[string]bool)
-	if err := measureStories(ctx, p, "plain_call", seen); err != nil {
+	seenSegments := make(map[string]bool)
+	if err := measureTraces(ctx, p, "plain_call", seenSegments); err != nil {
 		return err
 	}
 	if err := measureTokens(ctx, p); err != nil {
 		return err
 	}
-	return measureStories(ctx, p, "model_request", seen)
+	return measureTraces(ctx, p, "model_request", seenSegments)
 }
 
-func measurePlain(ctx context.Context, p *path) error {
+// measurePlain reports idle processor time and the cost per plain call.
+func measurePlain(ctx context.Context, p *requestPath) error {
 	if r := drive.ClosedLoop(ctx, plainWorkers, plainSizes[0], p.caller.Plain); r.Failed > 0 { // warm up
 		return r.First
 	}
-	parts, err := newParts(ctx, map[string]test.Process{"entry": p.entry, "side_app": p.app})
+	processes, err := measureIdle(ctx, map[string]test.Process{"entry": p.entry, "side_app": p.app})
 	if err != nil {
 		return err
 	}
-	for _, part := range parts {
-		report("idle", part.role, "cpu", part.idle, "us/s", 1)
+	for _, process := range processes {
+		report("idle", process.role, "cpu", process.idleCPU, "us/s", 1)
 	}
 	for _, size := range plainSizes {
-		err := during(ctx, parts, float64(size), 1, func() error {
+		err := measureLoad(ctx, processes, float64(size), 1, func() error {
 			r := drive.ClosedLoop(ctx, plainWorkers, size, p.caller.Plain)
 			return errors.Wrap(r.First, "plain calls")
 		})
@@ -145,26 +148,27 @@
 			return err
 		}
 	}
-	for _, part := range parts {
-		reportLine("plain_call", part.role, "cpu", "us", "call", part.cpu)
-		reportLine("plain_call", part.role, "bytes", "B", "call", part.bytes)
-		if part.alloc != nil {
-			reportLine("plain_call", part.role, "allocated", "B", "call", part.alloc)
+	for _, process := range processes {
+		reportLine("plain_call", process.role, "cpu", "us", "call", process.cpu)
+		reportLine("plain_call", process.role, "bytes", "B", "call", process.bytes)
+		if process.allocated != nil {
+			reportLine("plain_call", process.role, "allocated", "B", "call", process.allocated)
 		}
-		report("plain_call", part.role, "resident_after", part.resident[len(part.resident)-1].Y, "B", 1)
+		report("plain_call", process.role, "resident_after", process.resident[len(process.resident)-1].Y, "B", 1)
 	}
 	return nil
 }
 
-func measureTokens(ctx context.Context, p *path) error {
-	parts, err := newParts(ctx, map[string]test.Process{"entry": p.entry, "side_prefill": p.prefill, "side_decode": p.decode})
+// measureTokens reports the cost per streamed token.
+func measureTokens(ctx context.Context, p *requestPath) error {
+	processes, err := measureIdle(ctx, map[string]test.Process{"entry": p.entry, "side_prefill": p.prefill, "side_decode": p.decode})
 	if err != nil {
 		return err
 	}
-	prompt := promptOf(promptBytes)
+	prompt := promptOfSize(promptBytes)
 	for _, tokens := range tokenSizes {
-		err := during(ctx, parts, float64(tokens), streamsEach, func() error {
-			r := drive.ClosedLoop(ctx, streamWorkers, streamsEach, func(ctx context.Context) error {
+		err := measureLoad(ctx, processes, float64(tokens), streamsPerSize, func() error {
+			r := drive.ClosedLoop(ctx, streamWorkers, streamsPerSize, func(ctx context.Context) error {
 				return p.caller.Stream(ctx, prompt, tokens, func(string, int) error { return nil })
 			})
 			return errors.Wrap(r.First, "streams")
@@ -173,24 +177,24 @@
 			return err
 		}
 	}
-	for _, part := range parts {
-		// The intercept is the request without its tokens.
-		reportLine("token", part.role, "cpu", "us", "token", part.cpu)
-		reportLine("token", part.role, "bytes", "B", "token", part.bytes)
-		if part.alloc != nil {
-			reportLine("token", part.role, "allocated", "B", "token", part.alloc)
+	for _, process := range processes {
+		// The intercept is the cost of the request without its tokens.
+		reportLine("token", process.role, "cpu", "us", "token", process.cpu)
+		reportLine("token", process.role, "bytes", "B", "token", process.bytes)
+		if process.allocated != nil {
+			reportLine("token", process.role, "allocated", "B", "token", process.allocated)
 		}
 	}
 	return nil
 }
 
-// measureStories waits until the stories are written, and gives their size in
-// the platform and the cost of packing them. It skips the segments seen before
-// and notes those it sees. Sides write too where no entry took an outcome:
-// none should be theirs here.
-func measureStories(ctx context.Context, p *path, kind string, seen map[string]bool) error {
-	pause(ctx, trace.DefaultFlushInterval+time.Second)
-	platform, err := p.world.Process("platform")
+// measureTraces waits until the trace spans are written, and reports their size in the
+// platform and the cost of packing them. It skips the segments in seenSegments and adds
+// the segments that it reads. A side writes spans only for an attempt whose outcome no
+// entry received; none are expected here.
+func measureTraces(ctx context.Context, p *requestPath, kind string, seenSegments map[string]bool) error {
+	sleep(ctx, trace.DefaultFlushInterval+time.Second)
+	platform, err := p.cluster.Process("platform")
 	if err != nil {
 		return err
 	}
@@ -200,12 +204,12 @@
 		return err
 	}
 	var size, sides int
-	var all []*trace.Span
+	var spans []*trace.Span
 	for _, name := range names {
-		if seen[name] {
+		if seenSegments[name] {
 			continue
 		}
-		seen[name] = true
+		seenSegments[name] = true
 		o, err := objects.Get(ctx, name)
 		if err != nil {
 			return err
@@ -216,22 +220,24 @@
 			continue
 		}
 		for i := range found {
-			all = append(all, &found[i])
+			spans = append(spans, &found[i])
 		}
 		size += len(o.Value)
 	}
-	return reportStories(kind, all, size, sides)
+	return reportTraces(kind, spans, size, sides)
 }
 
-func reportStories(kind string, all []*trace.Span, size, sides int) error {
-	if len(all) == 0 {
-		return errors.New("no stories were written")
+// reportTraces reports size, in bytes of all segments, and packing time per span, and the
+// number of spans that sides wrote.
+func reportTraces(kind string, spans []*trace.Span, size, sides int) error {
+	if len(spans) == 0 {
+		return errors.New("no trace spans were written")
 	}
-	report("story", "entry", "segment_"+kind, float64(size)/float64(len(all)), "B/story", len(all))
+	report("story", "entry", "segment_"+kind, float64(size)/float64(len(spans)), "B/story", len(spans))
 	report("story", "side", "written_"+kind, float64(sides), "stories", sides)
-	batch := all[:min(len(all), trace.FlushSpans)]
+	batch := spans[:min(len(spans), trace.FlushSpans)]
 	packer := trace.Packer{Host: "entry-1", Incarnation: 1}
-	took, err := timed(func() error { _, err := packer.Pack(time.Now(), batch); return err })
-	report("story", "entry", "pack_"+kind, micros(took)/float64(len(batch)), "us/story", len(batch))
+	duration, err := meanTime(func() error { _, err := packer.Pack(time.Now(), batch); return err })
+	report("story", "entry", "pack_"+kind, microseconds(duration)/float64(len(batch)), "us/story", len(batch))
 	return err
 }
--- a/test/slopes/streams.go
+++ b/test/slopes/streams.go
@@ -13,7 +13,7 @@
 	"jacinthworks/test"
 )
 
-// streamSizes are the numbers of streams open at once, by bytes of prompt.
+// streamSizes holds the numbers of concurrent streams for each prompt size in bytes.
 var streamSizes = map[int][]int{
 	1000:   {0, 200, 400, 800},
 	40_000: {0, 100, 200, 400},
@@ -21,56 +21,57 @@
 
 const (
 	slowGap     = "500ms"
-	openTokens  = 600 // five minutes: longer than the run
-	openWithin  = 20 * time.Second
-	openAtOnce  = 50
-	settleFor   = 3 * time.Second
-	wordOfStory = "pedigree"
+	openTokens  = 600 // five minutes, which is longer than the run
+	openTimeout = 20 * time.Second
+	openBurst   = 50
+	settleTime  = 3 * time.Second
+	promptWord  = "pedigree"
 )
 
-// promptOf gives a prompt of about the given size.
-func promptOf(size int) string {
-	return strings.Repeat(wordOfStory+" ", size/(len(wordOfStory)+1)+1)[:size]
+// promptOfSize returns a prompt of size bytes.
+func promptOfSize(size int) string {
+	return strings.Repeat(promptWord+" ", size/(len(promptWord)+1)+1)[:size]
 }
 
-// measureStreams gives the resident memory of an open stream.
-func measureStreams(ctx context.Context, b *bench) error {
+// measureStreams reports the resident memory per open stream.
+func measureStreams(ctx context.Context, b *environment) error {
 	for _, prompt := range []int{1000, 40_000} {
-		if err := measureOpen(ctx, b, prompt, streamSizes[prompt]); err != nil {
+		if err := measureOpenStreams(ctx, b, prompt, streamSizes[prompt]); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func measureOpen(ctx context.Context, b *bench, prompt int, sizes []int) error {
-	p, err := newPath(b, fmt.Sprintf("streams-%d", prompt), slowGap)
+// measureOpenStreams reports the resident memory per open stream for one prompt size.
+func measureOpenStreams(ctx context.Context, b *environment, prompt int, sizes []int) error {
+	p, err := newRequestPath(b, fmt.Sprintf("streams-%d", prompt), slowGap)
 	if err != nil {
 		return err
 	}
-	defer p.world.Close()
+	defer p.cluster.Close()
 	ctx, cancel := context.WithCancel(ctx)
 	var streams group.Group
 	defer streams.Wait()
 	defer cancel()
 	var open atomic.Int64
-	text := promptOf(prompt)
-	parts := map[string]test.Process{"entry": p.entry, "side_prefill": p.prefill, "side_decode": p.decode}
+	text := promptOfSize(prompt)
+	processes := map[string]test.Process{"entry": p.entry, "side_prefill": p.prefill, "side_decode": p.decode}
 	resident := map[string][]point{}
 	started := 0
 	for _, size := range sizes {
 		for ; started < size; started++ {
 			streams.Go(ctx, "stream", func(ctx context.Context) error { return openStream(ctx, p, text, &open) })
-			if started%openAtOnce == 0 {
-				pause(ctx, 100*time.Millisecond)
+			if started%openBurst == 0 {
+				sleep(ctx, 100*time.Millisecond)
 			}
 		}
-		if err := untilOpen(ctx, &open, int64(size)); err != nil {
+		if err := waitUntilOpen(ctx, &open, int64(size)); err != nil {
 			return err
 		}
-		pause(ctx, settleFor)
-		for role, at := range parts {
-			u, err := look(at.PID)
+		sleep(ctx, settleTime)
+		for role, process := range processes {
+			u, err := readUsage(process.PID)
 			if err != nil {
 				return err
 			}
@@ -83,8 +84,9 @@
 	return nil
 }
 
-// openStream keeps a stream open until the context ends.
-func openStream(ctx context.Context, p *path, prompt string, open *atomic.Int64) error {
+// openStream requests a stream, increments open at its first token and reads the stream
+// until the context ends.
+func openStream(ctx context.Context, p *requestPath, prompt string, open *atomic.Int64) error {
 	first := true
 	return p.caller.Stream(ctx, prompt, openTokens, func(string, int) error {
 		if first {
@@ -95,13 +97,14 @@
 	})
 }
 
-func untilOpen(ctx context.Context, open *atomic.Int64, want int64) error {
-	until := time.Now().Add(openWithin)
+// waitUntilOpen waits until want streams are open. It fails after openTimeout.
+func waitUntilOpen(ctx context.Context, open *atomic.Int64, want int64) error {
+	deadline := time.Now().Add(openTimeout)
 	for open.Load() < want {
-		if ctx.Err() != nil || time.Now().After(until) {
+		if ctx.Err() != nil || time.Now().After(deadline) {
 			return errors.Errorf("only %d of %d streams are open", open.Load(), want)
 		}
-		pause(ctx, 20*time.Millisecond)
+		sleep(ctx, 20*time.Millisecond)
 	}
 	return nil
 }
