--- a/bench/entry.go
+++ b/bench/entry.go
@@ -14,7 +14,8 @@
 // entry makes the queueing and routing decisions of one entry host.
 type entry struct {
 	sim *simulation
-	// disabled names the decision that is switched off; empty for none.
+	// disabled names the decision that is switched off. Any other value, such as
+	// the name of the policy, leaves all decisions on.
 	disabled string
 	random   *rand.Rand
 	queue    queue.Queue
