--- a/test/badinput.go
+++ b/test/bad_input.go
@@ -15,46 +15,47 @@
 	"github.com/pkg/errors"
 )
 
-// given is the arguments of send and router: options, and the words that the
-// answer must hold.
-type given struct {
-	options map[string]string
-	says    []string
+// outputArgs holds the arguments of send and router: the options, and the texts that the
+// output must contain.
+type outputArgs struct {
+	options  map[string]string
+	required []string
 }
 
-func readGiven(args []string) given {
-	g := given{options: options(args)}
+// parseOutputArgs parses the options and each says= argument.
+func parseOutputArgs(args []string) outputArgs {
+	g := outputArgs{options: parseOptions(args)}
 	for _, a := range args {
 		if words, found := strings.CutPrefix(a, "says="); found {
-			g.says = append(g.says, words)
+			g.required = append(g.required, words)
 		}
 	}
 	return g
 }
 
-// check says whether the text holds all words, and no token.
-func (g given) check(text string) error {
-	for _, words := range g.says {
+// check returns an error if the text lacks a required text or contains a token.
+func (g outputArgs) check(text string) error {
+	for _, words := range g.required {
 		if !strings.Contains(text, words) {
-			return errors.Errorf("does not say %q: %s", words, text)
+			return errors.Errorf("%q is missing in: %s", words, text)
 		}
 	}
 	for _, token := range []string{callerToken, otherToken, operatorToken, rivalToken} {
 		if strings.Contains(text, token) {
-			return errors.Errorf("shows a token: %s", text)
+			return errors.Errorf("a token is visible in: %s", text)
 		}
 	}
 	return nil
 }
 
-// stepSend sends one request as it is given, also a wrong one: send STATUS
+// cmdSend sends one request, which may be invalid, and checks its status: send STATUS
 // METHOD PATH [to=entry-1] [admin] [token=T] [kind=K] [match=ETAG] [body=B]
-// [size=N] [says=WORDS]... The token is the caller's, or with admin the
-// operator's, unless given; size makes a body of so many bytes.
-func stepSend(w *world, args []string) error {
-	g := readGiven(args[3:])
+// [size=N] [says=WORDS]... The default token is the caller's, or with admin the
+// operator's; size sets a body of N bytes.
+func cmdSend(w *world, args []string) error {
+	g := parseOutputArgs(args[3:])
 	o := g.options
-	p, err := w.find(or(o["to"], "entry-1"))
+	p, err := w.find(orDefault(o["to"], "entry-1"))
 	if err != nil {
 		return err
 	}
@@ -64,20 +65,20 @@
 	}
 	body := o["body"]
 	if o["size"] != "" {
-		body = strings.Repeat(" ", number(o["size"], 0))
+		body = strings.Repeat(" ", intOrDefault(o["size"], 0))
 	}
 	request, err := http.NewRequestWithContext(w.ctx, args[1], fmt.Sprintf("http://%s%s", address, args[2]), strings.NewReader(body))
 	if err != nil {
 		return err
 	}
-	request.Header.Set("Authorization", "Bearer "+or(o["token"], token))
+	request.Header.Set("Authorization", "Bearer "+orDefault(o["token"], token))
 	request.Header.Set("Content-Type", "application/json")
 	for header, value := range map[string]string{"Request-Kind": o["kind"], "If-Match": o["match"]} {
 		if value != "" {
 			request.Header.Set(header, value)
 		}
 	}
-	answer, err := oneConnection.Do(request)
+	answer, err := unpooledClient.Do(request)
 	if err != nil {
 		return err
 	}
@@ -87,18 +88,18 @@
 		return err
 	}
 	if strconv.Itoa(answer.StatusCode) != args[0] {
-		return errors.Errorf("answered %s: %s", answer.Status, text)
+		return errors.Errorf("status is %s: %s", answer.Status, text)
 	}
 	if kind := answer.Header.Get("Content-Type"); answer.StatusCode >= 400 && kind != "application/problem+json" {
-		return errors.Errorf("refused as %s: %s", kind, text)
+		return errors.Errorf("content type of the refusal is %s: %s", kind, text)
 	}
 	return g.check(string(text))
 }
 
-// stepRouter runs the router until it ends by itself: router CODE COMMAND
-// ARGUMENTS [says=WORDS]... The words must stand in its error output.
-func stepRouter(w *world, args []string) error {
-	g := readGiven(args)
+// cmdRouter runs the router until it exits by itself, and checks its exit code: router CODE
+// COMMAND ARGUMENTS [says=WORDS]... Its standard error must contain WORDS.
+func cmdRouter(w *world, args []string) error {
+	g := parseOutputArgs(args)
 	var rest []string
 	for _, a := range args[1:] {
 		if !strings.HasPrefix(a, "says=") {
@@ -107,26 +108,26 @@
 	}
 	ctx, cancel := context.WithTimeout(w.ctx, WaitTimeout)
 	defer cancel()
-	command := exec.CommandContext(ctx, w.bin.Router, rest...)
+	command := exec.CommandContext(ctx, w.binaries.Router, rest...)
 	command.Dir = w.dir
-	var out, errs bytes.Buffer
-	command.Stdout, command.Stderr = &out, &errs
+	var out, stderr bytes.Buffer
+	command.Stdout, command.Stderr = &out, &stderr
 	err := command.Run()
 	if ctx.Err() != nil {
-		return errors.Errorf("still runs after %s: %s", WaitTimeout, &errs)
+		return errors.Errorf("process still runs after %s: %s", WaitTimeout, &stderr)
 	}
 	if code := command.ProcessState.ExitCode(); strconv.Itoa(code) != args[0] {
-		return errors.Errorf("ended with %d (%v): %s", code, err, &errs)
+		return errors.Errorf("exit code is %d (%v): %s", code, err, &stderr)
 	}
 	if strings.Contains(out.String(), "listening") {
-		return errors.Errorf("listened first: %s", &out)
+		return errors.Errorf("process listened before it exited: %s", &out)
 	}
-	return g.check(errs.String())
+	return g.check(stderr.String())
 }
 
-// stepPortOf copies a process's settings with one address changed to one that
-// a running process listens on: portof FILE NAME KEY OTHER [admin|peers].
-func stepPortOf(w *world, args []string) error {
+// cmdPortOf copies the settings of a process with one address replaced by an address that
+// another process listens on: portof FILE NAME KEY OTHER [admin|peers].
+func cmdPortOf(w *world, args []string) error {
 	text, err := os.ReadFile(filepath.Join(w.dir, args[1]+".toml"))
 	if err != nil {
 		return err
@@ -144,7 +145,7 @@
 	}
 	free := fmt.Sprintf("\n%s = \"127.0.0.1:0\"\n", args[2])
 	if !strings.Contains(string(text), free) {
-		return errors.Errorf("%s.toml has no free %s", args[1], args[2])
+		return errors.Errorf("%s.toml has no line %s with port 0", args[1], args[2])
 	}
 	changed := strings.Replace(string(text), free, fmt.Sprintf("\n%s = %q\n", args[2], taken), 1)
 	return os.WriteFile(filepath.Join(w.dir, args[0]), []byte(changed), 0o600)
--- a/test/call.go
+++ b/test/call.go
@@ -13,7 +13,7 @@
 	"jacinthworks/domain"
 )
 
-// call is one request as its caller saw it.
+// call is one request, with what its caller has received.
 type call struct {
 	name, entry, kind, key, account string
 	prompt                          string
@@ -25,37 +25,38 @@
 	done   chan struct{}
 
 	mu      sync.Mutex
-	more    chan struct{} // closed and replaced at each token
-	stalled chan struct{} // non-nil and open while the caller does not read
+	changed chan struct{} // closed and replaced at each change
+	stalled chan struct{} // not nil while the caller does not read; closed when it continues
 	id      domain.RequestID
 	status  int
 	text    strings.Builder
 	tokens  int
-	whole   bool // the answer came to its own end
-	problem problemView
+	whole   bool // the answer was received to its end
+	problem refusalBody
 	err     error
-	ended   time.Time
+	endedAt time.Time
 }
 
-// problemView is a refusal as a caller reads it.
-type problemView struct {
+// refusalBody is the part of a refusal's body that the checks read.
+type refusalBody struct {
 	Reason     domain.Reason    `json:"reason"`
 	Ran        domain.Execution `json:"ran"`
 	RequestID  domain.RequestID `json:"request_id"`
 	RetryAfter float64          `json:"retry_after_seconds"`
 }
 
-func (c *call) hangUp() {
+// cancelAndWait disconnects the caller and waits until the call has ended.
+func (c *call) cancelAndWait() {
 	if c.cancel != nil {
 		c.cancel()
 		<-c.done
 	}
 }
 
-// send makes the request and reads its answer to the end.
+// send starts the request in the background. c.done is closed when the call has ended.
 func (c *call) send(ctx context.Context, base, token string) {
 	ctx, c.cancel = context.WithCancel(ctx)
-	c.done, c.more = make(chan struct{}), make(chan struct{})
+	c.done, c.changed = make(chan struct{}), make(chan struct{})
 	request, err := c.request(ctx, base)
 	if err == nil {
 		request.Header.Set("Authorization", "Bearer "+token)
@@ -64,15 +65,15 @@
 			request.Header.Set("Idempotency-Key", c.key)
 		}
 	}
-	go func() { // its end is c.done
+	go func() { // closes c.done
 		defer close(c.done)
 		if err == nil {
 			err = c.exchange(request)
 		}
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.err, c.ended = err, time.Now()
-		c.wake()
+		c.err, c.endedAt = err, time.Now()
+		c.notify()
 	}()
 }
 
@@ -89,12 +90,12 @@
 	return http.NewRequestWithContext(ctx, http.MethodPost, base+"/v1/completions", strings.NewReader(string(body)))
 }
 
-// oneConnection keeps calls from sharing connections, so that a fault on one
-// is a fault of one.
-var oneConnection = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
+// unpooledClient opens a connection for each call, so that a fault of a connection affects
+// one call only.
+var unpooledClient = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 
 func (c *call) exchange(request *http.Request) error {
-	answer, err := oneConnection.Do(request)
+	answer, err := unpooledClient.Do(request)
 	if err != nil {
 		return err
 	}
@@ -102,7 +103,7 @@
 	c.mu.Lock()
 	c.id = domain.RequestID(answer.Header.Get("Request-Id"))
 	c.status = answer.StatusCode
-	c.wake()
+	c.notify()
 	c.mu.Unlock()
 	if strings.HasPrefix(answer.Header.Get("Content-Type"), "text/event-stream") {
 		return c.readStream(answer.Body)
@@ -121,7 +122,7 @@
 		c.text.Write(text)
 		return nil
 	}
-	var all chunkView
+	var all completionChunk
 	if err := json.Unmarshal(text, &all); err != nil {
 		return err
 	}
@@ -130,8 +131,8 @@
 	return nil
 }
 
-// chunkView is a completion, or a part of one, as a caller reads it.
-type chunkView struct {
+// completionChunk is a completion, or an event of a streamed completion.
+type completionChunk struct {
 	Choices []struct {
 		Text string `json:"text"`
 	} `json:"choices"`
@@ -165,7 +166,7 @@
 			c.whole = true
 			c.mu.Unlock()
 		case isData:
-			if err := c.take(text); err != nil {
+			if err := c.addChunk(text); err != nil {
 				return err
 			}
 		}
@@ -173,8 +174,9 @@
 	return lines.Err()
 }
 
-func (c *call) take(text string) error {
-	var part chunkView
+// addChunk appends the text of one streamed event.
+func (c *call) addChunk(text string) error {
+	var part completionChunk
 	if err := json.Unmarshal([]byte(text), &part); err != nil {
 		return err
 	}
@@ -183,34 +185,35 @@
 	if part.Choices[0].Text != "" {
 		c.text.WriteString(part.Choices[0].Text)
 		c.tokens = len(strings.Fields(c.text.String()))
-		c.wake()
+		c.notify()
 	}
 	return nil
 }
 
-func (c *call) wake() {
-	close(c.more)
-	c.more = make(chan struct{})
+// notify wakes up whoever waits for a change of the call. c.mu must be held.
+func (c *call) notify() {
+	close(c.changed)
+	c.changed = make(chan struct{})
 }
 
-// view is what the caller has seen so far.
-type view struct {
+// callState is a copy of what the caller has received so far.
+type callState struct {
 	id      domain.RequestID
 	status  int
 	text    string
 	tokens  int
 	whole   bool
-	problem problemView
+	problem refusalBody
 	err     error
 	ended   time.Time
 	more    <-chan struct{}
 }
 
-func (c *call) look() view {
+func (c *call) snapshot() callState {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return view{
+	return callState{
 		id: c.id, status: c.status, text: c.text.String(), tokens: c.tokens, whole: c.whole,
-		problem: c.problem, err: c.err, ended: c.ended, more: c.more,
+		problem: c.problem, err: c.err, ended: c.endedAt, more: c.changed,
 	}
 }
--- a/test/calls.go
+++ b/test/calls.go
@@ -11,18 +11,18 @@
 	"github.com/pkg/errors"
 )
 
-// stepCall sends a request: call NAME [entry=1] [kind=appraisal] [key=K]
+// cmdCall sends a request: call NAME [entry=1] [kind=appraisal] [key=K]
 // [prompt=P] [tokens=N] [whole] [path=/p] [method=POST] [body=B] [as=second]
-// [&]. Without & it waits for the end.
-func stepCall(w *world, args []string) error {
+// [&]. Without & it waits until the call has ended.
+func cmdCall(w *world, args []string) error {
 	if len(args) == 0 {
-		return errors.New("call needs a name")
+		return errors.New("the name of the call is missing")
 	}
-	o := options(args[1:])
+	o := parseOptions(args[1:])
 	c := &call{
-		name: args[0], entry: "entry-" + or(o["entry"], "1"), account: or(o["as"], "first"), kind: or(o["kind"], "appraisal"), key: o["key"],
-		prompt: or(o["prompt"], "pedigree of "+args[0]), maxTokens: number(o["tokens"], 10),
-		path: o["path"], method: or(o["method"], http.MethodPost), body: o["body"],
+		name: args[0], entry: "entry-" + orDefault(o["entry"], "1"), account: orDefault(o["as"], "first"), kind: orDefault(o["kind"], "appraisal"), key: o["key"],
+		prompt: orDefault(o["prompt"], "pedigree of "+args[0]), maxTokens: intOrDefault(o["tokens"], 10),
+		path: o["path"], method: orDefault(o["method"], http.MethodPost), body: o["body"],
 	}
 	if _, whole := o["whole"]; !whole {
 		c.stream = true
@@ -36,7 +36,7 @@
 		return err
 	}
 	if w.calls[c.name] != nil {
-		return errors.Errorf("there is a call %q already", c.name)
+		return errors.Errorf("a call %q already exists", c.name)
 	}
 	w.calls[c.name] = c
 	w.order = append(w.order, c.name)
@@ -44,67 +44,69 @@
 	if _, background := o["&"]; background {
 		return nil
 	}
-	return stepAwait(w, []string{c.name})
+	return cmdAwait(w, []string{c.name})
 }
 
-func or(text, otherwise string) string {
+// orDefault returns text, or fallback if text is empty.
+func orDefault(text, fallback string) string {
 	if text == "" {
-		return otherwise
+		return fallback
 	}
 	return text
 }
 
-// stepAwait waits for a call's end, or for its first N tokens.
-func stepAwait(w *world, args []string) error {
+// cmdAwait waits until a call has ended, or until its first N tokens were received:
+// await NAME [N].
+func cmdAwait(w *world, args []string) error {
 	c := w.calls[args[0]]
 	if c == nil {
 		return errors.Errorf("no call %q", args[0])
 	}
 	until := time.After(WaitTimeout)
 	for {
-		v := c.look()
-		if len(args) > 1 && v.tokens >= number(args[1], 1) {
+		v := c.snapshot()
+		if len(args) > 1 && v.tokens >= intOrDefault(args[1], 1) {
 			return nil
 		}
 		select {
 		case <-c.done:
-			if len(args) > 1 && c.look().tokens < number(args[1], 1) {
-				return errors.Errorf("ended after %d tokens: %+v", v.tokens, v.problem)
+			if len(args) > 1 && c.snapshot().tokens < intOrDefault(args[1], 1) {
+				return errors.Errorf("call ended after %d tokens: %+v", v.tokens, v.problem)
 			}
 			return nil
 		case <-v.more:
 		case <-until:
-			return errors.Errorf("still running after %s: %+v", WaitTimeout, v)
+			return errors.Errorf("call still runs after %s: %+v", WaitTimeout, v)
 		}
 	}
 }
 
-// stepHangUp ends a call from its caller's side.
-func stepHangUp(w *world, args []string) error {
+// cmdHangUp disconnects the caller of a call.
+func cmdHangUp(w *world, args []string) error {
 	w.faults.Add(1)
-	w.calls[args[0]].hangUp()
+	w.calls[args[0]].cancelAndWait()
 	return nil
 }
 
-// stepExpect checks what a caller got: expect NAME [status=N] [ran=R]
-// [reason=R] [whole] [tokens=N] [broken].
-func stepExpect(w *world, args []string) error {
+// cmdExpect checks what a caller received: expect NAME [status=N] [ran=R]
+// [reason=R] [whole] [tokens=N] [broken]. A value may list alternatives, separated by "|".
+func cmdExpect(w *world, args []string) error {
 	c := w.calls[args[0]]
 	if c == nil {
 		return errors.Errorf("no call %q", args[0])
 	}
-	if err := stepAwait(w, args[:1]); err != nil {
+	if err := cmdAwait(w, args[:1]); err != nil {
 		return err
 	}
-	v := c.look()
+	v := c.snapshot()
 	got := map[string]string{
 		"status": strconv.Itoa(v.status), "ran": string(v.problem.Ran), "reason": string(v.problem.Reason),
 		"tokens": strconv.Itoa(v.tokens), "whole": "", "broken": "",
 	}
-	for name, want := range options(args[1:]) {
+	for name, want := range parseOptions(args[1:]) {
 		switch {
 		case name == "whole" && !v.whole, name == "broken" && (v.err == nil || v.whole):
-			return errors.Errorf("not %s: %+v", name, v)
+			return errors.Errorf("answer is not %s: %+v", name, v)
 		case !slices.Contains(strings.Split(want, "|"), got[name]):
 			return errors.Errorf("%s is %q, not %q: %+v", name, got[name], want, v)
 		}
@@ -112,16 +114,17 @@
 	return nil
 }
 
-// stepBurst sends many calls at once and waits for all: burst NAME N options
-// of call; ended=N of them at least must be answered.
-func stepBurst(w *world, args []string) error {
-	n := number(args[1], 10)
+// cmdBurst sends N calls at once and waits until all have ended: burst NAME N, followed by
+// the options of call. % in an option is replaced by the number of the call; with & the
+// command does not wait.
+func cmdBurst(w *world, args []string) error {
+	n := intOrDefault(args[1], 10)
 	for i := range n {
 		each := append([]string{fmt.Sprintf("%s-%d", args[0], i+1)}, args[2:]...)
 		for j, a := range each {
 			each[j] = strings.ReplaceAll(a, "%", strconv.Itoa(i+1))
 		}
-		if err := stepCall(w, append(each, "&")); err != nil {
+		if err := cmdCall(w, append(each, "&")); err != nil {
 			return err
 		}
 	}
@@ -129,29 +132,29 @@
 		return nil
 	}
 	for i := range n {
-		if err := stepAwait(w, []string{fmt.Sprintf("%s-%d", args[0], i+1)}); err != nil {
+		if err := cmdAwait(w, []string{fmt.Sprintf("%s-%d", args[0], i+1)}); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// stepAnswered checks that N calls of a burst were answered in full.
-func stepAnswered(w *world, args []string) error {
-	n := number(args[1], 1)
+// cmdAnswered checks that N calls of a burst received a complete answer.
+func cmdAnswered(w *world, args []string) error {
+	n := intOrDefault(args[1], 1)
 	for i := range n {
-		if err := stepExpect(w, []string{fmt.Sprintf("%s-%d", args[0], i+1), "status=200", "whole"}); err != nil {
+		if err := cmdExpect(w, []string{fmt.Sprintf("%s-%d", args[0], i+1), "status=200", "whole"}); err != nil {
 			return errors.Wrapf(err, "%s-%d", args[0], i+1)
 		}
 	}
 	return nil
 }
 
-// stepRefused checks that N calls of a burst were refused as given.
-func stepRefused(w *world, args []string) error {
-	n := number(args[1], 1)
+// cmdRefused checks that N calls of a burst meet the given expectations, as expect does.
+func cmdRefused(w *world, args []string) error {
+	n := intOrDefault(args[1], 1)
 	for i := range n {
-		if err := stepExpect(w, append([]string{fmt.Sprintf("%s-%d", args[0], i+1)}, args[2:]...)); err != nil {
+		if err := cmdExpect(w, append([]string{fmt.Sprintf("%s-%d", args[0], i+1)}, args[2:]...)); err != nil {
 			return errors.Wrapf(err, "%s-%d", args[0], i+1)
 		}
 	}
--- a/test/direct.go
+++ b/test/cluster.go
@@ -18,32 +18,32 @@
 	b := Binaries{Router: filepath.Join(dir, "jacinthworks"), Fakes: filepath.Join(dir, "fakes")}
 	for out, from := range map[string]string{b.Router: "jacinthworks", b.Fakes: "jacinthworks/fakes"} {
 		if text, err := exec.Command("go", "build", "-o", out, from).CombinedOutput(); err != nil {
-			return b, errors.Errorf("test: building %s: %s", from, text)
+			return b, errors.Errorf("test: build %s: %s", from, text)
 		}
 	}
 	return b, nil
 }
 
-// Cluster is a world for programs that measure: its processes reach each other
-// without relays and log only what a deployment logs.
+// Cluster is a world for programs that measure. Its processes connect to each other without
+// proxies and log at the level of a deployment.
 type Cluster struct{ w *world }
 
-// Process is a process of a Direct world.
+// Process is a process of a Cluster.
 type Process struct {
 	PID     int
 	Address netip.AddrPort
-	// Admin and Peers are where an entry answers operators and other entries.
+	// Admin and Peers are the addresses at which an entry serves operators and other entries.
 	Admin, Peers netip.AddrPort
 }
 
-// NewCluster starts a platform with the given table. Logs and settings go to
-// dir. The caller must Close it.
-func NewCluster(bin Binaries, dir string, table []byte) (*Cluster, error) {
+// NewCluster starts a platform with the given table. Logs and settings are written to dir.
+// The caller must call Close.
+func NewCluster(binaries Binaries, dir string, table []byte) (*Cluster, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
 	}
-	w := newWorld(bin, dir)
-	w.direct = true
+	w := newWorld(binaries, dir)
+	w.withoutProxies = true
 	if err := w.startPlatform(table); err != nil {
 		w.close()
 		return nil, err
@@ -51,30 +51,30 @@
 	return &Cluster{w: w}, nil
 }
 
-// Close ends what was started, by pid.
+// Close kills the processes that the cluster started, by PID.
 func (d *Cluster) Close() { d.w.close() }
 
-// Fake starts a stand-in.
+// Fake starts a fake.
 func (d *Cluster) Fake(name string, args ...string) (Process, error) {
-	p, err := d.w.launch(name, d.w.bin.Fakes, args...)
+	p, err := d.w.launch(name, d.w.binaries.Fakes, args...)
 	if err != nil {
 		return Process{}, err
 	}
-	return running(p), nil
+	return exportProcess(p), nil
 }
 
-// Upstream makes an address known under a name, for Side.
+// Upstream registers the address of an upstream under a name, for Side.
 func (d *Cluster) Upstream(name string, at netip.AddrPort) {
 	d.w.mu.Lock()
 	defer d.w.mu.Unlock()
-	if d.w.outside == nil {
-		d.w.outside = make(map[string]netip.AddrPort)
+	if d.w.external == nil {
+		d.w.external = make(map[string]netip.AddrPort)
 	}
-	d.w.outside[name] = at
+	d.w.external[name] = at
 }
 
-// Side starts a side before an upstream, which is a stand-in's name or one
-// made known by Upstream.
+// Side starts a side for an upstream, which is the name of a fake or a name registered by
+// Upstream.
 func (d *Cluster) Side(name, zone, role, service, upstream string) (Process, error) {
 	if err := d.w.startSide(name, zone, role, service, upstream); err != nil {
 		return Process{}, err
@@ -87,32 +87,32 @@
 	if err := d.w.startEntry(name, zone); err != nil {
 		return Process{}, err
 	}
-	if err := stepReady(d.w, []string{name}); err != nil {
+	if err := cmdReady(d.w, []string{name}); err != nil {
 		return Process{}, err
 	}
 	return d.Process(name)
 }
 
-// Process gives a process by its name; the platform's is "platform".
+// Process returns a process by its name. The platform's name is "platform".
 func (d *Cluster) Process(name string) (Process, error) {
 	p, err := d.w.find(name)
 	if err != nil {
 		return Process{}, err
 	}
-	return running(p), nil
+	return exportProcess(p), nil
 }
 
-func running(p *process) Process {
+func exportProcess(p *process) Process {
 	return Process{PID: p.command.Process.Pid, Address: p.address, Admin: p.admin, Peers: p.peers}
 }
 
-// String names the process for a message.
+// String returns the PID and address of the process.
 func (r Process) String() string { return fmt.Sprintf("pid %d at %s", r.PID, r.Address) }
 
-// upstream gives the address of an upstream.
-func (w *world) upstream(name string) (netip.AddrPort, error) {
+// upstreamAddr returns the address of an upstream.
+func (w *world) upstreamAddr(name string) (netip.AddrPort, error) {
 	w.mu.Lock()
-	at, found := w.outside[name]
+	at, found := w.external[name]
 	w.mu.Unlock()
 	if found {
 		return at, nil
@@ -124,22 +124,22 @@
 	return p.address, nil
 }
 
-// logSettings is the log section of a settings file.
+// logSettings returns the [log] section of a settings file.
 func (w *world) logSettings() string {
 	level := "debug"
-	if w.direct {
+	if w.withoutProxies {
 		level = "info"
 	}
 	return fmt.Sprintf("\n[log]\nlevel = %q\nformat = \"text\"\n", level)
 }
 
-// advertise gives the line of a settings file by which others find a process
-// at its relay, and the relay. Both are empty where there are no relays.
-func (w *world) advertise(key, name string) (string, *relay, error) {
-	if w.direct {
+// advertise returns the line of a settings file by which a process advertises the address of
+// its proxy, and the proxy. Both are empty in a world without proxies.
+func (w *world) advertise(key, name string) (string, *proxy, error) {
+	if w.withoutProxies {
 		return "", nil, nil
 	}
-	r, err := w.link(name, "")
+	r, err := w.proxyFor(name, "")
 	if err != nil {
 		return "", nil, err
 	}
--- a/test/demo.sh
+++ b/test/demo.sh
@@ -1,11 +1,11 @@
 #!/usr/bin/env bash
-# Starts stand-ins, sides and entries on loopback, sends four requests, prints
-# their answers and stories, and stops by pid what it started.
+# Starts fakes, sides and entries on loopback, sends four requests, prints their
+# answers and traces, and kills the processes that it started, by PID.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 logs=$(mktemp -d)
 pids=()
-stop() { # the logs stay when the demo has failed
+stop() { # keeps the logs if the demo failed
 	local code=$?
 	for p in "${pids[@]}"; do kill "$p" 2>/dev/null || true; done
 	wait 2>/dev/null || true
@@ -17,7 +17,7 @@
 	"$@" >"$logs/$name.out" 2>"$logs/$name.log" &
 	pids+=($!)
 }
-ready() { # url: waits until it answers 200
+ready() { # url: waits until the URL answers with a success status
 	for _ in $(seq 200); do
 		curl -fs -o /dev/null "$1" && return 0
 		sleep 0.05
--- a/test/faults.go
+++ b/test/faults.go
@@ -10,8 +10,8 @@
 	"github.com/pkg/errors"
 )
 
-// errEnded says that a process has ended already.
-var errEnded = errors.New("process has ended")
+// errProcessEnded reports a signal to a process that has already exited.
+var errProcessEnded = errors.New("process has exited")
 
 func (w *world) signal(args []string, s syscall.Signal, wait bool) error {
 	if s != syscall.SIGCONT {
@@ -23,7 +23,7 @@
 			return err
 		}
 		if err := p.command.Process.Signal(s); err != nil {
-			return errors.Wrap(errEnded, name)
+			return errors.Wrap(errProcessEnded, name)
 		}
 		if wait {
 			<-p.done
@@ -32,16 +32,16 @@
 	return nil
 }
 
-func stepKill(w *world, args []string) error { return w.signal(args, syscall.SIGKILL, true) }
+func cmdKill(w *world, args []string) error { return w.signal(args, syscall.SIGKILL, true) }
 
-func stepTerm(w *world, args []string) error { return w.signal(args, syscall.SIGTERM, false) }
+func cmdTerm(w *world, args []string) error { return w.signal(args, syscall.SIGTERM, false) }
 
-func stepFreeze(w *world, args []string) error { return w.signal(args, syscall.SIGSTOP, false) }
+func cmdSuspend(w *world, args []string) error { return w.signal(args, syscall.SIGSTOP, false) }
 
-func stepThaw(w *world, args []string) error { return w.signal(args, syscall.SIGCONT, false) }
+func cmdContinue(w *world, args []string) error { return w.signal(args, syscall.SIGCONT, false) }
 
-// stepRestart starts processes again that have ended.
-func stepRestart(w *world, args []string) error {
+// cmdRestart restarts processes that have exited.
+func cmdRestart(w *world, args []string) error {
 	for _, name := range args {
 		if err := w.restart(name); err != nil {
 			return err
@@ -50,8 +50,8 @@
 	return nil
 }
 
-// stepGone waits until processes have ended by themselves.
-func stepGone(w *world, args []string) error {
+// cmdGone waits until processes have exited by themselves.
+func cmdGone(w *world, args []string) error {
 	for _, name := range args {
 		p, err := w.find(name)
 		if err != nil {
@@ -66,59 +66,60 @@
 	return nil
 }
 
-// relayBetween finds the relay that A reaches B through.
-func (w *world) relayBetween(from, to string) (*relay, string, error) {
+// proxyBetween returns the proxy through which a process connects to another, and the
+// name by which the proxy identifies the connecting process.
+func (w *world) proxyBetween(from, to string) (*proxy, string, error) {
 	if to == "platform" {
-		r, err := w.link(from+">platform", from)
+		r, err := w.proxyFor(from+">platform", from)
 		return r, "", err
 	}
-	r, err := w.link(to, "")
+	r, err := w.proxyFor(to, "")
 	if from == "*" {
 		from = ""
 	}
 	return r, from, err
 }
 
-// stepCut cuts FROM off TO: open connections close and new ones fail.
-func stepCut(w *world, args []string) error {
+// cmdCut blocks connections from FROM to TO: it closes open ones and refuses new ones.
+func cmdCut(w *world, args []string) error {
 	w.faults.Add(1)
-	r, from, err := w.relayBetween(args[0], args[1])
+	r, from, err := w.proxyBetween(args[0], args[1])
 	if err == nil {
 		r.sever(from)
 	}
 	return err
 }
 
-// stepSilence makes FROM's open connections to TO silent; new ones work.
-func stepSilence(w *world, args []string) error {
+// cmdSilence makes open connections from FROM to TO silent. New connections work.
+func cmdSilence(w *world, args []string) error {
 	w.faults.Add(1)
-	r, from, err := w.relayBetween(args[0], args[1])
+	r, from, err := w.proxyBetween(args[0], args[1])
 	if err == nil {
 		r.silence(from)
 	}
 	return err
 }
 
-// stepHeal ends every cut.
-func stepHeal(w *world, _ []string) error {
+// cmdHeal removes the faults of all proxies, except from connections that are silent.
+func cmdHeal(w *world, _ []string) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, r := range w.links {
+	for _, r := range w.proxies {
 		r.heal()
 	}
 	return nil
 }
 
-// stepFault tells a stand-in to misbehave: fault NAME JSON.
-func stepFault(w *world, args []string) error {
+// cmdFault configures the faults of a fake: fault NAME JSON.
+func cmdFault(w *world, args []string) error {
 	if args[1] != "{}" {
 		w.faults.Add(1)
 	}
 	return w.post(args[0], "/fault", strings.Join(args[1:], " "))
 }
 
-// stepHosts sets a host's state in the host list: hosts NAME live|leaving.
-func stepHosts(w *world, args []string) error {
+// cmdHosts sets the state of a host in the platform's host list: hosts NAME live|leaving.
+func cmdHosts(w *world, args []string) error {
 	p, err := w.find("platform")
 	if err != nil {
 		return err
@@ -151,8 +152,8 @@
 	return nil
 }
 
-// stepStall stops a caller from reading; stepResume lets it read on.
-func stepStall(w *world, args []string) error {
+// cmdStall makes a caller stop reading. cmdResume ends it.
+func cmdStall(w *world, args []string) error {
 	w.faults.Add(1)
 	c := w.calls[args[0]]
 	c.mu.Lock()
@@ -161,7 +162,7 @@
 	return nil
 }
 
-func stepResume(w *world, args []string) error {
+func cmdResume(w *world, args []string) error {
 	c := w.calls[args[0]]
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/test/fleet.go
+++ b/test/fleet.go
@@ -20,46 +20,45 @@
 	"jacinthworks/platform/fake"
 )
 
-// fleet is entries without sides, each a process of its own, and around them the
-// stand-ins of the platform's store and of servers, which run in this process
-// behind relays.
+// fleet is a set of entries without sides, each in a process of its own, with fakes of the
+// platform's store and of the servers. The fakes run in the test process, behind proxies.
 type fleet struct {
 	w     *world
 	store *fake.Store
 
-	mu      sync.Mutex
-	servers map[string]*server
-	past    []*fake.Server // all that ever ran
-	entries []*entryHost
-	spans   []span
-	calls   []fleetCall
-	leaves  []leave
-	configs []configured
-	limits  []limitSpan
+	mu         sync.Mutex
+	servers    map[string]*serverSlot
+	allServers []*fake.Server // every server that was started
+	entries    []*entryHost
+	periods    []disruptionPeriod
+	calls      []fleetCall
+	leaves     []leaveRecord
+	configs    []configRecord
+	limits     []limitPeriod
 }
 
-// server is the server that runs under a name now. Each start of it has an id
-// of its own.
-type server struct {
+// serverSlot is a server name and the server that runs under it now. Each start gets an id of
+// its own.
+type serverSlot struct {
 	name, service, stage string
-	starts               int
-	now                  *fake.Server
-	relay                *relay
+	startCount           int
+	current              *fake.Server
+	proxy                *proxy
 }
 
-// entryHost is a host on which one entry after the other runs.
+// entryHost is a host on which entry processes run one after the other.
 type entryHost struct {
 	name  string
 	index int
-	relay *relay // to the store
-	// repeats is what the settings say of repeats; a reload changes it.
+	proxy *proxy // to the store
+	// repeats is the setting repeats.fixed, which a reload changes.
 	repeats int
 	// restarts is held while the entry is stopped and started.
 	restarts sync.Mutex
 
 	mu           sync.Mutex
 	incarnations []*incarnation
-	// ready says whether the balancer gives it new connections.
+	// ready reports whether the load balancer routes new connections to the host.
 	ready bool
 }
 
@@ -75,35 +74,35 @@
 	accepted map[string]int
 	ended    map[string]int
 	killed   bool
-	// asked is when it was asked to stop, left when it ended.
-	asked, left time.Time
+	// stopRequestedAt is when the process received SIGTERM, exitedAt when it exited.
+	stopRequestedAt, exitedAt time.Time
 }
 
-// leave is a server's word, taken by the store, that it takes no more work.
-type leave struct {
+// leaveRecord is the time at which a server registered in the store that it leaves.
+type leaveRecord struct {
 	server *fake.Server
 	at     time.Time
 }
 
-// configured is a version of the configuration that the store has taken.
-type configured struct {
+// configRecord is the time at which the store accepted a version of the configuration.
+type configRecord struct {
 	generation int
 	at         time.Time
 }
 
-// The fleet's size and pace.
+// Size and timing of the fleet.
 const (
-	fleetEntries  = 3
-	fleetPace     = 40 * time.Millisecond // between events, and for a plain call
-	fleetStop     = 4 * time.Second       // stop_within
-	fleetRestart  = 200 * time.Millisecond
-	fleetVersions = 4
+	fleetEntries        = 3
+	fleetEventInterval  = 40 * time.Millisecond // between events of a stream, and duration of a plain request
+	fleetStopTimeout    = 4 * time.Second       // setting stop_within
+	fleetRestartDelay   = 200 * time.Millisecond
+	fleetConfigVersions = 4
 )
 
-// newFleet starts store, servers and entries, and waits until all are ready.
-// The store counts its eras where that is asked for.
-func newFleet(bin Binaries, dir string, eras bool) (*fleet, error) {
-	f := &fleet{w: newWorld(bin, dir), store: fake.NewStore(), servers: make(map[string]*server)}
+// newFleet starts the store, the servers and the entries, and waits until all entries are ready.
+// With eras, the store states its era in its answers.
+func newFleet(binaries Binaries, dir string, eras bool) (*fleet, error) {
+	f := &fleet{w: newWorld(binaries, dir), store: fake.NewStore(), servers: make(map[string]*serverSlot)}
 	f.store.SetStaleReadLag(time.Second)
 	if eras {
 		f.store.EnableEras()
@@ -115,18 +114,18 @@
 	}
 	f.add("prefill-1", "model", "prefill")
 	f.add("prefill-2", "model", "prefill")
-	for n := range fleetVersions {
+	for n := range fleetConfigVersions {
 		f.add(generation(n), generation(n), "")
 	}
 	for n := range fleetEntries {
 		h := &entryHost{name: fmt.Sprintf("entry-%d", n+1), index: n, repeats: 40}
 		f.entries = append(f.entries, h)
-		r, err := f.w.link(h.name+">store", h.name)
+		r, err := f.w.proxyFor(h.name+">store", h.name)
 		if err != nil {
 			return f, err
 		}
-		r.aim(f.store.Addr())
-		h.relay = r
+		r.setTarget(f.store.Addr())
+		h.proxy = r
 		if err := f.start(h); err != nil {
 			return f, err
 		}
@@ -139,22 +138,23 @@
 	return f, nil
 }
 
-// generation names the service that a version of the configuration sends
-// probes to, and the server of it.
+// generation returns the name of the service and server that answer probes under one version of
+// the configuration.
 func generation(n int) string { return fmt.Sprintf("generation-%d", n) }
 
-// configure writes the configuration that sends probes to a generation. The
-// versions increase in uneven steps.
+// configure writes the configuration that routes probes to a generation, and records it. The
+// version numbers increase in uneven steps.
 func (f *fleet) configure(n int) {
 	f.writeConfig(n)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.configs = append(f.configs, configured{generation: n, at: time.Now()})
+	f.configs = append(f.configs, configRecord{generation: n, at: time.Now()})
 }
 
+// writeConfig writes the configuration of a generation to the store.
 func (f *fleet) writeConfig(n int) {
 	plain := []string{"cards"}
-	for i := range fleetVersions {
+	for i := range fleetConfigVersions {
 		plain = append(plain, generation(i))
 	}
 	f.store.Put("config", "main", fake.Configuration(3+n*n*2+n, plain,
@@ -167,42 +167,42 @@
 	))
 }
 
-// add starts a server under a name, for the first time or again.
+// add starts a server under a name, for the first time or as a replacement.
 func (f *fleet) add(name, service, stage string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s := f.servers[name]
 	if s == nil {
-		s = &server{name: name, service: service, stage: stage}
+		s = &serverSlot{name: name, service: service, stage: stage}
 		f.servers[name] = s
 	}
-	s.starts++
-	id := fmt.Sprintf("%s.%d", name, s.starts)
-	r, err := newRelay("")
+	s.startCount++
+	id := fmt.Sprintf("%s.%d", name, s.startCount)
+	r, err := newProxy("")
 	if err != nil {
-		panic(err) // no port is left
+		panic(err) // no port is free
 	}
-	f.w.relays.Go(f.w.ctx, id, r.run)
-	s.relay = r
-	s.now = fake.NewServer(f.store, fake.Entry{
+	f.w.background.Go(f.w.ctx, id, r.run)
+	s.proxy = r
+	s.current = fake.NewServer(f.store, fake.Entry{
 		ID: id, Service: service, Stage: stage, Zone: "here", Slots: 16, Address: r.address().String(),
 	})
-	s.now.SetEventInterval(fleetPace)
-	r.aim(s.now.Addr())
-	f.past = append(f.past, s.now)
+	s.current.SetEventInterval(fleetEventInterval)
+	r.setTarget(s.current.Addr())
+	f.allServers = append(f.allServers, s.current)
 }
 
-// settings writes the settings of an entry host.
-func (f *fleet) settings(h *entryHost) (string, error) {
-	return f.w.settings(h.name, fmt.Sprintf(
+// writeSettings writes the settings of an entry host and returns the path.
+func (f *fleet) writeSettings(h *entryHost) (string, error) {
+	return f.w.writeSettings(h.name, fmt.Sprintf(
 		"name = %q\nzone = \"here\"\nlisten = \"127.0.0.1:0\"\nready_listen = \"127.0.0.1:0\"\npeer_listen = \"127.0.0.1:0\"\nrelay_from = 2\nplatform = %q\nstop_within = %q\n"+
 			"watch_wait = \"2s\"\n[repeats]\nratio = 0.2\nfixed = %d\nspan = \"5s\"\n[log]\nlevel = \"info\"\nformat = \"json\"\n",
-		h.name, h.relay.address(), fleetStop, h.repeats))
+		h.name, h.proxy.address(), fleetStopTimeout, h.repeats))
 }
 
-// start starts an entry's process and waits until it listens.
+// start starts an entry process on a host and waits until it listens.
 func (f *fleet) start(h *entryHost) error {
-	path, err := f.settings(h)
+	path, err := f.writeSettings(h)
 	if err != nil {
 		return err
 	}
@@ -216,7 +216,7 @@
 	if err != nil {
 		return err
 	}
-	l.command = exec.Command(f.w.bin.Router, "direct", "--settings", path)
+	l.command = exec.Command(f.w.binaries.Router, "direct", "--settings", path)
 	l.command.Stderr = log
 	out, err := l.command.StdoutPipe()
 	if err != nil {
@@ -225,21 +225,21 @@
 	if err := l.command.Start(); err != nil {
 		return err
 	}
-	go func() { // ends with the process; its end is l.done
+	go func() { // ends when the process exits; closes l.done
 		defer close(l.done)
 		defer log.Close()
 		l.read(io.TeeReader(out, log))
 		_ = l.command.Wait()
 		l.mu.Lock()
-		l.left = time.Now()
+		l.exitedAt = time.Now()
 		l.mu.Unlock()
 	}()
 	select {
 	case <-l.started:
 	case <-l.done:
-		return errors.Errorf("%s ended before it listened", h.name)
+		return errors.Errorf("start %s: the process exited before it listened", h.name)
 	case <-time.After(WaitTimeout):
-		return errors.Errorf("%s did not listen", h.name)
+		return errors.Errorf("start %s: the process did not listen in time", h.name)
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -247,23 +247,23 @@
 	return nil
 }
 
-// line is what the judge reads of a log line.
-type line struct {
+// logLine holds the fields of a log line that the judge reads.
+type logLine struct {
 	Message string         `json:"@message"`
 	Request string         `json:"request"`
 	Listen  netip.AddrPort `json:"listen"`
 	Ready   netip.AddrPort `json:"ready"`
 }
 
-// read takes in the process's log: its addresses, and how often each request
-// was accepted and ended.
+// read parses the process's log: its addresses, and how often each request was accepted and
+// ended.
 func (l *incarnation) read(from io.Reader) {
 	lines := bufio.NewScanner(from)
 	lines.Buffer(nil, 1<<20)
 	for lines.Scan() {
-		var n line
+		var n logLine
 		if err := json.Unmarshal(lines.Bytes(), &n); err != nil {
-			continue // "listen" of other lines is no address
+			continue // not a JSON line, or "listen" is not an address in this message
 		}
 		l.mu.Lock()
 		switch n.Message {
@@ -279,14 +279,14 @@
 	}
 }
 
-// now gives the host's process.
-func (h *entryHost) now() *incarnation {
+// current returns the process that was started last on the host.
+func (h *entryHost) current() *incarnation {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.incarnations[len(h.incarnations)-1]
 }
 
-// isReady asks as the balancer does.
+// isReady sends the health check of the load balancer and reports whether it succeeded.
 func (l *incarnation) isReady() bool {
 	c := http.Client{Timeout: 300 * time.Millisecond, Transport: &http.Transport{DisableKeepAlives: true}}
 	answer, err := c.Get("http://" + l.ready.String() + "/ready")
@@ -297,20 +297,22 @@
 	return answer.StatusCode == http.StatusOK
 }
 
+// untilReady waits until the host's entry is ready.
 func (f *fleet) untilReady(h *entryHost) error {
 	for until := time.Now().Add(WaitTimeout); time.Now().Before(until); group.Sleep(f.w.ctx, 20*time.Millisecond) {
-		if h.now().isReady() {
+		if h.current().isReady() {
 			return nil
 		}
 	}
-	return errors.Errorf("%s does not get ready", h.name)
+	return errors.Errorf("%s did not become ready in time", h.name)
 }
 
-// balance keeps up whom the balancer gives new connections, until the fleet ends.
-func (f *fleet) balance(h *entryHost) {
+// trackReadiness sends health checks to a host and updates h.ready until the fleet ends. The
+// host gets no new connections after two failed checks in a row.
+func (f *fleet) trackReadiness(h *entryHost) {
 	misses := 0
 	for f.w.ctx.Err() == nil {
-		if h.now().isReady() {
+		if h.current().isReady() {
 			misses = 0
 		} else {
 			misses++
@@ -322,15 +324,15 @@
 	}
 }
 
-// stop ends an entry's process by a signal, waits for its end, and starts the
-// next one, as the platform does.
+// stop signals an entry's process, waits until it exits, and starts the next one, as the
+// platform does.
 func (f *fleet) stop(h *entryHost, with syscall.Signal) error {
 	h.restarts.Lock()
 	defer h.restarts.Unlock()
-	l := h.now()
+	l := h.current()
 	l.mu.Lock()
 	if l.killed = l.killed || with == syscall.SIGKILL; !l.killed {
-		l.asked = time.Now()
+		l.stopRequestedAt = time.Now()
 	}
 	l.mu.Unlock()
 	if err := l.command.Process.Signal(with); err != nil && !errors.Is(err, os.ErrProcessDone) {
@@ -339,13 +341,13 @@
 	select {
 	case <-l.done:
 	case <-time.After(WaitTimeout):
-		return errors.Errorf("%s did not end", h.name)
+		return errors.Errorf("stop %s: the process did not exit in time", h.name)
 	}
-	group.Sleep(f.w.ctx, fleetRestart)
+	group.Sleep(f.w.ctx, fleetRestartDelay)
 	return f.start(h)
 }
 
-// close ends what the fleet started, by pid.
+// close kills the processes that the fleet started, by PID.
 func (f *fleet) close() {
 	for _, h := range f.entries {
 		h.mu.Lock()
@@ -358,7 +360,7 @@
 		}
 	}
 	f.w.close()
-	for _, s := range f.past {
+	for _, s := range f.allServers {
 		s.Close()
 	}
 	f.store.Close()
--- /dev/null
+++ b/test/fleet_announcements.go
@@ -0,0 +1,126 @@
+package test
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"strconv"
+	"time"
+
+	"jacinthworks/platform/fake"
+)
+
+const (
+	// pauseSlack is how long after a server has asked for a pause requests under way may still reach
+	// it, and pauseMaxRequests how many requests may reach it in the rest of the pause.
+	pauseSlack       = 500 * time.Millisecond
+	pauseMaxRequests = 2
+)
+
+// addAnnouncements adds, each to one plan of two, a server that asks for pauses for some seconds,
+// and a server that announces in its answers that it leaves before it registers this.
+func (s *FleetSoak) addAnnouncements(r *rand.Rand) {
+	start := func() time.Duration { return time.Duration(r.Int64N(int64(fleetQuietTime + fleetFaultTime/2))) }
+	duration := func() time.Duration { return fleetLimitMin/2 + time.Duration(r.Int64N(int64(fleetLimitMin))) }
+	if r.IntN(2) == 0 {
+		name := pick(r, []string{"app-1", "app-2", "decode-1", "prefill-1"})
+		pause := pick(r, []string{"0.5", "1", "2.5", "4"})
+		var busy *fake.Server // the server that ran when the pauses began
+		s.disruptions = append(s.disruptions, disruption{
+			name: fmt.Sprintf("%s asks for pauses of %s s", name, pause), entry: everyEntry, planned: true, start: start(), duration: duration(),
+			begin: func(f *fleet) error { busy = f.server(name); busy.SetBusy(pause); return nil },
+			end:   func(*fleet) error { busy.SetBusy(""); return nil },
+		})
+	}
+	if r.IntN(2) == 0 {
+		name := pick(r, []string{"app-1", "app-3", "decode-2", "prefill-2"})
+		s.disruptions = append(s.disruptions, disruption{
+			name: name + " says that it leaves, and registers it later", entry: everyEntry, planned: true, start: start(), duration: duration(),
+			begin: func(f *fleet) error { f.server(name).SetLeaving(true); return nil },
+			end:   func(f *fleet) error { f.leave(name); return nil },
+		})
+	}
+}
+
+// receivedRequest is a request that reached a server, and the call that it belongs to.
+type receivedRequest struct {
+	at   time.Time
+	call fleetCall
+}
+
+// receivedRequests returns the requests of known calls that reached a server.
+func (f *fleet) receivedRequests(s *fake.Server) (all []receivedRequest) {
+	callsByID := make(map[string]fleetCall, len(f.calls))
+	for _, c := range f.calls {
+		callsByID[c.id] = c
+	}
+	for _, a := range s.Received() {
+		if c, known := callsByID[a.ID]; known {
+			all = append(all, receivedRequest{a.At, c})
+		}
+	}
+	return all
+}
+
+// judgeAnnouncements checks that a server that announced that it leaves, or asked for a pause,
+// receives no further requests from the incarnations that received the announcement.
+func (f *fleet) judgeAnnouncements(found *findings) {
+	for _, s := range f.allServers {
+		arrived := f.receivedRequests(s)
+		f.judgeAnnouncedLeaving(found, s, arrived)
+		f.judgePauses(found, s, arrived)
+	}
+}
+
+// judgeAnnouncedLeaving checks that no request reaches a leaving server through an incarnation
+// that had forwarded the server's announcement before the caller sent the request.
+func (f *fleet) judgeAnnouncedLeaving(found *findings, s *fake.Server, arrived []receivedRequest) {
+	announcedAt := make(map[[2]int]time.Time) // when an incarnation (host, number) first forwarded the announcement
+	for _, c := range f.calls {
+		incarnationID := [2]int{c.entry, c.incarnation}
+		if first, known := announcedAt[incarnationID]; c.response.Leaving == s.Entry.ID && (!known || c.ended.Before(first)) {
+			announcedAt[incarnationID] = c.ended
+		}
+	}
+	for _, a := range arrived {
+		first, known := announcedAt[[2]int{a.call.entry, a.call.incarnation}]
+		if known && a.call.sent.After(first.Add(judgeSlack)) && !f.suspended(a.call.entry, first, a.call.sent) {
+			found.add("%s reached %s, sent %v after an answer had announced that the server leaves", a.call.id, s.Entry.ID, a.call.sent.Sub(first))
+		}
+	}
+}
+
+// judgePauses checks that after a server has asked an incarnation for a pause, at most
+// pauseMaxRequests requests of this incarnation reach the server until the pause ends.
+func (f *fleet) judgePauses(found *findings, s *fake.Server, arrived []receivedRequest) {
+	byID := make(map[string]receivedRequest, len(arrived))
+	for _, a := range arrived {
+		byID[a.call.id] = a
+	}
+	for _, p := range s.Backoffs() {
+		asker, known := byID[p.ID]
+		if !known {
+			continue
+		}
+		n, until := 0, p.At.Add(p.Duration)
+		for _, a := range arrived {
+			sameIncarnation := a.call.entry == asker.call.entry && a.call.incarnation == asker.call.incarnation
+			if sameIncarnation && a.at.After(p.At.Add(pauseSlack)) && a.at.Before(until) {
+				n++
+			}
+		}
+		if n > pauseMaxRequests && f.noFaults(asker.call.entry, p.At, until) {
+			found.add("%s asked entry-%d for a pause of %v and received %d requests during the pause", s.Entry.ID, asker.call.entry+1, p.Duration, n)
+		}
+	}
+}
+
+// suspended reports whether an entry was suspended at any moment between two times.
+func (f *fleet) suspended(entry int, from, to time.Time) bool {
+	name := "suspend entry-" + strconv.Itoa(entry+1)
+	for _, s := range f.periods {
+		if s.name == name && s.overlaps(from, to) {
+			return true
+		}
+	}
+	return false
+}
--- a/test/fleetcopy.go
+++ b/test/fleet_restores.go
@@ -10,19 +10,19 @@
 )
 
 const (
-	storeCopyAge = 7 * time.Second        // beyond a second
-	storeAnew    = 500 * time.Millisecond // until all has been written again
+	storeCopyAgeRange = 7 * time.Second        // added to the minimum of one second
+	storeRewriteDelay = 500 * time.Millisecond // delay between a restore and rewriteStore
 )
 
-// addCopies has, in one plan of two but for those with planned work only, the store come
-// back from older copies, once or twice.
-func (s *FleetSoak) addCopies(r *rand.Rand) {
+// addStoreRestores adds restores of the store from older copies, one or two, to one plan of
+// two. Plans with planned work only have none.
+func (s *FleetSoak) addStoreRestores(r *rand.Rand) {
 	if s.Seed%4 == 0 || r.IntN(2) == 0 {
 		return
 	}
 	for range 1 + r.IntN(2) {
-		age := time.Second + time.Duration(r.Int64N(int64(storeCopyAge)))
-		s.add(r, trouble{
+		age := time.Second + time.Duration(r.Int64N(int64(storeCopyAgeRange)))
+		s.addDisruption(r, disruption{
 			name: fmt.Sprintf("store comes back from a copy %v old", age.Round(time.Millisecond)), entry: everyEntry,
 			begin: func(f *fleet) error {
 				f.store.SetDown(true)
@@ -31,25 +31,25 @@
 			},
 			end: func(f *fleet) error {
 				f.store.SetDown(false)
-				group.Sleep(f.w.ctx, storeAnew)
-				f.writeAnew()
+				group.Sleep(f.w.ctx, storeRewriteDelay)
+				f.rewriteStore()
 				return nil
 			},
 		})
 	}
 }
 
-// writeAnew writes again what the operators and the servers wrote, after the store came
-// back from a copy that may lack it, and takes out the entries of servers that are gone.
-func (f *fleet) writeAnew() {
+// rewriteStore writes the configuration and the servers' entries again, which the restored copy
+// may lack, and deletes the entries of servers that no longer run.
+func (f *fleet) rewriteStore() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.writeConfig(f.configs[len(f.configs)-1].generation)
 	runs := make(map[*fake.Server]bool)
 	for _, s := range f.servers {
-		runs[s.now] = true
+		runs[s.current] = true
 	}
-	for _, s := range f.past {
+	for _, s := range f.allServers {
 		if runs[s] {
 			s.Register()
 		} else {
--- a/test/fleet_test.go
+++ b/test/fleet_test.go
@@ -10,17 +10,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-// fleetSeconds and fleetSeed are for `make soak`, fleetLogs keeps the logs of
-// the plans that found something.
+// fleetSeconds and fleetSeed are set by `make soak`. fleetLogs keeps the logs of plans with
+// findings.
 var (
-	fleetSeconds = flag.Int("fleet-soak", 0, "seconds to soak entries without sides, with fresh seeds")
-	fleetSeed    = flag.Uint64("fleet-seed", 0, "one seed of theirs to run alone")
-	fleetLogs    = flag.String("fleet-logs", "", "directory to keep the logs of failed plans in")
+	fleetSeconds = flag.Int("fleet-soak", 0, "seconds to run the fleet soak with fresh seeds")
+	fleetSeed    = flag.Uint64("fleet-seed", 0, "run the fleet soak with this seed only")
+	fleetLogs    = flag.String("fleet-logs", "", "directory that keeps the logs of failed plans")
 )
 
-// Entries without sides suffer faults and planned work within seconds of each
-// other, while callers go on using their connections until a process is gone.
-// Every promise must hold for each request.
+// Faults and planned work affect entries without sides within seconds of each other, while
+// callers keep their connections until the entry's process exits. Every promise must hold for
+// each request.
 func TestFleetSoakFixedSeeds(t *testing.T) {
 	for _, seed := range fleetSeeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -33,15 +33,14 @@
 	}
 }
 
-// fleetSeeds are the plans of each run of CI: four for a start, 161, in which a
-// list that is behind comes half a second after a version of the configuration,
-// three with rate limits, one of them with a store that comes back from a copy, two with
-// servers that say that they leave and ask for pauses, then those that have found
-// something, with what it was.
+// fleetSeeds are the plans of every CI run: 1 to 4; 161, where a list that lags behind arrives
+// half a second after a version of the configuration; 204, 206 and 218 with rate limits, one
+// of them with a store that is restored from a copy; 301 and 308 with servers that announce
+// that they leave and ask for pauses. Seeds that have found a fault are added, with the fault.
 var fleetSeeds = []uint64{1, 2, 3, 4, 161, 204, 206, 218, 301, 308}
 
-// TestFleetSoakFreshSeeds runs for as long as it is told, four plans at a time,
-// and prints the seed of what it finds.
+// TestFleetSoakFreshSeeds runs for the given time, four plans at once, and prints the seeds of
+// plans with findings.
 func TestFleetSoakFreshSeeds(t *testing.T) {
 	if *fleetSeed != 0 {
 		soakFleet(t, *fleetSeed)
@@ -64,6 +63,6 @@
 	case err != nil:
 		t.Errorf("seed %d: %v", seed, err)
 	case *fleetLogs != "":
-		_ = os.RemoveAll(dir) // nothing was found in it
+		_ = os.RemoveAll(dir) // the plan has no findings
 	}
 }
--- a/test/judge.go
+++ b/test/judge.go
@@ -16,14 +16,14 @@
 	"jacinthworks/fakes/model"
 )
 
-// upstreams is what the stand-ins say they ran.
-type upstreams struct {
+// upstreamRuns lists what the fake upstreams report to have run.
+type upstreamRuns struct {
 	engines []model.Run
 	apps    []apps.Run
 }
 
-func (w *world) upstreams() (upstreams, error) {
-	var all upstreams
+func (w *world) upstreamRuns() (upstreamRuns, error) {
+	var all upstreamRuns
 	for _, name := range w.engines {
 		p, err := w.find(name)
 		if err != nil {
@@ -49,10 +49,10 @@
 	return all, nil
 }
 
-// stepRuns counts what applications ran: runs key=K count=N.
-func stepRuns(w *world, args []string) error {
-	o := options(args)
-	u, err := w.upstreams()
+// cmdRuns checks how often application servers ran a key: runs key=K count=N.
+func cmdRuns(w *world, args []string) error {
+	o := parseOptions(args)
+	u, err := w.upstreamRuns()
 	if err != nil {
 		return err
 	}
@@ -62,20 +62,20 @@
 			n++
 		}
 	}
-	if n != number(o["count"], 1) {
-		return errors.Errorf("ran %d times, not %s", n, o["count"])
+	if n != intOrDefault(o["count"], 1) {
+		return errors.Errorf("key ran %d times, not %s", n, o["count"])
 	}
 	return nil
 }
 
-// stepFree waits until no engine holds memory: free [within=2s]. The time is
-// counted from the command.
-func stepFree(w *world, args []string) error {
-	within, err := time.ParseDuration(or(options(args)["within"], "2s"))
+// cmdFree waits until no engine holds memory: free [within=2s]. The time is measured from
+// the start of the command.
+func cmdFree(w *world, args []string) error {
+	within, err := time.ParseDuration(orDefault(parseOptions(args)["within"], "2s"))
 	if err != nil {
 		return err
 	}
-	return w.timed(MemoryFree, within, func() error {
+	return w.eventuallyTimed(MemoryFree, within, func() error {
 		for _, name := range w.engines {
 			p, err := w.find(name)
 			if err != nil {
@@ -93,24 +93,23 @@
 	})
 }
 
-// stepJudge checks the promises that every scenario must keep, whatever
-// happened in it, and prints the scenario's line of the promises' table.
-func stepJudge(w *world, _ []string) error {
-	u, err := w.upstreams()
+// cmdJudge checks the promises that must hold in every scenario.
+func cmdJudge(w *world, _ []string) error {
+	u, err := w.upstreamRuns()
 	if err != nil {
 		return err
 	}
 	var found check.Findings
-	w.judged(OwnWhole, &found, w.judgeAnswers)
-	w.judged(NotRunIsTrue, &found, func(f *check.Findings) { w.judgeRefusals(u, f) })
-	w.judged(AtMostOnce, &found, func(f *check.Findings) { w.judgeRuns(u, f) })
-	w.judged(AnsweredOnce, &found, w.judgeSecondAnswers)
-	w.judged(AnsweredOnce, &found, w.judgeCounts)
-	w.judged(EditsPersist, &found, w.judgeTable)
+	w.countViolations(OwnWhole, &found, w.judgeAnswers)
+	w.countViolations(NotRunIsTrue, &found, func(f *check.Findings) { w.judgeRefusals(u, f) })
+	w.countViolations(AtMostOnce, &found, func(f *check.Findings) { w.judgeRuns(u, f) })
+	w.countViolations(AnsweredOnce, &found, w.judgeSecondAnswers)
+	w.countViolations(AnsweredOnce, &found, w.judgeCounts)
+	w.countViolations(EditsPersist, &found, w.judgeTable)
 	return found.Err()
 }
 
-// judgeTable: no entry that was watched went back to an older table.
+// judgeTable checks that no watched entry reverted to an older table.
 func (w *world) judgeTable(found *check.Findings) {
 	if w.watch == nil {
 		return
@@ -118,56 +117,56 @@
 	w.watch.mu.Lock()
 	defer w.watch.mu.Unlock()
 	for _, name := range w.watch.reverted {
-		found.Add(name, "went back to an older version of the table")
+		found.Add(name, "reverted to an older version of the table")
 	}
 }
 
-// judgeAnswers: each answer is whole and belongs to its own request, and
-// nothing that broke off looks complete.
+// judgeAnswers checks that each complete answer is the whole answer to its own request, and
+// that each partial answer is a part of it.
 func (w *world) judgeAnswers(found *check.Findings) {
 	for _, name := range w.order {
-		c, v := w.calls[name], w.calls[name].look()
+		c, v := w.calls[name], w.calls[name].snapshot()
 		if c.path != "" {
 			if v.whole && v.status == 200 && !strings.Contains(v.text, apps.Echo(c.method, c.path, []byte(c.body))) {
-				found.Add(name, "answered with another request's answer: %s", v.text)
+				found.Add(name, "received the answer to another request: %s", v.text)
 			}
 			continue
 		}
 		want := model.Completion(c.prompt, c.maxTokens)
 		switch {
 		case v.whole && v.text != want:
-			found.Add(name, "answer is not whole or not its own: got %q, want %q", v.text, want)
+			found.Add(name, "answer is incomplete or belongs to another request: got %q, want %q", v.text, want)
 		case !strings.HasPrefix(want, v.text):
-			found.Add(name, "part of an answer is not its own: got %q, want %q", v.text, want)
+			found.Add(name, "partial answer belongs to another request: got %q, want %q", v.text, want)
 		}
 	}
 }
 
-// judgeRefusals: what was refused as not_run has run nowhere.
-func (w *world) judgeRefusals(u upstreams, found *check.Findings) {
+// judgeRefusals checks that no upstream ran a request that was refused as not_run.
+func (w *world) judgeRefusals(u upstreamRuns, found *check.Findings) {
 	for _, name := range w.order {
-		v := w.calls[name].look()
+		v := w.calls[name].snapshot()
 		if v.problem.Reason == "" || v.problem.Ran != domain.NotRun {
 			continue
 		}
 		for _, r := range u.engines {
 			if r.Request == v.id {
-				found.Add(name, "refused as not_run (%s), yet an engine began its %s", v.problem.Reason, r.Work)
+				found.Add(name, "refused as not_run (%s), but an engine started its %s", v.problem.Reason, r.Work)
 			}
 		}
 		for _, r := range u.apps {
 			if r.Request == v.id {
-				found.Add(name, "refused as not_run (%s), yet a server ran it", v.problem.Reason)
+				found.Add(name, "refused as not_run (%s), but a server ran it", v.problem.Reason)
 			}
 		}
 	}
 }
 
-// judgeRuns: a key of unrepeatable work ran at most once.
-func (w *world) judgeRuns(u upstreams, found *check.Findings) {
-	accounts := map[domain.RequestID]string{} // a key is its account's own
+// judgeRuns checks that each key of a request that must not be repeated ran at most once.
+func (w *world) judgeRuns(u upstreamRuns, found *check.Findings) {
+	accounts := map[domain.RequestID]string{} // keys of different accounts are independent
 	for _, name := range w.order {
-		accounts[w.calls[name].look().id] = w.calls[name].account
+		accounts[w.calls[name].snapshot().id] = w.calls[name].account
 	}
 	ran := map[string]int{}
 	for _, r := range u.apps {
@@ -176,7 +175,7 @@
 		}
 		account := accounts[r.Request]
 		if account == "" {
-			account = "first" // its caller never heard its id
+			account = "first" // the caller did not receive the request id; callers use this account by default
 		}
 		ran[account+"/"+r.Key]++
 	}
@@ -187,11 +186,11 @@
 	}
 }
 
-// judgeSecondAnswers: nobody was answered twice under one key.
+// judgeSecondAnswers checks that no key was answered twice.
 func (w *world) judgeSecondAnswers(found *check.Findings) {
 	answered := map[string][]string{}
 	for _, name := range w.order {
-		c, v := w.calls[name], w.calls[name].look()
+		c, v := w.calls[name], w.calls[name].snapshot()
 		if c.key != "" && v.whole && v.problem.Reason == "" && v.status == 200 {
 			answered[c.account+"/"+c.key] = append(answered[c.account+"/"+c.key], name)
 		}
@@ -199,13 +198,13 @@
 	for key, names := range answered {
 		if len(names) > 1 {
 			slices.Sort(names)
-			found.Add("key "+key, "was answered %s times: %v", strconv.Itoa(len(names)), names)
+			found.Add("key "+key, "received %s answers: %v", strconv.Itoa(len(names)), names)
 		}
 	}
 }
 
-// judgeCounts: at every entry that answers, accepted is answered and refused
-// and open together, and no request ended twice.
+// judgeCounts checks that at each reachable entry the number of accepted requests is the sum
+// of answered, refused and open requests, and that no request ended twice.
 func (w *world) judgeCounts(found *check.Findings) {
 	for _, name := range w.entries {
 		p, err := w.find(name)
@@ -223,10 +222,10 @@
 		err = getJSON(ctx, "http://"+p.admin.String()+"/debug/vars", &v)
 		cancel()
 		if err != nil {
-			continue // killed, or frozen, in this scenario
+			continue // the scenario killed or suspended the entry
 		}
 		if v.Accepted != v.Answered+v.Refused+v.Open {
-			found.Add(name, "stories do not conserve: %+v", v)
+			found.Add(name, "accepted requests are not the sum of answered, refused and open requests: %+v", v)
 		}
 		if v.SecondEnds > 0 {
 			found.Add(name, "ended %d requests twice", v.SecondEnds)
--- a/test/long_test.go
+++ b/test/long_test.go
@@ -7,10 +7,10 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// longScenarios is for `make long`: scenarios that take minutes.
-var longScenarios = flag.Bool("long", false, "run the scenarios in long/ too")
+// longScenarios is set by `make long`; these scenarios take minutes.
+var longScenarios = flag.Bool("long", false, "also run the scenarios in long/")
 
-// TestLongScenarios runs what lasts too long for each run of CI.
+// TestLongScenarios runs the scenarios that take too long for every CI run.
 func TestLongScenarios(t *testing.T) {
 	if !*longScenarios {
 		return
--- a/test/operator.go
+++ b/test/operator.go
@@ -20,7 +20,7 @@
 	"jacinthworks/trace"
 )
 
-// edit is one operator's edit and what became of it.
+// edit is an operator's edit and its outcome.
 type edit struct {
 	row     table.Key
 	cell    table.Cell
@@ -29,8 +29,8 @@
 	done    chan struct{}
 }
 
-// operator gives the operators' view of an entry.
-func (w *world) operator(entry, who string) (*admin.Client, error) {
+// adminClient returns an admin client of an operator for an entry.
+func (w *world) adminClient(entry, who string) (*admin.Client, error) {
 	p, err := w.find(entry)
 	if err != nil {
 		return nil, err
@@ -45,16 +45,16 @@
 func parseKey(text string) (table.Key, error) {
 	parts := strings.Split(text, "/")
 	if len(parts) != 3 {
-		return table.Key{}, errors.Errorf("not SERVICE/ZONE/KIND: %q", text)
+		return table.Key{}, errors.Errorf("parse row %q: want SERVICE/ZONE/KIND", text)
 	}
 	return table.Key{Service: domain.Service(parts[0]), Zone: domain.Zone(parts[1]), Kind: domain.Kind(parts[2])}, nil
 }
 
-// stepEdit sends an edit: edit NAME entry=1 [as=bola] row=S/Z/K COLUMN=VALUE
-// [for=5s] [&].
-func stepEdit(w *world, args []string) error {
-	o := options(args[1:])
-	c, err := w.operator("entry-"+or(o["entry"], "1"), o["as"])
+// cmdEdit sends an edit: edit NAME entry=1 [as=bola] row=S/Z/K COLUMN=VALUE
+// [for=10s] [&]. The client gives up after the time of for.
+func cmdEdit(w *world, args []string) error {
+	o := parseOptions(args[1:])
+	c, err := w.adminClient("entry-"+orDefault(o["entry"], "1"), o["as"])
 	if err != nil {
 		return err
 	}
@@ -67,7 +67,7 @@
 			ed.cell = table.Cell{Column: table.Column(name), Value: table.Value(value)}
 		}
 	}
-	within, err := time.ParseDuration(or(o["for"], "10s"))
+	within, err := time.ParseDuration(orDefault(o["for"], "10s"))
 	if err != nil {
 		return err
 	}
@@ -77,7 +77,7 @@
 	}
 	w.edits[args[0]] = ed
 	w.mu.Unlock()
-	go func() { // its end is ed.done
+	go func() { // closes ed.done
 		defer close(ed.done)
 		ctx, cancel := context.WithTimeout(w.ctx, within)
 		defer cancel()
@@ -92,8 +92,8 @@
 	return nil
 }
 
-// stepEdited checks what became of an edit: edited NAME accepted|refused|unsettled.
-func stepEdited(w *world, args []string) error {
+// cmdEdited checks the outcome of an edit: edited NAME accepted|refused|unsettled.
+func cmdEdited(w *world, args []string) error {
 	ed := w.edits[args[0]]
 	if ed == nil {
 		return errors.Errorf("no edit %q", args[0])
@@ -104,14 +104,14 @@
 			return nil
 		}
 	}
-	return errors.Errorf("is %+v (%v)", ed.outcome, ed.err)
+	return errors.Errorf("outcome is %+v (%v)", ed.outcome, ed.err)
 }
 
-// stepInForce waits until a cell has a value at the entries named: inforce
+// cmdInForce waits until a cell has a value at the given entries: inforce
 // S/Z/K COLUMN=VALUE within=5s ENTRY...
-func stepInForce(w *world, args []string) error {
-	o := options(args[1:])
-	within, err := time.ParseDuration(or(o["within"], "5s"))
+func cmdInForce(w *world, args []string) error {
+	o := parseOptions(args[1:])
+	within, err := time.ParseDuration(orDefault(o["within"], "5s"))
 	if err != nil {
 		return err
 	}
@@ -127,7 +127,7 @@
 			if !strings.HasPrefix(entry, "entry-") {
 				continue
 			}
-			if err := w.timed(EditsPersist, within, func() error { return w.holds(entry, key, name, value) }); err != nil {
+			if err := w.eventuallyTimed(EditsPersist, within, func() error { return w.checkCell(entry, key, name, value) }); err != nil {
 				return err
 			}
 		}
@@ -135,9 +135,9 @@
 	return nil
 }
 
-// holds says whether an entry's table has the value.
-func (w *world) holds(entry string, key table.Key, column, value string) error {
-	c, err := w.operator(entry, "")
+// checkCell returns an error unless the cell has the value in the table of an entry.
+func (w *world) checkCell(entry string, key table.Key, column, value string) error {
+	c, err := w.adminClient(entry, "")
 	if err != nil {
 		return err
 	}
@@ -158,21 +158,22 @@
 	return nil
 }
 
-// watcher reads one cell's versions at every entry, to see that none reverts.
+// watcher records the table versions that each entry reports, to detect an entry that
+// reverts to an older version.
 type watcher struct {
 	mu       sync.Mutex
 	highest  map[string]table.Version
 	reverted []string
 }
 
-// stepWatch follows the table's version at every entry until the scenario
-// ends; judge reports an entry that went back.
-func stepWatch(w *world, _ []string) error {
+// cmdWatch reads the table version of every entry until the scenario ends. judge reports an
+// entry whose version decreased.
+func cmdWatch(w *world, _ []string) error {
 	w.watch = &watcher{highest: make(map[string]table.Version)}
 	for _, name := range w.entries {
-		w.relays.Go(w.ctx, "watch", func(ctx context.Context) error {
+		w.background.Go(w.ctx, "watch", func(ctx context.Context) error {
 			for ctx.Err() == nil {
-				w.watch.look(w, name)
+				w.watch.readVersion(w, name)
 				pause(ctx, 20*time.Millisecond)
 			}
 			return nil
@@ -181,8 +182,9 @@
 	return nil
 }
 
-func (v *watcher) look(w *world, entry string) {
-	c, err := w.operator(entry, "")
+// readVersion compares the table version of an entry with the highest version seen there.
+func (v *watcher) readVersion(w *world, entry string) {
+	c, err := w.adminClient(entry, "")
 	if err != nil {
 		return
 	}
@@ -193,7 +195,7 @@
 		return
 	}
 	if t.Version() == 0 {
-		return // an entry that has just started holds no table, and is not ready
+		return // a restarted entry has no table yet and is not ready
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -203,54 +205,55 @@
 	v.highest[entry] = max(v.highest[entry], t.Version())
 }
 
-// stepStory asks an entry for a call's story: story NAME entry=2 state=answered
-// [ran=R] [events=accepted,answered] [missing].
-func stepStory(w *world, args []string) error {
+// cmdStory reads the trace of a call from an entry and checks it: story NAME entry=2
+// state=answered [ran=R] [events=accepted,answered] [missing].
+func cmdStory(w *world, args []string) error {
 	call := w.calls[args[0]]
 	if call == nil {
 		return errors.Errorf("no call %q", args[0])
 	}
-	o := options(args[1:])
+	o := parseOptions(args[1:])
 	return w.eventually(5*time.Second, func() error {
-		c, err := w.operator("entry-"+or(o["entry"], "2"), "")
+		c, err := w.adminClient("entry-"+orDefault(o["entry"], "2"), "")
 		if err != nil {
 			return err
 		}
 		ctx, cancel := context.WithTimeout(w.ctx, 3*time.Second)
 		defer cancel()
-		a, err := c.Trace(ctx, call.look().id)
+		a, err := c.Trace(ctx, call.snapshot().id)
 		if err != nil {
 			return err
 		}
-		return matches(a, o)
+		return checkTrace(a, o)
 	})
 }
 
-func matches(a trace.Trace, o map[string]string) error {
+// checkTrace compares a trace with the options of story.
+func checkTrace(a trace.Trace, o map[string]string) error {
 	if want := o["state"]; want != "" && string(a.State) != want {
 		return errors.Errorf("state is %s, not %s: %+v", a.State, want, a)
 	}
 	if want := o["ran"]; want != "" && string(a.Execution) != want {
 		return errors.Errorf("ran is %s, not %s: %+v", a.Execution, want, a)
 	}
-	for _, kind := range words(o["events"]) {
+	for _, kind := range splitCommas(o["events"]) {
 		found := false
 		for _, v := range a.Events {
 			found = found || string(v.Kind) == kind
 		}
 		if !found {
-			return errors.Errorf("no event %s: %+v", kind, a.Events)
+			return errors.Errorf("event %s is missing: %+v", kind, a.Events)
 		}
 	}
 	if _, want := o["missing"]; want && len(a.Missing) == 0 {
-		return errors.Errorf("says nothing of what is missing: %+v", a)
+		return errors.Errorf("trace lists no missing parts: %+v", a)
 	}
 	return a.Findings.Err()
 }
 
-// stepOrder gives an order to an engine: order HOST load|adapter VALUE.
-func stepOrder(w *world, args []string) error {
-	c, err := w.operator("entry-1", "")
+// cmdOrder sends an order to an engine: order HOST load|adapter VALUE.
+func cmdOrder(w *world, args []string) error {
+	c, err := w.adminClient("entry-1", "")
 	if err != nil {
 		return err
 	}
@@ -260,9 +263,9 @@
 	return err
 }
 
-// stepOrders checks which orders an engine took, in their order: orders
-// ENGINE [VALUE ...].
-func stepOrders(w *world, args []string) error {
+// cmdOrders checks which orders an engine received, in this sequence, and that their fencing
+// tokens increase: orders ENGINE [VALUE ...].
+func cmdOrders(w *world, args []string) error {
 	p, err := w.find(args[0])
 	if err != nil {
 		return err
@@ -276,12 +279,12 @@
 	for _, o := range got {
 		values = append(values, o.Value)
 		if o.Fence <= last {
-			return errors.Errorf("fencing number %d after %d", o.Fence, last)
+			return errors.Errorf("received fencing token %d after %d", o.Fence, last)
 		}
 		last = o.Fence
 	}
 	if !slices.Equal(values, args[1:]) {
-		return errors.Errorf("took %v, not %v", values, args[1:])
+		return errors.Errorf("received orders %v, not %v", values, args[1:])
 	}
 	return nil
 }
--- a/test/promises.go
+++ b/test/promises.go
@@ -14,26 +14,26 @@
 	"jacinthworks/check"
 )
 
-// Promise numbers one of the eight things that must always hold, in the order
-// of the users' brief.
+// Promise is one of the eight properties that must always hold, numbered as in the
+// project's brief.
 type Promise int
 
 // The promises.
 const (
-	MemoryFree    Promise = iota + 1 // no engine memory held for a caller who is gone
-	AnsweredOnce                     // nothing answered twice
-	OwnWhole                         // the whole answer to one's own request
-	NotRunIsTrue                     // what was refused as not_run did not run
-	AtMostOnce                       // what must not be repeated runs at most once
-	LeavingIdle                      // a leaving host gets no new work
-	StopCutsNone                     // a planned stop cuts no request
-	EditsPersist                     // an accepted edit is in force everywhere and stays
+	MemoryFree    Promise = iota + 1 // no engine holds memory for a disconnected caller
+	AnsweredOnce                     // no request is answered twice
+	OwnWhole                         // a complete answer is the whole answer to this request
+	NotRunIsTrue                     // a request refused as not_run did not run
+	AtMostOnce                       // a request that must not be repeated runs at most once
+	LeavingIdle                      // a leaving host receives no new requests
+	StopCutsNone                     // a planned stop breaks off no request
+	EditsPersist                     // an accepted edit comes into force at every entry and never reverts
 	lastPromise   = EditsPersist
 	promisePrefix = "# promises:"
 )
 
-// PromisesOf reads the line of a script that names the promises it is about:
-// "# promises: 1 3". The line must be there; it may name none.
+// PromisesOf parses the line of a script that lists the promises it tests, such as
+// "# promises: 1 3". It returns an error if the line is missing; the list may be empty.
 func PromisesOf(script string) ([]Promise, error) {
 	for line := range strings.Lines(script) {
 		rest, found := strings.CutPrefix(strings.TrimSpace(line), promisePrefix)
@@ -53,7 +53,7 @@
 	return nil, errors.Errorf("no line %q", promisePrefix)
 }
 
-// result is what one scenario says of the promises.
+// result is the outcome of one scenario.
 type result struct {
 	promises   []Promise
 	passed     bool
@@ -62,16 +62,15 @@
 	worst      map[Promise]time.Duration
 }
 
-// Results collects the scenarios of one run. The zero value is ready to use.
+// Results collects the outcomes of the scenarios of one run. The zero value is ready to use.
 type Results struct {
 	mu  sync.Mutex
 	all []result
 }
 
-// take adds a scenario that has ended. One that failed at a check of its own,
-// and not at the judge, counts as one violation of each promise that it is
-// about.
-func (r *Results) take(promises []Promise, w *world, failed bool) {
+// add records a scenario that has ended. A scenario that failed at one of its own checks,
+// and not at the judge, counts as one violation of each promise that it tests.
+func (r *Results) add(promises []Promise, w *world, failed bool) {
 	if failed && len(w.violations) == 0 {
 		for _, p := range promises {
 			w.violations[p] = 1
@@ -87,9 +86,9 @@
 	r.all = append(r.all, result{promises: promises, passed: !failed, faults: int(w.faults.Load()), violations: w.violations, worst: w.worst})
 }
 
-// Write prints a line for each promise: promise, scenarios, passed, failures
-// brought about, violations and worst time in milliseconds, tab-separated. The
-// time is "-" where no scenario measures one.
+// Write prints one tab-separated line for each promise: promise, scenarios, passed
+// scenarios, injected faults, violations and worst time in milliseconds, which is "-"
+// where no scenario measures a time.
 func (r *Results) Write(to io.Writer) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -100,17 +99,17 @@
 		var scenarios, passed, faults, violations int
 		worst := "-"
 		var longest time.Duration
-		for _, one := range r.all {
-			if !slices.Contains(one.promises, p) {
+		for _, sc := range r.all {
+			if !slices.Contains(sc.promises, p) {
 				continue
 			}
 			scenarios++
-			faults += one.faults
-			violations += one.violations[p]
-			if one.passed {
+			faults += sc.faults
+			violations += sc.violations[p]
+			if sc.passed {
 				passed++
 			}
-			if took, measured := one.worst[p]; measured && took >= longest {
+			if took, measured := sc.worst[p]; measured && took >= longest {
 				longest, worst = took, strconv.FormatInt(took.Milliseconds(), 10)
 			}
 		}
@@ -121,9 +120,9 @@
 	return nil
 }
 
-// judged runs one of the judge's checks and counts its findings against the
-// promise that it guards.
-func (w *world) judged(p Promise, found *check.Findings, look func(*check.Findings)) {
+// countViolations runs one of the judge's checks and counts its findings as violations of
+// a promise.
+func (w *world) countViolations(p Promise, found *check.Findings, look func(*check.Findings)) {
 	before := len(*found)
 	look(found)
 	if n := len(*found) - before; n > 0 {
@@ -131,8 +130,8 @@
 	}
 }
 
-// timed waits like eventually, and notes how long a promise took to hold.
-func (w *world) timed(p Promise, within time.Duration, try func() error) error {
+// eventuallyTimed waits like eventually, and records how long the promise took to hold.
+func (w *world) eventuallyTimed(p Promise, within time.Duration, try func() error) error {
 	began := time.Now()
 	err := w.eventually(within, try)
 	if err == nil {
--- a/test/promises_test.go
+++ b/test/promises_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestEveryScriptNamesItsPromisesAndEachPromiseHasOne(t *testing.T) {
+func TestScriptsNamePromisesAndCoverEachPromise(t *testing.T) {
 	scripts, err := filepath.Glob("scripts/*.txtar")
 	require.NoError(t, err)
 	named := map[Promise]bool{}
@@ -30,16 +30,16 @@
 	require.EqualError(t, err, `no line "# promises:"`)
 }
 
-// A scenario that the judge found at fault counts its findings, one that
-// failed at a check of its own counts once, and a time is the worst of all.
-func TestResultsAreSummedUpByPromise(t *testing.T) {
+// A scenario with findings of the judge counts each finding, a scenario that failed at one
+// of its own checks counts one violation, and the time is the maximum of all scenarios.
+func TestResultsWriteSumsByPromise(t *testing.T) {
 	var r Results
 	scenario := func(failed bool, change func(*world), promises ...Promise) {
 		w := newWorld(Binaries{}, t.TempDir())
 		defer w.close()
 		w.faults.Store(2)
 		change(w)
-		r.take(promises, w, failed)
+		r.add(promises, w, failed)
 	}
 	scenario(false, func(w *world) { w.worst[MemoryFree] = 900 * time.Millisecond }, MemoryFree, OwnWhole)
 	scenario(true, func(w *world) { w.worst[MemoryFree] = 1200 * time.Millisecond }, MemoryFree)
--- a/test/scenario_test.go
+++ b/test/scenario_test.go
@@ -13,7 +13,7 @@
 
 var built Binaries
 
-// Where to write what the scenarios say of each promise; `make promises`.
+// promisesFile is set by `make promises`.
 var promisesFile = flag.String("promises", "", "file to write a line for each promise to")
 
 var results Results
@@ -58,8 +58,8 @@
 	testscript.Run(t, testscript.Params{Files: found, Setup: setup, Cmds: Commands()})
 }
 
-// setup gives the script its world, and takes what it says of the promises
-// before the world is closed.
+// setup creates the world of a script, and registers the collection of its results before
+// the world is closed.
 func setup(env *testscript.Env) error {
 	if err := Setup(built)(env); err != nil {
 		return err
@@ -78,6 +78,6 @@
 		return err
 	}
 	w := env.Values[worldKey{}].(*world)
-	env.Defer(func() { results.take(promises, w, t.Failed()) })
+	env.Defer(func() { results.add(promises, w, t.Failed()) })
 	return nil
 }
--- a/test/script.go
+++ b/test/script.go
@@ -17,44 +17,44 @@
 	"jacinthworks/fakes/apps"
 )
 
-// worldKey finds the world in a script's environment.
+// worldKey is the key of the world in a script's environment.
 type worldKey struct{}
 
-// Setup gives each script a world of its own.
-func Setup(bin Binaries) func(*testscript.Env) error {
+// Setup returns a function that creates a world for each script.
+func Setup(binaries Binaries) func(*testscript.Env) error {
 	return func(env *testscript.Env) error {
-		w := newWorld(bin, env.WorkDir)
+		w := newWorld(binaries, env.WorkDir)
 		env.Values[worldKey{}] = w
 		env.Defer(w.close)
 		return nil
 	}
 }
 
-// step is one command of the language.
-type step func(w *world, args []string) error
-
-// language lists the commands.
-func language() map[string]step {
-	return map[string]step{
-		"world": stepWorld, "call": stepCall, "await": stepAwait, "hangup": stepHangUp,
-		"sigkill": stepKill, "sigterm": stepTerm, "sigstop": stepFreeze, "sigcont": stepThaw, "restart": stepRestart, "gone": stepGone,
-		"cut": stepCut, "silence": stepSilence, "heal": stepHeal, "fault": stepFault,
-		"expect": stepExpect, "runs": stepRuns, "free": stepFree, "ready": stepReady,
-		"judge": stepJudge, "hosts": stepHosts, "burst": stepBurst, "logged": stepLogged, "answered": stepAnswered, "refused": stepRefused, "within": stepWithin, "idle": stepIdle,
-		"edit": stepEdit, "edited": stepEdited, "inforce": stepInForce, "watch": stepWatch, "order": stepOrder, "orders": stepOrders, "story": stepStory,
-		"stall": stepStall, "resume": stepResume,
-		"send": stepSend, "router": stepRouter, "portof": stepPortOf,
+// commandFunc runs one command of the scenario language.
+type commandFunc func(w *world, args []string) error
+
+// commands returns the commands of the scenario language by name.
+func commands() map[string]commandFunc {
+	return map[string]commandFunc{
+		"world": cmdWorld, "call": cmdCall, "await": cmdAwait, "hangup": cmdHangUp,
+		"sigkill": cmdKill, "sigterm": cmdTerm, "sigstop": cmdSuspend, "sigcont": cmdContinue, "restart": cmdRestart, "gone": cmdGone,
+		"cut": cmdCut, "silence": cmdSilence, "heal": cmdHeal, "fault": cmdFault,
+		"expect": cmdExpect, "runs": cmdRuns, "free": cmdFree, "ready": cmdReady,
+		"judge": cmdJudge, "hosts": cmdHosts, "burst": cmdBurst, "logged": cmdLogged, "answered": cmdAnswered, "refused": cmdRefused, "within": cmdWithin, "idle": cmdIdle,
+		"edit": cmdEdit, "edited": cmdEdited, "inforce": cmdInForce, "watch": cmdWatch, "order": cmdOrder, "orders": cmdOrders, "story": cmdStory,
+		"stall": cmdStall, "resume": cmdResume,
+		"send": cmdSend, "router": cmdRouter, "portof": cmdPortOf,
 	}
 }
 
-// Commands is the language of the scripts.
+// Commands returns the commands of the scenario language for testscript.
 func Commands() map[string]func(*testscript.TestScript, bool, []string) {
 	all := map[string]func(*testscript.TestScript, bool, []string){}
-	for name, do := range language() {
+	for name, do := range commands() {
 		all[name] = func(ts *testscript.TestScript, neg bool, args []string) {
 			err := do(ts.Value(worldKey{}).(*world), args)
 			if neg && err == nil {
-				ts.Fatalf("%s %v: holds, and must not", name, args)
+				ts.Fatalf("%s %v: succeeded, but must fail", name, args)
 			}
 			if !neg && err != nil {
 				ts.Fatalf("%s %v: %v", name, args, err)
@@ -64,8 +64,8 @@
 	return all
 }
 
-// options reads key=value arguments; words without = count as set.
-func options(args []string) map[string]string {
+// parseOptions parses key=value arguments. An argument without "=" has an empty value.
+func parseOptions(args []string) map[string]string {
 	o := map[string]string{}
 	for _, a := range args {
 		name, value, _ := strings.Cut(a, "=")
@@ -74,15 +74,16 @@
 	return o
 }
 
-func number(text string, otherwise int) int {
+// intOrDefault parses an integer, and returns fallback if text is not an integer.
+func intOrDefault(text string, fallback int) int {
 	n, err := strconv.Atoi(text)
 	if err != nil {
-		return otherwise
+		return fallback
 	}
 	return n
 }
 
-// eventually tries until it holds or the time is up.
+// eventually calls try until it succeeds or the time is up, and returns its last error.
 func (w *world) eventually(within time.Duration, try func() error) error {
 	began := time.Now()
 	for {
@@ -101,22 +102,22 @@
 	}
 }
 
-// stepWorld starts a deployment: prefill=N decode=N app=N entry=N, each in the
-// zones salt-lake, new-town and howrah in turn, and waits until it is ready.
-// engine_args and app_args go to the stand-ins.
-func stepWorld(w *world, args []string) error {
-	o := options(args)
+// cmdWorld starts a deployment and waits until it is ready: prefill=N decode=N app=N
+// entry=N set the number of processes. Processes of one kind are placed in the zones
+// salt-lake, new-town and howrah in turn. engine_args and app_args are passed to the fakes.
+func cmdWorld(w *world, args []string) error {
+	o := parseOptions(args)
 	if err := w.startPlatform([]byte(scenarioTable)); err != nil {
 		return err
 	}
 	zones := []string{"salt-lake", "new-town", "howrah"}
 	zone := func(n int) string { return zones[(n-1)%len(zones)] }
-	number0 := func(role string, otherwise int) int { return number(o[role], otherwise) }
+	count := func(role string, fallback int) int { return intOrDefault(o[role], fallback) }
 	for _, role := range []string{"prefill", "decode"} {
-		for n := 1; n <= number0(role, 1); n++ {
+		for n := 1; n <= count(role, 1); n++ {
 			name := fmt.Sprintf("%s-%d", role, n)
-			args := append([]string{"engine", "--role", role, "--model", "appraiser-lm"}, words(o["engine_args"])...)
-			if _, err := w.launch("engine-"+name, w.bin.Fakes, args...); err != nil {
+			args := append([]string{"engine", "--role", role, "--model", "appraiser-lm"}, splitCommas(o["engine_args"])...)
+			if _, err := w.launch("engine-"+name, w.binaries.Fakes, args...); err != nil {
 				return err
 			}
 			if err := w.startSide(name, zone(n), role, "appraiser-lm", "engine-"+name); err != nil {
@@ -125,9 +126,9 @@
 			w.engines = append(w.engines, "engine-"+name)
 		}
 	}
-	for n := 1; n <= number0("app", 3); n++ {
+	for n := 1; n <= count("app", 3); n++ {
 		name := fmt.Sprintf("app-%d", n)
-		if _, err := w.launch("server-"+name, w.bin.Fakes, append([]string{"app"}, words(o["app_args"])...)...); err != nil {
+		if _, err := w.launch("server-"+name, w.binaries.Fakes, append([]string{"app"}, splitCommas(o["app_args"])...)...); err != nil {
 			return err
 		}
 		if err := w.startSide(name, zone(n), "app", "marketplace-app", "server-"+name); err != nil {
@@ -135,7 +136,7 @@
 		}
 		w.apps = append(w.apps, "server-"+name)
 	}
-	for n := 1; n <= number0("entry", 2); n++ {
+	for n := 1; n <= count("entry", 2); n++ {
 		w.entries = append(w.entries, fmt.Sprintf("entry-%d", n))
 	}
 	for n, name := range w.entries {
@@ -144,19 +145,20 @@
 		}
 	}
 	for _, name := range w.entries {
-		if err := stepReady(w, []string{name}); err != nil {
+		if err := cmdReady(w, []string{name}); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func words(text string) []string {
+// splitCommas returns the comma-separated words of text.
+func splitCommas(text string) []string {
 	return strings.FieldsFunc(text, func(r rune) bool { return r == ',' })
 }
 
-// stepReady waits until an entry takes work.
-func stepReady(w *world, args []string) error {
+// cmdReady waits until an entry is ready.
+func cmdReady(w *world, args []string) error {
 	p, err := w.find(args[0])
 	if err != nil {
 		return err
@@ -174,8 +176,8 @@
 	})
 }
 
-// stepLogged waits until a process has logged a line that has all the words.
-func stepLogged(w *world, args []string) error {
+// cmdLogged waits until a process has logged a line that contains all the words.
+func cmdLogged(w *world, args []string) error {
 	return w.eventually(WaitTimeout, func() error {
 		text, err := os.ReadFile(filepath.Join(w.dir, args[0]+".log"))
 		if err != nil {
@@ -186,24 +188,24 @@
 				return nil
 			}
 		}
-		return errors.Errorf("%s has not logged %q", args[0], args[1:])
+		return errors.Errorf("%s has not logged a line with %q", args[0], args[1:])
 	})
 }
 
-// stepWithin lets the time pass in which a promise need not hold yet, and
-// remembers what ran so far.
-func stepWithin(w *world, args []string) error {
+// cmdWithin waits for the time within which a promise need not hold yet, and records
+// what the upstreams have run so far.
+func cmdWithin(w *world, args []string) error {
 	d, err := time.ParseDuration(args[0])
 	if err != nil {
 		return err
 	}
 	pause(w.ctx, d)
-	w.before, err = w.upstreams()
+	w.runsBefore, err = w.upstreamRuns()
 	return err
 }
 
-// stepIdle checks that an application server ran nothing since within.
-func stepIdle(w *world, args []string) error {
+// cmdIdle checks that an application server has run nothing new since the last within.
+func cmdIdle(w *world, args []string) error {
 	p, err := w.find("server-" + args[0])
 	if err != nil {
 		return err
@@ -213,8 +215,8 @@
 		return err
 	}
 	for _, run := range r.Runs {
-		if !slices.ContainsFunc(w.before.apps, func(o apps.Run) bool { return o.Request == run.Request }) {
-			return errors.Errorf("%s ran %s", args[0], run.Request)
+		if !slices.ContainsFunc(w.runsBefore.apps, func(o apps.Run) bool { return o.Request == run.Request }) {
+			return errors.Errorf("%s ran request %s", args[0], run.Request)
 		}
 	}
 	return nil
--- a/test/soak.go
+++ b/test/soak.go
@@ -12,35 +12,36 @@
 	"jacinthworks/editor"
 )
 
-// Figures of a soak run. Its faults are drawn within the time of its traffic,
-// and each is over before the traffic's last requests have their end.
+// Times of a soak run. Faults start while there is traffic, and each ends before the last
+// requests of the traffic have ended.
 const (
-	soakTraffic  = 4 * time.Second
-	soakBetween  = 40 * time.Millisecond
-	soakFaultMin = 200 * time.Millisecond
-	soakFaultMax = 2500 * time.Millisecond
-	soakResends  = 12
+	soakTrafficTime  = 4 * time.Second
+	soakCallInterval = 40 * time.Millisecond
+	soakFaultMin     = 200 * time.Millisecond
+	soakFaultMax     = 2500 * time.Millisecond
+	soakResends      = 12
 )
 
-// soakFault is one failure: how it is brought about and how it ends.
+// soakFault is one fault, with the commands that begin and end it.
 type soakFault struct {
-	name       string
-	begin, end []string // commands of the scenarios' language
-	at, last   time.Duration
+	name            string
+	begin, end      []string // commands of the scenario language
+	start, duration time.Duration
 }
 
-// Soak is a plan of random faults, all drawn from its seed.
+// Soak is a plan of random faults that are drawn from its seed.
 type Soak struct {
 	Seed   uint64
 	Faults []soakFault
 }
 
-// processesOf lists what a soak's world runs of ours, by name.
+// soakEntries and soakSides are the names of the entries and sides of a soak run.
 var (
 	soakEntries = []string{"entry-1", "entry-2", "entry-3"}
 	soakSides   = []string{"prefill-1", "prefill-2", "decode-1", "decode-2", "decode-3", "app-1", "app-2", "app-3"}
 )
 
+// pick returns a random element.
 func pick[T any](r *rand.Rand, from []T) T { return from[r.IntN(len(from))] }
 
 // NewSoak draws two or three faults.
@@ -49,13 +50,14 @@
 	s := Soak{Seed: seed}
 	for range 2 + r.IntN(2) {
 		f := drawFault(r)
-		f.at = time.Duration(r.Int64N(int64(soakTraffic / 2)))
-		f.last = soakFaultMin + time.Duration(r.Int64N(int64(soakFaultMax-soakFaultMin)))
+		f.start = time.Duration(r.Int64N(int64(soakTrafficTime / 2)))
+		f.duration = soakFaultMin + time.Duration(r.Int64N(int64(soakFaultMax-soakFaultMin)))
 		s.Faults = append(s.Faults, f)
 	}
 	return s
 }
 
+// drawFault draws one fault, without its times.
 func drawFault(r *rand.Rand) soakFault {
 	ours := pick(r, slices.Concat(soakEntries, soakSides))
 	entry, side := pick(r, soakEntries), pick(r, soakSides)
@@ -77,32 +79,32 @@
 	return soakFault{name: "answers lost by app " + n, begin: []string{"fault", "server-app-" + n, `{"lose_answers":2}`}, end: []string{"fault", "server-app-" + n, "{}"}}
 }
 
-// String gives the plan in one line.
+// String returns the plan in one line.
 func (s Soak) String() string {
 	text := fmt.Sprintf("seed %d:", s.Seed)
 	for _, f := range s.Faults {
-		text += fmt.Sprintf(" [%s at %s for %s]", f.name, f.at.Round(time.Millisecond), f.last.Round(time.Millisecond))
+		text += fmt.Sprintf(" [%s at %s for %s]", f.name, f.start.Round(time.Millisecond), f.duration.Round(time.Millisecond))
 	}
 	return text
 }
 
-// Run plays the plan under traffic and judges it.
-func (s Soak) Run(bin Binaries, dir string) error {
-	w := newWorld(bin, dir)
+// Run executes the plan under traffic and judges it.
+func (s Soak) Run(binaries Binaries, dir string) error {
+	w := newWorld(binaries, dir)
 	defer w.close()
-	if err := stepWorld(w, []string{"prefill=2", "decode=3", "app=3", "entry=3", "engine_args=--token-gap,15ms", "app_args=--took,30ms"}); err != nil {
-		return errors.Wrap(err, "world")
+	if err := cmdWorld(w, []string{"prefill=2", "decode=3", "app=3", "entry=3", "engine_args=--token-gap,15ms", "app_args=--took,30ms"}); err != nil {
+		return errors.Wrap(err, "start the world")
 	}
-	if err := stepWatch(w, nil); err != nil {
+	if err := cmdWatch(w, nil); err != nil {
 		return err
 	}
 	faults := make(chan error, len(s.Faults))
 	for _, f := range s.Faults {
-		go func() { faults <- w.suffer(f) }() // its end is read below
+		go func() { faults <- w.runFault(f) }() // its result is received below
 	}
 	r := rand.New(rand.NewPCG(s.Seed, 1))
 	edits, editSeed := make(chan error, 1), r.Uint64()
-	go func() { edits <- w.soakEdits(editSeed) }() // its end is read below
+	go func() { edits <- w.soakEdits(editSeed) }() // its result is received below
 	if err := w.traffic(r); err != nil {
 		return err
 	}
@@ -117,30 +119,30 @@
 	return w.settleSoak(r)
 }
 
-// suffer brings one fault about and ends it.
-func (w *world) suffer(f soakFault) error {
-	pause(w.ctx, f.at)
+// runFault begins a fault at its start time and ends it after its duration.
+func (w *world) runFault(f soakFault) error {
+	pause(w.ctx, f.start)
 	if err := w.command(f.begin); err != nil {
 		return errors.Wrap(err, f.name)
 	}
-	pause(w.ctx, f.last)
+	pause(w.ctx, f.duration)
 	return errors.Wrap(w.command(f.end), f.name)
 }
 
-// command runs one command of the language. A process that another fault has
-// killed cannot be frozen or killed again, which is no fault of ours.
+// command runs one command of the scenario language. It ignores the error of a signal to a process
+// that another fault has already killed.
 func (w *world) command(words []string) error {
-	err := language()[words[0]](w, words[1:])
-	if errors.Is(err, errEnded) {
+	err := commands()[words[0]](w, words[1:])
+	if errors.Is(err, errProcessEnded) {
 		return nil
 	}
 	return err
 }
 
-// traffic sends appraisals, look-ups and enquiries through all entries, some
-// twice under one key, some given up by their callers.
+// traffic sends appraisals, look-ups and enquiries through all entries. Some keys are sent twice,
+// and some calls are abandoned by their callers.
 func (w *world) traffic(r *rand.Rand) error {
-	until := time.Now().Add(soakTraffic)
+	until := time.Now().Add(soakTrafficTime)
 	for n := 1; time.Now().Before(until); n++ {
 		name := "soak-" + strconv.Itoa(n)
 		args := []string{name, "entry=" + strconv.Itoa(1+r.IntN(3)), "&"}
@@ -152,27 +154,27 @@
 		default:
 			args = append(args, "kind=enquiry", "key=e-"+strconv.Itoa(r.IntN(n)+1), "path=/enquiries", "body={}")
 		}
-		if err := stepCall(w, args); err != nil {
+		if err := cmdCall(w, args); err != nil {
 			return err
 		}
 		if r.IntN(20) == 0 {
 			c := w.calls[name]
-			go c.hangUp() // ends with the call, which settleSoak awaits
+			go c.cancelAndWait() // ends with the call, for which settleSoak waits
 		}
-		pause(w.ctx, soakBetween)
+		pause(w.ctx, soakCallInterval)
 	}
 	return nil
 }
 
-// soakCells are the cells that a soak's operators change, one each.
+// soakCells are the cells that operators edit during a soak run, one per edit.
 var soakCells = []string{"weight=71", "queue_limit=171", "in_flight=61"}
 
-// soakEdits has operators change the table through any entry.
+// soakEdits edits the table through random entries.
 func (w *world) soakEdits(seed uint64) error {
 	r := rand.New(rand.NewPCG(seed, 2))
 	for n, cell := range soakCells {
-		pause(w.ctx, time.Duration(r.Int64N(int64(soakTraffic/3))))
-		err := stepEdit(w, []string{"edit-" + strconv.Itoa(n), "entry=" + strconv.Itoa(1+r.IntN(3)), "row=appraiser-lm/*/appraisal", cell, "for=8s", "&"})
+		pause(w.ctx, time.Duration(r.Int64N(int64(soakTrafficTime/3))))
+		err := cmdEdit(w, []string{"edit-" + strconv.Itoa(n), "entry=" + strconv.Itoa(1+r.IntN(3)), "row=appraiser-lm/*/appraisal", cell, "for=8s", "&"})
 		if err != nil {
 			return err
 		}
@@ -180,7 +182,7 @@
 	return nil
 }
 
-// judgeEdits: an edit that was accepted is in force at every entry.
+// judgeEdits checks that each accepted edit is in force at every entry.
 func (w *world) judgeEdits() error {
 	for n, cell := range soakCells {
 		e := w.edits["edit-"+strconv.Itoa(n)]
@@ -188,37 +190,37 @@
 		if e.outcome.State != editor.Accepted {
 			continue
 		}
-		if err := stepInForce(w, append([]string{"appraiser-lm/*/appraisal", cell, "within=5s"}, w.entries...)); err != nil {
-			return errors.Wrap(err, "an accepted edit")
+		if err := cmdInForce(w, append([]string{"appraiser-lm/*/appraisal", cell, "within=5s"}, w.entries...)); err != nil {
+			return errors.Wrap(err, "check that an accepted edit is in force")
 		}
 	}
 	return nil
 }
 
-// settleSoak waits for every end, sends some keys again, and judges.
+// settleSoak waits until all calls have ended, sends some keys again, and judges the run.
 func (w *world) settleSoak(r *rand.Rand) error {
 	for _, name := range slices.Clone(w.order) {
-		if err := stepAwait(w, []string{name}); err != nil {
+		if err := cmdAwait(w, []string{name}); err != nil {
 			return errors.Wrap(err, name)
 		}
 	}
 	for _, name := range w.entries {
-		if err := stepReady(w, []string{name}); err != nil {
+		if err := cmdReady(w, []string{name}); err != nil {
 			return err
 		}
 	}
 	for n := range soakResends {
 		name := "resend-" + strconv.Itoa(n)
 		args := []string{name, "entry=" + strconv.Itoa(1+r.IntN(3)), "kind=enquiry", "key=e-" + strconv.Itoa(r.IntN(60)+1), "path=/enquiries", "body={}"}
-		if err := stepCall(w, args); err != nil {
+		if err := cmdCall(w, args); err != nil {
 			return err
 		}
 	}
-	if err := stepFree(w, []string{"within=4s"}); err != nil {
+	if err := cmdFree(w, []string{"within=4s"}); err != nil {
 		return err
 	}
 	if err := w.judgeEdits(); err != nil {
 		return err
 	}
-	return stepJudge(w, nil)
+	return cmdJudge(w, nil)
 }
--- a/test/soak_test.go
+++ b/test/soak_test.go
@@ -11,14 +11,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// soakSeconds and soakSeed are for `make soak`; CI runs the fixed seeds only.
+// soakSeconds and soakSeed are set by `make soak`. CI runs only the fixed seeds.
 var (
-	soakSeconds = flag.Int("soak", 0, "seconds to soak with fresh seeds")
-	soakSeed    = flag.Uint64("soak-seed", 0, "one seed to run alone")
+	soakSeconds = flag.Int("soak", 0, "seconds to run the soak with fresh seeds")
+	soakSeed    = flag.Uint64("soak-seed", 0, "run the soak with this seed only")
 )
 
-// Two or three failures of any kind come within seconds of each other while
-// callers of all kinds go on. Every promise must hold for each of them.
+// Two or three random faults occur within seconds of each other while callers send requests of all
+// kinds. Every promise must hold for each request.
 func TestSoakFixedSeeds(t *testing.T) {
 	for seed := uint64(1); seed <= 4; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -29,8 +29,8 @@
 	}
 }
 
-// TestSoakFreshSeeds runs for as long as it is told, four plans at a time, and
-// prints the seed of what it finds.
+// TestSoakFreshSeeds runs for the given time, four plans at once, and prints the seeds of plans
+// with findings.
 func TestSoakFreshSeeds(t *testing.T) {
 	if *soakSeed != 0 {
 		s := NewSoak(*soakSeed)
@@ -44,7 +44,7 @@
 	})
 }
 
-// freshSeeds plays one plan after the other, four at a time, for so many seconds.
+// freshSeeds runs plans with new seeds, four at once, for the given number of seconds.
 func freshSeeds(t *testing.T, seconds int, play func(seed uint64)) {
 	until := time.Now().Add(time.Duration(seconds) * time.Second)
 	var workers sync.WaitGroup
--- a/test/table.go
+++ b/test/table.go
@@ -1,7 +1,7 @@
 package test
 
-// scenarioTable is the table that every scenario starts with: the rows of
-// Tollygunge's kinds, with deadlines short enough for a test.
+// scenarioTable is the initial table of every scenario: one row for each kind, with
+// deadlines short enough for a test.
 const scenarioTable = `{"rows": [
 {"service":"appraiser-lm","zone":"*","kind":"appraisal","team":"appraisal","weight":100,"in_flight":64,"queue_limit":200,"caller_rate":0,"deadline":"15s","first_token":"2s","token_gap":"200ms","idempotent":true,"priority":6,"may_wait":true,"wasted_prefill_weight":200},
 {"service":"appraiser-lm","zone":"*","kind":"blurb","team":"appraisal","weight":100,"in_flight":64,"queue_limit":200,"caller_rate":0,"deadline":"10s","first_token":"2s","token_gap":"200ms","idempotent":true,"priority":2,"may_wait":false,"wasted_prefill_weight":200},
--- a/test/world.go
+++ b/test/world.go
@@ -1,11 +1,11 @@
-// Package test runs scenarios: real processes of ours and of the stand-ins on
-// loopback, told in a small language (testscript) what to suffer, and judged by
-// a checker that reads the callers' view, the upstreams' and the stories.
+// Package test runs scenarios: processes of the router and of the fakes on loopback.
+// A script in the testscript language injects faults, and a checker compares what
+// callers received with what upstreams ran and with the entries' traces.
 //
 // # Usage
 //
 //	go test ./test                      # every scenario in scripts/
-//	go test ./test -run Scenarios/kill  # those whose name matches
+//	go test ./test -run Scenarios/kill  # scenarios with a matching name
 //
 // docs/scenarios.md lists the commands of the language.
 package test
@@ -34,13 +34,13 @@
 	"jacinthworks/group"
 )
 
-// Binaries are the programs under test.
+// Binaries are the paths of the programs under test.
 type Binaries struct{ Router, Fakes string }
 
-// WaitTimeout bounds every wait of a scenario for something that must come.
+// WaitTimeout bounds each wait of a scenario for an event.
 const WaitTimeout = 20 * time.Second
 
-// process is one running program.
+// process is a running program.
 type process struct {
 	name    string
 	args    []string
@@ -51,52 +51,53 @@
 	done    chan struct{}
 }
 
-// world is the processes and relays of one scenario.
+// world holds the processes and network proxies of one scenario.
 type world struct {
-	bin    Binaries
-	dir    string
-	ctx    context.Context
-	stop   context.CancelFunc
-	relays group.Group
+	binaries   Binaries
+	dir        string
+	ctx        context.Context
+	stop       context.CancelFunc
+	background group.Group
 
-	mu        sync.Mutex
-	processes map[string]*process
-	links     map[string]*relay // by "to", or "from>to" for the platform
-	calls     map[string]*call
-	order     []string     // names of calls as made
-	faults    atomic.Int32 // brought about, also at once
-	before    upstreams
-	edits     map[string]*edit
-	watch     *watcher
-	restarts  sync.Mutex
-	drills    map[string]string // of processes, until they are restarted
-	entries   []string
-	engines   []string
-	apps      []string
+	mu             sync.Mutex
+	processes      map[string]*process
+	proxies        map[string]*proxy // by target, or "source>platform" for connections to the platform
+	calls          map[string]*call
+	order          []string     // names of the calls, in the order in which they were made
+	faults         atomic.Int32 // number of injected faults
+	runsBefore     upstreamRuns
+	edits          map[string]*edit
+	watch          *watcher
+	restarts       sync.Mutex
+	injectedFaults map[string]string // value of --drill by process, removed when the process restarts
+	entries        []string
+	engines        []string
+	apps           []string
 
-	// worst and violations are what the scenario says of each promise.
+	// worst is the longest time that each promise took to hold in this scenario, and
+	// violations how often each promise was broken.
 	worst      map[Promise]time.Duration
 	violations map[Promise]int
-	// direct says that processes reach each other without relays, and log only
-	// what a deployment logs.
-	direct bool
-	// outside are upstreams that the world did not start, by name.
-	outside map[string]netip.AddrPort
+	// withoutProxies reports whether processes connect to each other directly and log
+	// at the level of a deployment.
+	withoutProxies bool
+	// external holds the addresses of upstreams that the world did not start, by name.
+	external map[string]netip.AddrPort
 }
 
-func newWorld(bin Binaries, dir string) *world {
+func newWorld(binaries Binaries, dir string) *world {
 	ctx, stop := context.WithCancel(context.Background())
 	return &world{
-		bin: bin, dir: dir, ctx: ctx, stop: stop, processes: make(map[string]*process),
-		links: make(map[string]*relay), calls: make(map[string]*call),
+		binaries: binaries, dir: dir, ctx: ctx, stop: stop, processes: make(map[string]*process),
+		proxies: make(map[string]*proxy), calls: make(map[string]*call),
 		worst: make(map[Promise]time.Duration), violations: make(map[Promise]int),
 	}
 }
 
-// close ends what the scenario started, by pid.
+// close kills the processes that the scenario started, by PID.
 func (w *world) close() {
 	for _, c := range w.calls {
-		c.hangUp()
+		c.cancelAndWait()
 	}
 	for _, p := range w.processes {
 		_ = p.command.Process.Signal(syscall.SIGCONT)
@@ -104,10 +105,10 @@
 		<-p.done
 	}
 	w.stop()
-	w.relays.Wait()
+	w.background.Wait()
 }
 
-// launch starts a program and waits for its listening line.
+// launch starts a program and waits until it prints the addresses that it listens on.
 func (w *world) launch(name string, program string, args ...string) (*process, error) {
 	log, err := os.OpenFile(filepath.Join(w.dir, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -126,7 +127,7 @@
 	}
 	lines := bufio.NewScanner(out)
 	first := make(chan string, 1)
-	go func() { // ends with the process; its end is p.done
+	go func() { // ends when the process exits; closes p.done
 		if lines.Scan() {
 			first <- lines.Text()
 		}
@@ -138,16 +139,16 @@
 	case line := <-first:
 		fields := strings.Fields(line)
 		if len(fields) < 2 {
-			return nil, errors.Errorf("%s printed %q", name, line)
+			return nil, errors.Errorf("start %s: read the addresses from %q", name, line)
 		}
 		p.address, err = netip.ParseAddrPort(fields[1])
 		if len(fields) == 6 { // listening A admin B peers C
 			p.admin, p.peers = netip.MustParseAddrPort(fields[3]), netip.MustParseAddrPort(fields[5])
 		}
 	case <-p.done:
-		return nil, errors.Errorf("%s ended before it listened", name)
+		return nil, errors.Errorf("start %s: the process exited before it listened", name)
 	case <-time.After(WaitTimeout):
-		return nil, errors.Errorf("%s did not listen", name)
+		return nil, errors.Errorf("start %s: the process did not listen in time", name)
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -155,19 +156,20 @@
 	return p, err
 }
 
-// link gives the relay under a name, making it at first use.
-func (w *world) link(name, user string) (*relay, error) {
+// proxyFor returns the proxy with this name and starts it at first use. client is the
+// only process that connects to it, or empty for any number of processes.
+func (w *world) proxyFor(name, user string) (*proxy, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if r := w.links[name]; r != nil {
+	if r := w.proxies[name]; r != nil {
 		return r, nil
 	}
-	r, err := newRelay(user)
+	r, err := newProxy(user)
 	if err != nil {
 		return nil, err
 	}
-	w.links[name] = r
-	w.relays.Go(w.ctx, name, r.run)
+	w.proxies[name] = r
+	w.background.Go(w.ctx, name, r.run)
 	return r, nil
 }
 
@@ -181,15 +183,15 @@
 	return p, nil
 }
 
-// settings writes a settings file and gives its path.
-func (w *world) settings(name, text string) (string, error) {
+// writeSettings writes a settings file and returns its path.
+func (w *world) writeSettings(name, text string) (string, error) {
 	path := filepath.Join(w.dir, name+".toml")
 	return path, os.WriteFile(path, []byte(text), 0o600)
 }
 
-// startPlatform starts the stand-in for the platform with the given table.
+// startPlatform starts the fake platform and stores the given table.
 func (w *world) startPlatform(table []byte) error {
-	p, err := w.launch("platform", w.bin.Fakes, "platform", "--write-rate", "0", "--read-rate", "0")
+	p, err := w.launch("platform", w.binaries.Fakes, "platform", "--write-rate", "0", "--read-rate", "0")
 	if err != nil {
 		return err
 	}
@@ -204,21 +206,21 @@
 	}
 	defer answer.Body.Close()
 	if answer.StatusCode >= 300 {
-		return errors.Errorf("the platform answered the table with %s", answer.Status)
+		return errors.Errorf("store the table at the platform: status %s", answer.Status)
 	}
 	return nil
 }
 
-// platformFor gives the address at which one process finds the platform.
+// platformFor returns the address at which a process reaches the platform.
 func (w *world) platformFor(name string) (netip.AddrPort, error) {
-	if w.direct {
+	if w.withoutProxies {
 		p, err := w.find("platform")
 		if err != nil {
 			return netip.AddrPort{}, err
 		}
 		return p.address, nil
 	}
-	r, err := w.link(name+">platform", name)
+	r, err := w.proxyFor(name+">platform", name)
 	if err != nil {
 		return netip.AddrPort{}, err
 	}
@@ -226,13 +228,13 @@
 	if err != nil {
 		return netip.AddrPort{}, err
 	}
-	r.aim(p.address)
+	r.setTarget(p.address)
 	return r.address(), nil
 }
 
-// startSide starts a side before an upstream that runs.
+// startSide starts a side for an upstream that is already running.
 func (w *world) startSide(name, zone, role, service, upstream string) error {
-	at, err := w.upstream(upstream)
+	upstreamAddress, err := w.upstreamAddr(upstream)
 	if err != nil {
 		return err
 	}
@@ -244,31 +246,31 @@
 	if err != nil {
 		return err
 	}
-	path, err := w.settings(name, fmt.Sprintf(
+	path, err := w.writeSettings(name, fmt.Sprintf(
 		"name = %q\nzone = %q\nrole = %q\nservice = %q\nlisten = \"127.0.0.1:0\"\n%supstream = %q\nplatform = %q\n%s",
-		name, zone, role, service, advertise, at, platform, w.logSettings()))
+		name, zone, role, service, advertise, upstreamAddress, platform, w.logSettings()))
 	if err != nil {
 		return err
 	}
-	p, err := w.launch(name, w.bin.Router, append([]string{"side", "--settings", path}, w.drill(name)...)...)
+	p, err := w.launch(name, w.binaries.Router, append([]string{"side", "--settings", path}, w.faultArgs(name)...)...)
 	if err != nil {
 		return err
 	}
 	if r != nil {
-		r.aim(p.address)
+		r.setTarget(p.address)
 	}
 	return nil
 }
 
-// drill gives a process's drill as arguments.
-func (w *world) drill(name string) []string {
-	if w.drills[name] == "" {
+// faultArgs returns the arguments that inject the fault of a process.
+func (w *world) faultArgs(name string) []string {
+	if w.injectedFaults[name] == "" {
 		return nil
 	}
-	return []string{"--drill", w.drills[name]}
+	return []string{"--drill", w.injectedFaults[name]}
 }
 
-// Tokens of the scenarios' callers and operators.
+// Tokens of the callers and operators in scenarios.
 const (
 	callerToken   = "caller-token-of-scenarios"
 	otherToken    = "other-caller-of-scenarios"
@@ -276,7 +278,7 @@
 	rivalToken    = "rival-operator-of-scenarios"
 )
 
-// startEntry starts an entry; the others in the world are its peers.
+// startEntry starts an entry. All other entries of the world are its peers.
 func (w *world) startEntry(name, zone string) error {
 	platform, err := w.platformFor(name)
 	if err != nil {
@@ -288,15 +290,15 @@
 	}
 	var peers []string
 	for _, other := range w.entries {
-		if other != name && !w.direct { // else they meet by their record
-			r, err := w.link(other, "")
+		if other != name && !w.withoutProxies { // without proxies, entries find their peers by the records in the store
+			r, err := w.proxyFor(other, "")
 			if err != nil {
 				return err
 			}
 			peers = append(peers, fmt.Sprintf("%q", r.address()))
 		}
 	}
-	path, err := w.settings(name, fmt.Sprintf(
+	path, err := w.writeSettings(name, fmt.Sprintf(
 		"name = %q\nzone = %q\nlisten = \"127.0.0.1:0\"\nadmin_listen = \"127.0.0.1:0\"\npeer_listen = \"127.0.0.1:0\"\n%speers = [%s]\nplatform = %q\n%s"+
 			"\n[[caller]]\naccount = \"first\"\ntoken = %q\n\n[[caller]]\naccount = \"second\"\ntoken = %q\n"+
 			"\n[[operator]]\nname = \"asha\"\ntoken = %q\nteams = [\"appraisal\", \"marketplace\"]\n"+
@@ -306,20 +308,20 @@
 	if err != nil {
 		return err
 	}
-	p, err := w.launch(name, w.bin.Router, append([]string{"entry", "--settings", path}, w.drill(name)...)...)
+	p, err := w.launch(name, w.binaries.Router, append([]string{"entry", "--settings", path}, w.faultArgs(name)...)...)
 	if err != nil {
 		return err
 	}
 	if own != nil {
-		own.aim(p.peers)
+		own.setTarget(p.peers)
 	}
 	return nil
 }
 
-// restart starts a process again as it was started before. A stand-in comes
-// back on its own address, one of ours behind its relay.
+// restart starts a process that has exited with the arguments of its first start. A fake
+// listens on its previous address; a side or entry gets a new address behind its proxy.
 func (w *world) restart(name string) error {
-	w.restarts.Lock() // two faults may end the same process
+	w.restarts.Lock() // two faults may kill the same process
 	defer w.restarts.Unlock()
 	old, err := w.find(name)
 	if err != nil {
@@ -331,30 +333,30 @@
 		return nil
 	}
 	args := old.args[1:]
-	if old.args[0] == w.bin.Fakes {
+	if old.args[0] == w.binaries.Fakes {
 		args = append(args[:1:1], "--listen", old.address.String())
 		args = append(args, old.args[2:]...)
 	}
 	if i := slices.Index(args, "--drill"); i >= 0 {
-		args = args[:i] // a drill happens once
+		args = args[:i] // the fault is injected into the first process only
 	}
 	p, err := w.launch(name, old.args[0], args...)
-	if err != nil || old.args[0] == w.bin.Fakes {
+	if err != nil || old.args[0] == w.binaries.Fakes {
 		return err
 	}
-	r, err := w.link(name, "")
+	r, err := w.proxyFor(name, "")
 	if err != nil {
 		return err
 	}
 	if p.peers.IsValid() {
-		r.aim(p.peers)
+		r.setTarget(p.peers)
 	} else {
-		r.aim(p.address)
+		r.setTarget(p.address)
 	}
 	return nil
 }
 
-// getJSON reads an address into a value.
+// getJSON sends a GET request and decodes the JSON response.
 func getJSON(ctx context.Context, url string, into any) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
