--- a/cmd_direct.go
+++ b/cmd_direct.go
@@ -49,7 +49,7 @@
 			return conf.ParseDirect(a.Settings, text)
 		},
 	}
-	store.Called = func(verb, kind, outcome string) {
+	store.OnCall = func(verb, kind, outcome string) {
 		s.Meter.Inc("jacinthworks_store_calls_total", meter.Labels{"call", verb, "kind", kind, "outcome", outcome})
 		s.Log.Debug("store called", "call", verb, "kind", kind, "outcome", outcome)
 	}
--- a/cmd_load.go
+++ b/cmd_load.go
@@ -94,11 +94,11 @@
 func (a loadArgs) mix() []load.RequestClass {
 	completions := load.RequestClass{
 		Weight: 1 - a.PlainShare, Service: a.Service, Kind: a.Kind, PromptTokens: a.PromptTokens,
-		MaxTokens: max(a.MaxTokens, 1), FirstToken: a.FirstToken, TokenGap: a.TokenGap,
+		MaxTokens: max(a.MaxTokens, 1), FirstTokenTarget: a.FirstToken, TokenGapTarget: a.TokenGap,
 	}
 	plain := load.RequestClass{
 		Weight: a.PlainShare, Service: a.Plain, Kind: a.PlainKind, Method: strings.ToUpper(a.PlainMethod),
-		Path: a.PlainPath, FirstToken: a.PlainTarget,
+		Path: a.PlainPath, FirstTokenTarget: a.PlainTarget,
 	}
 	if plain.Method == "" {
 		plain.Method = http.MethodGet
--- a/entry/cache_events_test.go
+++ b/entry/cache_events_test.go
@@ -18,7 +18,7 @@
 func TestCacheEventsReachEngineSelector(t *testing.T) {
 	var e Entry
 	from := wire.Hello{Host: "prefill-1", Zone: "salt-lake", Service: "appraiser-lm", Role: "prefill"}
-	params, err := json.Marshal(wire.Cache{Events: []engine.CacheEvent{{Seq: 1, Prefix: 7, Tokens: 200}}})
+	params, err := json.Marshal(wire.CacheEvents{Events: []engine.CacheEvent{{Seq: 1, Prefix: 7, Tokens: 200}}})
 	require.NoError(t, err)
 	s := e.schedulers.get(from.Service)
 	job := route.Job{PromptTokens: 500, Prefix: 7, PrefixTokens: 250}
--- a/entry/keys.go
+++ b/entry/keys.go
@@ -132,7 +132,7 @@
 	defer cancel()
 	var found claim.Resolution
 	order := claim.StatusRequest{Key: r.claimKey(), Attempt: refused.Attempt, To: refused.Runner}
-	if runner.Call(callCtx, wire.MethodAsk, order, &found) != nil {
+	if runner.Call(callCtx, wire.MethodStatus, order, &found) != nil {
 		return false
 	}
 	if found.State == claim.StateGranted || found.State == 0 {
--- a/entry/model.go
+++ b/entry/model.go
@@ -97,7 +97,7 @@
 	renewCtx, stop := context.WithCancel(ctx)
 	defer stop()
 	e.background.Go(renewCtx, "renew reservation", func(ctx context.Context) error { return e.renewReservation(ctx, r, p.decode) })
-	out := e.runStage(ctx, p.prefill, wire.Run{
+	out := e.runStage(ctx, p.prefill, wire.RunRequest{
 		AttemptRef: wire.AttemptRef{Request: r.id, Attempt: r.attempt, Stage: wire.StagePrefill}, Account: r.account, Kind: r.kind, Identity: r.identity,
 		Within: e.timeLeft(r),
 		Prefill: &engine.PrefillRequest{
@@ -133,7 +133,7 @@
 	defer stop()
 	ended := make(chan wire.Outcome, 1)
 	e.background.Go(ctx, "decode", func(ctx context.Context) error {
-		ended <- e.runStage(ctx, p.decode, wire.Run{
+		ended <- e.runStage(ctx, p.decode, wire.RunRequest{
 			AttemptRef: ref, Account: r.account, Kind: r.kind, Identity: r.identity, Within: e.timeLeft(r), Tokens: r.promptTokens + r.maxTokens,
 			Decode: &engine.DecodeRequest{
 				Request: r.id, Attempt: r.attempt, KV: kv, MaxTokens: r.maxTokens, Priority: r.row.Priority,
--- a/entry/owners.go
+++ b/entry/owners.go
@@ -31,7 +31,7 @@
 }
 
 // update applies a side's list of the shards that it owns.
-func (o *owners) update(from domain.Host, list wire.Owned) {
+func (o *owners) update(from domain.Host, list wire.OwnedShards) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.all == nil {
@@ -75,7 +75,7 @@
 
 // handleOwned handles a side's notification of the shards that it owns.
 func (e *Entry) handleOwned(from domain.Host, params json.RawMessage) {
-	var list wire.Owned
+	var list wire.OwnedShards
 	if json.Unmarshal(params, &list) == nil {
 		e.owners.update(from, list)
 	}
--- a/entry/rates.go
+++ b/entry/rates.go
@@ -46,7 +46,7 @@
 	if a.Standby {
 		burst = limit.StandbyBurst
 	}
-	wait, ok := r.owned.Take(now, a.Of, a.Rate, burst)
+	wait, ok := r.owned.Take(now, a.Key, a.Rate, burst)
 	return wire.RateReply{Granted: ok, Wait: wait}
 }
 
@@ -55,7 +55,7 @@
 func (r *rates) takeLocal(now time.Time, a wire.RateRequest, entries int) wire.RateReply {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	wait, ok := r.local.Take(now, a.Of, a.Rate/float64(max(entries, 1)), limit.StandbyBurst)
+	wait, ok := r.local.Take(now, a.Key, a.Rate/float64(max(entries, 1)), limit.StandbyBurst)
 	return wire.RateReply{Granted: ok, Wait: wait}
 }
 
@@ -81,15 +81,15 @@
 		return 0, true
 	}
 	now := time.Now()
-	rateRequest := wire.RateRequest{Of: limit.Key{Account: r.account, Service: r.service, Kind: r.kind}, Rate: r.row.CallerRate}
-	by, reply := "known", wire.RateReply{Wait: e.rates.deniedWait(now, rateRequest.Of)}
+	rateRequest := wire.RateRequest{Key: limit.Key{Account: r.account, Service: r.service, Kind: r.kind}, Rate: r.row.CallerRate}
+	by, reply := "known", wire.RateReply{Wait: e.rates.deniedWait(now, rateRequest.Key)}
 	if reply.Wait <= 0 {
 		reply, by = e.rateFromOwner(ctx, now, rateRequest)
 	}
 	if reply.Granted {
 		return 0, true
 	}
-	e.rates.addDenial(now, rateRequest.Of, reply.Wait)
+	e.rates.addDenial(now, rateRequest.Key, reply.Wait)
 	e.Log.Info("over rate", "request", r.id, "account", r.account, "service", r.service, "kind", r.kind,
 		"rate", rateRequest.Rate, "wait", reply.Wait, "by", by)
 	return reply.Wait, false
@@ -109,7 +109,7 @@
 	if !self {
 		order = append(order, e.Settings.Name)
 	}
-	relay.RendezvousSort(rateRequest.Of.OwnerKey(), order, func(h domain.Host) domain.Host { return h })
+	relay.RendezvousSort(rateRequest.Key.OwnerKey(), order, func(h domain.Host) domain.Host { return h })
 	tries := 0
 	for n, h := range order {
 		rateRequest.Standby = n > 0
@@ -129,14 +129,14 @@
 		if err == nil {
 			return reply, string(h)
 		}
-		e.Log.Info("caller rate request failed", "entry", h, "account", rateRequest.Of.Account, "err", err)
+		e.Log.Info("caller rate request failed", "entry", h, "account", rateRequest.Key.Account, "err", err)
 	}
 	return e.rates.takeLocal(now, rateRequest, len(order)), "alone"
 }
 
 // handleRateRequest handles another entry's request for a token of a caller's rate.
 func (e *Entry) handleRateRequest(a wire.RateRequest) (any, error) {
-	if a.Rate <= 0 || a.Of.Account == "" {
+	if a.Rate <= 0 || a.Key.Account == "" {
 		return nil, &wire.RefusalError{Reason: domain.ReasonBadInput, Ran: domain.NotRun, Detail: "no rate of an account"}
 	}
 	return e.rates.take(time.Now(), a), nil
--- a/entry/rates_test.go
+++ b/entry/rates_test.go
@@ -22,7 +22,7 @@
 		}
 		return n
 	}
-	ask := wire.RateRequest{Of: limit.Key{Account: "loop"}, Rate: 2}
+	ask := wire.RateRequest{Key: limit.Key{Account: "loop"}, Rate: 2}
 	var first, standby, fresh rates
 	require.Equal(t, 10, granted(&first, ask))
 	ask.Standby = true
--- a/entry/stage.go
+++ b/entry/stage.go
@@ -25,13 +25,13 @@
 // runStage runs one stage at a side and returns its outcome. It always returns an
 // outcome: if the connection is lost it reattaches over a new connection, and if that
 // fails too the execution of the attempt is settled with the side or reported as unknown.
-func (e *Entry) runStage(ctx context.Context, s *peers.Link, r wire.Run, st *stream) wire.Outcome {
+func (e *Entry) runStage(ctx context.Context, s *peers.Link, r wire.RunRequest, st *stream) wire.Outcome {
 	out := e.callStage(ctx, s, r, st)
 	e.recordDeath(s, out.Death)
 	return out
 }
 
-func (e *Entry) callStage(ctx context.Context, s *peers.Link, r wire.Run, st *stream) wire.Outcome {
+func (e *Entry) callStage(ctx context.Context, s *peers.Link, r wire.RunRequest, st *stream) wire.Outcome {
 	var out wire.Outcome
 	err := s.Call(ctx, wire.MethodRun, r, &out)
 	if err == nil && complete(out, st) {
@@ -61,10 +61,10 @@
 // delivering messages for good, while both of its ends live; the call then gets no reply.
 // reattach requests the work over a new connection, from the next token on. The side
 // keeps the work and its tokens for longer than reattach tries.
-func (e *Entry) reattach(ctx context.Context, s *peers.Link, r wire.Run, st *stream) wire.Outcome {
+func (e *Entry) reattach(ctx context.Context, s *peers.Link, r wire.RunRequest, st *stream) wire.Outcome {
 	until := time.Now().Add(attachTimeout)
 	for time.Now().Before(until) && ctx.Err() == nil {
-		a := wire.Attach{AttemptRef: r.AttemptRef}
+		a := wire.AttachRequest{AttemptRef: r.AttemptRef}
 		if st != nil {
 			a.From = st.nextOffset()
 		}
@@ -91,7 +91,7 @@
 // abandon ends an attempt whose context has ended. It returns an outcome with the
 // execution that the side reports, if the side replies, and unknown otherwise. It cancels
 // completion work that may have run.
-func (e *Entry) abandon(ctx context.Context, s *peers.Link, r wire.Run) wire.Outcome {
+func (e *Entry) abandon(ctx context.Context, s *peers.Link, r wire.RunRequest) wire.Outcome {
 	out := wire.Outcome{AttemptRef: r.AttemptRef, Ran: domain.Unknown, Reason: domain.ReasonOf(ctx)}
 	settleCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout)
 	defer cancel()
--- a/entry/stream.go
+++ b/entry/stream.go
@@ -124,7 +124,7 @@
 
 // handleCacheEvents passes an engine's cache events to the scheduler of its service.
 func (e *Entry) handleCacheEvents(from wire.Hello, params json.RawMessage) {
-	var c wire.Cache
+	var c wire.CacheEvents
 	if json.Unmarshal(params, &c) != nil {
 		return
 	}
--- a/entry/stream_test.go
+++ b/entry/stream_test.go
@@ -79,7 +79,7 @@
 			shard := claim.Shard(rapid.IntRange(0, 2).Draw(t, "shard"))
 			epoch := claim.Epoch{Version: rapid.Uint64Range(1, 4).Draw(t, "version"), Turn: rapid.Uint32Range(0, 2).Draw(t, "rank")}
 			host := func(e claim.Epoch) domain.Host { return domain.Host("side-" + e.String()) } // each epoch belongs to one process
-			o.update(host(epoch), wire.Owned{Service: "wallapp", Shards: []claim.Ownership{{Shard: shard, Epoch: epoch}}})
+			o.update(host(epoch), wire.OwnedShards{Service: "wallapp", Shards: []claim.Ownership{{Shard: shard, Epoch: epoch}}})
 			if best[shard].Less(epoch) {
 				best[shard] = epoch
 			}
--- a/entry/turn.go
+++ b/entry/turn.go
@@ -177,7 +177,7 @@
 func (e *Entry) reserve(ctx context.Context, r *request, s *peers.Link) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	return s.Call(ctx, wire.MethodReserve, wire.Reserve{
+	return s.Call(ctx, wire.MethodReserve, wire.ReserveRequest{
 		AttemptRef: wire.AttemptRef{Request: r.id, Attempt: r.attempt, Stage: wire.StageDecode},
 		Tokens:     r.promptTokens + r.maxTokens, Hold: admit.ReservationTTL, Identity: r.identity,
 	}, new(wire.ReserveReply))
--- a/fakes/apps/apps.go
+++ b/fakes/apps/apps.go
@@ -78,10 +78,10 @@
 
 func (a *App) setup() {
 	a.ctx, a.cancel = context.WithCancel(context.Background())
-	a.mux.HandleFunc("GET /fault", func(w http.ResponseWriter, _ *http.Request) { serve.Write(w, http.StatusOK, a.Fault()) })
+	a.mux.HandleFunc("GET /fault", func(w http.ResponseWriter, _ *http.Request) { serve.WriteJSON(w, http.StatusOK, a.Fault()) })
 	a.mux.HandleFunc("POST /fault", a.postFault)
 	a.mux.HandleFunc("POST /crash", func(http.ResponseWriter, *http.Request) { a.crash(); serve.AbortConn() })
-	a.mux.HandleFunc("GET /runs", func(w http.ResponseWriter, _ *http.Request) { serve.Write(w, http.StatusOK, a.Report()) })
+	a.mux.HandleFunc("GET /runs", func(w http.ResponseWriter, _ *http.Request) { serve.WriteJSON(w, http.StatusOK, a.Report()) })
 	a.mux.HandleFunc("/", a.call)
 }
 
@@ -102,9 +102,9 @@
 
 func (a *App) postFault(w http.ResponseWriter, r *http.Request) {
 	var f Fault
-	if serve.Read(w, r, &f) {
+	if serve.ReadJSON(w, r, &f) {
 		a.SetFault(f)
-		serve.Write(w, http.StatusOK, f)
+		serve.WriteJSON(w, http.StatusOK, f)
 	}
 }
 
--- a/fakes/apps/calls.go
+++ b/fakes/apps/calls.go
@@ -94,7 +94,7 @@
 		http.Error(w, "told to fail", http.StatusInternalServerError)
 		return
 	}
-	serve.Write(w, http.StatusOK, Reply{
+	serve.WriteJSON(w, http.StatusOK, Reply{
 		Request: run.Request, Key: run.Key, Run: count, Echo: Echo(r.Method, r.RequestURI, body),
 	})
 }
--- a/fakes/model/cache.go
+++ b/fakes/model/cache.go
@@ -33,7 +33,7 @@
 	e.lastHandle++
 	handle := strconv.FormatUint(uint64(m.incarnation), 36) + "-" + strconv.FormatUint(e.lastHandle, 36)
 	m.caches[handle] = &kvCache{
-		request: o.Request, tokens: o.PromptTokens, seed: Seed(o.Prompt),
+		request: o.Request, tokens: o.PromptTokens, seed: AnswerSeed(o.Prompt),
 		crashOnDecode: strings.Contains(o.Prompt, CrashInDecode), expiresAt: time.Now().Add(e.KVLifetime),
 	}
 	e.recordState()
--- a/fakes/model/completion.go
+++ b/fakes/model/completion.go
@@ -8,8 +8,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Seed returns the seed from which the answer to a prompt is derived.
-func Seed(prompt string) uint64 { return xxhash.Sum64String(prompt) }
+// AnswerSeed returns the seed from which the answer to a prompt is derived.
+func AnswerSeed(prompt string) uint64 { return xxhash.Sum64String(prompt) }
 
 // TokenAt returns the token at an offset of the answer. Tokens differ between prompts
 // and between offsets, so that tests detect an answer to the wrong prompt.
@@ -24,7 +24,7 @@
 func Completion(prompt string, tokens int) string {
 	var b strings.Builder
 	for i := range tokens {
-		b.WriteString(TokenAt(Seed(prompt), i))
+		b.WriteString(TokenAt(AnswerSeed(prompt), i))
 	}
 	return b.String()
 }
--- a/fakes/model/decode.go
+++ b/fakes/model/decode.go
@@ -22,7 +22,7 @@
 
 func (e *Engine) decode(w http.ResponseWriter, r *http.Request) {
 	var o engine.DecodeRequest
-	if !serve.Read(w, r, &o) {
+	if !serve.ReadJSON(w, r, &o) {
 		return
 	}
 	if o.MaxTokens <= 0 || o.KV.Tokens <= 0 {
@@ -31,7 +31,7 @@
 	}
 	m := e.currentState()
 	ctx, run, problem := e.startRun(m, Run{
-		Request: o.Request, Attempt: o.Attempt, Work: domain.RoleDecode, ReservedTokens: o.KV.Tokens + o.MaxTokens,
+		Request: o.Request, Attempt: o.Attempt, Role: domain.RoleDecode, ReservedTokens: o.KV.Tokens + o.MaxTokens,
 	})
 	if problem != "" {
 		writeNotStarted(w, problem)
--- a/fakes/model/events.go
+++ b/fakes/model/events.go
@@ -98,5 +98,5 @@
 			events = append(events, v.CacheEvent)
 		}
 	}
-	serve.Write(w, http.StatusOK, events)
+	serve.WriteJSON(w, http.StatusOK, events)
 }
--- a/fakes/model/link.go
+++ b/fakes/model/link.go
@@ -84,7 +84,7 @@
 }
 
 func writeEvicted(w http.ResponseWriter, detail string) {
-	serve.Write(w, http.StatusGone, engine.Problem{Code: engine.CodeEvicted, Detail: detail})
+	serve.WriteJSON(w, http.StatusGone, engine.Problem{Code: engine.CodeEvicted, Detail: detail})
 }
 
 // importKV imports a KV cache from the engine at kv.Engine, or from this engine if that
--- a/fakes/model/model.go
+++ b/fakes/model/model.go
@@ -109,14 +109,14 @@
 	e.mux.HandleFunc("POST /cancel", e.gated(e.cancel))
 	e.mux.HandleFunc("POST /order", e.gated(e.order))
 	e.mux.HandleFunc("GET /state", e.gated(e.state))
-	e.mux.HandleFunc("GET /now", func(w http.ResponseWriter, _ *http.Request) { serve.Write(w, http.StatusOK, e.CurrentState()) })
+	e.mux.HandleFunc("GET /now", func(w http.ResponseWriter, _ *http.Request) { serve.WriteJSON(w, http.StatusOK, e.CurrentState()) })
 	e.mux.HandleFunc("GET /events", e.gated(e.cacheEvents))
 	e.mux.HandleFunc("GET /kv/{handle}", e.gated(e.export))
-	e.mux.HandleFunc("GET /fault", func(w http.ResponseWriter, _ *http.Request) { serve.Write(w, http.StatusOK, e.Fault()) })
+	e.mux.HandleFunc("GET /fault", func(w http.ResponseWriter, _ *http.Request) { serve.WriteJSON(w, http.StatusOK, e.Fault()) })
 	e.mux.HandleFunc("POST /fault", e.postFault)
 	e.mux.HandleFunc("POST /crash", func(w http.ResponseWriter, _ *http.Request) { e.Crash(); serve.AbortConn() })
-	e.mux.HandleFunc("GET /runs", func(w http.ResponseWriter, _ *http.Request) { serve.Write(w, http.StatusOK, e.Runs()) })
-	e.mux.HandleFunc("GET /orders", func(w http.ResponseWriter, _ *http.Request) { serve.Write(w, http.StatusOK, e.Orders()) })
+	e.mux.HandleFunc("GET /runs", func(w http.ResponseWriter, _ *http.Request) { serve.WriteJSON(w, http.StatusOK, e.Runs()) })
+	e.mux.HandleFunc("GET /orders", func(w http.ResponseWriter, _ *http.Request) { serve.WriteJSON(w, http.StatusOK, e.Orders()) })
 }
 
 // gated delays a call while the engine is frozen, and closes its connection if the
@@ -147,9 +147,9 @@
 
 func (e *Engine) postFault(w http.ResponseWriter, r *http.Request) {
 	var f Fault
-	if serve.Read(w, r, &f) {
+	if serve.ReadJSON(w, r, &f) {
 		e.SetFault(f)
-		serve.Write(w, http.StatusOK, f)
+		serve.WriteJSON(w, http.StatusOK, f)
 	}
 }
 
--- a/fakes/model/orders.go
+++ b/fakes/model/orders.go
@@ -28,19 +28,19 @@
 // order. An equal number is accepted, since the sender retries if the answer is lost.
 func (e *Engine) order(w http.ResponseWriter, r *http.Request) {
 	var o engine.Order
-	if !serve.Read(w, r, &o) {
+	if !serve.ReadJSON(w, r, &o) {
 		return
 	}
 	m := e.currentState()
 	executed := e.execute(o)
 	if !executed {
-		serve.Write(w, http.StatusConflict, engine.Problem{Code: engine.CodeFenced, Detail: "old fencing number"})
+		serve.WriteJSON(w, http.StatusConflict, engine.Problem{Code: engine.CodeFenced, Detail: "old fencing number"})
 		return
 	}
 	if o.Kind == engine.OrderLoad && e.simulateWork(m.ctx, e.LoadTime) != nil {
 		serve.AbortConn()
 	}
-	serve.Write(w, http.StatusOK, o)
+	serve.WriteJSON(w, http.StatusOK, o)
 }
 
 // execute records an order and applies it if its fencing number permits. It reports
@@ -68,12 +68,12 @@
 // request gets the same answer.
 func (e *Engine) cancel(w http.ResponseWriter, r *http.Request) {
 	var o engine.CancelRequest
-	if !serve.Read(w, r, &o) {
+	if !serve.ReadJSON(w, r, &o) {
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	defer serve.Write(w, http.StatusOK, o)
+	defer serve.WriteJSON(w, http.StatusOK, o)
 	if e.fault.DropCancels > 0 {
 		e.fault.DropCancels--
 		return
--- a/fakes/model/prefill.go
+++ b/fakes/model/prefill.go
@@ -17,7 +17,7 @@
 
 func (e *Engine) prefill(w http.ResponseWriter, r *http.Request) {
 	var o engine.PrefillRequest
-	if !serve.Read(w, r, &o) {
+	if !serve.ReadJSON(w, r, &o) {
 		return
 	}
 	if o.PromptTokens <= 0 {
@@ -26,7 +26,7 @@
 	}
 	m := e.currentState()
 	ctx, run, problem := e.startRun(m, Run{
-		Request: o.Request, Attempt: o.Attempt, Work: domain.RolePrefill, ReservedTokens: o.PromptTokens,
+		Request: o.Request, Attempt: o.Attempt, Role: domain.RolePrefill, ReservedTokens: o.PromptTokens,
 	})
 	if problem != "" {
 		writeNotStarted(w, problem)
@@ -42,7 +42,7 @@
 		serve.AbortConn()
 	}
 	kv.Engine = localAddr(r)
-	serve.Write(w, http.StatusOK, kv)
+	serve.WriteJSON(w, http.StatusOK, kv)
 }
 
 // fillCache waits for its turn and prefills the part of the prompt that is not cached.
@@ -81,7 +81,7 @@
 }
 
 func writeNotStarted(w http.ResponseWriter, detail string) {
-	serve.Write(w, http.StatusServiceUnavailable, engine.Problem{Code: engine.CodeNotStarted, Detail: detail})
+	serve.WriteJSON(w, http.StatusServiceUnavailable, engine.Problem{Code: engine.CodeNotStarted, Detail: detail})
 }
 
 // writeCancelled answers the request of a cancelled run, and closes its connection if the
@@ -90,7 +90,7 @@
 	if errors.Is(err, errCrashed) {
 		serve.AbortConn()
 	}
-	serve.Write(w, http.StatusConflict, engine.Problem{Code: "cancelled", Detail: err.Error()})
+	serve.WriteJSON(w, http.StatusConflict, engine.Problem{Code: "cancelled", Detail: err.Error()})
 }
 
 // localAddr returns the address at which the request was received, zero if the handler
--- a/fakes/model/runs.go
+++ b/fakes/model/runs.go
@@ -23,8 +23,8 @@
 type Run struct {
 	Request domain.RequestID `json:"request"`
 	Attempt domain.Attempt   `json:"attempt"`
-	// Work is RolePrefill or RoleDecode.
-	Work  domain.Role `json:"work"`
+	// Role is RolePrefill or RoleDecode.
+	Role  domain.Role `json:"work"`
 	Start time.Time   `json:"start"`
 	End   time.Time   `json:"end,omitzero"`
 	// Tokens is the number of tokens computed so far, without cached tokens.
@@ -62,9 +62,9 @@
 		return nil, nil, "the engine is restarting"
 	case e.fault.Refuse:
 		return nil, nil, "told to refuse"
-	case e.Role != "" && e.Role != r.Work:
+	case e.Role != "" && e.Role != r.Role:
 		return nil, nil, "the engine has role " + string(e.Role)
-	case r.Work == domain.RoleDecode && m.decodeCount() >= e.Slots:
+	case r.Role == domain.RoleDecode && m.decodeCount() >= e.Slots:
 		return nil, nil, "no slot is free"
 	case e.usedTokens()+r.ReservedTokens > e.MemoryTokens:
 		return nil, nil, "KV memory is full"
@@ -97,7 +97,7 @@
 func (m *volatileState) decodeCount() int {
 	n := 0
 	for r := range m.running {
-		if r.Work == domain.RoleDecode {
+		if r.Role == domain.RoleDecode {
 			n++
 		}
 	}
--- a/fakes/model/state.go
+++ b/fakes/model/state.go
@@ -47,5 +47,5 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.recordState() // KV caches may have expired since the last recorded state
-	serve.Write(w, http.StatusOK, e.volatile.report.At(time.Now().Add(-max(e.ReportLag, 0))))
+	serve.WriteJSON(w, http.StatusOK, e.volatile.report.At(time.Now().Add(-max(e.ReportLag, 0))))
 }
--- a/fakes/store/hosts.go
+++ b/fakes/store/hosts.go
@@ -51,12 +51,12 @@
 	if list == nil {
 		list = []infra.ListedHost{}
 	}
-	serve.Write(w, http.StatusOK, list)
+	serve.WriteJSON(w, http.StatusOK, list)
 }
 
 func (p *Platform) putHost(w http.ResponseWriter, r *http.Request) {
 	var h infra.ListedHost
-	if !serve.Read(w, r, &h) {
+	if !serve.ReadJSON(w, r, &h) {
 		return
 	}
 	h.Host = domain.Host(r.PathValue("name"))
@@ -65,7 +65,7 @@
 		return
 	}
 	p.SetHost(h)
-	serve.Write(w, http.StatusOK, h)
+	serve.WriteJSON(w, http.StatusOK, h)
 }
 
 func (p *Platform) removeHost(w http.ResponseWriter, r *http.Request) {
--- a/fakes/store/objects.go
+++ b/fakes/store/objects.go
@@ -29,7 +29,7 @@
 		}
 	}
 	slices.Sort(names)
-	serve.Write(w, http.StatusOK, names)
+	serve.WriteJSON(w, http.StatusOK, names)
 }
 
 // visible returns the object as readers see it, which is the previous version while
--- a/fakes/store/store.go
+++ b/fakes/store/store.go
@@ -106,9 +106,9 @@
 	p.mux.HandleFunc("DELETE /hosts/{name}", p.removeHost)
 	p.mux.HandleFunc("GET /weights/{model}", p.withFaults(p.getWeights))
 	p.mux.HandleFunc("PUT /weights/{model}", p.putWeights)
-	p.mux.HandleFunc("GET /fault", func(w http.ResponseWriter, _ *http.Request) { serve.Write(w, http.StatusOK, p.Fault()) })
+	p.mux.HandleFunc("GET /fault", func(w http.ResponseWriter, _ *http.Request) { serve.WriteJSON(w, http.StatusOK, p.Fault()) })
 	p.mux.HandleFunc("POST /fault", p.postFault)
-	p.mux.HandleFunc("GET /counts", func(w http.ResponseWriter, _ *http.Request) { serve.Write(w, http.StatusOK, p.Counts()) })
+	p.mux.HandleFunc("GET /counts", func(w http.ResponseWriter, _ *http.Request) { serve.WriteJSON(w, http.StatusOK, p.Counts()) })
 }
 
 // SetFault replaces the current fault.
@@ -136,9 +136,9 @@
 
 func (p *Platform) postFault(w http.ResponseWriter, r *http.Request) {
 	var f Fault
-	if serve.Read(w, r, &f) {
+	if serve.ReadJSON(w, r, &f) {
 		p.SetFault(f)
-		serve.Write(w, http.StatusOK, f)
+		serve.WriteJSON(w, http.StatusOK, f)
 	}
 }
 
--- a/fakes/store/weights.go
+++ b/fakes/store/weights.go
@@ -24,12 +24,12 @@
 	if !ok {
 		info = infra.WeightsInfo{BytesPerSecond: defaultWeightsRate, Size: defaultWeightsSize}
 	}
-	serve.Write(w, http.StatusOK, info)
+	serve.WriteJSON(w, http.StatusOK, info)
 }
 
 func (p *Platform) putWeights(w http.ResponseWriter, r *http.Request) {
 	var info infra.WeightsInfo
-	if !serve.Read(w, r, &info) {
+	if !serve.ReadJSON(w, r, &info) {
 		return
 	}
 	p.mu.Lock()
@@ -38,5 +38,5 @@
 		p.weights = map[string]infra.WeightsInfo{}
 	}
 	p.weights[r.PathValue("model")] = info
-	serve.Write(w, http.StatusOK, info)
+	serve.WriteJSON(w, http.StatusOK, info)
 }
--- a/load/load.go
+++ b/load/load.go
@@ -52,9 +52,9 @@
 	PromptTokens, MaxTokens int
 	// Method and Path are the HTTP method and path of a plain call to the service.
 	Method, Path string
-	// FirstToken and TokenGap are the targets for the time to first token and for
+	// FirstTokenTarget and TokenGapTarget are the targets for the time to first token and for
 	// the mean time between tokens; zero means no target.
-	FirstToken, TokenGap time.Duration
+	FirstTokenTarget, TokenGapTarget time.Duration
 }
 
 // Plan describes the load to generate. It is bounded in count and time.
--- a/load/load_test.go
+++ b/load/load_test.go
@@ -130,7 +130,7 @@
 	require.Contains(t, complete, "tbt_p95_ms")
 	require.Contains(t, complete, "client_lag_p50_ms")
 
-	late := metrics(RequestClass{Kind: "appraisal", MaxTokens: 3, FirstToken: time.Nanosecond})
+	late := metrics(RequestClass{Kind: "appraisal", MaxTokens: 3, FirstTokenTarget: time.Nanosecond})
 	require.Equal(t, "5", late["answered"])
 	require.Equal(t, "0", late["good"], "an answer later than its target is not good")
 
--- a/load/report.go
+++ b/load/report.go
@@ -58,13 +58,13 @@
 
 // meetsTargets reports whether a complete answer met the targets of its class.
 func (s *sample) meetsTargets() bool {
-	if s.class.FirstToken > 0 && s.firstTokenLatency() > s.class.FirstToken {
+	if s.class.FirstTokenTarget > 0 && s.firstTokenLatency() > s.class.FirstTokenTarget {
 		return false
 	}
-	if s.class.TokenGap == 0 || len(s.gaps) == 0 {
+	if s.class.TokenGapTarget == 0 || len(s.gaps) == 0 {
 		return true
 	}
-	return s.lastAt.Sub(s.firstAt)/time.Duration(len(s.gaps)) <= s.class.TokenGap
+	return s.lastAt.Sub(s.firstAt)/time.Duration(len(s.gaps)) <= s.class.TokenGapTarget
 }
 
 // Report holds what the callers received. It is safe for concurrent use.
--- a/side/claim_calls.go
+++ b/side/claim_calls.go
@@ -24,7 +24,7 @@
 		reply, err = wire.Decode(params, func(a claim.Request) (any, error) { return claimReply(ledger.Claim(a, now)) })
 	case wire.MethodResolve:
 		reply, err = wire.Decode(params, func(r claim.Resolution) (any, error) { return struct{}{}, ledger.Resolve(r, now) })
-	case wire.MethodAsk:
+	case wire.MethodStatus:
 		reply, err = wire.Decode(params, func(o claim.StatusRequest) (any, error) { return ledger.Status(o, now) })
 	case wire.MethodFence:
 		reply, err = wire.Decode(params, func(o claim.FenceRequest) (any, error) { return fenceReply(ledger.Fence(o, now)) })
--- a/side/claims.go
+++ b/side/claims.go
@@ -90,7 +90,7 @@
 	handlers := *s.handlers()
 	handlers.OnOpen, handlers.OnClose = nil, nil
 	handlers.HandleNotification = func(peer *wire.Peer, method string, params json.RawMessage) {
-		var owned wire.Owned
+		var owned wire.OwnedShards
 		if method == wire.MethodOwned && json.Unmarshal(params, &owned) == nil {
 			state.observeOwned(peer.RemoteHello().Host, owned.Shards)
 		}
@@ -112,7 +112,7 @@
 	c.mu.Lock()
 	c.inbound[peer] = true
 	c.mu.Unlock()
-	_ = peer.Notify(wire.MethodOwned, wire.Owned{Service: service, Shards: c.ledger.Owned()})
+	_ = peer.Notify(wire.MethodOwned, wire.OwnedShards{Service: service, Shards: c.ledger.Owned()})
 }
 
 // removeInbound removes a closed connection that another process had opened.
@@ -165,7 +165,7 @@
 	}
 	state.announced = owned
 	state.mu.Unlock()
-	state.notifyAll(wire.MethodOwned, wire.Owned{Service: s.Settings.Service, Shards: owned})
+	state.notifyAll(wire.MethodOwned, wire.OwnedShards{Service: s.Settings.Service, Shards: owned})
 }
 
 // notifyAll sends a notification to every process that has connected to this
--- a/side/order_table.go
+++ b/side/order_table.go
@@ -35,7 +35,7 @@
 
 // order is one stage of one attempt that an entry asked this side to run.
 type order struct {
-	run      wire.Run
+	run      wire.RunRequest
 	entry    domain.Host
 	state    orderState
 	tokens   []string
@@ -79,7 +79,7 @@
 
 // begin accepts an order, or refuses it if its attempt was refused before or is
 // in the table already.
-func (l *OrderTable) begin(run wire.Run, entry domain.Host, cancel context.CancelFunc) (*order, *wire.RefusalError) {
+func (l *OrderTable) begin(run wire.RunRequest, entry domain.Host, cancel context.CancelFunc) (*order, *wire.RefusalError) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.init()
--- a/side/order_table_model_test.go
+++ b/side/order_table_model_test.go
@@ -94,7 +94,7 @@
 }
 
 func (x *tableTest) begin(t *rapid.T, r wire.AttemptRef) {
-	o, refused := x.table.begin(wire.Run{AttemptRef: r, Identity: retry.Identity(r.Request)}, "entry-1", func() {})
+	o, refused := x.table.begin(wire.RunRequest{AttemptRef: r, Identity: retry.Identity(r.Request)}, "entry-1", func() {})
 	refusedBefore := x.model[r].has("refused")
 	require.Equal(t, refusedBefore || x.model[r].has("begin"), refused != nil)
 	if refused == nil {
--- a/side/order_table_test.go
+++ b/side/order_table_test.go
@@ -13,8 +13,8 @@
 	"jacinthworks/wire"
 )
 
-func orderOf(number int, stage wire.Stage) wire.Run {
-	return wire.Run{
+func orderOf(number int, stage wire.Stage) wire.RunRequest {
+	return wire.RunRequest{
 		AttemptRef: wire.AttemptRef{Request: domain.RequestID(fmt.Sprintf("entry-1.7.%d", number)), Attempt: 1, Stage: stage},
 		Identity:   retry.Identity(fmt.Sprintf("identity-%d", number)),
 		Prefill:    &engine.PrefillRequest{PromptTokens: 100},
--- a/side/run.go
+++ b/side/run.go
@@ -23,7 +23,7 @@
 // tokens and outcome to the entry. The work continues if the connection breaks:
 // an entry can attach to the order again, and sweep abandons a prefill or
 // decode order to which no entry attaches.
-func (s *Side) run(ctx context.Context, peer *wire.Peer, r wire.Run) (any, error) {
+func (s *Side) run(ctx context.Context, peer *wire.Peer, r wire.RunRequest) (any, error) {
 	s.FaultHook.Reach(inject.SideArrived)
 	if refused := s.refuseIfDraining(r); refused != nil {
 		return nil, refused
@@ -79,7 +79,7 @@
 
 // acquireCapacity reserves the capacity that the order's stage needs at the
 // upstream, or refuses the order.
-func (s *Side) acquireCapacity(r wire.Run) *wire.RefusalError {
+func (s *Side) acquireCapacity(r wire.RunRequest) *wire.RefusalError {
 	now := time.Now()
 	var err error
 	switch {
@@ -111,7 +111,7 @@
 // refuseIfDraining returns a refusal while the side is draining, otherwise nil. A
 // decode with an earlier reservation still runs: refusing it would waste its
 // prefill.
-func (s *Side) refuseIfDraining(r wire.Run) *wire.RefusalError {
+func (s *Side) refuseIfDraining(r wire.RunRequest) *wire.RefusalError {
 	if !s.draining.Load() {
 		return nil
 	}
@@ -124,7 +124,7 @@
 // attach sends the tokens and the outcome of an order to an entry that follows
 // it again. For an attempt that is not in the order table it returns what
 // settle does, which refuses the attempt permanently.
-func (s *Side) attach(ctx context.Context, peer *wire.Peer, a wire.Attach) (any, error) {
+func (s *Side) attach(ctx context.Context, peer *wire.Peer, a wire.AttachRequest) (any, error) {
 	o := s.orderTable.attach(a.AttemptRef)
 	if o == nil {
 		return s.orderTable.settle(a.AttemptRef, time.Now()), nil
@@ -158,7 +158,7 @@
 
 // reserve reserves a decode slot and KV memory for an attempt, and returns the
 // capacity that remains.
-func (s *Side) reserve(r wire.Reserve) (any, error) {
+func (s *Side) reserve(r wire.ReserveRequest) (any, error) {
 	if s.draining.Load() {
 		return nil, &wire.RefusalError{Reason: domain.ReasonDraining, Ran: domain.NotRun, Detail: "the side is draining"}
 	}
--- a/side/shards.go
+++ b/side/shards.go
@@ -70,7 +70,7 @@
 	defer cancel()
 	for _, o := range s.claims.ledger.Overdue(overdueAfter, now) {
 		var resolution claim.Resolution
-		if s.callMember(ctx, o.To.Host, wire.MethodAsk, o, &resolution) == nil {
+		if s.callMember(ctx, o.To.Host, wire.MethodStatus, o, &resolution) == nil {
 			_ = s.claims.ledger.Resolve(resolution, now) // fails only for a shard number that does not exist
 		}
 	}
--- a/side/side.go
+++ b/side/side.go
@@ -205,11 +205,11 @@
 	}
 	switch method {
 	case wire.MethodReserve:
-		return wire.Decode(params, func(r wire.Reserve) (any, error) { return s.reserve(r) })
+		return wire.Decode(params, func(r wire.ReserveRequest) (any, error) { return s.reserve(r) })
 	case wire.MethodRun:
-		return wire.Decode(params, func(r wire.Run) (any, error) { return s.run(ctx, peer, r) })
+		return wire.Decode(params, func(r wire.RunRequest) (any, error) { return s.run(ctx, peer, r) })
 	case wire.MethodAttach:
-		return wire.Decode(params, func(a wire.Attach) (any, error) { return s.attach(ctx, peer, a) })
+		return wire.Decode(params, func(a wire.AttachRequest) (any, error) { return s.attach(ctx, peer, a) })
 	case wire.MethodSettle:
 		return wire.Decode(params, func(r wire.AttemptRef) (any, error) { return s.orderTable.settle(r, time.Now()), nil })
 	case wire.MethodCancel:
--- a/side/upstream_work.go
+++ b/side/upstream_work.go
@@ -39,7 +39,7 @@
 // claimState returns the state of a key after an order has ended. Idempotent
 // work without a complete answer leaves its key as not run: running it again
 // has no further effect, so its caller may retry.
-func claimState(run wire.Run, outcome wire.Outcome) claim.State {
+func claimState(run wire.RunRequest, outcome wire.Outcome) claim.State {
 	switch {
 	case outcome.Ran == domain.NotRun, run.Idempotent && outcome.Reason != "":
 		return claim.StateNotRun
--- a/test/drive/drive.go
+++ b/test/drive/drive.go
@@ -35,9 +35,9 @@
 type Result struct {
 	// Done counts the calls that succeeded, Failed the calls that returned an error.
 	Done, Failed int
-	// First is an error of a failed call; nil if no call failed.
-	First   error
-	Elapsed time.Duration
+	// SampleError is an error of a failed call; nil if no call failed.
+	SampleError error
+	Elapsed     time.Duration
 	// Latencies holds the durations of the calls that succeeded, in nanoseconds.
 	Latencies *hdrhistogram.Histogram
 }
@@ -72,8 +72,8 @@
 			defer mu.Unlock()
 			r.Latencies.Merge(latencies)
 			r.Failed += failed
-			if r.First == nil {
-				r.First = first
+			if r.SampleError == nil {
+				r.SampleError = first
 			}
 			return nil
 		})
--- a/test/drive/drive_test.go
+++ b/test/drive/drive_test.go
@@ -23,7 +23,7 @@
 	require.EqualValues(t, 100, n.Load())
 	require.Equal(t, 90, r.Done)
 	require.Equal(t, 10, r.Failed)
-	require.EqualError(t, r.First, "tenth")
+	require.EqualError(t, r.SampleError, "tenth")
 }
 
 func TestTablesPassCheck(t *testing.T) {
--- a/test/fleet_plan.go
+++ b/test/fleet_plan.go
@@ -169,7 +169,7 @@
 			},
 		}
 	case 6:
-		return disruption{name: "answers of the store lost", entry: everyEntry, begin: func(f *fleet) error { f.store.LoseAnswers(3); return nil }}
+		return disruption{name: "answers of the store lost", entry: everyEntry, begin: func(f *fleet) error { f.store.DropResponses(3); return nil }}
 	case 7, 8:
 		return drawConnectionFault(r, entry+" to the store", n, oneWay, func(f *fleet) *proxy { return f.entries[n].proxy })
 	case 9, 10, 11:
--- a/test/judge.go
+++ b/test/judge.go
@@ -151,7 +151,7 @@
 		}
 		for _, r := range u.engines {
 			if r.Request == v.id {
-				found.Add(name, "refused as not_run (%s), but an engine started its %s", v.problem.Reason, r.Work)
+				found.Add(name, "refused as not_run (%s), but an engine started its %s", v.problem.Reason, r.Role)
 			}
 		}
 		for _, r := range u.apps {
--- a/test/slopes/claims.go
+++ b/test/slopes/claims.go
@@ -60,7 +60,7 @@
 		return c.Keyed(ctx, fmt.Sprintf("enquiry-%d", number.Add(1)))
 	}
 	if r := drive.ClosedLoop(ctx, plainWorkers, keyedCallCounts[0], call); r.Failed > 0 { // warm up
-		return errors.Wrap(r.First, "keyed calls")
+		return errors.Wrap(r.SampleError, "keyed calls")
 	}
 	roleOf := map[string]string{}
 	for name := range processes {
@@ -77,7 +77,7 @@
 			}
 		}
 		if r := drive.ClosedLoop(ctx, plainWorkers, size, call); r.Failed > 0 {
-			return errors.Wrap(r.First, "keyed calls")
+			return errors.Wrap(r.SampleError, "keyed calls")
 		}
 		cpuMicros, residentBytes := map[string]float64{}, map[string]float64{}
 		for name, p := range processes {
--- a/test/slopes/packages.go
+++ b/test/slopes/packages.go
@@ -86,8 +86,8 @@
 	if err != nil {
 		return err
 	}
-	return measureValue("cache_events", "event", eventSizes, encodeCacheEvents, func(text []byte) (wire.Cache, error) {
-		var c wire.Cache
+	return measureValue("cache_events", "event", eventSizes, encodeCacheEvents, func(text []byte) (wire.CacheEvents, error) {
+		var c wire.CacheEvents
 		return c, json.Unmarshal(text, &c)
 	})
 }
@@ -171,7 +171,7 @@
 
 // encodeCacheEvents returns an encoded notification with n cache events.
 func encodeCacheEvents(n int) ([]byte, error) {
-	var c wire.Cache
+	var c wire.CacheEvents
 	for i := range n {
 		c.Events = append(c.Events, engine.CacheEvent{
 			Seq: uint64(100_000 + i), Prefix: rand.Uint64(), Tokens: 256, Evicted: i%2 == 1,
--- a/test/slopes/requests.go
+++ b/test/slopes/requests.go
@@ -130,7 +130,7 @@
 // measurePlain reports idle processor time and the cost per plain call.
 func measurePlain(ctx context.Context, p *requestPath) error {
 	if r := drive.ClosedLoop(ctx, plainWorkers, plainSizes[0], p.caller.Plain); r.Failed > 0 { // warm up
-		return r.First
+		return r.SampleError
 	}
 	processes, err := measureIdle(ctx, map[string]test.Process{"entry": p.entry, "side_app": p.app})
 	if err != nil {
@@ -142,7 +142,7 @@
 	for _, size := range plainSizes {
 		err := measureLoad(ctx, processes, float64(size), 1, func() error {
 			r := drive.ClosedLoop(ctx, plainWorkers, size, p.caller.Plain)
-			return errors.Wrap(r.First, "plain calls")
+			return errors.Wrap(r.SampleError, "plain calls")
 		})
 		if err != nil {
 			return err
@@ -171,7 +171,7 @@
 			r := drive.ClosedLoop(ctx, streamWorkers, streamsPerSize, func(ctx context.Context) error {
 				return p.caller.Stream(ctx, prompt, tokens, func(string, int) error { return nil })
 			})
-			return errors.Wrap(r.First, "streams")
+			return errors.Wrap(r.SampleError, "streams")
 		})
 		if err != nil {
 			return err
--- a/wire/codec_test.go
+++ b/wire/codec_test.go
@@ -121,9 +121,9 @@
 func BenchmarkCall(b *testing.B) {
 	answer := &engine.Response{Status: 200, Body: []byte(strings.Repeat("x", 300))}
 	l := connect(b, func(_ context.Context, _ *Peer, _ string, params json.RawMessage) (any, error) {
-		return Decode(params, func(r Run) (any, error) { return Outcome{AttemptRef: r.AttemptRef, Answer: answer}, nil })
+		return Decode(params, func(r RunRequest) (any, error) { return Outcome{AttemptRef: r.AttemptRef, Answer: answer}, nil })
 	})
-	run := Run{
+	run := RunRequest{
 		AttemptRef: AttemptRef{Request: "entry-1.4242424242424242.17", Attempt: 1, Stage: StageCall}, Account: "sales-house", Kind: "card",
 		Call: &engine.Call{Method: "GET", Path: "/card", Header: map[string][]string{"Accept-Encoding": {"gzip"}, "User-Agent": {"test"}}},
 	}
--- a/wire/messages.go
+++ b/wire/messages.go
@@ -55,8 +55,8 @@
 	Stage   Stage            `json:"stage"`
 }
 
-// Reserve requests room at a decode side before prefill starts.
-type Reserve struct {
+// ReserveRequest requests room at a decode side before prefill starts.
+type ReserveRequest struct {
 	AttemptRef
 	// Tokens is the length of prompt and answer together, which is the KV memory needed at the
 	// end.
@@ -72,9 +72,9 @@
 	FreeTokens int `json:"free_tokens"`
 }
 
-// Run sends one stage of a request to a side. Exactly one of Prefill, Decode and Call is set,
+// RunRequest sends one stage of a request to a side. Exactly one of Prefill, Decode and Call is set,
 // depending on Stage.
-type Run struct {
+type RunRequest struct {
 	AttemptRef
 	Account domain.Account `json:"account"`
 	Kind    domain.Kind    `json:"kind"`
@@ -94,8 +94,8 @@
 	Idempotent bool `json:"idempotent,omitempty"`
 }
 
-// Attach resumes an attempt after its connection was lost.
-type Attach struct {
+// AttachRequest resumes an attempt after its connection was lost.
+type AttachRequest struct {
 	AttemptRef
 	// From is the offset of the next token that the entry needs.
 	From int `json:"from"`
@@ -162,7 +162,7 @@
 
 // RateRequest asks for one request of a caller under the rate limit of a row of the table.
 type RateRequest struct {
-	Of limit.Key `json:"of"`
+	Key limit.Key `json:"of"`
 	// Rate is the limit of that row, in requests per second.
 	Rate float64 `json:"rate"`
 	// Standby reports that the addressed entry is not the caller's primary owner.
@@ -209,8 +209,8 @@
 	MethodClaim = "claim"
 	// MethodResolve reports to the owner how an attempt ended: claim.Resolution.
 	MethodResolve = "resolve"
-	// MethodAsk asks the runner of an attempt: claim.StatusRequest to claim.Resolution.
-	MethodAsk = "ask"
+	// MethodStatus asks the runner of an attempt: claim.StatusRequest to claim.Resolution.
+	MethodStatus = "ask"
 	// MethodFence, MethodRestore and MethodHandover are called between sides.
 	MethodFence    = "fence"
 	MethodRestore  = "restore"
@@ -231,8 +231,8 @@
 	Refusal *claim.Refusal    `json:"refusal,omitempty"`
 }
 
-// Owned is the complete list of the shards that a side owns.
-type Owned struct {
+// OwnedShards is the complete list of the shards that a side owns.
+type OwnedShards struct {
 	Service domain.Service    `json:"service"`
 	Shards  []claim.Ownership `json:"shards"`
 }
@@ -240,8 +240,8 @@
 // MethodCache is a side's notification of its engine's cache events: Cache.
 const MethodCache = "cache"
 
-// Cache carries cache events in the order of their numbers.
-type Cache struct {
+// CacheEvents carries cache events in the order of their numbers.
+type CacheEvents struct {
 	Events []engine.CacheEvent `json:"events"`
 }
 
