--- a/pacer/bucket.go
+++ b/pacer/bucket.go
@@ -13,9 +13,9 @@
 type Decision struct {
 	Granted bool
 	// Wait is the time until the request may be sent if it is granted, and otherwise until
-	// the next one may be granted.
+	// a further request may be granted.
 	Wait time.Duration
-	// Current is the observation in force at the process that decided.
+	// Observation is the rate limit observation in force at the process that decided.
 	Observation Observation
 }
 
@@ -23,8 +23,8 @@
 // first use.
 type Bucket struct {
 	// tokens is negative while tokens are granted ahead of time.
-	tokens   float64
-	refilled time.Time
+	tokens     float64
+	refilledAt time.Time
 }
 
 // Take takes one token for a request that can wait for up to maxWait. It returns the time until
@@ -41,16 +41,16 @@
 	return true, wait
 }
 
-// Refund returns the token of a request that was not sent.
+// Refund puts back the token of a request that was not sent, up to the burst.
 func (b *Bucket) Refund(now time.Time, config BucketConfig) {
 	b.refill(now, config)
 	b.tokens = min(b.tokens+1, config.Burst)
 }
 
 func (b *Bucket) refill(now time.Time, config BucketConfig) {
-	if b.refilled.IsZero() {
-		b.refilled = now
+	if b.refilledAt.IsZero() {
+		b.refilledAt = now
 	}
-	b.tokens = min(b.tokens+float64(config.Rate)*max(now.Sub(b.refilled), 0).Seconds(), config.Burst)
-	b.refilled = now
+	b.tokens = min(b.tokens+float64(config.Rate)*max(now.Sub(b.refilledAt), 0).Seconds(), config.Burst)
+	b.refilledAt = now
 }
--- a/pacer/bucket_test.go
+++ b/pacer/bucket_test.go
@@ -13,7 +13,7 @@
 // first of a burst are refused although the following seconds are free.
 func TestTakeSchedulesRequestsOfABurst(t *testing.T) {
 	config := BucketConfig{Rate: 5, Burst: fullBurst}
-	served := func(maxWait time.Duration) (n int) {
+	served := func(maxWait time.Duration) (count int) {
 		var b Bucket
 		last := time.Time{}
 		for burst := range 20 {
@@ -26,10 +26,10 @@
 				require.LessOrEqual(t, wait, maxWait)
 				require.False(t, now.Add(wait).Before(last), "scheduled in the order of the requests")
 				last = now.Add(wait)
-				n++
+				count++
 			}
 		}
-		return n
+		return count
 	}
 	require.LessOrEqual(t, served(0), 20*fullBurst, "without scheduling")
 	require.GreaterOrEqual(t, served(time.Second), 20*6-6)
--- a/pacer/trouble_test.go
+++ b/pacer/faults_test.go
@@ -68,19 +68,20 @@
 	seeds := map[int]uint64{1: 60, 2: 60, 4: 60, 24: 60, 68: 12, 300: 12}
 	for n, count := range seeds {
 		for seed := range count {
-			checkUnderFaults(t, n, seed+1)
+			checkLimitUnderFaults(t, n, seed+1)
 		}
 	}
 	// Seeds that failed once: two owners at the same time, a new owner, a limit that is stated
 	// again after it ended, and one that is reduced in a partitioned fleet.
-	checkUnderFaults(t, 4, 914)
-	checkUnderFaults(t, 24, 2838)
-	checkUnderFaults(t, 68, 8)
-	checkUnderFaults(t, 24, 2413)
+	checkLimitUnderFaults(t, 4, 914)
+	checkLimitUnderFaults(t, 24, 2838)
+	checkLimitUnderFaults(t, 68, 8)
+	checkLimitUnderFaults(t, 24, 2413)
 }
 
-// checkUnderFaults runs a fleet of n processes through a series of faults.
-func checkUnderFaults(t *testing.T, n int, seed uint64) {
+// checkLimitUnderFaults runs a fleet of n processes through a series of faults, and checks that
+// the upstream receives no more requests than its limit allows.
+func checkLimitUnderFaults(t *testing.T, n int, seed uint64) {
 	w := newWorld(t, seed, n)
 	w.setRate(w.randomRate())
 	load, maxWait := 10+40*w.random.Float64(), time.Duration(w.random.IntN(300))*time.Millisecond
--- a/pacer/limiter.go
+++ b/pacer/limiter.go
@@ -7,13 +7,13 @@
 
 const (
 	// takeoverPeriod is the time after a process became the owner of a key in which it leaves
-	// most of the limit to the previous owner, which may not have noticed yet.
+	// most of the limit to the previous owner, which may not have noticed the new owner yet.
 	takeoverPeriod = 3 * time.Second
 	// idleTimeout is the time after which an unused key is removed, and sweepInterval the
 	// time between two searches for such keys.
 	idleTimeout   = time.Minute
 	sweepInterval = 10 * time.Second
-	// broadcastInterval is the least time between two broadcasts for one key.
+	// broadcastInterval is the least time between two broadcasts of the limit of one key.
 	broadcastInterval = time.Second
 	// broadcastFallFraction is the fraction of the rate broadcast last below which a lower
 	// rate is broadcast again.
@@ -30,19 +30,21 @@
 	lastSweep time.Time
 }
 
-// keyState is the state of one key.
+// keyState is the rate limit of one key and the token bucket that enforces it.
 type keyState struct {
 	limit  LimitState
 	bucket Bucket
-	// createdAt is when this process became the owner of the key.
+	// createdAt is when this process became the owner of the key, and usedAt when the key was
+	// last used.
 	createdAt, usedAt time.Time
 	// broadcastRate is the rate that all processes were sent last, at broadcastAt.
 	broadcastRate Rate
 	broadcastAt   time.Time
 }
 
-// Take takes a token for a request that can wait for up to maxWait. The observation is the one
-// of the process that asks, and reach describes how well this process reaches the others.
+// Take takes a token for a request that can wait for up to maxWait. observed is the rate limit
+// observation of the process that sends the request, and reach describes how well this process,
+// the owner of the key, reaches the other processes.
 func (k *Limiter[K]) Take(now time.Time, key K, observed Observation, reach Reachability, maxWait time.Duration) Decision {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -54,7 +56,8 @@
 	return Decision{Granted: granted, Wait: wait, Observation: c.limit.Current()}
 }
 
-// Refund returns the token of a request that was not sent. It returns the observation in force.
+// Refund puts back the token of a request that was not sent. It returns the rate limit
+// observation in force.
 func (k *Limiter[K]) Refund(now time.Time, key K, observed Observation, reach Reachability) Observation {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -65,7 +68,8 @@
 	return c.limit.Current()
 }
 
-// Observe takes in an observation, and returns the one in force.
+// Observe records an observation of the rate limit of a key, and returns the observation that is
+// then in force; see LimitState.Observe.
 func (k *Limiter[K]) Observe(now time.Time, key K, observed Observation) Observation {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -123,9 +127,9 @@
 // bucketConfig returns the rate and burst that this process may grant.
 //
 // A process that becomes the owner of a key, or restarts and owns it again, grants only
-// takeoverFraction until all others have noticed. Otherwise two owners would grant two bursts, or
-// twice the limit, within seconds. A limit first observed before the key was created here had
-// another owner before.
+// takeoverFraction of the limit until all other processes have noticed. Otherwise two owners would
+// grant two bursts, or twice the limit, within seconds. If the limit was first observed before
+// this process created the key, another process owned the key before.
 func (c *keyState) bucketConfig(now time.Time, reach Reachability) BucketConfig {
 	fraction := reach.Fraction()
 	tookOver := c.createdAt.Sub(c.limit.Current().since()) > maxTransitTime
--- a/pacer/model_test.go
+++ b/pacer/model_test.go
@@ -13,7 +13,8 @@
 )
 
 // The limit that the model enforces: after gracePeriod, the requests that an upstream may receive
-// within any span are allowedFactor times the rate, and allowedExtra more.
+// within any span are allowedFactor times the rate, and allowedExtra more. A process that learns of
+// a limit has to respect it after reactionTime.
 const (
 	span          = 4 * time.Second
 	allowedFactor = 1.5
@@ -139,7 +140,7 @@
 	return pacer.Alive
 }
 
-// reachability returns that of p as owner of the key.
+// reachability returns the reachability of p as owner of the key.
 func (w *world) reachability(p *process) pacer.Reachability {
 	var predecessors []int
 	for _, o := range w.processes[:slices.Index(w.processes, p)] {
@@ -365,16 +366,16 @@
 	return ""
 }
 
-// highestRate returns the highest rate that was stated within the time, or up to reactionTime
-// before it.
-func (w *world) highestRate(from, to time.Time) (most pacer.Rate) {
+// highestRate returns the highest rate that the upstream stated between two times, or up to
+// reactionTime before the first.
+func (w *world) highestRate(from, to time.Time) (highest pacer.Rate) {
 	for n, c := range w.changes {
 		ended := n+1 < len(w.changes) && w.changes[n+1].at.Before(from.Add(-reactionTime))
 		if !ended && !c.at.After(to) {
-			most = max(most, c.rate)
+			highest = max(highest, c.rate)
 		}
 	}
-	return most
+	return highest
 }
 
 // randomRate draws a limit; some are under one request a second.
--- a/pacer/observation.go
+++ b/pacer/observation.go
@@ -26,7 +26,8 @@
 // to another.
 const maxTransitTime = 100 * time.Millisecond
 
-// Age returns the observation as sent to another process at the given time.
+// Age returns the observation with its times as ages at the given time, to be sent to another
+// process.
 func (s Observation) Age(now time.Time) ObservationAge {
 	return ObservationAge{Rate: s.Rate, Sent: now.Sub(s.Sent), Received: now.Sub(s.Received), Since: now.Sub(s.since())}
 }
@@ -55,10 +56,10 @@
 // zero value is that of an upstream without a limit.
 type LimitState struct{ current Observation }
 
-// Observe takes in an observation, and reports whether it changed the rate.
+// Observe records an observation, and reports whether it changed the rate in force.
 //
-// Answers on different connections overtake each other: one from before the limit began may
-// come after one that states it, and would seem to end the limit. An observation therefore
+// Answers on different connections overtake each other: an answer from before the limit began may
+// come after an answer that states it, and would seem to end the limit. An observation therefore
 // replaces the one in force whatever its rate only if its request was sent after that one was
 // received. Of two that the upstream may have stated in either order the stricter one is in force.
 func (b *LimitState) Observe(s Observation) (changed bool) {
--- a/pacer/pacer.go
+++ b/pacer/pacer.go
@@ -21,7 +21,7 @@
 //	changed := b.Observe(pacer.Observation{Rate: pacer.NewRate(2.4), Sent: sent, Received: received})
 //
 //	var k pacer.Limiter[string]             // at the owner of the key
-//	d := k.Take(now, "i-1", b.Observation(), reach, maxWait)
+//	d := k.Take(now, "i-1", b.Current(), reach, maxWait)
 //	if !d.Granted { refuse(d.Wait) }
 //	wait(d.Wait)                            // then send
 //
@@ -47,5 +47,5 @@
 // Limited reports whether there is a limit.
 func (r Rate) Limited() bool { return r > 0 }
 
-// Stricter reports whether r allows less than o.
+// Stricter reports whether r allows fewer requests than o.
 func (r Rate) Stricter(o Rate) bool { return r.Limited() && (!o.Limited() || r < o) }
--- a/pacer/prober.go
+++ b/pacer/prober.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	// ProbeInterval is the time between two probes of a process that owns a key, and
+	// ProbeInterval is the time between two probes by a process that owns a key, and
 	// probeIdleTimeout the time after the last use of its keys at which probing stops.
 	ProbeInterval    = time.Second
 	probeIdleTimeout = 10 * time.Second
@@ -32,7 +32,8 @@
 	usedAt map[string]time.Time
 }
 
-// MarkUsed marks a key as used: this process is its owner, and probes are due for some time.
+// MarkUsed marks a key as used now: this process is its owner, and probes are due until
+// probeIdleTimeout has passed.
 func (w *Prober[ID]) MarkUsed(now time.Time, key string) {
 	w.mu.Lock()
 	if w.usedAt == nil {
@@ -46,7 +47,7 @@
 	}
 }
 
-// Keys returns the keys that are in use, and removes those that no longer are.
+// Keys returns the keys that are in use, and removes keys unused for longer than probeIdleTimeout.
 func (w *Prober[ID]) Keys(now time.Time) (keys []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -60,7 +61,7 @@
 	return keys
 }
 
-// Trigger requests a probe now, and further ones after it.
+// Trigger requests a probe now, with which the periodic probes begin.
 func (w *Prober[ID]) Trigger() {
 	select {
 	case w.Triggered() <- struct{}{}:
--- a/pacer/reachability.go
+++ b/pacer/reachability.go
@@ -8,22 +8,22 @@
 	// Probed is the number of processes that were probed, and Reached the number of those
 	// that answered lately; both include this one.
 	Probed, Reached int
-	// Outranked means that a process of a higher rank for the key is alive, as far as
-	// observed. Processes that can reach it use it as the owner.
+	// Outranked means that a process which precedes this one in the order of owners of the
+	// key is alive, as far as observed. Processes that can reach it use it as the owner.
 	Outranked bool
-	// HandedOver means that all processes of a higher rank have stopped or are shutting down,
-	// and grant nothing any more.
+	// HandedOver means that all processes which precede this one in the order of owners have
+	// stopped or are shutting down, and grant no requests any more.
 	HandedOver bool
 }
 
 const (
-	// outrankedFraction is the fraction of the limit that a process grants while one of a
-	// higher rank may grant as well, and takeoverFraction the same for a process that has
-	// just become the owner.
+	// outrankedFraction is the fraction of the rate limit that a process grants while another
+	// process that precedes it as owner may grant as well, and takeoverFraction the fraction
+	// that it grants when it has just become the owner.
 	outrankedFraction = 0.25
 	takeoverFraction  = 0.25
 	// fullBurst is the number of tokens that accumulate at a process that grants the whole
-	// limit, and partialBurst at one that grants a fraction.
+	// rate limit, and partialBurst at a process that grants a fraction of it.
 	fullBurst    = 2
 	partialBurst = 1
 )
@@ -31,8 +31,8 @@
 // Fraction returns the fraction of the limit that the process may grant.
 //
 // When the network is partitioned in two, each side has an owner, and both would grant the whole
-// limit. Only one side can have more than half of the processes. The others grant in proportion
-// to their size, which adds up to no more than a half.
+// limit. Only one side can have more than half of the processes. A smaller side grants in
+// proportion to its number of processes, which adds up to no more than half of the limit.
 func (s Reachability) Fraction() float64 {
 	fraction := 1.0
 	if s.Probed > 1 && 2*s.Reached <= s.Probed {
@@ -57,12 +57,13 @@
 	Unreachable PeerState = "silent"
 )
 
-// ProbeResult is the result of probing other processes. The zero value reached none.
+// ProbeResult is the result of probing other processes. The zero value is that of probing none.
 type ProbeResult[N comparable] struct {
-	// Answered and Unreachable are the numbers of processes with either result, of a random
-	// sample of all that may own a key.
+	// Answered and Unreachable count the processes that answered and that could not be
+	// reached, in a random sample of all processes that may own a key.
 	Answered, Unreachable int
-	// Predecessors holds the processes that have a higher rank than this one for some key.
+	// Predecessors holds the state of each process that precedes this one in the order of
+	// owners of some key.
 	Predecessors map[N]PeerState
 }
 
