--- a/retry/attempts.go
+++ b/retry/attempts.go
@@ -6,21 +6,22 @@
 // refused or failed before the request was transmitted. Most pools have fewer upstreams.
 const MaxSends = 6
 
-// Attempts holds what is known of the sends of one request, and decides whether another may follow.
-// Set Repeatable and Limit; the zero value of the rest is ready to use. It must be used by one
-// goroutine only.
+// Attempts counts the sends of one request, tracks whether the request ran as far as known, and
+// decides whether another send may follow. Set Repeatable and Limit; the zero value of the rest is
+// ready to use. It must be used by one goroutine only.
 //
 // An attempt without an answer may have run, so that a second attempt may run the request twice.
-// If it is reported as run although it did not run, the caller does not send the request again. The
-// rules against both are here, for each order in which attempts can end.
+// If it is reported as run although it did not run, the caller does not send the request again.
+// Attempts prevents both, in whatever order the attempts end.
 type Attempts struct {
 	// Repeatable means that the request may run more than once, and Limit on how many
 	// upstreams.
 	Repeatable bool
 	Limit      int
 
-	sends, runs int
-	ran         domain.Execution
+	// sends counts all sends, and runs the sends that ran or may have run.
+	sends, runs    int
+	worstExecution domain.Execution
 }
 
 // Sent counts a send, and returns its number, starting at 1.
@@ -29,20 +30,20 @@
 	return a.sends
 }
 
-// Ended records what is known of the execution of a send that has ended.
+// Ended records whether a send that has ended ran at its upstream, as far as known.
 func (a *Attempts) Ended(ran domain.Execution) {
-	if a.ran = a.Ran().Merge(ran); ran != domain.NotRun {
+	if a.worstExecution = a.Ran().Merge(ran); ran != domain.NotRun {
 		a.runs++
 	}
 }
 
-// Ran returns the worst case of all sends. NotRun guarantees that the request did not run on any
-// upstream and will not.
+// Ran returns whether the request ran, as the worst case of all sends. NotRun guarantees that the
+// request did not run on any upstream and will not.
 func (a *Attempts) Ran() domain.Execution {
-	if a.ran == "" {
+	if a.worstExecution == "" {
 		return domain.NotRun
 	}
-	return a.ran
+	return a.worstExecution
 }
 
 // Sends returns the number of all sends.
@@ -51,12 +52,12 @@
 // Runs returns the number of sends that ran or may have run.
 func (a *Attempts) Runs() int { return a.runs }
 
-// CanRepeat reports whether yet another send may follow one that is running now. If so, the running
-// one does not have to be waited for until the request ends.
+// CanRepeat reports whether another send may follow the send that is running now. If so, the running
+// send does not have to be waited for until the request's deadline.
 func (a *Attempts) CanRepeat() bool { return a.Repeatable && a.runs+1 < a.Limit }
 
-// Allow decides whether another send may follow one with the given execution. It does not check
-// the retry budget; the caller does.
+// Allow decides whether another send may follow a send that ran, may have run or did not run, as
+// last states. It does not check the retry budget; the caller does.
 func (a *Attempts) Allow(last domain.Execution) Decision {
 	switch {
 	case last != domain.NotRun && !a.Repeatable:
--- a/retry/attempts_test.go
+++ b/retry/attempts_test.go
@@ -9,7 +9,7 @@
 	"jacinthworks/domain"
 )
 
-// outcome is how a send can end: the execution that is known to the sender, and whether it ran.
+// outcome is how a send can end: whether it ran as far as the sender knows, and whether it did run.
 type outcome struct {
 	known domain.Execution
 	runs  bool
@@ -22,7 +22,7 @@
 	{domain.DidRun, true},
 }
 
-// attempter is the implementation under test, or one with a guard removed.
+// attempter is Attempts, or Attempts with one guard removed.
 type attempter interface {
 	Sent() int
 	Ended(domain.Execution)
@@ -30,9 +30,9 @@
 	Allow(domain.Execution) Decision
 }
 
-// walk tries each sequence of outcomes of a request's sends that begins with path, and returns the
-// first violation of a guarantee.
-func walk(repeatable bool, limit int, path []outcome, newAttempts func() attempter) error {
+// checkSequences tries each sequence of outcomes of a request's sends that begins with path, and
+// returns the first violation of a guarantee.
+func checkSequences(repeatable bool, limit int, path []outcome, newAttempts func() attempter) error {
 	a := newAttempts()
 	runs, decision := 0, Allowed
 	for n, o := range path {
@@ -60,19 +60,20 @@
 		return nil
 	}
 	for _, o := range outcomes {
-		if err := walk(repeatable, limit, append(path[:len(path):len(path)], o), newAttempts); err != nil {
+		if err := checkSequences(repeatable, limit, append(path[:len(path):len(path)], o), newAttempts); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// walkAll walks requests of both kinds, with limits from one to three.
-func walkAll(newAttempts func(Attempts) attempter) error {
+// checkAllSequences runs checkSequences for requests that are repeatable and for requests that are
+// not, with limits from one to three.
+func checkAllSequences(newAttempts func(Attempts) attempter) error {
 	for _, repeatable := range []bool{false, true} {
 		for limit := 1; limit <= 3; limit++ {
 			a := Attempts{Repeatable: repeatable, Limit: limit}
-			if err := walk(repeatable, limit, nil, func() attempter { return newAttempts(a) }); err != nil {
+			if err := checkSequences(repeatable, limit, nil, func() attempter { return newAttempts(a) }); err != nil {
 				return err
 			}
 		}
@@ -85,10 +86,10 @@
 // runs at most once, any other on no more upstreams than its limit, and none that ran is reported
 // as not run.
 func TestAttemptsKeepGuaranteesInEveryOrderOfOutcomes(t *testing.T) {
-	require.NoError(t, walkAll(func(a Attempts) attempter { return &a }))
+	require.NoError(t, checkAllSequences(func(a Attempts) attempter { return &a }))
 }
 
-// Each type removes one guard.
+// Each type removes one guard of Attempts.
 type (
 	repeatsUnknown     struct{ *Attempts }
 	ignoresLimit       struct{ *Attempts }
@@ -112,7 +113,7 @@
 
 func (a keepsLastExecution) Ended(ran domain.Execution) {
 	a.Attempts.Ended(ran)
-	a.ran = ran // the last execution instead of the worst
+	a.worstExecution = ran // the last execution instead of the worst
 }
 
 func (a ignoresMaxSends) Allow(last domain.Execution) Decision {
@@ -122,14 +123,14 @@
 	return a.Attempts.Allow(last)
 }
 
-func TestWalkFindsEachRemovedGuard(t *testing.T) {
+func TestCheckAllSequencesFindsEachRemovedGuard(t *testing.T) {
 	for name, broken := range map[string]func(Attempts) attempter{
 		"repeats a request that may have run": func(a Attempts) attempter { return repeatsUnknown{&a} },
 		"ignores the limit of upstreams":      func(a Attempts) attempter { return ignoresLimit{&a} },
 		"reports the last execution":          func(a Attempts) attempter { return keepsLastExecution{&a} },
 		"ignores the limit of sends":          func(a Attempts) attempter { return ignoresMaxSends{&a} },
 	} {
-		require.Error(t, walkAll(broken), name)
+		require.Error(t, checkAllSequences(broken), name)
 	}
 }
 
--- a/retry/crashes.go
+++ b/retry/crashes.go
@@ -5,13 +5,14 @@
 // Crashes attributes the deaths of upstreams to requests. U identifies a start of an upstream, and R
 // a request. The zero value is ready to use; it must not be copied. It is safe for concurrent use.
 type Crashes[U, R comparable] struct {
-	// Ledger holds the evidence of all processes.
+	// Ledger holds the evidence of deaths from all processes, by which requests are blocked.
 	Ledger Ledger
 
-	mu      sync.Mutex // leaf lock: no other lock is acquired while it is held
+	mu sync.Mutex // leaf lock: no other lock is acquired while it is held
+	// running holds, for each upstream, this process's requests there and their identities.
 	running map[U]map[R]Identity
-	// local is the evidence that this process observed itself; noticePending means that it has
-	// to be sent to the other processes.
+	// local is the evidence of the deaths that this process observed itself; noticePending means
+	// that it has to be sent to the other processes.
 	local         Record
 	noticePending bool
 }
@@ -21,7 +22,7 @@
 const maxDeathsInNotice = 8
 
 // RecordDeath records a death that this process observed. It reports whether the caller has to send
-// a notice; it does not while one is pending.
+// a notice of it to the other processes; it does not while a notice is pending.
 func (c *Crashes[U, R]) RecordDeath(d Death) bool {
 	c.Ledger.RecordDeath(d)
 	c.mu.Lock()
@@ -33,8 +34,8 @@
 	return first
 }
 
-// TakeNotice returns the evidence to send to the other processes now, and clears the pending
-// notice.
+// TakeNotice returns the evidence of deaths to send to the other processes now, and clears the
+// pending notice.
 func (c *Crashes[U, R]) TakeNotice() Record {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -42,14 +43,14 @@
 	return c.local
 }
 
-// HasDeaths reports whether this process observed any deaths.
+// HasDeaths reports whether this process observed any deaths of upstreams.
 func (c *Crashes[U, R]) HasDeaths() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.local.Deaths) > 0
 }
 
-// Begin records that an upstream has a request of this process.
+// Begin records that an upstream has a request of this process, until End.
 func (c *Crashes[U, R]) Begin(id U, r R, identity Identity) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -62,7 +63,7 @@
 	c.running[id][r] = identity
 }
 
-// End records that an upstream no longer has a request.
+// End records that an upstream no longer has a request of this process.
 func (c *Crashes[U, R]) End(id U, r R) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/retry/ledger.go
+++ b/retry/ledger.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// Suspicion is the state of the evidence against a request.
+// Suspicion is the state of the evidence that a request crashes the upstreams that run it.
 type Suspicion string
 
-// The states of the evidence.
+// The states of the evidence against a request. A death is that of an upstream.
 const (
 	// Clear is a request without any death against it, or only deaths that another request
 	// explains.
@@ -26,7 +26,8 @@
 	Blocked Suspicion = "stopped"
 )
 
-// CrashLimit is the number of upstreams that may die while running a request.
+// CrashLimit is the number of upstreams that may die while running a request before it is blocked.
+// One death does not distinguish the request from the requests that ran beside it.
 const CrashLimit = 2
 
 // deathSet is a set of indexes of a record's deaths, of which there are at most 64.
@@ -111,28 +112,29 @@
 	return culprits
 }
 
-// explainsAlone reports whether no other request ran during all of these deaths.
+// explainsAlone reports whether only one request ran during all of these deaths. requestCounts holds
+// the number of requests by the deaths that count against them.
 func explainsAlone(deaths deathSet, requestCounts map[deathSet]int) bool {
-	n := 0
+	requests := 0
 	for other, count := range requestCounts {
 		if deaths.within(other) {
-			n += count
+			requests += count
 		}
 	}
-	return n == 1
+	return requests == 1
 }
 
-// Ledger holds the evidence known to a process and the suspicions that follow from it. The zero
-// value is empty and ready to use; it must not be copied. It is safe for concurrent use. Its lock is
-// a leaf lock: no other lock is acquired while it is held.
+// Ledger holds the evidence of deaths known to a process and the suspicions that follow from it.
+// The zero value is empty and ready to use; it must not be copied. It is safe for concurrent use.
+// Its lock is a leaf lock: no other lock is acquired while it is held.
 type Ledger struct {
 	mu         sync.Mutex
 	record     Record
 	suspicions map[Identity]Suspicion
-	expires    time.Time // when the oldest death in record reaches EvidenceTTL
+	expiresAt  time.Time // when the oldest death in record reaches EvidenceTTL
 }
 
-// RecordDeath adds the evidence of a death.
+// RecordDeath adds the evidence of the death of an upstream.
 func (l *Ledger) RecordDeath(d Death) { l.Merge(d.Time, Record{Deaths: []Death{d}}) }
 
 // RecordSurvival records that a request ran to its end. For a request without a death against it
@@ -197,7 +199,7 @@
 }
 
 func (l *Ledger) refresh(now time.Time) {
-	if len(l.record.Deaths) > 0 && !now.Before(l.expires) {
+	if len(l.record.Deaths) > 0 && !now.Before(l.expiresAt) {
 		l.evaluate(now)
 	}
 }
@@ -206,6 +208,6 @@
 	l.record = l.record.Since(wireTime(now.Add(-EvidenceTTL)))
 	l.suspicions = Attribute(l.record, now)
 	if n := len(l.record.Deaths); n > 0 {
-		l.expires = l.record.Deaths[n-1].Time.Add(EvidenceTTL + time.Microsecond)
+		l.expiresAt = l.record.Deaths[n-1].Time.Add(EvidenceTTL + time.Microsecond)
 	}
 }
--- a/retry/record.go
+++ b/retry/record.go
@@ -12,8 +12,9 @@
 )
 
 const (
-	// EvidenceTTL is the age up to which evidence counts. Callers send a request again within
-	// minutes, and after ten minutes a body that crashed an engine may meet a repaired one.
+	// EvidenceTTL is the age up to which a death counts against the requests that ran during it.
+	// Callers send a request again within minutes, and after ten minutes a body that crashed an
+	// engine may meet a repaired one.
 	EvidenceTTL = 10 * time.Minute
 	// MaxDeaths bounds the deaths in a record to the newest. A fleet that loses more upstreams
 	// in ten minutes has a worse fault than one request. Attribute relies on at most 64.
@@ -21,7 +22,7 @@
 	// MaxRunning bounds the requests kept for one death. It is above the number of requests
 	// that any known engine runs at once.
 	MaxRunning = 256
-	// MaxSurvivals bounds the survivals in a record to the newest.
+	// MaxSurvivals bounds the survivals of requests in a record to the newest.
 	MaxSurvivals = 1024
 )
 
@@ -64,8 +65,8 @@
 	Time     time.Time `json:"time"`
 }
 
-// Record is evidence as sent between processes. Merge is idempotent and commutative, so that records
-// may be received repeatedly and in any order.
+// Record is the evidence of deaths and survivals as sent between processes. Merge is idempotent and
+// commutative, so that records may be received repeatedly and in any order.
 type Record struct {
 	// Deaths are sorted, the newest first.
 	Deaths []Death `json:"deaths,omitempty"`
@@ -73,12 +74,13 @@
 	Survivals []Survival `json:"survivals,omitempty"`
 }
 
+// instance identifies one run of an upstream.
 type instance struct {
 	upstream    domain.Host
 	incarnation domain.Incarnation
 }
 
-// Merge returns the evidence of both records, within the bounds.
+// Merge returns the evidence of both records, within MaxDeaths, MaxRunning and MaxSurvivals.
 func (r Record) Merge(o Record) Record {
 	return Record{
 		Deaths:    mergeDeaths(slices.Concat(r.Deaths, o.Deaths)),
@@ -102,7 +104,8 @@
 	return kept
 }
 
-// mergeDeaths combines the reports of each death: the requests of all and the latest time.
+// mergeDeaths combines the reports of each death into one: the running requests of all reports and
+// the latest time.
 func mergeDeaths(all []Death) []Death {
 	byInstance := make(map[instance]Death)
 	for _, d := range all {
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -1,11 +1,12 @@
-// Package retry decides whether a failed request may be sent again: by what is known of its
-// execution, within a budget, and not after it has crashed two upstreams. It imports no network;
+// Package retry decides whether a failed request may be sent again: by whether it ran as far as
+// known, within a budget of retries, and not after it has crashed two upstreams. It imports no network;
 // times are passed in.
 //
 // The budget prevents retry storms. When upstreams fail or refuse requests under overload, each
 // failure causes another send: three attempts a request triple the load when there is least
 // capacity, and the pool stays down after the cause is gone. With the budget, retries add at most a
-// tenth. The simulation in the tests logs the sends during an outage with and without it.
+// tenth to the accepted requests. The simulation in the tests logs the sends during an outage with
+// and without it.
 //
 // Crash attribution finds requests that crash each upstream that runs them and are sent again by
 // their callers. Without it each send costs as many upstreams as there are attempts. Blocking every
@@ -69,19 +70,19 @@
 type Failure struct {
 	// Attempt is the number of the failed attempt.
 	Attempt domain.Attempt
-	// Ran is what is known of its execution.
+	// Ran is whether the failed attempt ran, as far as known.
 	Ran domain.Execution
-	// Idempotent is what the operators' table states for this kind of request.
+	// Idempotent means that the operators' table states that this kind of request may run twice.
 	Idempotent bool
-	// Deadline is when the caller must have the complete answer.
+	// Deadline is when the caller must have the complete answer to the request.
 	Deadline time.Time
 	// MinDuration is the least time that another attempt takes; zero if unknown.
 	MinDuration time.Duration
 }
 
-// Allow applies the rules without the budget. A request whose attempt ran or may have run is
-// retried only if it is idempotent: for any other, running twice is worse than a refusal that
-// leaves open whether it ran.
+// Allow decides whether another attempt may follow, without the retry budget. A request whose
+// attempt ran or may have run is retried only if it is idempotent: for any other, running twice is
+// worse than a refusal that leaves open whether it ran.
 func Allow(now time.Time, f Failure) Decision {
 	switch {
 	case f.Ran != domain.NotRun && !f.Idempotent:
@@ -94,12 +95,13 @@
 	return Allowed
 }
 
-// Policy is the rules together with a budget. The zero value is ready to use; it must not be copied.
+// Policy is the rules of Allow together with a retry budget. The zero value is ready to use; it
+// must not be copied.
 type Policy struct {
 	Budget Budget
 }
 
-// Decide applies the rules and, if they allow another attempt, takes it from the budget.
+// Decide applies the rules of Allow and, if they allow another attempt, charges it to the budget.
 func (p *Policy) Decide(now time.Time, f Failure) Decision {
 	if v := Allow(now, f); v != Allowed {
 		return v
@@ -110,13 +112,13 @@
 	return Allowed
 }
 
-// Budget is a token bucket that each accepted request fills by BudgetRatio and each retry empties by
-// one. It does not depend on time: where no requests are accepted none are retried. The zero value is
-// full; it must not be copied. It is safe for concurrent use. Its lock is a leaf lock: no other lock
-// is acquired while it is held.
+// Budget is a token bucket of retries that each accepted request fills by BudgetRatio and each
+// retry empties by one. It does not depend on time: where no requests are accepted none are
+// retried. The zero value is full; it must not be copied. It is safe for concurrent use. Its lock
+// is a leaf lock: no other lock is acquired while it is held.
 type Budget struct {
 	mu    sync.Mutex
-	spent float64 // Burst minus the tokens left, so that the zero value is full
+	spent float64 // BudgetBurst minus the tokens left, so that the zero value is full
 }
 
 // Accepted counts an accepted request.
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -62,10 +62,10 @@
 	require.LessOrEqual(t, with, 11000+int(BudgetBurst))
 }
 
-func TestBudgetAgreesWithNaive(t *testing.T) {
+func TestBudgetAgreesWithCountInTenths(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var b Budget
-		tenths := int(BudgetBurst * 10) // the naive model counts in tenths
+		tenths := int(BudgetBurst * 10) // the reference counts in tenths
 		for _, take := range rapid.SliceOfN(rapid.Bool(), 1, 300).Draw(t, "take") {
 			if !take {
 				b.Accepted()
@@ -188,10 +188,10 @@
 	Attribute(merged, start)
 }
 
-// naiveCulprits applies the rule to lists: a culprit ran during at least two deaths, all of which no
-// other request shares. Those with the most deaths come first, then the rule is applied again without
-// their deaths.
-func naiveCulprits(deaths [][]Identity) []Identity {
+// culpritsByLists is the reference for findCulprits, on lists in place of sets: a culprit ran
+// during at least two deaths, all of which no other request shares. Those with the most deaths come
+// first, then the rule is applied again without their deaths.
+func culpritsByLists(deaths [][]Identity) []Identity {
 	in := func(id Identity) (list []int) {
 		for i, d := range deaths {
 			if slices.Contains(d, id) {
@@ -218,13 +218,13 @@
 			rest := slices.DeleteFunc(slices.Clone(deaths), func(d []Identity) bool {
 				return slices.ContainsFunc(d, func(id Identity) bool { return slices.Contains(found, id) })
 			})
-			return append(found, naiveCulprits(rest)...)
+			return append(found, culpritsByLists(rest)...)
 		}
 	}
 	return nil
 }
 
-func TestAttributeAgreesWithNaive(t *testing.T) {
+func TestAttributeAgreesWithCulpritsByLists(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := drawRecord(t, "r").Merge(drawRecord(t, "s"))
 		r.Survivals = nil
@@ -239,7 +239,7 @@
 				got = append(got, id)
 			}
 		}
-		require.ElementsMatch(t, naiveCulprits(lists), got)
+		require.ElementsMatch(t, culpritsByLists(lists), got)
 	})
 }
 
--- a/retry/window.go
+++ b/retry/window.go
@@ -25,8 +25,9 @@
 
 // WindowConfig is the configuration of a Window.
 type WindowConfig struct {
-	// Ratio is the fraction of the requests, Fixed this process's share of the fixed number, and
-	// Span the length of the window.
+	// Ratio is the number of retries allowed for each request in the window, Fixed this
+	// process's share of the fixed number of retries allowed in addition, and Span the length of
+	// the window.
 	Ratio float64
 	Fixed float64
 	Span  time.Duration
@@ -36,7 +37,7 @@
 // the slots cover a whole span at any time.
 const slotsPerSpan = 10
 
-// slotCounts is a ring of counts, one for each slot.
+// slotCounts is a ring of counts of requests or retries, one for each slot of time.
 type slotCounts struct {
 	counts [slotsPerSpan + 1]int
 	newest int64 // number of the newest slot
@@ -68,7 +69,7 @@
 	return total
 }
 
-// Available reports whether Take would succeed now.
+// Available reports whether a retry is left, so that Take would succeed now.
 func (w *Window) Available(now time.Time, config WindowConfig) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -79,8 +80,8 @@
 	return float64(w.retries.sum(slot)+1) <= config.Ratio*float64(w.requests.sum(slot))+config.Fixed
 }
 
-// RecordRetry counts a retry that has already been sent, even if none was available; fewer are available
-// after it.
+// RecordRetry counts a retry that has already been sent, even if none was left; fewer retries are
+// left after it.
 func (w *Window) RecordRetry(now time.Time, config WindowConfig) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -95,7 +96,7 @@
 // numbers independent of steps of the wall clock.
 var slotOrigin = time.Now().Add(-time.Hour)
 
-// Accepted counts a request.
+// Accepted counts an accepted request.
 func (w *Window) Accepted(now time.Time, config WindowConfig) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/retry/window_test.go
+++ b/retry/window_test.go
@@ -12,8 +12,8 @@
 
 var config = retry.WindowConfig{Ratio: 0.2, Fixed: 3, Span: 10 * time.Second}
 
-// Guards against retries above the bound in any span while a pool fails every request: at most the
-// fraction of the requests and the fixed number.
+// Guards against more retries in any span than the fraction of the requests and the fixed number
+// allow, while a pool fails every request.
 func TestWindowBoundsRetriesInEverySpan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var w retry.Window
