--- a/roles/balance.go
+++ b/roles/balance.go
@@ -53,7 +53,7 @@
 	for _, s := range states {
 		canDonate := s.pool != receiver.pool && s.pool.Model == receiver.pool.Model && s.pool.Role != domain.RoleApp &&
 			s.changing == 0 && len(s.engines) > MinReplicas && p.cooledDown(now, s.pool)
-		if canDonate && len(pickBalancing(timing.BalanceMargin, receiver, s)) > 0 {
+		if canDonate && len(pickBalancingEngines(timing.BalanceMargin, receiver, s)) > 0 {
 			return s, true
 		}
 	}
@@ -61,21 +61,21 @@
 }
 
 const (
-	// BalanceStep is the fraction of a pool that may leave it in one balancing move; the
-	// rest has to carry the pool's load during the change. With one engine at a time,
+	// BalanceStep is the fraction of a pool's engines that may leave it in one balancing move;
+	// the rest has to carry the pool's load during the change. With one engine at a time,
 	// prefill kept 14 of 38 engines for a demand of six.
 	BalanceStep = 0.5
 	// minBalancePressure is the least pressure of a pool that receives engines by
 	// balancing: at hardly any load the measured demand is noise.
 	minBalancePressure = 0.02
-	// decodeMarginFactor multiplies the margin where a decode pool gives an engine: the
+	// decodeMarginFactor multiplies Timing.BalanceMargin where a decode pool gives an engine: the
 	// engine first finishes its answers, and so is out of service for about twice as long.
 	decodeMarginFactor = 4
 )
 
-// pickBalancing returns the engines to move: the number that minimizes the higher pressure
+// pickBalancingEngines returns the engines to move: the number that minimizes the higher pressure
 // of the two pools, if that lowers it by at least the margin, a fraction of its present value.
-func pickBalancing(margin float64, to, from poolState) []Engine {
+func pickBalancingEngines(margin float64, to, from poolState) []Engine {
 	if to.pressure(0) < minBalancePressure {
 		return nil
 	}
--- a/roles/balance_test.go
+++ b/roles/balance_test.go
@@ -14,11 +14,11 @@
 
 // fleet runs a planner once a second for the engines of one model, which change role at once.
 type fleet struct {
-	planner roles.Planner
-	roles   []domain.Role
-	number  fence.Token
-	now     time.Time
-	orders  int
+	planner   roles.Planner
+	roles     []domain.Role
+	lastToken fence.Token
+	now       time.Time
+	orders    int
 }
 
 func newFleet(prefill, decode int) *fleet {
@@ -51,7 +51,7 @@
 		for n, r := range f.roles {
 			v.Engines = append(v.Engines, roles.Engine{Host: domain.Host(fmt.Sprint(n)), Pool: pool(r)})
 		}
-		next := func(time.Time) (fence.Token, error) { f.number++; return f.number, nil }
+		next := func(time.Time) (fence.Token, error) { f.lastToken++; return f.lastToken, nil }
 		for _, o := range f.planner.Plan(f.now, v, next) {
 			var n int
 			_, _ = fmt.Sscan(string(o.Host), &n)
--- a/roles/profile.go
+++ b/roles/profile.go
@@ -15,7 +15,7 @@
 // these change after the burst is over. The work per request of each role is the same inside
 // and outside a burst, and a few requests are enough to measure it.
 type Profile struct {
-	updated time.Time
+	updatedAt time.Time
 	// Sums that decay with profileTimeConstant: the number of requests, their prompt tokens,
 	// and their answer tokens, each weighted by the fraction of an engine's memory that the
 	// request takes.
@@ -28,15 +28,16 @@
 	prefills           int
 }
 
-// tokenTime is a number of tokens and the time in which they came.
+// tokenTime is a number of answer tokens and the time in seconds in which they were received.
 type tokenTime struct{ tokens, seconds float64 }
 
 const (
-	// profileTimeConstant is the time constant with which requests decay. It covers several
-	// bursts.
+	// profileTimeConstant is the time constant with which the sums over requests decay. It
+	// covers several bursts.
 	profileTimeConstant = 30 * time.Second
-	// minRequests and minAnswerTokens are the least measurements for a first ratio: one
-	// request, which has hardly decayed, and eight events of an answer.
+	// minRequests and minAnswerTokens are the least numbers of requests and of answer tokens
+	// for a first ratio of prefill to decode engines: one request, which has hardly decayed,
+	// and eight events of an answer.
 	minRequests     = 0.9
 	minAnswerTokens = 100
 	// sufficientRequests is the number of requests from which the ratio may take engines
@@ -51,13 +52,13 @@
 	// half a minute, and 16 of 41 engines left it.
 	prefillQuantile = 0.25
 	prefillMaxStep  = 0.08
-	// smallSampleMargin is the fraction that is added to the ratio of a single request; it
-	// falls with the square root of the number of requests.
+	// smallSampleMargin is the fraction by which a ratio measured from a single request is
+	// increased; it falls with the square root of the number of requests.
 	smallSampleMargin = 0.5
 )
 
 func (m *Profile) decay(now time.Time) {
-	if elapsed := now.Sub(m.updated); !m.updated.IsZero() && elapsed > 0 {
+	if elapsed := now.Sub(m.updatedAt); !m.updatedAt.IsZero() && elapsed > 0 {
 		factor := math.Exp(-float64(elapsed) / float64(profileTimeConstant))
 		for _, v := range []*float64{
 			&m.requests, &m.promptTokens, &m.memoryTokens, &m.answers.tokens, &m.answers.seconds,
@@ -65,7 +66,7 @@
 			*v *= factor
 		}
 	}
-	m.updated = now
+	m.updatedAt = now
 }
 
 // RecordRequest records a sent request: its prompt and the expected length of its answer, in
@@ -100,7 +101,7 @@
 	return time.Duration(m.promptTokenSeconds * float64(time.Second))
 }
 
-// RecordAnswer records a number of answer tokens and the time in which they came.
+// RecordAnswer records a number of answer tokens and the time in which they were received.
 func (m *Profile) RecordAnswer(now time.Time, answer int, took time.Duration) {
 	m.decay(now)
 	m.answers.tokens += float64(answer)
@@ -116,14 +117,17 @@
 	}
 }
 
-// Ratio is Sample.Ratio of the process's own requests.
-func (m *Profile) Ratio() (float64, bool) { return m.Sample(m.updated).Ratio() }
+// Ratio returns an upper estimate of how many prefill engines are kept busy for each busy decode
+// engine, by this process's own requests; false if there are too few. See Sample.Ratio.
+func (m *Profile) Ratio() (float64, bool) { return m.Sample(m.updatedAt).Ratio() }
 
-// Sufficient is Sample.Sufficient of the process's own requests.
-func (m *Profile) Sufficient() bool { return m.Sample(m.updated).Sufficient() }
+// Sufficient reports whether this process's own requests are enough to take engines from decode by
+// the ratio. See Sample.Sufficient.
+func (m *Profile) Sufficient() bool { return m.Sample(m.updatedAt).Sufficient() }
 
-// maxPrefillWeight bounds the weight of a process's prompt time in a sum of samples. Its
-// estimate follows the latest prompts, so that more of them do not make it more reliable.
+// maxPrefillWeight bounds the number of prompts by which a process's prefill time is weighted
+// in a sum of samples. The estimate follows the latest prompts, so that more of them do not
+// make it more reliable.
 const maxPrefillWeight = 50
 
 // Sample is what one or more processes measured of the requests that they sent.
@@ -139,11 +143,12 @@
 	Requests     float64 `json:"requests"`
 	Prompts      float64 `json:"prompts"`
 	MemoryTokens float64 `json:"held"`
-	// AnswerTokens came in AnswerSeconds, both summed over the answers.
+	// AnswerTokens is the number of answer tokens received, and AnswerSeconds the time in which
+	// they were received; both are summed over the answers and decay with age.
 	AnswerTokens  float64 `json:"answer_tokens"`
 	AnswerSeconds float64 `json:"answer_seconds"`
-	// PromptTokenSeconds is the prefill time of a prompt token in seconds, and Prefills the number of
-	// prompts by which it is weighted.
+	// PromptTokenSeconds is the prefill time of a prompt token in seconds, and PrefillCount the
+	// number of prompts by which it is weighted.
 	PromptTokenSeconds float64 `json:"prefill"`
 	PrefillCount       float64 `json:"prefills"`
 }
--- a/roles/profiles.go
+++ b/roles/profiles.go
@@ -28,7 +28,8 @@
 	change(m.byService[s])
 }
 
-// PromptTokenTime is Profile.PromptTokenTime of a service; zero if the service has no profile.
+// PromptTokenTime returns the prefill time of one prompt token of a service at an idle engine;
+// zero if no prompt of the service has been recorded.
 func (m *Profiles) PromptTokenTime(s domain.Service) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -38,7 +39,7 @@
 	return m.byService[s].PromptTokenTime()
 }
 
-// Samples returns the Sample of each service.
+// Samples returns what this process measured of the requests of each service.
 func (m *Profiles) Samples(now time.Time) map[domain.Service]Sample {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/roles/roles.go
+++ b/roles/roles.go
@@ -41,12 +41,13 @@
 )
 
 const (
-	// HighWatermark is the pressure above which a pool needs another engine. Beyond some
-	// 85% utilization, waiting times grow faster than the load.
+	// HighWatermark is the pressure, the fraction of a pool's engines that its demand keeps
+	// busy, above which the pool needs another engine. Beyond some 85% utilization, waiting
+	// times grow faster than the load.
 	HighWatermark = 0.85
-	// LowWatermark is the pressure that a donor must stay under. The gap to HighWatermark
-	// is more than the difference that one engine of nine makes, and more than the noise
-	// of a smoothed load.
+	// LowWatermark is the pressure that a donor must stay under without the engines that it
+	// gives. The gap to HighWatermark is more than the difference that one engine of nine
+	// makes, and more than the noise of a smoothed load.
 	LowWatermark = 0.70
 	// SmoothingTime is the time constant of the smoothed demand, about the duration of a
 	// change, so that no load that is shorter than a change causes one.
@@ -54,8 +55,9 @@
 	// DecayTime is the time constant with which a donor's recent peak demand decays; it
 	// rises at once. No engine is taken from a pool that needed it some minutes ago.
 	DecayTime = 3 * time.Minute
-	// Hold is how long a pool must have been above HighWatermark. Smoothing would be
-	// enough, except for a planner that has just started and has only a few samples.
+	// Hold is how long a pool must have been above HighWatermark before it gets an engine.
+	// Smoothing would be enough, except for a planner that has just started and has only a
+	// few samples.
 	Hold = 30 * time.Second
 	// Cooldown is the least time between two changes in a pool: the duration of a change
 	// and a part of SmoothingTime for its effect to show. It doubles, up to CooldownMax,
@@ -64,16 +66,17 @@
 	Cooldown       = 2 * time.Minute
 	CooldownMax    = 32 * time.Minute
 	ReversalFactor = 5
-	// MaxStep is the fraction of a pool that may change at once; at least one engine.
+	// MaxStep is the fraction of the donor's engines that may move at once to a pool above
+	// HighWatermark; at least one engine.
 	MaxStep = 0.1
-	// MinReplicas is the number of engines that a pool keeps.
+	// MinReplicas is the number of engines that a donor pool keeps at least.
 	MinReplicas = 1
 	// MaxLoads is the number of equal shares into which the weight store's rate is divided,
-	// and so the most loads at once. With fixed shares a load takes as long as its order
-	// states, and two failed long loads leave room for a third engine.
+	// and so the most loads of weights at once. With fixed shares a load takes as long as
+	// its order states, and two failed long loads leave room for a third engine.
 	MaxLoads = 2
 	// ChangeTimeout is the time after which an engine that is still changing no longer
-	// blocks changes in its pool. It counts as lost until it reports that it is done.
+	// blocks changes in its pool. It counts as lost until it reports that its change is done.
 	ChangeTimeout = 10 * time.Minute
 )
 
@@ -143,11 +146,11 @@
 	imbalancedSince map[Pool]time.Time // since when the receiver of a balancing move
 }
 
-// change is a change of a pool.
+// change is a move of engines to or from a pool.
 type change struct {
 	at       time.Time
-	gained   bool // received engines; false if it gave them
-	cooldown time.Duration
+	gained   bool          // received engines; false if it gave them
+	cooldown time.Duration // time after at in which the pool takes part in no other move
 }
 
 // Plan returns the orders to send now, each with a fencing token from issue, which is
@@ -161,12 +164,12 @@
 	if found {
 		engines := p.pickEngines(v, to, from)
 		if t := p.Timing; t.BalanceMargin > 0 && to.pool.Model == from.pool.Model {
-			engines = pickBalancing(t.BalanceMargin, to, from)
+			engines = pickBalancingEngines(t.BalanceMargin, to, from)
 		}
 		return p.issueOrders(now, v, to, from, engines, issue)
 	}
 	if to, from, found = p.balance(now, states); found {
-		return p.issueOrders(now, v, to, from, pickBalancing(p.Timing.BalanceMargin, to, from), issue)
+		return p.issueOrders(now, v, to, from, pickBalancingEngines(p.Timing.BalanceMargin, to, from), issue)
 	}
 	return nil
 }
@@ -214,7 +217,7 @@
 
 func (p *Planner) needsEngine(now time.Time, s poolState) bool {
 	if p.Timing.BalanceMargin > 0 && len(s.engines) > 0 {
-		return false // balanced at any load
+		return false // balance moves engines to this pool at any load
 	}
 	since, high := p.aboveHighSince[s.pool]
 	if !high || s.pool.Role == domain.RoleApp || s.changing > 0 || !p.cooledDown(now, s.pool) {
--- a/roles/roles_test.go
+++ b/roles/roles_test.go
@@ -41,9 +41,9 @@
 	return func(time.Time) (fence.Token, error) { n++; return n, nil }
 }
 
-// naivePlan follows the load at once: it moves an engine whenever that lowers the higher
+// greedyPlan follows the load at once: it moves an engine whenever that lowers the higher
 // pressure of the two pools.
-func naivePlan(v View) []Order {
+func greedyPlan(v View) []Order {
 	var counts [2]float64
 	var donor [2]*Engine
 	pools := []Pool{prefill, decode}
@@ -69,9 +69,9 @@
 }
 
 type result struct {
-	changes int
-	served  float64 // fraction of the demand
-	last    time.Duration
+	changes    int
+	served     float64 // fraction of the demand
+	lastChange time.Duration
 }
 
 // simulate runs nine engines for the given time, with a plan each second.
@@ -96,7 +96,7 @@
 		served, offered = served+fraction*(p+d), offered+p+d
 		for _, o := range plan(now, View{Engines: engines, Demand: map[Pool]float64{prefill: p, decode: d}}) {
 			r.changes++
-			r.last = at
+			r.lastChange = at
 			for i := range engines {
 				if engines[i].Host == o.Host {
 					engines[i].Pool, engines[i].Changing, engines[i].Since = o.To, true, now
@@ -108,30 +108,30 @@
 	return r
 }
 
-func comparePlans(t *testing.T, name string, length time.Duration, demand func(time.Duration) (float64, float64)) (none, naive, planned result) {
+func comparePlans(t *testing.T, name string, length time.Duration, demand func(time.Duration) (float64, float64)) (none, greedy, planned result) {
 	t.Helper()
 	var p Planner
 	issue := tokens()
 	none = simulate(length, func(time.Time, View) []Order { return nil }, demand)
-	naive = simulate(length, func(_ time.Time, v View) []Order { return naivePlan(v) }, demand)
+	greedy = simulate(length, func(_ time.Time, v View) []Order { return greedyPlan(v) }, demand)
 	planned = simulate(length, func(now time.Time, v View) []Order { return p.Plan(now, v, issue) }, demand)
-	t.Logf("%s: served %.3f without changes, %.3f naive (%d changes), %.3f planned (%d changes, last at %s)",
-		name, none.served, naive.served, naive.changes, planned.served, planned.changes, planned.last)
-	return none, naive, planned
+	t.Logf("%s: served %.3f without changes, %.3f greedy (%d changes), %.3f planned (%d changes, last at %s)",
+		name, none.served, greedy.served, greedy.changes, planned.served, planned.changes, planned.lastChange)
+	return none, greedy, planned
 }
 
 // Guards against changes under a load that shifts between long prompts and long answers every
 // 20 s: engines would be draining all the time while requests wait.
 func TestPlanUnderFastOscillationMovesNothing(t *testing.T) {
-	none, naive, planned := comparePlans(t, "oscillating, 20 s", 30*time.Minute, func(at time.Duration) (float64, float64) {
+	none, greedy, planned := comparePlans(t, "oscillating, 20 s", 30*time.Minute, func(at time.Duration) (float64, float64) {
 		if at/(20*time.Second)%2 == 0 {
 			return 4, 4
 		}
 		return 1.2, 5.5
 	})
 	require.Zero(t, planned.changes)
-	require.Greater(t, naive.changes, 50)
-	require.Greater(t, planned.served, naive.served)
+	require.Greater(t, greedy.changes, 50)
+	require.Greater(t, planned.served, greedy.served)
 	require.InDelta(t, none.served, planned.served, 1e-9)
 }
 
@@ -171,14 +171,14 @@
 }
 
 func TestCooldownBoundsChangesUnderSlowOscillation(t *testing.T) {
-	_, naive, planned := comparePlans(t, "oscillating, 10 min", 2*time.Hour, func(at time.Duration) (float64, float64) {
+	_, greedy, planned := comparePlans(t, "oscillating, 10 min", 2*time.Hour, func(at time.Duration) (float64, float64) {
 		if at/(10*time.Minute)%2 == 0 {
 			return 2, 5
 		}
 		return 4.5, 2.5
 	})
 	require.LessOrEqual(t, planned.changes, int(2*time.Hour/Cooldown))
-	require.LessOrEqual(t, planned.changes, naive.changes)
+	require.LessOrEqual(t, planned.changes, greedy.changes)
 }
 
 // Guards against a planner that does not follow a lasting shift, here to long prompts and short
@@ -192,7 +192,7 @@
 	})
 	require.Greater(t, planned.served, none.served+0.2)
 	require.LessOrEqual(t, planned.changes, 4)
-	require.Less(t, planned.last, 10*time.Minute)
+	require.Less(t, planned.lastChange, 10*time.Minute)
 }
 
 func TestPlanWithoutLeaseReturnsNoOrders(t *testing.T) {
@@ -270,8 +270,9 @@
 	require.Greater(t, moved, 15)
 }
 
-// naivePairs returns all pairs of pools between which the rule allows a move, by trying each.
-func naivePairs(v View) map[[2]Pool]bool {
+// allowedMoves returns, for each pair of donor and receiver, whether the rule for watermarks allows
+// a move, by trying each pair.
+func allowedMoves(v View) map[[2]Pool]bool {
 	count := make(map[Pool]float64)
 	changing := make(map[Pool]bool)
 	loads := 0
@@ -296,7 +297,7 @@
 	return allowed
 }
 
-func TestOrdersAgreeWithNaive(t *testing.T) {
+func TestOrdersAgreeWithAllowedMoves(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		pools := rapid.SliceOfN(rapid.SampledFrom([]Pool{prefill, decode, other}), 1, 30).Draw(t, "pools")
 		v := View{Engines: fleet(pools...), Demand: make(map[Pool]float64)}
@@ -315,7 +316,7 @@
 			p.aboveHighSince[pool] = start.Add(-Hold)
 		}
 		orders := p.Plan(start, v, tokens())
-		allowed := naivePairs(v)
+		allowed := allowedMoves(v)
 		require.Equal(t, len(allowed) > 0, len(orders) > 0, "%v", allowed)
 		for _, o := range orders {
 			require.True(t, allowed[[2]Pool{o.From, o.To}], "%v", o)
--- a/roles/state.go
+++ b/roles/state.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// poolState is a pool during one call of Plan.
+// poolState is a pool with its engines and its smoothed demand, during one call of Plan.
 type poolState struct {
 	pool       Pool
 	engines    []Engine // in service
@@ -65,7 +65,8 @@
 	}
 }
 
-// smoothingWeight returns the weight of a new sample in an exponential mean.
+// smoothingWeight returns the weight of a new sample in an exponential mean with the given time
+// constant, when the last sample is so long ago.
 func smoothingWeight(elapsed, constant time.Duration) float64 {
 	return 1 - math.Exp(-float64(elapsed)/float64(constant))
 }
--- a/roles/timing.go
+++ b/roles/timing.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Timing holds the time constants of a planner. A zero time takes the constant of the same
-// name, which suits changes that load weights and take minutes.
+// Timing holds the time constants of a planner. A zero time stands for the package constant of
+// the same name, which suits changes that load weights and take minutes.
 type Timing struct {
 	SmoothingTime, DecayTime, Hold, Cooldown time.Duration
 	// BalanceMargin, if not zero, moves engines between the roles of one model at any load:
