--- a/direct/allocation.go
+++ b/direct/allocation.go
@@ -46,16 +46,16 @@
 // allocate finds an engine of the role with memory for the request, and reserves the
 // memory, before any work is spent on the request.
 //
-// Without it, in a burst, prompts would be prefilled for answers that no engine has memory
-// for, and the requests refused after the wait. The reservation is reliable because the
-// engine itself counts what it has promised to all entries together.
+// Without the reservation, in a burst, prompts would be prefilled for answers that no
+// engine has memory for, and the requests refused after the wait. The reservation is
+// reliable because the engine itself counts what it has promised to all entries together.
 func (s *Server) allocate(ctx context.Context, r *request, role domain.Role) (*allocation, *failure) {
 	l := s.queues.For(r.service.Name)
 	i, until, late := queueItem(l, r)
 	late = late || r.overQuota && !r.responseBegun
-	if found, any := s.tryEngines(ctx, r, role, late); found != nil {
+	if found, anyEngine := s.tryEngines(ctx, r, role, late); found != nil {
 		return found, nil
-	} else if !any {
+	} else if !anyEngine {
 		return nil, s.noUpstreamFailure(r, role)
 	}
 	if r.overQuota && !r.responseBegun {
@@ -69,13 +69,13 @@
 	}
 	defer l.Release()
 	for {
-		found, any := s.tryEngines(ctx, r, role, late)
+		found, anyEngine := s.tryEngines(ctx, r, role, late)
 		switch {
 		case found != nil:
 			return found, nil
 		case ctx.Err() != nil:
 			return nil, s.queueFailure(ctx, r, &queue.Refusal{Reason: domain.ReasonOf(ctx)})
-		case !any:
+		case !anyEngine:
 			return nil, s.noUpstreamFailure(r, role)
 		case !time.Now().Before(until):
 			return nil, s.queueFailure(ctx, r, l.Expire(i))
@@ -118,9 +118,9 @@
 	return f
 }
 
-// tryEngines asks the engines that may have memory for the request, the best first. any
-// reports whether there is an engine at all.
-func (s *Server) tryEngines(ctx context.Context, r *request, role domain.Role, late bool) (found *allocation, any bool) {
+// tryEngines asks the engines that may have memory for the request to reserve it, the best
+// engine first. anyEngine reports whether there is an engine left to ask.
+func (s *Server) tryEngines(ctx context.Context, r *request, role domain.Role, late bool) (found *allocation, anyEngine bool) {
 	load := route.Request{
 		SkipExcluded: true, Units: 1, Tokens: r.expectedTokens(), Typical: route.RequestSize{Tokens: r.expectedTokens()},
 		MemoryPressureCost: fullEngineCost, FailureCost: r.failCost(), CrossZoneCost: crossZoneStageCost,
@@ -216,10 +216,10 @@
 
 // competingEntries counts the entries that look for memory at the same engines.
 //
-// Until the records are read, the number of entries is assumed high, to keep the sum of all
-// shares small. Used here, that assumption made an entry that was alone leave a full engine
-// for longer than its requests may wait, so that requests were refused although memory had
-// become free.
+// Until the entries' records are read, the number of entries is assumed high, to keep the
+// sum of all entries' shares of the retry budget small. Used here, that assumption made an
+// entry that was alone leave a full engine for longer than its requests may wait, so that
+// requests were refused although memory had become free.
 func (s *Server) competingEntries(now time.Time) int {
 	if s.members.loaded.Load() {
 		return s.members.count(now)
@@ -261,7 +261,7 @@
 func (s *Server) releaseReservationNow(ctx context.Context, r *request, u *roster.Upstream, h Reservation) {
 	reply, _, err := s.exchange(ctx, r.id, u, s.Protocol.ReleaseRequest(h))
 	if err != nil {
-		s.Log.Info("reservation not released", "request", r.id, "err", err)
+		s.Log.Info("memory reservation not released", "request", r.id, "err", err)
 		return
 	}
 	s.readShortResponse(reply)
--- a/direct/assign.go
+++ b/direct/assign.go
@@ -13,12 +13,12 @@
 
 const (
 	// assignPath is the peer endpoint that assigns a prefill engine, and assignEndPath the
-	// one that is notified when the assigned work has ended. Both are called at the entry
-	// that tracks the engines of the shard.
+	// endpoint that is notified when the assigned work has ended. Both are called at the
+	// entry that tracks the load of the prefill engines in a shard.
 	assignPath    = "/v1/assign"
 	assignEndPath = "/v1/assign_end"
-	// assignMaxFailureRate is the share of failed answers above which an entry excludes an
-	// engine from its assignment requests.
+	// assignMaxFailureRate is the share of an engine's answers that are failures above which
+	// an entry excludes the engine from its assignment requests.
 	assignMaxFailureRate = 0.5
 )
 
@@ -73,22 +73,22 @@
 	return p, a
 }
 
-// prefillEngines returns the number of prefill engines of the service, and those that the
-// request has tried already or that this entry sees refusing or failing.
-func (s *Server) prefillEngines(r *request, l route.Request) (n int, skip []roster.ID) {
+// prefillEngines returns the number of prefill engines of the service, and the engines that
+// must not be assigned: the request has tried them, or this entry sees them refuse or fail.
+func (s *Server) prefillEngines(r *request, l route.Request) (total int, skip []roster.ID) {
 	now := time.Now()
 	for _, u := range s.roster.Upstreams(r.service.Name) {
 		m := u.Server()
 		if m.Role != domain.RolePrefill {
 			continue
 		}
-		n++
+		total++
 		c := u.Stats.Candidate(now)
 		if r.excluded[m.Key()] || !u.Eligibility(now).Eligible() || c.Excluded || c.FailureRate > assignMaxFailureRate || l.OnlyResponsive && !c.Responsive {
 			skip = append(skip, m.ID)
 		}
 	}
-	return n, skip
+	return total, skip
 }
 
 // assignLocally assigns an engine by the load that is tracked in this process.
--- a/direct/attempt.go
+++ b/direct/attempt.go
@@ -26,7 +26,8 @@
 	// the request.
 	headerTimeout time.Duration
 	startedAt     time.Time
-	// loadCounted means that the upstream's load already includes the attempt.
+	// loadCounted means that the load which this entry tracks for the upstream already
+	// includes the attempt.
 	loadCounted bool
 	// permit is the attempt's permit by the upstream's rate limit.
 	permit permit
@@ -92,7 +93,7 @@
 }
 
 // answersRequest reports whether a response belongs to the request. A response without a
-// request id does.
+// request id is taken to belong to it.
 func (s *Server) answersRequest(r *request, h http.Header) bool {
 	id := s.Protocol.ParseResponse(http.StatusOK, h).ID
 	if id == "" || id == r.id {
@@ -161,8 +162,9 @@
 	}
 }
 
-// finishAnswered records an attempt that got a response. took is the time to it, units the
-// work in it; good is false if the response reports a failure of the upstream.
+// finishAnswered records an attempt that got a response. took is the time to the response,
+// units the amount of work in it; succeeded is false if the response reports a failure of
+// the upstream.
 func (s *Server) finishAnswered(r *request, a *attempt, took time.Duration, units int, succeeded bool) {
 	now := time.Now()
 	s.releaseLoad(r, a)
--- a/direct/budget.go
+++ b/direct/budget.go
@@ -26,8 +26,8 @@
 	return b.byService[s]
 }
 
-// retryTerms returns the bounds on retries in this process: the ratio and the time span of
-// the whole fleet, and this entry's share of the fixed number.
+// retryTerms returns the bounds on retries in this process: the fleet's ratio of retries to
+// requests and its time span, and this entry's share of the fixed number of retries.
 func (s *Server) retryTerms() retry.WindowConfig {
 	p := s.liveSettings.Load().RetryBudget
 	return retry.WindowConfig{Ratio: p.Ratio, Fixed: p.Fixed / float64(s.members.count(time.Now())) * fixedRetryPart, Span: p.Window}
--- a/direct/change.go
+++ b/direct/change.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	// roleChangeRetention is how long the notice names a role change: several times the
-	// delay of a watch.
+	// roleChangeRetention is how long the roles notice names a role change after it was
+	// ordered: several times the delay of a watch.
 	roleChangeRetention = 5 * time.Second
-	// roleChangeMargin is added to the engine's switch time, for the requests that the
-	// engine still runs.
+	// roleChangeMargin is added to the engine's switch time to estimate how long a role
+	// change takes, for the requests that the engine still runs.
 	roleChangeMargin = 2 * time.Second
 )
 
@@ -46,7 +46,8 @@
 	orderedAt time.Time
 }
 
-// add adds orders given at now, and returns all changes that the notice is to name.
+// add adds role changes that were ordered at now, and returns all changes that the notice
+// is to name.
 func (c *recentChanges) add(now time.Time, orders []RoleChange) []RoleChange {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/direct/crash.go
+++ b/direct/crash.go
@@ -29,7 +29,7 @@
 // requests of this one.
 //
 // A request that crashes each upstream may be sent again by its caller to a different entry
-// each time. Each entry would see only one crash, and none would stop the request.
+// each time. Each entry would see only one crash, and no entry would block the request.
 func (s *Server) announceCrashes() {
 	if s.Notices == nil || s.Records == nil {
 		return
@@ -41,7 +41,7 @@
 	})
 }
 
-// mergeCrashes merges the crashes that another entry saw.
+// mergeCrashes merges the crashes that another entry saw into the evidence of this entry.
 func (s *Server) mergeCrashes(now time.Time, n Notice) {
 	if len(n.Evidence.Deaths) == 0 || n.By == s.Settings.Name {
 		return
@@ -60,7 +60,7 @@
 	ids := s.crashes.RunningOn(a.start.Key(), r, r.identity)
 	addr := a.upstream.Server().Addr
 	s.background("probe upstream", 2*probeTimeout, func(ctx context.Context) error {
-		err := probe(ctx, addr)
+		err := dialUpstream(ctx, addr)
 		if err == nil && !a.upstream.Restarted() {
 			return nil
 		}
@@ -72,8 +72,8 @@
 	})
 }
 
-// probe dials an address and returns the error, nil if the connection was accepted.
-func probe(ctx context.Context, addr netip.AddrPort) error {
+// dialUpstream dials an upstream, and returns nil if the connection was accepted.
+func dialUpstream(ctx context.Context, addr netip.AddrPort) error {
 	d := net.Dialer{Timeout: probeTimeout}
 	c, err := d.DialContext(ctx, "tcp", addr.String())
 	if err != nil {
--- a/direct/direct.go
+++ b/direct/direct.go
@@ -65,7 +65,7 @@
 	// Records, if set, is the store of the lease that the one entry holds which changes the
 	// roles of engines; without it no engine changes its role.
 	Records lease.Records
-	// Meter takes the counters and histograms.
+	// Meter records the counters and histograms; if nil, Run creates one.
 	Meter *meter.Registry
 	// Reload, if set, reads the settings again. It is called on each signal of
 	// ReloadSignals, and periodically, since settings also change without a signal.
@@ -75,20 +75,20 @@
 	OnListen func(callers, ready netip.AddrPort)
 
 	// liveSettings are the settings that may change while the process runs.
-	liveSettings  atomic.Pointer[conf.Direct]
-	config        paths.Holder
-	roster        roster.Directory
-	crashes       retry.Crashes[roster.InstanceKey, *request]
-	retryBudgets  retryBudgets
-	queues        search.Queues
-	ages          delay.AgeEstimator
-	members       members
-	recentChanges recentChanges
-	profiles      roles.Profiles
-	peers         peers
-	recordCache   recordCache
-	// configReturns spreads the retries of requests that arrive before the configuration is
-	// known.
+	liveSettings     atomic.Pointer[conf.Direct]
+	config           paths.Holder
+	roster           roster.Directory
+	crashes          retry.Crashes[roster.InstanceKey, *request]
+	retryBudgets     retryBudgets
+	queues           search.Queues
+	ages             delay.AgeEstimator
+	members          members
+	recentChanges    recentChanges
+	profiles         roles.Profiles
+	peers            peers
+	entryRecordCache entryRecordCache
+	// configRetryAfter spreads the retries of requests that arrive before the configuration
+	// is known.
 	configRetryAfter delay.RetryEstimator
 	quotas           quotas
 	limits           limits
@@ -126,7 +126,7 @@
 	if err != nil {
 		return errors.Wrap(err, "direct: opening the ready_listen address")
 	}
-	others, peerListener, err := s.listenPeers()
+	peerServer, peerListener, err := s.listenPeers()
 	if err != nil {
 		return err
 	}
@@ -152,8 +152,8 @@
 	loops.Go(serving, "callers", func(context.Context) error { return serveOn(public, callers) })
 	loops.Go(serving, "balancer", func(context.Context) error { return serveOn(balancer, ready) })
 	loops.Go(serving, "entry probes", s.watchPeers)
-	if others != nil {
-		loops.Go(serving, "other entries", servePeers(others, peerListener))
+	if peerServer != nil {
+		loops.Go(serving, "other entries", servePeers(peerServer, peerListener))
 	}
 	if s.Settings.MetricsListen.IsValid() {
 		loops.Go(serving, "metrics", func(ctx context.Context) error { return s.Meter.Serve(ctx, s.Settings.MetricsListen) })
@@ -165,8 +165,8 @@
 	<-ctx.Done()
 	s.drain(public)
 	_ = balancer.Close()
-	if others != nil {
-		_ = others.Close()
+	if peerServer != nil {
+		_ = peerServer.Close()
 	}
 	stop()
 	s.backgroundWork.Close()
@@ -178,7 +178,7 @@
 }
 
 // startFeeds starts following the platform's store. If other entries can be asked for its
-// contents, nothing waits for the records of the entries.
+// contents, the start does not wait for the records of the entries.
 func (s *Server) startFeeds(ctx context.Context, loops *group.Group) {
 	if s.seedRelays(ctx) {
 		loops.Go(ctx, "relays", s.discoverRelays)
@@ -238,7 +238,8 @@
 	return nil
 }
 
-// background runs fn beyond the end of the request, for at most the given time.
+// background runs fn in a goroutine that may outlive the request it works for, for at most
+// the given time. name appears in the log line of its error.
 func (s *Server) background(name string, within time.Duration, fn func(context.Context) error) {
 	s.backgroundWork.Go(s.backgroundCtx, name, func(ctx context.Context) error {
 		ctx, cancel := context.WithTimeout(ctx, within)
@@ -306,7 +307,8 @@
 // newRandom returns a random source for one request.
 func newRandom() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
 
-// defaultIdleTimeout applies while no configuration sets an idle timeout.
+// defaultIdleTimeout is how long a caller's connection is kept without a request while no
+// configuration sets an idle timeout.
 const defaultIdleTimeout = time.Minute
 
 // idleTimeout is how long a caller's connection is kept without a request.
--- a/direct/end.go
+++ b/direct/end.go
@@ -46,7 +46,7 @@
 	problem.Status = status
 	r.w.WriteHeader(status)
 	if err := json.NewEncoder(r.w).Encode(problem); err != nil {
-		s.Log.Debug("refusal not written", "request", r.id, "err", err)
+		s.Log.Debug("refusal not written to the caller", "request", r.id, "err", err)
 	}
 }
 
--- a/direct/engines.go
+++ b/direct/engines.go
@@ -36,18 +36,21 @@
 	now := time.Now()
 	var all []*roster.Upstream
 	for _, u := range s.roster.Upstreams(service) {
-		if m := u.Server(); m.Role != "" && stays(u.Eligibility(now)) {
+		if m := u.Server(); m.Role != "" && remainsInService(u.Eligibility(now)) {
 			all = append(all, u)
 		}
 	}
 	return all
 }
 
-// stays reports whether an upstream will be sent requests again.
-func stays(a roster.Eligibility) bool { return a.Eligible() || a.Reason == roster.ExcludedBackoff }
+// remainsInService reports whether an upstream is sent requests now or after its backoff.
+func remainsInService(a roster.Eligibility) bool {
+	return a.Eligible() || a.Reason == roster.ExcludedBackoff
+}
 
-// sample returns the engines to be polled: the same ones each time, apart from engines that
-// come and go, so that connections are reused.
+// sample returns the engines to be polled: the same engines each time, apart from engines
+// that are added or removed, so that connections are reused. salt makes the samples of two
+// entries differ.
 func sample(pool []*roster.Upstream, salt domain.Host) []*roster.Upstream {
 	if len(pool) <= maxPolledEngines {
 		return pool
--- a/direct/exchange.go
+++ b/direct/exchange.go
@@ -44,7 +44,8 @@
 	return false
 }
 
-// failNotSent ends an attempt that was not sent, and releases all that was taken for it.
+// failNotSent ends an attempt that was not sent, and releases its load, its reservation and
+// its permit.
 func (s *Server) failNotSent(r *request, a *attempt) *failure {
 	if a.loadCounted {
 		a.upstream.Stats.RequestEnded(a.cost)
--- a/direct/limit.go
+++ b/direct/limit.go
@@ -20,13 +20,13 @@
 	// limitUpdatePath is the peer endpoint that is notified when a limit has begun, fallen
 	// far or ended.
 	limitUpdatePath = "/v1/limit_news"
-	// maxLimitRecheck bounds how long an entry that was denied does not call the owner
-	// again: meanwhile it is not notified by the response that the limit has ended.
+	// maxLimitRecheck bounds how long an entry that was denied a permit does not call the
+	// owner again: meanwhile it learns from no response that the limit has ended.
 	maxLimitRecheck = 2 * time.Second
 	// limitBroadcastTimeout bounds the calls that notify all entries of a limit.
 	limitBroadcastTimeout = 5 * time.Second
-	// noPermitRetryAfter is the time to the next try if the request ended before a permit
-	// was granted.
+	// noPermitRetryAfter is the time after which to try an upstream again if the request
+	// ended before its permit was granted.
 	noPermitRetryAfter = time.Second
 )
 
@@ -42,11 +42,11 @@
 // limitOp is the operation that a limitRequest asks for.
 type limitOp string
 
-// The operations.
+// The operations on a rate limit that are requested from its owner.
 const (
-	limitTake   limitOp = "take"
-	limitRefund limitOp = "give"
-	// limitReport only reports what the upstream stated.
+	limitTake   limitOp = "take" // acquires a permit
+	limitRefund limitOp = "give" // returns an unused permit
+	// limitReport only reports the rate limit that the upstream stated.
 	limitReport limitOp = "tell"
 )
 
@@ -59,7 +59,7 @@
 	MaxWait time.Duration `json:"within,omitempty"`
 }
 
-// limitResponse is the owner's decision, and the limit that it last observed.
+// limitResponse is the owner's decision, and the rate limit that it last observed.
 type limitResponse struct {
 	Granted bool                 `json:"granted"`
 	Wait    time.Duration        `json:"wait"`
@@ -82,8 +82,8 @@
 	return []any{"limit_by", p.grantedBy, "limit_wait", p.wait}
 }
 
-// avoidLimited excludes an upstream whose rate limit allows the request only after wait.
-func (r *request) avoidLimited(u *roster.Upstream, wait time.Duration) {
+// excludeLimited excludes an upstream whose rate limit allows the request only after wait.
+func (r *request) excludeLimited(u *roster.Upstream, wait time.Duration) {
 	r.exclude(u)
 	if r.limitWait == 0 || wait < r.limitWait {
 		r.limitWait = max(wait, time.Millisecond)
@@ -100,16 +100,16 @@
 	if !n.RateLimit.Limited() && (n.NotExecuted || status >= http.StatusInternalServerError) {
 		return
 	}
-	if s.learnLimit(a.upstream, pacer.Observation{Rate: n.RateLimit, Sent: a.startedAt, Received: time.Now()}, r.id, "answer") {
+	if s.observeLimit(a.upstream, pacer.Observation{Rate: n.RateLimit, Sent: a.startedAt, Received: time.Now()}, r.id, "answer") {
 		s.reportLimit(a.upstream)
 	}
 }
 
-// learnLimit takes a statement of a rate limit, and reports whether the limit that this
-// process assumes has changed.
-func (s *Server) learnLimit(u *roster.Upstream, st pacer.Observation, id domain.RequestID, by string) bool {
+// observeLimit records an observation of a rate limit, and reports whether the limit that
+// this process assumes has changed. by names the source of the observation in the log.
+func (s *Server) observeLimit(u *roster.Upstream, observation pacer.Observation, id domain.RequestID, by string) bool {
 	_, age := u.Stats.RateLimit(time.Now())
-	before, rate := u.Stats.ObserveRateLimit(st)
+	before, rate := u.Stats.ObserveRateLimit(observation)
 	if before == rate {
 		return false
 	}
@@ -120,8 +120,8 @@
 }
 
 // reportLimit reports, in the background, an upstream's rate limit to its owner. The owner
-// broadcasts urgent changes, and notifies the others of the rest in the responses to their
-// calls.
+// broadcasts urgent changes, and notifies the other entries of all other changes in the
+// responses to their calls.
 func (s *Server) reportLimit(u *roster.Upstream) {
 	s.background("report rate limit", maxOwnerTries*ownerTimeout, func(ctx context.Context) error {
 		s.callLimitOwner(ctx, u, limitRequest{Op: limitReport})
@@ -142,7 +142,7 @@
 		answer, grantedBy := limitResponse{Wait: u.Stats.RateLimitWait(now)}, "known"
 		if answer.Wait <= within {
 			answer, grantedBy = s.callLimitOwner(ctx, u, limitRequest{Op: limitTake, MaxWait: within})
-			s.learnLimit(u, answer.Stated.At(time.Now()), r.id, grantedBy)
+			s.observeLimit(u, answer.Stated.At(time.Now()), r.id, grantedBy)
 		}
 		if !answer.Granted {
 			u.Stats.SetRateLimitWait(now.Add(min(answer.Wait, maxLimitRecheck)))
@@ -241,14 +241,14 @@
 	})
 }
 
-// handleLimitUpdate takes a rate limit that another entry broadcast. It returns false if
+// handleLimitUpdate records a rate limit that another entry broadcast. It returns false if
 // the limit is invalid.
 func (s *Server) handleLimitUpdate(n limitUpdate) (struct{}, bool) {
 	if n.Stated.Rate < 0 {
 		return struct{}{}, false
 	}
 	if u := s.roster.ByInstance(n.Start); u != nil {
-		s.learnLimit(u, n.Stated.At(time.Now()), "", string(n.Sender))
+		s.observeLimit(u, n.Stated.At(time.Now()), "", string(n.Sender))
 	}
 	return struct{}{}, true
 }
--- a/direct/members.go
+++ b/direct/members.go
@@ -15,17 +15,18 @@
 	// memberPrefix is the collection of the entries' records in the store.
 	memberPrefix = "entries/"
 	// memberInterval is how often an entry reads the records of all entries, and the
-	// shortest time between two writes of its own.
+	// shortest time between two writes of its own record.
 	memberInterval = 30 * time.Second
-	// memberWriteSpacing is the time between two writes per entry in the fleet, so that all
-	// together write four records a second, whatever their number.
+	// memberWriteSpacing is the least time between two writes of an entry's record for each
+	// entry in the fleet, so that all entries together write at most four records a second,
+	// whatever their number.
 	memberWriteSpacing = 250 * time.Millisecond
 	// memberMaxMissed is how many writes an entry may miss before it is no longer counted.
 	memberMaxMissed = 4
 	// memberFirstRead is the delay from an entry's first write to its first read: by then
 	// entries that started together have written their records.
 	memberFirstRead = 3 * time.Second
-	// memberRetryDelay is the pause after a failed write or read.
+	// memberRetryDelay is the pause after a failed write or read of the records.
 	memberRetryDelay = 2 * time.Second
 	// minMembersAssumed is the least number of entries among which the retry budget is
 	// shared until the number is known: more than most deployments have.
@@ -50,7 +51,7 @@
 	Cores float64        `json:"cores,omitempty"`
 }
 
-// expiry is the time after a write at which the entry is taken for gone if its record was
+// expiry is the time after a write at which the entry is taken for stopped if its record was
 // not written again.
 func (m Member) expiry() time.Duration { return memberMaxMissed * max(m.Every, memberInterval) }
 
@@ -72,15 +73,16 @@
 	foundAtStart atomic.Int64
 }
 
-// memberSeen is an entry's last heartbeat, when it was first read, and how long it counts
-// from then.
+// memberSeen is an entry's last heartbeat, when the heartbeat was first read, and how long
+// the entry is counted from then on.
 type memberSeen struct {
 	heartbeat uint64
 	readAt    time.Time
 	expiry    time.Duration
 }
 
-// update replaces what is known by a reading of all records.
+// update replaces the counted entries by those in the given records. An entry whose
+// heartbeat has not changed keeps the time at which the heartbeat was first read.
 func (m *members) update(now time.Time, all []feed.Item[Member]) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -115,7 +117,7 @@
 func (s *Server) readMembers(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	all, err := s.readRecords(ctx)
+	all, err := s.readEntryRecords(ctx)
 	if err != nil {
 		return err
 	}
--- a/direct/mix.go
+++ b/direct/mix.go
@@ -26,25 +26,28 @@
 }
 
 const (
-	// mixPath is the peer endpoint that returns what an entry measured of its requests.
+	// mixPath is the peer endpoint that returns what an entry measured of its requests to
+	// each service.
 	mixPath = "/v1/mix"
 	// mixTimeout bounds a call of mixPath: one round trip, and the delay of an entry that
 	// waits for its share of a processor.
 	mixTimeout = 400 * time.Millisecond
-	// maxMixPeers bounds the entries that are asked: the ratio over some of them is close
-	// to that over all.
+	// maxMixPeers bounds the entries that are asked for their measurements: the ratio of
+	// prefill to decode engines over some entries is close to that over all.
 	maxMixPeers = 64
 )
 
-// serveMix answers the holder of the roles lease.
+// serveMix returns to the holder of the roles lease what this entry measured of its
+// requests.
 func (s *Server) serveMix(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(s.profiles.Samples(time.Now())); err != nil {
-		s.Log.Debug("mix response not written", "err", err)
+		s.Log.Debug("response with the measurements of requests not written", "err", err)
 	}
 }
 
-// fleetMix adds up what the entries measured. An entry that does not answer is left out.
+// fleetMix adds up what this and other entries measured of their requests to each service,
+// and returns how many other entries answered. An entry that does not answer is left out.
 func (s *Server) fleetMix(ctx context.Context) (sum map[domain.Service]roles.Sample, answered int) {
 	ctx, cancel := context.WithTimeout(ctx, mixTimeout)
 	defer cancel()
@@ -54,7 +57,7 @@
 		go func() { // ends with a value in answers, all of which are read below
 			all, err := fetchMix(ctx, p)
 			if err != nil {
-				s.Log.Debug("no mix received from entry", "entry", p.Name, "err", err)
+				s.Log.Debug("no measurements of requests received from entry", "entry", p.Name, "err", err)
 			}
 			answers <- all
 		}()
@@ -77,8 +80,9 @@
 	return all, err
 }
 
-// recordSent records in the load profile a stream that has its allocation.
-func (s *Server) recordSent(r *request) {
+// recordAllocated records in the load profile of its service a stream that has its
+// allocation.
+func (s *Server) recordAllocated(r *request) {
 	e := r.engine()
 	if e == nil || e.KVTokens <= 0 {
 		return
@@ -103,7 +107,7 @@
 	events    int
 }
 
-// add takes the bytes that were read of the answer.
+// add counts the events in the bytes that were read of the answer.
 func (p *eventPace) add(s *Server, r *request, b []byte) {
 	now := time.Now()
 	if p.startedAt.IsZero() {
--- a/direct/notice.go
+++ b/direct/notice.go
@@ -57,7 +57,7 @@
 	}
 }
 
-// writeNotice overwrites a notice.
+// writeNotice overwrites a notice in the store. A failure is only logged.
 func (s *Server) writeNotice(ctx context.Context, name string, n Notice) {
 	value, err := json.Marshal(n)
 	if err == nil {
--- a/direct/owner.go
+++ b/direct/owner.go
@@ -22,7 +22,7 @@
 	// maxOwnerTries is how many owners are called in turn, not counting those that are
 	// known not to answer.
 	maxOwnerTries = 2
-	// maxOwnerRequest bounds the body of a call, in bytes.
+	// maxOwnerRequest bounds the body of a call at an owner, in bytes.
 	maxOwnerRequest = 16 << 10
 	// alivePath is the peer endpoint that answers 200 while the process accepts calls.
 	alivePath = "/v1/alive"
@@ -40,7 +40,8 @@
 	})
 }
 
-// owner is the entry that answered a call; a nil peer stands for this process.
+// owner is the entry that answered a call about a key that it owns; a nil peer stands for
+// this process.
 type owner struct{ peer *relay.Peer }
 
 // name is the owner's name in log lines.
@@ -152,7 +153,7 @@
 		}
 		w.Header().Set("Content-Type", "application/json")
 		if err := json.NewEncoder(w).Encode(a); err != nil {
-			s.Log.Debug("response not written", "path", h.URL.Path, "err", err)
+			s.Log.Debug("response to another entry not written", "path", h.URL.Path, "err", err)
 		}
 	}
 }
--- a/direct/peer_config.go
+++ b/direct/peer_config.go
@@ -20,15 +20,16 @@
 const (
 	// configPath is the peer endpoint that returns the configuration in force.
 	configPath = "/v1/configuration"
-	// maxConfigPeers is how many other entries an entry asks at its start. configTimeout
-	// bounds a call, which transfers a configuration of up to some thousand routes.
+	// maxConfigPeers is how many other entries an entry asks for their configuration at its
+	// start. configTimeout bounds such a call, which transfers a configuration of up to
+	// some thousand routes.
 	maxConfigPeers = 3
 	configTimeout  = 250 * time.Millisecond
-	// maxConfigResponse bounds a response, in bytes.
+	// maxConfigResponse bounds the encoded configuration in a response, in bytes.
 	maxConfigResponse = 8 << 20
 )
 
-// serveConfig answers an entry that starts.
+// serveConfig returns the configuration in force to an entry that starts.
 func (s *Server) serveConfig(w http.ResponseWriter, _ *http.Request) {
 	c := s.config.Current()
 	if c == nil {
--- a/direct/peers.go
+++ b/direct/peers.go
@@ -15,8 +15,8 @@
 	"jacinthworks/roster"
 )
 
-// peers is what this entry serves to the other entries and asks of them. The zero value is
-// ready to use; it must not be copied.
+// peers holds the other entries, and the replicas of the store's collections that the
+// entries relay to each other. The zero value is ready to use; it must not be copied.
 type peers struct {
 	fleet     relay.Fleet
 	configs   relay.Replica[*paths.Config]
@@ -56,7 +56,7 @@
 	m.Handle("GET "+relay.Path+feedConfigs, relay.Handler(&s.peers.configs))
 	m.Handle("GET "+relay.Path+feedUpstreams, relay.Handler(&s.peers.upstreams))
 	m.Handle("GET "+relay.Path+feedNotices, relay.Handler(&s.peers.notices))
-	m.HandleFunc("GET "+recordsPath, s.serveRecords)
+	m.HandleFunc("GET "+entryRecordsPath, s.serveEntryRecords)
 	m.HandleFunc("GET "+mixPath, s.serveMix)
 	m.HandleFunc("GET "+configPath, s.serveConfig)
 	m.HandleFunc("GET "+alivePath, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
@@ -86,13 +86,13 @@
 	})
 }
 
-// setPeers takes the records of all entries. whole means that entries which started
-// together with this one had time to write theirs.
+// setPeers sets the members of the fleet by the records of all entries. whole means that
+// entries which started together with this one had time to write theirs.
 func (s *Server) setPeers(all []feed.Item[Member], whole bool) {
 	s.peers.fleet.SetMembers(relayMembers(time.Now(), feed.Values(all)), whole)
 }
 
-// relayMembers returns the entries that may be asked.
+// relayMembers returns the entries that may be asked for the contents of the store.
 //
 // Records of hosts that were removed for good stay in the store. If only such hosts were
 // relays, each entry would watch the store itself. So a record that was not written for
@@ -108,8 +108,9 @@
 }
 
 const (
-	// batchDelayPerEntry is the pause after changes per entry in the fleet, so that all
-	// entries together call the store at the same rate whatever their number.
+	// batchDelayPerEntry is the pause after changes in the store for each entry in the
+	// fleet, so that all entries together call the store at the same rate whatever their
+	// number.
 	batchDelayPerEntry = 15 * time.Millisecond
 	// maxBatchDelay bounds the pause after changes: they should be in force within a few
 	// seconds.
--- a/direct/place.go
+++ b/direct/place.go
@@ -13,18 +13,18 @@
 
 // The costs that placement weighs, as times or multiples of a target latency.
 const (
-	// lostFailCost is the cost, in targets, of a failure of a request that can't be
+	// lostFailCost is the cost, in target latencies, of a failure of a request that can't be
 	// retried: the request is lost.
 	lostFailCost = 10
-	// retryFailCost is the cost, in targets, of a failure of a request that can be retried:
-	// the request is late.
+	// retryFailCost is the cost, in target latencies, of a failure of a request that can be
+	// retried: the request is late.
 	retryFailCost = 1.5
 	// crossZoneCallCost and crossZoneStageCost are the costs of crossing availability
 	// zones, for a plain call and for a stage of a model request: the traffic is charged
 	// for, and a link between zones can fail.
 	crossZoneCallCost  = 10 * time.Millisecond
 	crossZoneStageCost = 20 * time.Millisecond
-	// defaultTargetLatency is for routes without a target.
+	// defaultTargetLatency is the target latency of routes that state none.
 	defaultTargetLatency = time.Second
 )
 
@@ -117,8 +117,8 @@
 }
 
 const (
-	// outputDivisor is the divisor of the limit on the answer that gives the expected
-	// answer, if the caller states no expectation.
+	// outputDivisor divides the limit on the answer's length; the quotient is the expected
+	// length if the caller states none.
 	outputDivisor = 3
 	// minOutputTokens is the least answer, in tokens, that memory is reserved for.
 	minOutputTokens = 64
--- a/direct/plain.go
+++ b/direct/plain.go
@@ -18,10 +18,11 @@
 	// maxBufferedResponse is the longest response, in bytes, that is read to its end before
 	// any of it is passed on: until then another attempt can replace it.
 	maxBufferedResponse = 256 << 10
-	// firstAttemptPart is the part of the target that the first attempt of a request which
-	// can be retried may take.
+	// firstAttemptPart is the part of the target latency that the first attempt of a request
+	// which can be retried may take.
 	firstAttemptPart = 0.55
-	// minAttemptTime is the least time for an attempt: several times the usual work.
+	// minAttemptTime is the least time for an attempt: several times what the work usually
+	// takes.
 	minAttemptTime = 60 * time.Millisecond
 )
 
@@ -35,7 +36,7 @@
 		}
 		permitted, wait, ok := s.acquirePermit(ctx, r, p.upstream, s.maxLimitWait(r, p.upstream))
 		if !ok {
-			r.avoidLimited(p.upstream, wait)
+			r.excludeLimited(p.upstream, wait)
 			continue
 		}
 		s.logPlacement(r, "", p, permitted.logFields()...)
@@ -197,13 +198,14 @@
 	return nil
 }
 
-// callerWriter remembers the error of a write to the caller.
+// callerWriter passes writes on to the caller and keeps the error of a failed write, which
+// io.Copy does not distinguish from a failed read.
 type callerWriter struct {
 	w   io.Writer
 	err error
 }
 
-// Write passes bytes on.
+// Write passes the bytes on to the caller.
 func (c *callerWriter) Write(b []byte) (int, error) {
 	n, err := c.w.Write(b)
 	if err != nil {
--- a/direct/prefill.go
+++ b/direct/prefill.go
@@ -40,7 +40,7 @@
 	// usualGapPart is the part of a route's longest gap that an answer takes between two
 	// events without a prompt being read beside it.
 	usualGapPart = 0.2
-	// freeTimeout bounds the call that frees a handle. The handle expires soon anyway.
+	// freeTimeout bounds the call that frees a KV cache handle, which expires soon anyway.
 	freeTimeout = time.Second
 )
 
@@ -139,7 +139,8 @@
 	return time.Duration(decodeSlowdown * float64(r.info.PromptTokens) * float64(tokenTime))
 }
 
-// maxPromptPause is how long the answers of an engine may pause for a prompt.
+// maxPromptPause is how long the answers of a decode engine may pause while it reads a
+// prompt.
 func (r *request) maxPromptPause() time.Duration {
 	gap := r.route.TargetGap
 	if gap <= 0 {
@@ -198,7 +199,7 @@
 	s.background("free handle", freeTimeout, func(ctx context.Context) error {
 		reply, _, err := s.exchange(ctx, r.id, p.upstream, s.Protocol.FreeHandleRequest(p.handle))
 		if err != nil {
-			s.Log.Info("handle not freed", "request", r.id, "err", err)
+			s.Log.Info("KV cache handle not freed", "request", r.id, "err", err)
 			return nil
 		}
 		s.readShortResponse(reply)
--- a/direct/queue_item.go
+++ b/direct/queue_item.go
@@ -16,9 +16,9 @@
 // its target is of little use to its caller. A late request gets only capacity that no
 // other request takes, or is refused with a time to retry.
 //
-// Part of a burst is refused and comes back in the next second. In order of arrival, these
-// retries would take the places of new requests, which would then be late as well, and the
-// lateness would outlast the burst.
+// Part of a burst is refused, and retried by the callers in the next second. In order of
+// arrival, these retries would take the places of new requests, which would then be late as
+// well, and the lateness would outlast the burst.
 func queueItem(l *search.Queue, r *request) (i queue.Item, until time.Time, late bool) {
 	firstEventLatency := l.FirstEventLatency()
 	i = queue.Item{
--- a/direct/quota.go
+++ b/direct/quota.go
@@ -13,14 +13,15 @@
 const (
 	// quotaPath is the peer endpoint at which the owner of an account's quota is called.
 	quotaPath = "/v1/quota"
-	// isolatedQuotaPart is the part of its share that an entry spends while it reaches no
-	// owner. The owners go on granting the whole quota, since they can't tell an entry that
-	// is cut off from one that has stopped.
+	// isolatedQuotaPart is the part of its share of an account's quota that an entry grants
+	// while it reaches no owner of the quota. The owners go on granting the whole quota,
+	// since they can't tell an entry that is cut off from one that has stopped.
 	isolatedQuotaPart = 0.2
 	// isolatedQuotaAccrual is how long the isolated counter of an entry counts as having
 	// accrued quota when the entry starts.
 	isolatedQuotaAccrual = time.Hour
-	// overQuotaPart is the part of the operators' tolerance that is granted to accounts.
+	// overQuotaPart is the part of the excess over quotas tolerated by the operators that is
+	// granted to accounts.
 	// The rest covers requests that reach their engines later than they were granted, and
 	// what is spent by entries that can't reach the owner.
 	overQuotaPart = 0.5
@@ -156,7 +157,7 @@
 	return s.applyQuota(time.Now(), a, call, s.isFirstOwner(quotaKey(a.Name))), true
 }
 
-// remainingWait is how long the account is known to be denied.
+// remainingWait is how long all requests of the account are still denied after a denial.
 //
 // An account may send many times its quota, and each denial costs the owner as much as a
 // grant. After one denial, an entry denies all requests of the account by itself until the
@@ -168,7 +169,7 @@
 	return max(0, q.exhaustedUntil[a].Sub(now))
 }
 
-// recordDenial remembers until when an account is denied.
+// recordDenial records until when an account is denied, unless the decision is a grant.
 func (q *quotas) recordDenial(now time.Time, a domain.Account, v quota.Decision) {
 	if v.Granted {
 		return
--- a/direct/reach.go
+++ b/direct/reach.go
@@ -20,7 +20,7 @@
 const (
 	// reachPath is the peer endpoint that reports which other entries an entry reaches.
 	reachPath = "/v1/reach"
-	// maxReachSample is how many other entries are called each time, drawn at random:
+	// maxReachSample is how many other entries are called in each probe, drawn at random:
 	// enough to tell which side of a partitioned fleet this entry is on.
 	maxReachSample = 16
 	// indirectProbeTimeout bounds a probe on behalf of another entry, within the time that
@@ -160,7 +160,8 @@
 	return answers
 }
 
-// handleReach probes the given entries for another one, and returns those that answer.
+// handleReach probes the given entries on behalf of another entry, and returns the entries
+// that answer.
 func (s *Server) handleReach(c reachRequest) (a reachResponse, ok bool) {
 	var calls group.Group
 	var mu sync.Mutex
--- a/direct/register.go
+++ b/direct/register.go
@@ -21,7 +21,8 @@
 }
 
 // nextMemberWrite is when a record that was last written at the given time is due: as
-// rarely as the size of the fleet asks for, but before the others take this entry for gone.
+// rarely as the size of the fleet asks for, but before the others take this entry for
+// stopped.
 func nextMemberWrite(written time.Time, every time.Duration, entries int) time.Time {
 	return written.Add(min(memberWriteInterval(entries), (memberMaxMissed-1)*max(every, memberInterval)))
 }
@@ -66,9 +67,10 @@
 	version infra.Version
 	// since is when an entry of this name first wrote the record.
 	since time.Time
-	// written is when it was last written; zero if the store may lack it.
+	// written is when the record was last written; zero if the store may lack it.
 	written time.Time
-	every   time.Duration
+	// every is the time to the next write, as the record states it.
+	every time.Duration
 }
 
 // adoptRecord takes over the record that an earlier start of this entry wrote. If it still
@@ -104,8 +106,8 @@
 	}
 }
 
-// waitRecord waits until the records are due again, and reports whether the store may lack
-// this entry's record.
+// waitRecord waits until the records are to be written and read again, and reports whether
+// the store may lack this entry's record.
 func (s *Server) waitRecord(ctx context.Context, wait time.Duration) (lacking bool) {
 	t := time.NewTimer(wait)
 	defer t.Stop()
@@ -122,8 +124,8 @@
 	return false
 }
 
-// writeMember overwrites the record. Only an earlier start of this entry may have written
-// it; the time of its first write is kept.
+// writeMember overwrites this entry's record in the store. Only an earlier start of this
+// entry may have written it; the time of its first write is kept.
 func (s *Server) writeMember(ctx context.Context, heartbeat uint64) error {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
--- a/direct/relays.go
+++ b/direct/relays.go
@@ -54,8 +54,9 @@
 	return len(recorded) > 0 || len(s.Settings.Seeds) > 0
 }
 
-// recordedRelays returns the relays of the record, nil if there is none. If the record
-// can't be read, the list is empty and not nil, so that only the seeds are asked.
+// recordedRelays returns the addresses of the relays in the RelayRecord, nil if there is
+// none. If the record can't be read, the list is empty and not nil, so that only the seeds
+// are asked.
 func (s *Server) recordedRelays(ctx context.Context) []netip.AddrPort {
 	if s.Relays == nil {
 		return nil
@@ -108,8 +109,8 @@
 }
 
 const (
-	// memberReadTimeout bounds the read of the records at the start: two pages, which take
-	// some milliseconds. Without them the store is watched directly.
+	// memberReadTimeout bounds the read of the entries' records at the start: two pages,
+	// which take some milliseconds. Without them the store is watched directly.
 	memberReadTimeout = 300 * time.Millisecond
 	// seedReadTimeout bounds the same read if seeds are asked, which may be starting as
 	// well.
@@ -152,7 +153,7 @@
 func (s *Server) readMembersAtStart(ctx context.Context, within time.Duration) ([]feed.Item[Member], error) {
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
-	all, err := s.readRecords(ctx)
+	all, err := s.readEntryRecords(ctx)
 	if err != nil {
 		return nil, err
 	}
--- a/direct/reload.go
+++ b/direct/reload.go
@@ -20,21 +20,21 @@
 	t := time.NewTicker(reloadInterval)
 	defer t.Stop()
 	for {
-		asked := false
+		signalled := false
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-s.ReloadSignals:
-			asked = true
+			signalled = true
 		case <-t.C:
 		}
-		s.reloadOnce(asked)
+		s.reloadOnce(signalled)
 	}
 }
 
-// reloadOnce puts changed settings in force. Invalid settings change nothing; addresses are
-// read only at the start.
-func (s *Server) reloadOnce(asked bool) {
+// reloadOnce reads the settings and puts changed settings in force. Invalid settings change
+// nothing; addresses are read only at the start.
+func (s *Server) reloadOnce(signalled bool) {
 	d, err := s.Reload()
 	if err != nil {
 		s.Log.Warn("settings not reloaded, the previous ones stay in force", "err", err)
@@ -43,11 +43,11 @@
 	d.Limits = d.Limits.WithDefaults()
 	old := s.liveSettings.Load()
 	changed := !reflect.DeepEqual(d, *old)
-	if !asked && !changed {
+	if !signalled && !changed {
 		return
 	}
 	s.liveSettings.Store(&d)
-	s.Log.Info("settings reloaded", "asked", asked, "changed", changed, "restart_needed", needsRestart(*old, d))
+	s.Log.Info("settings reloaded", "asked", signalled, "changed", changed, "restart_needed", needsRestart(*old, d))
 }
 
 // needsRestart reports whether settings changed that are read only at the start.
--- a/direct/roles.go
+++ b/direct/roles.go
@@ -81,8 +81,8 @@
 	return nil
 }
 
-// waitRoles waits for the next step, for the signal that the lease is free, or for the
-// start of the drain.
+// waitRoles waits until the next step of the lease is due, the lease was released by its
+// holder, or the drain starts.
 func (s *Server) waitRoles(ctx context.Context, k *lease.Keeper, wait time.Duration) {
 	t := time.NewTimer(wait)
 	defer t.Stop()
@@ -106,7 +106,7 @@
 	}
 }
 
-// onLeaseReleased notes that another entry has released the roles lease.
+// onLeaseReleased signals planRoles that another entry has released the roles lease.
 func (s *Server) onLeaseReleased(by domain.Host) {
 	if by == s.Settings.Name {
 		return
@@ -194,7 +194,8 @@
 	return true
 }
 
-// startOf returns the start of a polled engine.
+// startOf returns the start (the id and start time) of the polled engine with the given
+// name; empty if it was not polled.
 func startOf(states []engineState, h domain.Host) roster.Start {
 	for _, e := range states {
 		if domain.Host(e.server.ID) == h {
@@ -220,8 +221,9 @@
 	return body, reply.Status, err
 }
 
-// sendRoleOrder sends one order. The order states how many orders the engine had taken
-// before, so that an order which arrives after a later one is not carried out.
+// sendRoleOrder sends one order to the engine that it moves. The order states how many
+// orders the engine had accepted before, so that an order which arrives after a later one
+// is not carried out.
 func (s *Server) sendRoleOrder(ctx context.Context, k *lease.Keeper, states []engineState, o roles.Order) OrderOutcome {
 	for _, e := range states {
 		if domain.Host(e.server.ID) != o.Host {
--- a/direct/standby.go
+++ b/direct/standby.go
@@ -3,19 +3,19 @@
 import "time"
 
 const (
-	// rolesCandidates is how many entries read the lease whenever it may have expired:
+	// rolesCandidates is how many entries read the roles lease whenever it may have expired:
 	// those on the largest hosts, since the holder polls all engines and entries each
 	// second.
 	//
 	// When each entry but the holder read the lease every eight seconds, 68 entries made
 	// 400 calls within a minute.
 	rolesCandidates = 4
-	// leaseReadInterval is how often each candidate reads the lease. The expiry is counted
-	// from the first read that saw the last renewal. If the lease were read only when it
-	// may have expired, the loss of the holder would show after up to twice the lease time,
-	// in which no order is given.
+	// leaseReadInterval is how often each candidate reads the roles lease. The expiry is
+	// counted from the first read that saw the last renewal. If the lease were read only
+	// when it may have expired, the loss of the holder would show after up to twice the
+	// lease time, in which no order is given.
 	leaseReadInterval = 2 * time.Second
-	// standbyReadInterval is how often the next largest host reads the lease, in case all
+	// standbyReadInterval is how often the next largest host reads the roles lease, in case all
 	// candidates have stopped. Smaller hosts read it more rarely, so that the reads of all
 	// entries together grow with the logarithm of their number.
 	standbyReadInterval = 32 * time.Second
@@ -24,8 +24,9 @@
 	rankTimeout = memberFirstRead + time.Second
 )
 
-// standbyWait is how long this entry leaves the lease to others. began is the time of its
-// start, and lastRead that of its last read of the lease, zero for none.
+// standbyWait is how long this entry waits before it reads the roles lease again; zero or
+// less means that it need not wait. began is the time of its start, and lastRead that of
+// its last read of the lease, zero for none.
 func (s *Server) standbyWait(now, began, lastRead time.Time) time.Duration {
 	if !s.Settings.PeerListen.IsValid() {
 		return 0
--- a/direct/stop.go
+++ b/direct/stop.go
@@ -13,8 +13,8 @@
 	// load balancer checks every second and acts on the second failed check; the rest is
 	// for a slow check.
 	drainAcceptTime = 2500 * time.Millisecond
-	// stopMargin is the part of stop_within that is left for aborting what has not ended by
-	// itself.
+	// stopMargin is the part of stop_within that is left for aborting the requests that have
+	// not ended by then.
 	stopMargin = 400 * time.Millisecond
 )
 
--- a/direct/stream.go
+++ b/direct/stream.go
@@ -14,13 +14,14 @@
 )
 
 const (
-	// headerPart is the part of the target after which a stream that can be resumed
+	// headerPart is the part of the target latency after which a stream that can be resumed
 	// elsewhere gives up an upstream that has not sent a header.
 	headerPart = 0.7
-	// probeGaps is after how many of the route's longest gaps without data an upstream is
-	// probed: a batch that prefills pauses the answers for one or two.
+	// probeGaps is the time without data after which an upstream is probed, in multiples of
+	// the route's longest gap between two events: a batch that prefills pauses the answers
+	// for one or two.
 	probeGaps = 3
-	// defaultGap is for routes without a longest gap.
+	// defaultGap is the longest gap between two events for routes that state none.
 	defaultGap = 300 * time.Millisecond
 	// streamReadSize is the size of the read buffer of a stream, in bytes.
 	streamReadSize = 16 << 10
@@ -48,7 +49,7 @@
 	if f != nil {
 		return f
 	}
-	s.recordSent(r)
+	s.recordAllocated(r)
 	var prefilled *prefillResult
 	if role == domain.RoleDecode && r.info.PromptTokens >= minPrefillPrompt {
 		prefilled = s.prefill(ctx, r, allocated)
@@ -138,7 +139,7 @@
 	}
 	addr := a.upstream.Server().Addr
 	p.timer = time.AfterFunc(p.interval, func() {
-		err := probe(s.backgroundCtx, addr)
+		err := dialUpstream(s.backgroundCtx, addr)
 		switch {
 		case p.stopped.Load():
 		case err != nil:
