--- a/direct/allocation.go
+++ b/direct/allocation.go
@@ -24,8 +24,8 @@
 	// lateReservePart is the part of an engine's memory that late requests leave free for
 	// requests which can still meet their target: enough for two or three.
 	lateReservePart = 0.20
-	// releaseTimeout bounds the call that frees a reservation, which expires anyway.
-	releaseTimeout = time.Second
+	// releaseReservationTimeout bounds the call that frees a reservation, which expires anyway.
+	releaseReservationTimeout = time.Second
 	// fullEngineCost is how much longer a request takes to its first event at a full engine
 	// than at an idle one.
 	fullEngineCost = 200 * time.Millisecond
@@ -251,7 +251,7 @@
 
 // releaseReservation frees a reservation in the background.
 func (s *Server) releaseReservation(r *request, u *roster.Upstream, h Reservation) {
-	s.background("release reservation", releaseTimeout, func(ctx context.Context) error {
+	s.background("release reservation", releaseReservationTimeout, func(ctx context.Context) error {
 		s.releaseReservationNow(ctx, r, u, h)
 		return nil
 	})
--- a/direct/assign.go
+++ b/direct/assign.go
@@ -52,10 +52,10 @@
 // assignPrefill asks the entry that tracks the prefill load of all entries for an engine.
 // It returns no upstream if no tracking entry can be reached, or if the assigned engine is
 // unknown or closed to new requests here.
-func (s *Server) assignPrefill(ctx context.Context, r *request, near domain.Zone, l route.Request) (p placement, a assignment) {
+func (s *Server) assignPrefill(ctx context.Context, r *request, decodeZone domain.Zone, l route.Request) (p placement, a assignment) {
 	engines, skip := s.prefillEngines(r, l)
 	call := assignRequest{
-		Shard: assign.PickShard(r.service.Name, engines, r.random), Tokens: l.Units, DecodeZone: near, Timeout: r.targetLatency(), Exclude: skip,
+		Shard: assign.PickShard(r.service.Name, engines, r.random), Tokens: l.Units, DecodeZone: decodeZone, Timeout: r.targetLatency(), Exclude: skip,
 	}
 	local := func(bool) assign.Assignment { return s.assignLocally(call) }
 	assigned, tracker, ok := callOwner(ctx, s, call.Shard.Key(), assignPath, maxOwnerTries, call, local)
--- a/direct/direct.go
+++ b/direct/direct.go
@@ -81,7 +81,7 @@
 	crashes          retry.Crashes[roster.InstanceKey, *request]
 	retryBudgets     retryBudgets
 	queues           search.Queues
-	ages             delay.AgeEstimator
+	ages             delay.AgeEstimator // estimates how long ago a caller first sent a request that it retries
 	members          members
 	recentChanges    recentChanges
 	profiles         roles.Profiles
--- a/direct/limit.go
+++ b/direct/limit.go
@@ -33,7 +33,7 @@
 // limits counts the requests to upstreams that state a rate limit. The zero value is ready
 // to use; it must not be copied.
 type limits struct {
-	// shared counts for the whole fleet, for the upstreams whose rate limit this entry
+	// shared counts the requests of all entries to the upstreams whose rate limit this entry
 	// owns. isolated counts the requests of this entry alone while it reaches no owner.
 	shared   pacer.Limiter[roster.InstanceKey]
 	isolated pacer.Limiter[roster.InstanceKey]
--- a/direct/members.go
+++ b/direct/members.go
@@ -21,11 +21,12 @@
 	// entry in the fleet, so that all entries together write at most four records a second,
 	// whatever their number.
 	memberWriteSpacing = 250 * time.Millisecond
-	// memberMaxMissed is how many writes an entry may miss before it is no longer counted.
-	memberMaxMissed = 4
-	// memberFirstRead is the delay from an entry's first write to its first read: by then
+	// memberMaxMissedWrites is how many writes an entry may miss before it is no longer
+	// counted.
+	memberMaxMissedWrites = 4
+	// memberFirstReadDelay is the delay from an entry's first write to its first read: by then
 	// entries that started together have written their records.
-	memberFirstRead = 3 * time.Second
+	memberFirstReadDelay = 3 * time.Second
 	// memberRetryDelay is the pause after a failed write or read of the records.
 	memberRetryDelay = 2 * time.Second
 	// minMembersAssumed is the least number of entries among which the retry budget is
@@ -53,7 +54,7 @@
 
 // expiry is the time after a write at which the entry is taken for stopped if its record was
 // not written again.
-func (m Member) expiry() time.Duration { return memberMaxMissed * max(m.Every, memberInterval) }
+func (m Member) expiry() time.Duration { return memberMaxMissedWrites * max(m.Every, memberInterval) }
 
 // members counts the entries, among which the fixed number of retries is shared, and the
 // connections that an upstream accepts.
--- a/direct/place.go
+++ b/direct/place.go
@@ -58,10 +58,11 @@
 	expectedWait time.Duration
 }
 
-// place chooses an upstream of a role for the request; the empty role is that of a plain
-// upstream. It returns no upstream if none is left, or, if l skips upstreams that were
-// recently full, if only such upstreams are left.
-func (s *Server) place(r *request, role domain.Role, near domain.Zone, l route.Request) placement {
+// place chooses an upstream of a role for the request by the costs in l, which include that
+// of an upstream outside preferredZone; the empty role is that of a plain upstream. It
+// returns no upstream if none is left, or, if l skips upstreams that were recently full, if
+// only such upstreams are left.
+func (s *Server) place(r *request, role domain.Role, preferredZone domain.Zone, l route.Request) placement {
 	now := time.Now()
 	var candidates []route.Candidate
 	var members []*roster.Upstream
@@ -71,7 +72,7 @@
 			continue
 		}
 		c := u.Stats.Candidate(now)
-		c.Name, c.SameZone, c.Slots = string(m.ID), m.Zone == near, m.Slots
+		c.Name, c.SameZone, c.Slots = string(m.ID), m.Zone == preferredZone, m.Slots
 		if e := r.service.Engine; e != nil {
 			c.MemoryTokens = e.KVTokens
 		}
--- a/direct/plain.go
+++ b/direct/plain.go
@@ -152,10 +152,10 @@
 
 // hasOther reports whether an upstream of the role, other than the given start, is left to
 // try.
-func (s *Server) hasOther(r *request, role domain.Role, but roster.Start) bool {
+func (s *Server) hasOther(r *request, role domain.Role, except roster.Start) bool {
 	for _, u := range s.roster.Upstreams(r.service.Name) {
 		m, now := u.Server(), time.Now()
-		if m.Role == role && m.Key() != but.Key() && !r.excluded[m.Key()] && u.Eligibility(now).Eligible() && u.Stats.RateLimitWait(now) == 0 {
+		if m.Role == role && m.Key() != except.Key() && !r.excluded[m.Key()] && u.Eligibility(now).Eligible() && u.Stats.RateLimitWait(now) == 0 {
 			return true
 		}
 	}
--- a/direct/prefill.go
+++ b/direct/prefill.go
@@ -40,8 +40,9 @@
 	// usualGapPart is the part of a route's longest gap that an answer takes between two
 	// events without a prompt being read beside it.
 	usualGapPart = 0.2
-	// freeTimeout bounds the call that frees a KV cache handle, which expires soon anyway.
-	freeTimeout = time.Second
+	// freeHandleTimeout bounds the call that frees a KV cache handle, which expires soon
+	// anyway.
+	freeHandleTimeout = time.Second
 )
 
 // prefillResult is the handle of a prefilled prompt, and the upstream that keeps it.
@@ -144,7 +145,7 @@
 func (r *request) maxPromptPause() time.Duration {
 	gap := r.route.TargetGap
 	if gap <= 0 {
-		gap = defaultGap
+		gap = defaultTargetGap
 	}
 	return time.Duration((1 - usualGapPart) * float64(gap))
 }
@@ -196,7 +197,7 @@
 	if p == nil {
 		return
 	}
-	s.background("free handle", freeTimeout, func(ctx context.Context) error {
+	s.background("free handle", freeHandleTimeout, func(ctx context.Context) error {
 		reply, _, err := s.exchange(ctx, r.id, p.upstream, s.Protocol.FreeHandleRequest(p.handle))
 		if err != nil {
 			s.Log.Info("KV cache handle not freed", "request", r.id, "err", err)
--- a/direct/quota.go
+++ b/direct/quota.go
@@ -36,8 +36,8 @@
 // quotas counts the quotas of accounts: those that this entry owns, and what it has learned
 // of those that others own. The zero value is ready to use; it must not be copied.
 type quotas struct {
-	// shared counts for the whole fleet. isolated counts what this entry spends while it
-	// reaches no owner.
+	// shared counts the requests of all entries for the accounts whose quota this entry
+	// owns. isolated counts the requests of this entry alone while it reaches no owner.
 	shared   quota.Counter
 	isolated quota.Counter
 
--- a/direct/records.go
+++ b/direct/records.go
@@ -21,7 +21,7 @@
 	// entries.
 	entryRecordsPath = "/v1/entries"
 	// entryRecordsMaxAge is the age up to which a relay returns records that it read before. It
-	// is well under memberFirstRead, after which entries that start together read the
+	// is well under memberFirstReadDelay, after which entries that start together read the
 	// records of all.
 	entryRecordsMaxAge = time.Second
 	// entryRecordsTimeout bounds a call for the records, including the relay's own read of the
--- a/direct/register.go
+++ b/direct/register.go
@@ -24,7 +24,7 @@
 // rarely as the size of the fleet asks for, but before the others take this entry for
 // stopped.
 func nextMemberWrite(written time.Time, every time.Duration, entries int) time.Time {
-	return written.Add(min(memberWriteInterval(entries), (memberMaxMissed-1)*max(every, memberInterval)))
+	return written.Add(min(memberWriteInterval(entries), (memberMaxMissedWrites-1)*max(every, memberInterval)))
 }
 
 // register writes this entry's record and reads those of all entries, periodically until
@@ -46,7 +46,7 @@
 			wait = memberRetryDelay
 		}
 		if !s.members.loaded.Load() {
-			group.Sleep(ctx, memberFirstRead)
+			group.Sleep(ctx, memberFirstReadDelay)
 		}
 		if err := s.readMembers(ctx); err != nil {
 			s.Log.Info("records of the entries not read", "err", err)
--- a/direct/request.go
+++ b/direct/request.go
@@ -32,7 +32,7 @@
 	version  paths.Version
 	// client is the account of the caller's API key; nil if callers need none.
 	client *paths.Account
-	// cost is what was charged to the account's quota.
+	// cost is what was charged to the account's quota, in the unit of the quota.
 	cost float64
 	// overQuota means that the request goes over its account's quota, and may use only
 	// capacity that no other request takes.
@@ -63,7 +63,8 @@
 	excluded map[roster.InstanceKey]bool
 	// limitWait is the time until the rate limit of an upstream may allow the request.
 	limitWait time.Duration
-	finished  bool
+	// finished means that the end of the request was logged and counted.
+	finished bool
 }
 
 // defaultTimeout bounds a request if neither caller nor route states a limit.
--- a/direct/standby.go
+++ b/direct/standby.go
@@ -21,7 +21,7 @@
 	standbyReadInterval = 32 * time.Second
 	// rankTimeout is how long after its start an entry waits to learn its rank by host
 	// size.
-	rankTimeout = memberFirstRead + time.Second
+	rankTimeout = memberFirstReadDelay + time.Second
 )
 
 // standbyWait is how long this entry waits before it reads the roles lease again; zero or
--- a/direct/stream.go
+++ b/direct/stream.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	// headerPart is the part of the target latency after which a stream that can be resumed
-	// elsewhere gives up an upstream that has not sent a header.
-	headerPart = 0.7
-	// probeGaps is the time without data after which an upstream is probed, in multiples of
-	// the route's longest gap between two events: a batch that prefills pauses the answers
-	// for one or two.
-	probeGaps = 3
-	// defaultGap is the longest gap between two events for routes that state none.
-	defaultGap = 300 * time.Millisecond
+	// headerTimeoutPart is the part of the target latency after which a stream that can be
+	// resumed elsewhere gives up an upstream that has not sent a header.
+	headerTimeoutPart = 0.7
+	// stallProbeGaps is the time without data after which an upstream is probed, in
+	// multiples of the route's longest gap between two events: a batch that prefills pauses
+	// the answers for one or two.
+	stallProbeGaps = 3
+	// defaultTargetGap is the longest gap between two events for routes that state none.
+	defaultTargetGap = 300 * time.Millisecond
 	// streamReadSize is the size of the read buffer of a stream, in bytes.
 	streamReadSize = 16 << 10
 )
@@ -103,7 +103,7 @@
 	if !r.attempts.CanRepeat() {
 		return 0
 	}
-	return time.Duration(headerPart * float64(r.targetLatency()))
+	return time.Duration(headerTimeoutPart * float64(r.targetLatency()))
 }
 
 // probeInterval is the time without data after which the upstream of a stream is probed, if
@@ -114,9 +114,9 @@
 	}
 	gap := r.route.TargetGap
 	if gap <= 0 {
-		gap = defaultGap
+		gap = defaultTargetGap
 	}
-	return probeGaps * gap
+	return stallProbeGaps * gap
 }
 
 // stallProbe dials the upstream of a stream on which no data arrives.
