--- a/wire/link.go
+++ b/wire/link.go
@@ -108,7 +108,7 @@
 	g.Close()
 	<-exitsDone
 	if ctx.Err() == nil {
-		return errors.New("wire: listener closed")
+		return errors.New("wire: accept connections: listener closed")
 	}
 	return nil
 }
--- a/wire/messages.go
+++ b/wire/messages.go
@@ -13,25 +13,30 @@
 
 // Methods of the calls from an entry to a side.
 const (
-	// MethodReserve reserves room at a decode side: Reserve to ReserveReply.
+	// MethodReserve reserves a decode slot and KV memory at a decode side. It takes a
+	// ReserveRequest and returns a ReserveReply.
 	MethodReserve = "reserve"
-	// MethodRun sends work to the side: Run to Outcome, preceded by Frame notifications.
+	// MethodRun runs one stage of a request at the side. It takes a RunRequest and returns an
+	// Outcome, preceded by Frame notifications.
 	MethodRun = "run"
-	// MethodAttach resumes an attempt that is already running: Attach to Outcome.
+	// MethodAttach resumes an attempt that is already running. It takes an AttachRequest and
+	// returns an Outcome, preceded by Frame notifications.
 	MethodAttach = "attach"
 	// MethodSettle asks how an attempt ended and, if it never arrived, makes the side refuse
-	// it from then on: AttemptRef to Outcome.
+	// it from then on. It takes an AttemptRef and returns an Outcome.
 	MethodSettle = "settle"
-	// MethodCancel ends an attempt and frees its room: AttemptRef to nothing.
+	// MethodCancel ends an attempt and releases its reserved capacity. It takes an
+	// AttemptRef and returns nothing.
 	MethodCancel = "cancel"
-	// MethodTrace requests what a process recorded of a request: TraceRequest to the trace's
-	// events as JSON.
+	// MethodTrace requests the span that a process recorded of a request. It takes a
+	// TraceRequest and returns a trace.Span.
 	MethodTrace = "story"
-	// MethodDrain makes a side refuse new work.
+	// MethodDrain makes a side refuse new work, and an entry report itself as not ready.
 	MethodDrain = "drain"
 )
 
-// MethodEvidence is the notification that carries a retry.Record, in both directions.
+// MethodEvidence is the notification that carries the evidence of which requests crash
+// upstreams, a retry.Record, in both directions.
 const MethodEvidence = "evidence"
 
 // MethodFrame is the notification that carries tokens to the entry: Frame.
@@ -66,7 +71,8 @@
 	Identity retry.Identity `json:"identity"`
 }
 
-// ReserveReply is the side's unreserved room after a reservation.
+// ReserveReply is the side's unreserved capacity after a reservation: decode slots, and KV
+// memory in tokens.
 type ReserveReply struct {
 	FreeSlots  int `json:"free_slots"`
 	FreeTokens int `json:"free_tokens"`
@@ -80,7 +86,7 @@
 	Kind    domain.Kind    `json:"kind"`
 	// Identity identifies the caller's request independently of its request ID.
 	Identity retry.Identity `json:"identity"`
-	// Within is the time left for this stage.
+	// Within is the time left until the request's deadline, at which the side cancels the stage.
 	Within time.Duration `json:"within"`
 	// Tokens is the KV memory, in tokens, needed when the answer is complete.
 	Tokens  int                    `json:"tokens,omitempty"`
@@ -131,16 +137,17 @@
 	Last bool `json:"last,omitempty"`
 }
 
-// TraceRequest asks for what a process recorded of a request.
+// TraceRequest asks for the span that a process recorded of a request.
 type TraceRequest struct {
 	Request domain.RequestID `json:"request"`
 }
 
 // Methods of the calls between entries.
 const (
-	// MethodTable requests the operators' table: TableRequest to Table.
+	// MethodTable requests the operators' table. It takes a TableRequest and returns a Table.
 	MethodTable = "table"
-	// MethodOffer pushes a newly written table: Table to Table.
+	// MethodOffer pushes a newly written table. It takes a Table, and returns a Table with
+	// only the version that the receiver then has in force.
 	MethodOffer = "offer"
 )
 
@@ -157,45 +164,50 @@
 }
 
 // MethodRate asks the owner of a caller's rate limit whether the caller may send one more
-// request: RateRequest to RateReply.
+// request. It takes a RateRequest and returns a RateReply.
 const MethodRate = "rate"
 
-// RateRequest asks for one request of a caller under the rate limit of a row of the table.
+// RateRequest asks to admit one request of a caller under the rate limit of a row of the table.
 type RateRequest struct {
 	Key limit.Key `json:"of"`
 	// Rate is the limit of that row, in requests per second.
 	Rate float64 `json:"rate"`
-	// Standby reports that the addressed entry is not the caller's primary owner.
+	// Standby reports that the addressed entry does not own the caller's rate limit and
+	// replaces an unreachable owner.
 	Standby bool `json:"standby,omitempty"`
 }
 
-// RateReply is the decision. If the request is not granted, Wait is the time until one may be.
+// RateReply is the decision whether a caller may send one more request. If it is not granted,
+// Wait is the time until a request may be granted.
 type RateReply struct {
 	Granted bool          `json:"granted"`
 	Wait    time.Duration `json:"wait,omitempty"`
 }
 
-// MethodState requests an entry's state: nothing to State.
+// MethodState requests an entry's state. It takes nothing and returns a State.
 const MethodState = "state"
 
 // State is an entry's report of its own state.
 type State struct {
-	Host     domain.Host `json:"host"`
-	Zone     domain.Zone `json:"zone"`
-	Version  uint64      `json:"table_version"`
-	Since    time.Time   `json:"in_force_since"`
-	Draining bool        `json:"draining,omitempty"`
+	Host domain.Host `json:"host"`
+	Zone domain.Zone `json:"zone"`
+	// Version is the version of the operators' table that the entry has in force, and Since
+	// the time from which it has been in force.
+	Version  uint64    `json:"table_version"`
+	Since    time.Time `json:"in_force_since"`
+	Draining bool      `json:"draining,omitempty"`
 	// Stale reports that the entry receives table confirmations from no source and therefore
 	// accepts no new work.
-	Stale    bool `json:"stale,omitempty"`
-	InFlight int  `json:"in_flight"`
+	Stale bool `json:"stale,omitempty"`
+	// InFlight is the number of requests that the entry has accepted and not ended.
+	InFlight int `json:"in_flight"`
 }
 
-// MethodMembers requests a service's member record from an entry: MembersRequest to
-// member.Record.
+// MethodMembers requests a service's membership record from an entry. It takes a
+// MembersRequest and returns a member.Record.
 const MethodMembers = "members"
 
-// MembersRequest asks for a service's member record; Have is the version that the requester
+// MembersRequest asks for a service's membership record; Have is the version that the requester
 // already has.
 type MembersRequest struct {
 	Service domain.Service `json:"service"`
@@ -205,27 +217,33 @@
 // Methods of the calls, and of the notification, that claim requests with an idempotency key.
 // Their messages are those of package claim.
 const (
-	// MethodClaim asks the owner of a shard: claim.Request to ClaimReply.
+	// MethodClaim claims a key at the owner of the key's shard. It takes a claim.Request and
+	// returns a ClaimReply.
 	MethodClaim = "claim"
-	// MethodResolve reports to the owner how an attempt ended: claim.Resolution.
+	// MethodResolve reports to the owner of a key's shard how an attempt ended. It takes a
+	// claim.Resolution and returns nothing.
 	MethodResolve = "resolve"
-	// MethodStatus asks the runner of an attempt: claim.StatusRequest to claim.Resolution.
+	// MethodStatus asks the runner of an attempt how it ended. It takes a
+	// claim.StatusRequest and returns a claim.Resolution.
 	MethodStatus = "ask"
-	// MethodFence, MethodRestore and MethodHandover are called between sides.
+	// The owner of a shard calls other sides with MethodFence, so that a runner refuses grants
+	// of earlier owners and lists its keys; with MethodRestore, so that a runner stores keys
+	// whose own runner is no longer eligible; and with MethodHandover, to hand the shard to
+	// its successor.
 	MethodFence    = "fence"
 	MethodRestore  = "restore"
 	MethodHandover = "handover"
-	// MethodOwned is a side's notification of the shards that it owns: Owned.
+	// MethodOwned is a side's notification of the shards that it owns, as OwnedShards.
 	MethodOwned = "owned"
 )
 
-// ClaimReply answers a claim; exactly one of its fields is set.
+// ClaimReply is the owner's decision on a claim of an idempotency key; exactly one of its fields is set.
 type ClaimReply struct {
 	Grant   *claim.Grant   `json:"grant,omitempty"`
 	Refusal *claim.Refusal `json:"refusal,omitempty"`
 }
 
-// FenceReply answers a fence call; exactly one of its fields is set.
+// FenceReply is a runner's reply to MethodFence; exactly one of its fields is set.
 type FenceReply struct {
 	Reply   *claim.FenceReply `json:"reply,omitempty"`
 	Refusal *claim.Refusal    `json:"refusal,omitempty"`
@@ -237,16 +255,16 @@
 	Shards  []claim.Ownership `json:"shards"`
 }
 
-// MethodCache is a side's notification of its engine's cache events: Cache.
+// MethodCache is a side's notification of its engine's cache events, as CacheEvents.
 const MethodCache = "cache"
 
-// CacheEvents carries cache events in the order of their numbers.
+// CacheEvents carries the cache events of one engine in the order of their sequence numbers.
 type CacheEvents struct {
 	Events []engine.CacheEvent `json:"events"`
 }
 
-// MethodOrder forwards an operator's order for an engine to the engine's side: Order to
-// OrderReply.
+// MethodOrder forwards an operator's order for an engine to the engine's side. It takes an
+// Order and returns an OrderReply.
 const MethodOrder = "order"
 
 // Order is an operator's order to load a model or an adapter.
--- a/wire/peer_test.go
+++ b/wire/peer_test.go
@@ -18,8 +18,8 @@
 // pipe is an in-memory connection with buffers, which can pause delivery to its second end or
 // discard what is sent to that end. Its goroutines end with the connections.
 type pipe struct {
-	paused, swallowed atomic.Bool
-	carriers          sync.WaitGroup
+	paused, discarding atomic.Bool
+	carriers           sync.WaitGroup
 }
 
 // open returns the two ends.
@@ -48,7 +48,7 @@
 		for faulty && p.paused.Load() {
 			time.Sleep(time.Millisecond)
 		}
-		if faulty && p.swallowed.Load() {
+		if faulty && p.discarding.Load() {
 			continue
 		}
 		_, _ = to.Write(chunk)
@@ -73,8 +73,8 @@
 	return left, <-greeted
 }
 
-// run runs the peers and returns a channel that receives the result of each run.
-func run(ends ...*Peer) chan error {
+// runPeers runs the peers and returns a channel that receives the result of each run.
+func runPeers(ends ...*Peer) chan error {
 	runs := make(chan error, len(ends))
 	for _, p := range ends {
 		go func() { runs <- p.run() }()
@@ -82,8 +82,8 @@
 	return runs
 }
 
-// stop closes the given ends and waits for both runs.
-func stop(runs chan error, ends ...*Peer) {
+// stopPeers closes the given ends and waits for both runs.
+func stopPeers(runs chan error, ends ...*Peer) {
 	for _, p := range ends {
 		p.Close()
 	}
@@ -102,8 +102,8 @@
 	return got
 }
 
-// blocked answers a call only when its connection ends.
-func blocked(ctx context.Context, _ *Peer, _ string, _ json.RawMessage) (any, error) {
+// blockingHandler answers a call only when its connection ends.
+func blockingHandler(ctx context.Context, _ *Peer, _ string, _ json.RawMessage) (any, error) {
 	<-ctx.Done()
 	return nil, ctx.Err()
 }
@@ -114,14 +114,14 @@
 func TestPeerFailsCallWhenNothingIsReceived(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var p pipe
-		left, right := openPeers(t, &p, &Handlers{}, &Handlers{Handle: blocked})
-		runs := run(left, right)
+		left, right := openPeers(t, &p, &Handlers{}, &Handlers{Handle: blockingHandler})
+		runs := runPeers(left, right)
 		called := make(chan error, 1)
 		go func() { called <- left.Call(t.Context(), "call", nil, nil) }()
 		time.Sleep(time.Minute)
 		require.Empty(t, runs, "a connection that carries only heartbeats is kept open")
 
-		p.swallowed.Store(true)
+		p.discarding.Store(true)
 		lost := time.Now()
 		require.ErrorIs(t, await(t, runs), ErrNoReply)
 		require.LessOrEqual(t, time.Since(lost), DefaultHeartbeatTimeout+2*DefaultHeartbeatInterval)
@@ -152,14 +152,14 @@
 		}}
 		var p pipe
 		left, right := openPeers(t, &p, sender, reader)
-		runs := run(left, right)
+		runs := runPeers(left, right)
 		for _, pause := range []time.Duration{time.Second, 3 * time.Second, 10 * time.Second} {
 			p.paused.Store(true)
 			time.Sleep(pause)
 			p.paused.Store(false)
 			time.Sleep(3 * time.Second)
 		}
-		stop(runs, left, right)
+		stopPeers(runs, left, right)
 		synctest.Wait()
 		require.Greater(t, dated, 40)
 	})
@@ -176,12 +176,12 @@
 				got = append(got, n)
 			}
 		}})
-		runs := run(left, right)
+		runs := runPeers(left, right)
 		for n := range 500 {
 			require.NoError(t, left.Notify(MethodFrame, n))
 		}
 		synctest.Wait()
-		stop(runs, left, right)
+		stopPeers(runs, left, right)
 		require.Len(t, got, 500)
 		require.IsIncreasing(t, got)
 	})
@@ -196,12 +196,12 @@
 		left, right := openPeers(t, &p, &Handlers{}, &Handlers{
 			Handle: func(ctx context.Context, p *Peer, method string, params json.RawMessage) (any, error) {
 				if method == "blocked" {
-					return blocked(ctx, p, method, params)
+					return blockingHandler(ctx, p, method, params)
 				}
 				return nil, said
 			},
 		})
-		runs := run(left, right)
+		runs := runPeers(left, right)
 		var refused *RefusalError
 		require.ErrorAs(t, left.Call(t.Context(), "refused", nil, nil), &refused)
 		require.Equal(t, said, refused)
@@ -212,7 +212,7 @@
 		right.Close()
 		require.ErrorIs(t, await(t, called), ErrNoReply)
 		require.ErrorIs(t, new(Link).Call(t.Context(), "unsent", nil, nil), ErrNotSent)
-		stop(runs, left)
+		stopPeers(runs, left)
 	})
 }
 
@@ -223,7 +223,7 @@
 func TestCallCanceledByClosingConnectionSendsNoReply(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var p pipe
-		left, right := openPeers(t, &p, &Handlers{}, &Handlers{Handle: blocked})
+		left, right := openPeers(t, &p, &Handlers{}, &Handlers{Handle: blockingHandler})
 		calls, end := context.WithCancel(t.Context())
 		right.ctx = calls // ends the handler before the connection closes
 		called := make(chan error, 1)
@@ -269,7 +269,7 @@
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	served := make(chan error, 2)
-	silent := &Handlers{HeartbeatInterval: time.Hour, HeartbeatTimeout: time.Hour, Handle: blocked}
+	silent := &Handlers{HeartbeatInterval: time.Hour, HeartbeatTimeout: time.Hour, Handle: blockingHandler}
 	healthy := &Handlers{HeartbeatInterval: 10 * time.Millisecond, HeartbeatTimeout: time.Hour}
 	go func() { // the first connection sends nothing after its first heartbeat
 		for _, l := range []*Handlers{silent, healthy} {
--- a/wire/tls.go
+++ b/wire/tls.go
@@ -8,7 +8,7 @@
 	"github.com/pkg/errors"
 )
 
-// FleetTLS returns the configuration, for either end, of connections intermediates processes of the
+// FleetTLS returns the configuration, for either end, of connections between processes of the
 // fleet: each presents its certificate, and accepts any certificate that the authority signed.
 // Names are not verified: processes reach each other by IP addresses, which change whenever a
 // host is replaced, and every holder of a signed certificate belongs to the fleet. It returns
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -22,7 +22,7 @@
 	"jacinthworks/domain"
 )
 
-// Defaults for zero settings. An unresponsive connection is closed after more than three
+// Heartbeat defaults for zero settings, and the bound on a dial. An unresponsive connection is closed after more than three
 // missed heartbeats, so that the sides of a lost entry detect the loss in less than a second.
 // The rest of the two seconds for which engine memory may stay reserved is left for the
 // attempt to be attached again or cancelled.
@@ -88,8 +88,8 @@
 	// measured prefill speed in tokens per second.
 	QueuedTokens int     `json:"queued_tokens"`
 	Rate         float64 `json:"rate,omitempty"`
-	// GapBase and GapStep describe the measured time between tokens: a base, and the increase
-	// for each further decode in the batch.
+	// GapBase and GapStep describe the measured time between tokens of one decode: GapBase plus
+	// GapStep for each order in the batch.
 	GapBase time.Duration `json:"gap_base,omitempty"`
 	GapStep time.Duration `json:"gap_step,omitempty"`
 	// LinkRate is the measured speed of KV imports in tokens per second.
