--- a/engine/engine.go
+++ b/engine/engine.go
@@ -42,9 +42,11 @@
 type KV struct {
 	// Engine is the address of the engine that exports the cache.
 	Engine netip.AddrPort `json:"engine"`
-	Handle string         `json:"handle"`
-	Tokens int            `json:"tokens"`
-	// TTL is how long the engine keeps the cache after it has answered.
+	// Handle is the engine's name for the cache.
+	Handle string `json:"handle"`
+	Tokens int    `json:"tokens"`
+	// TTL is how long the engine keeps the cache after it has answered the
+	// prefill.
 	TTL time.Duration `json:"life"`
 }
 
@@ -55,8 +57,10 @@
 	Prompt       string           `json:"prompt"`
 	PromptTokens int              `json:"prompt_tokens"`
 	// Prefix is the hash of the prompt's cacheable prefix.
-	Prefix   uint64 `json:"prefix"`
-	Priority int    `json:"priority"`
+	Prefix uint64 `json:"prefix"`
+	// Priority is that of the request's kind in the operators' table, from
+	// 0 to 9; 9 is the highest.
+	Priority int `json:"priority"`
 }
 
 // DecodeRequest is the request to import a KV cache and generate tokens from it.
@@ -65,7 +69,9 @@
 	Attempt   domain.Attempt   `json:"attempt"`
 	KV        KV               `json:"kv"`
 	MaxTokens int              `json:"max_tokens"`
-	Priority  int              `json:"priority"`
+	// Priority is that of the request's kind in the operators' table, from
+	// 0 to 9; 9 is the highest.
+	Priority int `json:"priority"`
 }
 
 // Token is one generated token of an answer.
@@ -98,15 +104,16 @@
 // OrderKind is the kind of an operator's order to an engine.
 type OrderKind string
 
-// Kinds of orders: load a model, load an adapter, change the engine's role.
+// Kinds of operators' orders: load a model, load an adapter, change the
+// engine's role.
 const (
 	OrderLoad    OrderKind = "load"
 	OrderAdapter OrderKind = "adapter"
 	OrderRole    OrderKind = "role"
 )
 
-// Order changes what an engine serves. Fence is a fencing token, which increases
-// with every order.
+// Order is an operator's order that changes what an engine serves. Fence is a
+// fencing token, which increases with every order.
 type Order struct {
 	Kind  OrderKind `json:"kind"`
 	Value string    `json:"value"`
--- a/engine/http.go
+++ b/engine/http.go
@@ -21,7 +21,7 @@
 // Code is the reason that an engine reports for refusing a request.
 type Code string
 
-// Codes, each with the HTTP status that accompanies it.
+// Codes of refusals, each with the HTTP status that accompanies it.
 const (
 	CodeNotStarted Code = "not_taken" // 503
 	CodeEvicted    Code = "evicted"   // 410
@@ -39,7 +39,8 @@
 	Detail string `json:"detail"`
 }
 
-// CancelRequest is the body of POST /cancel.
+// CancelRequest is the body of POST /cancel, by which an engine releases
+// everything that a request holds.
 type CancelRequest struct {
 	Request domain.RequestID `json:"request"`
 }
@@ -55,7 +56,7 @@
 	Cause error
 }
 
-// Error returns class, call and cause.
+// Error returns the kind of the failure, the call and the cause.
 func (f *Failure) Error() string {
 	if f.Kind == nil {
 		return "engine: given up: " + f.Call + ": " + f.Cause.Error()
@@ -63,7 +64,7 @@
 	return f.Kind.Error() + ": " + f.Call + ": " + f.Cause.Error()
 }
 
-// Unwrap returns class and cause.
+// Unwrap returns the kind of the failure, if there is one, and the cause.
 func (f *Failure) Unwrap() []error {
 	if f.Kind == nil {
 		return []error{f.Cause}
@@ -72,18 +73,18 @@
 }
 
 // transportFailure classifies an error of a call that has no complete response.
-// The class is ErrNotStarted only if no byte of the request left this process.
+// The kind is ErrNotStarted only if no byte of the request left this process.
 func transportFailure(call string, err error) error {
-	class := ErrCrashed
+	kind := ErrCrashed
 	switch send.StageOf(err) {
 	case send.NotSent:
-		class = ErrNotStarted
+		kind = ErrNotStarted
 	case send.TimedOut:
-		class = ErrTimeout
+		kind = ErrTimeout
 	case send.Canceled:
-		class = nil
+		kind = nil
 	}
-	return &Failure{Call: call, Kind: class, Cause: err}
+	return &Failure{Call: call, Kind: kind, Cause: err}
 }
 
 // statusFailure classifies an engine's response with a status other than 200.
@@ -92,14 +93,14 @@
 	if err := json.Unmarshal(body, &problem); err != nil {
 		problem.Detail = string(body)
 	}
-	class := ErrUnexpectedResponse
+	kind := ErrUnexpectedResponse
 	switch {
 	case status == http.StatusServiceUnavailable && problem.Code == CodeNotStarted:
-		class = ErrNotStarted
+		kind = ErrNotStarted
 	case status == http.StatusGone && problem.Code == CodeEvicted:
-		class = ErrEvicted
+		kind = ErrEvicted
 	case status == http.StatusConflict && problem.Code == CodeFenced:
-		class = ErrFenced
+		kind = ErrFenced
 	}
-	return &Failure{Call: call, Kind: class, Cause: errors.Errorf("engine: status %d: %.200s", status, problem.Detail)}
+	return &Failure{Call: call, Kind: kind, Cause: errors.Errorf("engine: status %d: %.200s", status, problem.Detail)}
 }
--- a/engine/http_model.go
+++ b/engine/http_model.go
@@ -17,9 +17,10 @@
 	"jacinthworks/send"
 )
 
-// Default timeouts of an HTTPModel, and limits in bytes of a report and of a
-// line. The engine answers a prefill only once it is complete: a prompt of
-// 50,000 tokens queued behind a few others takes seconds.
+// Default timeouts of an HTTPModel, and limits in bytes: maxLine of a line of a
+// decode's response and of an error response, maxReport of any other response.
+// The engine answers a prefill only once it is complete: a prompt of 50,000
+// tokens queued behind a few others takes seconds.
 const (
 	DefaultPrefillTimeout = 60 * time.Second
 	DefaultTokenTimeout   = 10 * time.Second
@@ -127,14 +128,14 @@
 	return events, err
 }
 
-// roundTrip sends one request with the JSON encoding of order as its body, if
-// order is not nil, and decodes the response into the given value, if that is
-// not nil. A timeout of zero is TokenTimeout.
-func (h *HTTPModel) roundTrip(ctx context.Context, method, target string, timeout time.Duration, order, result any) error {
+// roundTrip sends one request with the JSON encoding of params as its body, if
+// params is not nil, and decodes the response into result, if that is not nil.
+// A timeout of zero is TokenTimeout.
+func (h *HTTPModel) roundTrip(ctx context.Context, method, target string, timeout time.Duration, params, result any) error {
 	call := method + " " + target
 	request := send.Request{Method: method, Target: target, Header: jsonHeader(), ReadTimeout: timeout}
-	if order != nil {
-		body, err := json.Marshal(order)
+	if params != nil {
+		body, err := json.Marshal(params)
 		if err != nil {
 			return errors.Wrap(err, "engine: writing order")
 		}
--- a/engine/http_test.go
+++ b/engine/http_test.go
@@ -40,11 +40,11 @@
 	return &engine.HTTPModel{Base: server.Addr(), PrefillTimeout: 10 * time.Second, TokenTimeout: 10 * time.Second}
 }
 
-func prefillOrder(prompt string) engine.PrefillRequest {
+func prefillRequest(prompt string) engine.PrefillRequest {
 	return engine.PrefillRequest{Request: "entry-1.1.1", Attempt: 1, Prompt: prompt, PromptTokens: 400}
 }
 
-func decodeOrder(kv engine.KV) engine.DecodeRequest {
+func decodeRequest(kv engine.KV) engine.DecodeRequest {
 	return engine.DecodeRequest{Request: "entry-1.1.1", Attempt: 1, KV: kv, MaxTokens: 6}
 }
 
@@ -52,13 +52,13 @@
 	prefillClient := startEngine(t, &model.Engine{Settings: fastSettings})
 	decodeEngine := &model.Engine{Settings: fastSettings}
 	decodeClient := startEngine(t, decodeEngine)
-	kv, err := prefillClient.Prefill(t.Context(), prefillOrder("pedigree"))
+	kv, err := prefillClient.Prefill(t.Context(), prefillRequest("pedigree"))
 	require.NoError(t, err)
 	require.Equal(t, prefillClient.Base, kv.Engine)
 	require.Equal(t, time.Minute, kv.TTL)
 	var text strings.Builder
 	nextOffset := 0
-	err = decodeClient.Decode(t.Context(), decodeOrder(kv), func(token engine.Token) error {
+	err = decodeClient.Decode(t.Context(), decodeRequest(kv), func(token engine.Token) error {
 		require.Equal(t, nextOffset, token.Offset)
 		nextOffset++
 		text.WriteString(token.Text)
@@ -79,11 +79,11 @@
 	ctx := t.Context()
 
 	fake.SetFault(model.Fault{Refuse: true})
-	_, err := client.Prefill(ctx, prefillOrder("x"))
+	_, err := client.Prefill(ctx, prefillRequest("x"))
 	require.ErrorIs(t, err, engine.ErrNotStarted, "the engine reported so")
 	fake.SetFault(model.Fault{})
 
-	err = client.Decode(ctx, decodeOrder(engine.KV{Engine: client.Base, Handle: "none", Tokens: 400}), discard)
+	err = client.Decode(ctx, decodeRequest(engine.KV{Engine: client.Base, Handle: "none", Tokens: 400}), discard)
 	require.ErrorIs(t, err, engine.ErrEvicted)
 
 	require.NoError(t, client.SendOrder(ctx, engine.Order{Kind: engine.OrderLoad, Value: "logwriter", Fence: 2}))
@@ -92,14 +92,14 @@
 	require.NoError(t, client.Cancel(ctx, "never-seen"))
 
 	fake.SetFault(model.Fault{LoseAnswers: 1})
-	_, err = client.Prefill(ctx, prefillOrder("x"))
+	_, err = client.Prefill(ctx, prefillRequest("x"))
 	require.ErrorIs(t, err, engine.ErrCrashed)
 	require.Len(t, fake.Runs(), 2, "the prefill ran, once, beside the decode that found no cache")
 
 	errEmit := errors.New("the entry has disconnected")
-	kv, err := client.Prefill(ctx, prefillOrder("x"))
+	kv, err := client.Prefill(ctx, prefillRequest("x"))
 	require.NoError(t, err)
-	err = client.Decode(ctx, decodeOrder(kv), func(engine.Token) error { return errEmit })
+	err = client.Decode(ctx, decodeRequest(kv), func(engine.Token) error { return errEmit })
 	require.ErrorIs(t, err, errEmit)
 	require.Eventually(t, func() bool {
 		runs := fake.Runs()
@@ -109,7 +109,7 @@
 
 	fake.SetFault(model.Fault{Frozen: true})
 	frozen := &engine.HTTPModel{Base: client.Base, PrefillTimeout: shortTimeout, TokenTimeout: shortTimeout}
-	_, err = frozen.Prefill(ctx, prefillOrder("x"))
+	_, err = frozen.Prefill(ctx, prefillRequest("x"))
 	require.ErrorIs(t, err, engine.ErrTimeout, "the engine may still run it")
 	require.NotErrorIs(t, err, engine.ErrCrashed)
 	shortCtx, cancel := context.WithTimeout(ctx, shortTimeout)
@@ -134,13 +134,13 @@
 			client := &engine.HTTPModel{Base: server.Addr()}
 			before := fake.CurrentState().Incarnation
 			tokens := 0
-			kv, err := client.Prefill(t.Context(), prefillOrder(marker))
+			kv, err := client.Prefill(t.Context(), prefillRequest(marker))
 			if err == nil {
-				err = client.Decode(t.Context(), decodeOrder(kv), func(engine.Token) error { tokens++; return nil })
+				err = client.Decode(t.Context(), decodeRequest(kv), func(engine.Token) error { tokens++; return nil })
 			}
 			require.ErrorIs(t, err, engine.ErrCrashed)
 			require.LessOrEqual(t, tokens, 2)
-			_, err = client.Prefill(t.Context(), prefillOrder("innocent"))
+			_, err = client.Prefill(t.Context(), prefillRequest("innocent"))
 			require.ErrorIs(t, err, engine.ErrNotStarted)
 
 			_, err = server.Start(t.Context(), server.Addr())
@@ -168,7 +168,7 @@
 			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, body) }))
 			defer server.Close()
 			client := &engine.HTTPModel{Base: netip.MustParseAddrPort(server.Listener.Addr().String())}
-			err := client.Decode(t.Context(), decodeOrder(engine.KV{Tokens: 1}), func(engine.Token) error { return nil })
+			err := client.Decode(t.Context(), decodeRequest(engine.KV{Tokens: 1}), func(engine.Token) error { return nil })
 			require.ErrorIs(t, err, engine.ErrCrashed)
 		})
 	}
