--- a/feed/feed.go
+++ b/feed/feed.go
@@ -43,7 +43,7 @@
 	DecodeErr error
 }
 
-// Page is a part of a collection as of a revision.
+// Page is a part of the list of a collection, as of a revision.
 type Page[T any] struct {
 	Items    []Item[T]
 	Revision Revision
@@ -95,7 +95,8 @@
 	return ""
 }
 
-// ListAll reads all pages, and returns the first error.
+// ListAll returns all items of a collection. It reads page by page, and returns the first
+// error.
 func ListAll[T any](ctx context.Context, from Source[T], stale bool) ([]Item[T], error) {
 	var p Pager[T]
 	for {
@@ -145,8 +146,8 @@
 
 // Source provides a collection.
 type Source[T any] interface {
-	// List returns a page of the items: those after the given name, or the first ones if
-	// it is empty. A stale page may be seconds old.
+	// List returns a page of the items: those after the given name, or the first ones
+	// if it is empty. stale allows a page that is seconds old.
 	List(ctx context.Context, after string, stale bool) (Page[T], error)
 	// Watch waits at most the given time for changes after the revision. It returns the
 	// changes and the revision to continue from. No change within the time is not an
@@ -154,7 +155,7 @@
 	Watch(ctx context.Context, after Revision, wait time.Duration) ([]Change[T], Revision, error)
 }
 
-// Default and bounds of the times of a Feed.
+// Timeouts and delays of a Feed.
 const (
 	// DefaultWatchTimeout is how long a watch waits. A connection may stop delivering
 	// messages without being closed, which is noticed only when a watch gets no answer in
@@ -197,8 +198,9 @@
 	// towards that limit. A list after lost history is never stale, since it must contain
 	// the changes that the watch missed.
 	StaleStart bool
-	// BatchDelay, if set, returns the delay after changes, in which further changes
-	// accumulate. A delay below minBatchDelay counts as minBatchDelay.
+	// BatchDelay, if set, returns the delay between changes and the next watch, in
+	// which further changes accumulate. A delay below minBatchDelay counts as
+	// minBatchDelay.
 	BatchDelay func() time.Duration
 	// OnList receives the whole collection, and OnChange the changes since. Both also
 	// receive items that could not be decoded. Were one such item an error for the whole
@@ -344,10 +346,11 @@
 	}
 }
 
-// minBatchDelay is the delay after changes, in which further changes accumulate. When a
-// fleet starts, fifty upstreams may register within three seconds. Without the delay each
-// registration would end the watch of each process, and the number of calls would be the
-// product of both numbers. The bounds on when a change must be in force are seconds.
+// minBatchDelay is the shortest delay between changes and the next watch, in which
+// further changes accumulate. When a fleet starts, fifty upstreams may register within
+// three seconds. Without the delay each registration would end the watch of each process,
+// and the number of calls would be the product of both numbers. The bounds on when a
+// change must be in force are seconds.
 const minBatchDelay = 100 * time.Millisecond
 
 func (f *Feed[T]) batchDelay() time.Duration {
--- a/feed/feed_test.go
+++ b/feed/feed_test.go
@@ -13,16 +13,16 @@
 	"jacinthworks/feed"
 )
 
-// source is a collection in memory that can be made to fail.
+// source is a source of a collection in memory that can be made to fail.
 type source struct {
-	mu        sync.Mutex
-	revision  feed.Revision
-	names     []string
-	down      bool
-	compacted feed.Revision // changes up to this revision are not kept
-	changes   []feed.Change[string]
-	calls     []time.Duration // the wait of each watch
-	changed   chan struct{}
+	mu         sync.Mutex
+	revision   feed.Revision
+	names      []string
+	down       bool
+	compacted  feed.Revision // changes up to this revision are not kept
+	changes    []feed.Change[string]
+	watchWaits []time.Duration // the wait of each watch
+	changed    chan struct{}
 	// staleNames is what a stale list returns, staleRevision its revision; lists counts the
 	// lists by whether they may be stale.
 	staleNames    []string
@@ -72,7 +72,7 @@
 
 func (s *source) Watch(ctx context.Context, after feed.Revision, wait time.Duration) ([]feed.Change[string], feed.Revision, error) {
 	s.mu.Lock()
-	s.calls = append(s.calls, wait)
+	s.watchWaits = append(s.watchWaits, wait)
 	s.mu.Unlock()
 	deadline := time.After(wait)
 	for {
--- a/feed/watch_test.go
+++ b/feed/watch_test.go
@@ -121,7 +121,7 @@
 		cancel()
 		require.NoError(t, <-ended)
 		s.mu.Lock()
-		require.LessOrEqual(t, len(s.calls), 32)
+		require.LessOrEqual(t, len(s.watchWaits), 32)
 		s.mu.Unlock()
 		close(batches)
 		all := 0
