--- a/relay/encoding.go
+++ b/relay/encoding.go
@@ -23,7 +23,7 @@
 	Gone   bool
 }
 
-// change returns the change.
+// change returns the decoded form of the change.
 func (t wired[T]) change() feed.Change[T] {
 	c := feed.Change[T]{Item: feed.Item[T]{Name: t.Name, Revision: t.Revision, Value: t.Value}, Deleted: t.Gone}
 	if t.Unread != "" {
@@ -43,7 +43,8 @@
 	maxDecoded = 32 << 20
 )
 
-// Encode returns the encoding in which processes pass on members of a collection.
+// Encode returns the encoding in which relays pass on members of a collection: gob, compressed if
+// it is long.
 func Encode[T any](items []feed.Item[T]) ([]byte, error) {
 	changes := make([]feed.Change[T], 0, len(items))
 	for _, i := range items {
@@ -88,7 +89,7 @@
 	}
 	plain := bytes.NewBuffer([]byte{encodingPlain})
 	if err := gob.NewEncoder(plain).Encode(all); err != nil {
-		return nil, errors.Wrap(err, "relay: answer")
+		return nil, errors.Wrap(err, "relay: encode an answer")
 	}
 	if plain.Len() < minDeflateBytes {
 		return plain.Bytes(), nil
@@ -96,13 +97,13 @@
 	compressed := bytes.NewBuffer([]byte{encodingDeflate})
 	writer, err := flate.NewWriter(compressed, flate.BestSpeed)
 	if err != nil {
-		return nil, errors.Wrap(err, "relay: answer")
+		return nil, errors.Wrap(err, "relay: compress an answer")
 	}
 	if _, err := writer.Write(plain.Bytes()[1:]); err != nil {
-		return nil, errors.Wrap(err, "relay: answer")
+		return nil, errors.Wrap(err, "relay: compress an answer")
 	}
 	if err := writer.Close(); err != nil {
-		return nil, errors.Wrap(err, "relay: answer")
+		return nil, errors.Wrap(err, "relay: compress an answer")
 	}
 	return compressed.Bytes(), nil
 }
@@ -120,7 +121,7 @@
 		defer func() { _ = reader.Close() }() // the reader holds no resources
 		source = io.LimitReader(reader, maxDecoded)
 	default:
-		return nil, errors.Errorf("relay: answer has the unknown encoding %d", body[0])
+		return nil, errors.Errorf("relay: decode an answer: unknown encoding %d", body[0])
 	}
 	var all []wired[T]
 	if err := gob.NewDecoder(source).Decode(&all); err != nil {
--- a/relay/fleet.go
+++ b/relay/fleet.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// relayCount is how many processes watch the source for the whole fleet. If one of them
-	// crashes, the fleet makes no additional calls to the source.
+	// relayCount is how many processes watch the source for the whole fleet. With two, the
+	// fleet makes no additional calls to the source if one of them crashes.
 	relayCount = 2
 	// DefaultFanOut is approximately how many processes one process passes changes on to.
 	// A fleet with more than that number per relay has intermediate processes between the
@@ -45,7 +45,7 @@
 	Zone domain.Zone
 	// Addr is the address at which other processes ask it; invalid if they can't.
 	Addr netip.AddrPort
-	// Cores is the size of its host in processor cores, a fraction for a share of a core.
+	// Cores is the number of processor cores of its host, which may be a fraction of a core.
 	Cores float64
 	// Since is when the process was first put on record.
 	Since time.Time
@@ -82,7 +82,7 @@
 	return chosen
 }
 
-// role is the role of a process in passing on changes.
+// role is the role of a process in passing on changes. A leaf passes on none.
 type role int
 
 const (
@@ -92,19 +92,19 @@
 )
 
 // intermediates returns the members that pass changes from the relays on to the remaining
-// members of a large fleet: one for every degree members, on the largest hosts after the relays,
+// members of a large fleet: one for every fanOut members, on the largest hosts after the relays,
 // distributed over the availability zones. It returns none for a fleet in which the relays can
 // serve all members.
 //
 // Without intermediate processes, the two relays would pass each change on to all other processes
 // and answer a poll of each once a second, so that their connections, memory and bytes would grow
 // in proportion to the fleet. With intermediate processes, a relay serves one process for every
-// degree members.
-func intermediates(ranked, relays []Member, degree int) []Member {
-	if len(relays) == 0 || len(ranked) <= relayCount*degree {
+// fanOut members.
+func intermediates(ranked, relays []Member, fanOut int) []Member {
+	if len(relays) == 0 || len(ranked) <= relayCount*fanOut {
 		return nil
 	}
-	limit := (len(ranked) + degree - 1) / degree
+	limit := (len(ranked) + fanOut - 1) / fanOut
 	var selected []Member
 	inZone := make(map[domain.Zone]int)
 	taken := make(map[domain.Host]bool)
@@ -153,7 +153,7 @@
 // nameHash returns a hash by which names are ordered independently of how hosts are named.
 func nameHash[S ~string](name S) uint64 { return xxhash.Sum64String(string(name)) }
 
-// Peer is another process of the fleet, with the connection to it and the record of its failures.
+// Peer is another process of the fleet, with the HTTP client for it and the record of its failures.
 type Peer struct {
 	Member
 	client *send.Client
@@ -180,7 +180,7 @@
 	p.failures++
 }
 
-// Do sends a request to the process.
+// Do sends an HTTP request to the peer and returns its response.
 func (p *Peer) Do(ctx context.Context, r send.Request) (*send.Response, error) {
 	return p.client.Do(ctx, r)
 }
@@ -253,12 +253,12 @@
 	if !slices.Equal(relays, f.selected) {
 		f.settledAt = boottime().Add(relayStartTime)
 	}
-	degree := f.FanOut
-	if degree <= 0 {
-		degree = DefaultFanOut
+	fanOut := f.FanOut
+	if fanOut <= 0 {
+		fanOut = DefaultFanOut
 	}
 	roles := make(map[domain.Host]role)
-	for _, m := range intermediates(ranked, relays, degree) {
+	for _, m := range intermediates(ranked, relays, fanOut) {
 		roles[m.Name] = intermediateRole
 	}
 	for _, m := range relays {
@@ -396,22 +396,24 @@
 	return f.isRelay || len(f.providers) > 0 || f.usesSeeds()
 }
 
-// plan is how this process gets changes at one time.
+// plan states from which processes this process gets the changes of a collection, as of one time.
 type plan struct {
 	// noRelays is set if there are no relays.
 	noRelays bool
 	// isRelay is set if this process is a relay and so asks no other process.
 	isRelay bool
-	// peers are the relays to ask, in order.
+	// peers are the processes to ask, in order: intermediate processes, then relays; or the
+	// seeds until the members are known.
 	peers []*Peer
-	// nonePassedOver is set if no relay is in backoff. If all relays then answer that they
-	// are not fresh, the source is unreachable.
-	nonePassedOver bool
+	// noneInBackoff is set if none of the processes to ask is in backoff. If all of them then
+	// answer that they are not fresh, the source is unreachable.
+	noneInBackoff bool
 	// settledAt is when newly selected relays have had time to start.
 	settledAt time.Time
 }
 
-// retryUntil returns the time until which relays that are not fresh are polled again.
+// retryUntil returns the time until which relays that answer that they are not fresh are polled
+// again.
 func (p plan) retryUntil(now time.Time) time.Time {
 	if until := now.Add(staleRetryTime); until.After(p.settledAt) {
 		return until
@@ -423,11 +425,11 @@
 // backoff. It returns none if this process is a relay or if there are no relays.
 func (f *Fleet) RelayPeers(now time.Time) []*Peer { return f.plan(now).peers }
 
-// plan returns how this process gets changes now.
+// plan returns from which processes this process gets changes now.
 func (f *Fleet) plan(now time.Time) plan {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	p := plan{noRelays: !f.isRelay && len(f.providers) == 0, isRelay: f.isRelay, nonePassedOver: true, settledAt: f.settledAt}
+	p := plan{noRelays: !f.isRelay && len(f.providers) == 0, isRelay: f.isRelay, noneInBackoff: true, settledAt: f.settledAt}
 	peers := f.providers
 	if f.usesSeeds() {
 		peers = f.seedPeers
@@ -438,7 +440,7 @@
 	}
 	for _, peer := range peers {
 		if peer.inBackoff(now) {
-			p.nonePassedOver = false
+			p.noneInBackoff = false
 			continue
 		}
 		p.peers = append(p.peers, peer)
--- a/relay/fleet_test.go
+++ b/relay/fleet_test.go
@@ -12,18 +12,18 @@
 )
 
 // zonedMembers returns n members in five availability zones, one in seven of them on a large host.
-func zonedMembers(n int) (all []Member) {
+func zonedMembers(n int) (members []Member) {
 	for i := range n {
 		m := Member{
 			Name: domain.Host(fmt.Sprintf("front-%d", i)), Zone: domain.Zone(fmt.Sprint("zone-", i%5)), Cores: 0.144,
-			Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), 7380), Since: day,
+			Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), 7380), Since: testStart,
 		}
 		if i%7 == 0 {
 			m.Cores = 0.8
 		}
-		all = append(all, m)
+		members = append(members, m)
 	}
-	return all
+	return members
 }
 
 // Guards against a process that passes changes on to more and more processes as the fleet grows.
@@ -36,7 +36,7 @@
 			f := &Fleet{Self: m.Name}
 			f.SetMembers(all, true)
 			if f.isRelay {
-				require.Empty(t, f.RelayPeers(day))
+				require.Empty(t, f.RelayPeers(testStart))
 				continue
 			}
 			first := f.providers[0]
@@ -44,7 +44,7 @@
 			if first.Zone == m.Zone {
 				sameZone++
 			}
-			require.Len(t, f.RelayPeers(day), len(f.providers))
+			require.Len(t, f.RelayPeers(testStart), len(f.providers))
 			require.Contains(t, []int{relayCount, relayCount + intermediatesAsked}, len(f.providers), "the relays follow the intermediate processes")
 		}
 		for name, times := range asked {
@@ -72,21 +72,21 @@
 func TestFleetUsesSeedsUntilMembersAreKnown(t *testing.T) {
 	at := netip.MustParseAddrPort
 	f := &Fleet{Self: "front-1", SelfAddr: at("10.0.0.1:7"), Seeds: []netip.AddrPort{at("10.0.0.1:7"), at("10.0.0.9:7")}, Bootstrap: true}
-	require.True(t, f.plan(day).noRelays)
+	require.True(t, f.plan(testStart).noRelays)
 	f.Seed(nil)
-	require.True(t, f.plan(day).isRelay, "this process is a seed")
+	require.True(t, f.plan(testStart).isRelay, "this process is a seed")
 	f.Seed([]netip.AddrPort{at("10.0.0.5:7")})
-	require.False(t, f.plan(day).isRelay, "the recorded relays are other processes")
-	require.Len(t, f.RelayPeers(day), 2, "the recorded relays, then the seeds")
-	require.Equal(t, at("10.0.0.5:7"), f.RelayPeers(day)[0].Addr)
+	require.False(t, f.plan(testStart).isRelay, "the recorded relays are other processes")
+	require.Len(t, f.RelayPeers(testStart), 2, "the recorded relays, then the seeds")
+	require.Equal(t, at("10.0.0.5:7"), f.RelayPeers(testStart)[0].Addr)
 	f.SetMembers(zonedMembers(5), false)
-	require.Len(t, f.RelayPeers(day), 2, "at a first start more members are expected")
+	require.Len(t, f.RelayPeers(testStart), 2, "at a first start more members are expected")
 	f.SetMembers(zonedMembers(5), true)
-	require.True(t, f.plan(day).noRelays, "a few processes watch the source themselves")
+	require.True(t, f.plan(testStart).noRelays, "a few processes watch the source themselves")
 	later := &Fleet{Self: "front-1", Seeds: f.Seeds}
 	later.Seed(nil)
 	later.SetMembers(zonedMembers(5), false)
-	require.True(t, later.plan(day).noRelays, "without Bootstrap the members on record are complete")
+	require.True(t, later.plan(testStart).noRelays, "without Bootstrap the members on record are complete")
 }
 
 // BenchmarkSetMembers measures the cost of one update of the members, for several numbers of
@@ -110,7 +110,7 @@
 		f.SetMembers(zonedMembers(n), true)
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			for b.Loop() {
-				f.Owners(day.Add(time.Hour), "account/someone", 2)
+				f.Owners(testStart.Add(time.Hour), "account/someone", 2)
 			}
 		})
 	}
--- a/relay/owners.go
+++ b/relay/owners.go
@@ -8,15 +8,15 @@
 	"jacinthworks/domain"
 )
 
-// candidate is a process that may own keys. peer is nil for this process.
+// candidate is a process on a host large enough to own keys. peer is nil for this process.
 type candidate struct {
 	Member
 	peer *Peer
 }
 
 const (
-	// minCoresRatio is the ratio of a member's Cores to those of the largest member from which
-	// the member owns keys: processes on smaller hosts answer late when they are busy.
+	// minCoresRatio is the smallest ratio of a member's Cores to those of the largest member at
+	// which the member may own keys: processes on smaller hosts answer late when they are busy.
 	minCoresRatio = 0.5
 	// startWindow is the time within which processes that start together are put on record,
 	// and ownerDelay the time after which all processes have read the record of a member
--- a/relay/owners_test.go
+++ b/relay/owners_test.go
@@ -12,8 +12,8 @@
 )
 
 var (
-	day   = time.Unix(100_000, 0)
-	owner = func(f *Fleet, now time.Time, key string) domain.Host {
+	testStart  = time.Unix(100_000, 0)
+	firstOwner = func(f *Fleet, now time.Time, key string) domain.Host {
 		all := f.Owners(now, key, 1)
 		if len(all) == 0 {
 			return ""
@@ -28,7 +28,7 @@
 // fifthsLarge returns n members, every fifth of them on a large host.
 func fifthsLarge(n int) (all []Member) {
 	for i := range n {
-		m := Member{Name: domain.Host(fmt.Sprintf("h%d", i)), Addr: netip.MustParseAddrPort(fmt.Sprintf("10.0.0.%d:7", i+1)), Cores: 0.144, Since: day}
+		m := Member{Name: domain.Host(fmt.Sprintf("h%d", i)), Addr: netip.MustParseAddrPort(fmt.Sprintf("10.0.0.%d:7", i+1)), Cores: 0.144, Since: testStart}
 		if i%5 == 0 {
 			m.Cores = 0.8
 		}
@@ -37,26 +37,26 @@
 	return all
 }
 
-func fleets(names []domain.Host, all []Member) (out []*Fleet) {
+func newFleets(names []domain.Host, all []Member) (fleets []*Fleet) {
 	for _, name := range names {
 		f := &Fleet{Self: name}
 		f.SetMembers(all, true)
-		out = append(out, f)
+		fleets = append(fleets, f)
 	}
-	return out
+	return fleets
 }
 
 // The requests of an account reach all hosts, and each host must find the same owner of the
 // account. Only large hosts are owners, and the accounts are distributed over them.
 func TestOwnersAgreeOnAllProcessesAndAreLargeHosts(t *testing.T) {
 	all := fifthsLarge(25)
-	processes := fleets([]domain.Host{"h0", "h1", "h7", "h20"}, all)
+	processes := newFleets([]domain.Host{"h0", "h1", "h7", "h20"}, all)
 	owners := make(map[domain.Host]int)
 	for k := range 200 {
 		key := fmt.Sprintf("account-%d", k)
-		first := owner(processes[0], day, key)
+		first := firstOwner(processes[0], testStart, key)
 		for _, f := range processes[1:] {
-			require.Equal(t, first, owner(f, day, key))
+			require.Equal(t, first, firstOwner(f, testStart, key))
 		}
 		owners[first]++
 	}
@@ -74,8 +74,8 @@
 	after.SetMembers(all[1:], true) // h0 is large
 	for k := range 200 {
 		key := fmt.Sprintf("account-%d", k)
-		if was := owner(before, day, key); was != "h0" {
-			require.Equal(t, was, owner(after, day, key))
+		if was := firstOwner(before, testStart, key); was != "h0" {
+			require.Equal(t, was, firstOwner(after, testStart, key))
 		}
 	}
 }
@@ -85,17 +85,17 @@
 // wait before they treat it as an owner.
 func TestOwnersExcludeNewHostUntilOwnerDelay(t *testing.T) {
 	all := fifthsLarge(25)
-	added := Member{Name: "new", Addr: netip.MustParseAddrPort("10.0.1.1:7"), Cores: 0.8, Since: day.Add(time.Minute)}
+	added := Member{Name: "new", Addr: netip.MustParseAddrPort("10.0.1.1:7"), Cores: 0.8, Since: testStart.Add(time.Minute)}
 	unaware := &Fleet{Self: "h1"}
 	unaware.SetMembers(all, true)
-	aware := fleets([]domain.Host{"new", "h2"}, append(all, added))
+	aware := newFleets([]domain.Host{"new", "h2"}, append(all, added))
 	moved := 0
 	for k := range 200 {
 		key := fmt.Sprintf("account-%d", k)
 		for _, f := range aware {
-			require.Equal(t, owner(unaware, day, key), owner(f, added.Since.Add(30*time.Second), key))
+			require.Equal(t, firstOwner(unaware, testStart, key), firstOwner(f, added.Since.Add(30*time.Second), key))
 		}
-		if owner(aware[0], added.Since.Add(time.Minute), key) == "new" {
+		if firstOwner(aware[0], added.Since.Add(time.Minute), key) == "new" {
 			moved++
 		}
 	}
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -48,8 +48,9 @@
 	// other processes. It allows for one watch and for a source that takes most of a second
 	// to answer.
 	MaxAge = relayWatchTimeout + 800*time.Millisecond
-	// MaxRelayedAge is the same for a process that gets changes from a relay. One poll of the
-	// relay may add PollTimeout and pollGrace.
+	// MaxRelayedAge is the maximum age of the last answer from the source with which an
+	// intermediate process, which gets changes from a relay, answers other processes. One
+	// poll of the relay may add PollTimeout and pollGrace to MaxAge.
 	MaxRelayedAge = MaxAge + PollTimeout + pollGrace
 	// PollTimeout is how long a poll of a relay waits for a change, and pollGrace how much
 	// longer the answer may take. After that time a frozen relay is detected, well within the
@@ -200,7 +201,7 @@
 func (s Source[T]) pollRelays(ctx context.Context, after feed.Revision, wait time.Duration) ([]feed.Change[T], feed.Revision, error) {
 	plan := s.Fleet.plan(boottime())
 	lastErr := errAllInBackoff
-	allStale := plan.nonePassedOver && len(plan.peers) > 0
+	allStale := plan.noneInBackoff && len(plan.peers) > 0
 	for _, p := range plan.peers {
 		answer, err := poll[T](ctx, p, s.Name, after, min(wait, PollTimeout))
 		switch {
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -125,9 +125,9 @@
 	replica Replica[int]
 	http    *httptest.Server
 	// frozen leaves polls unanswered.
-	frozen atomic.Bool
-	seen   atomic.Uint64
-	ended  chan error
+	frozen       atomic.Bool
+	seenRevision atomic.Uint64
+	ended        chan error
 }
 
 func (p *process) member() Member {
@@ -140,19 +140,21 @@
 		Source: Source[int]{Name: "numbers", Origin: p.source, Replica: &p.replica, Fleet: &p.fleet, Log: hclog.NewNullLogger()},
 		OnList: func(_ time.Time, all []feed.Item[int]) {
 			for _, i := range all {
-				p.recordSeen(i.Revision)
+				p.recordSeenRevision(i.Revision)
 			}
 		},
 		OnChange: func(_ time.Time, all []feed.Change[int]) {
 			for _, c := range all {
-				p.recordSeen(c.Revision)
+				p.recordSeenRevision(c.Revision)
 			}
 		},
 	}
 	p.ended <- f.Run(ctx)
 }
 
-func (p *process) recordSeen(r feed.Revision) { p.seen.Store(max(p.seen.Load(), uint64(r))) }
+func (p *process) recordSeenRevision(r feed.Revision) {
+	p.seenRevision.Store(max(p.seenRevision.Load(), uint64(r)))
+}
 
 // startAll runs n processes on one source; the first relayCount of them are the relays.
 func startAll(t *testing.T, source *origin, n int, sources ...func(n int) feed.Source[int]) []*process {
@@ -199,7 +201,7 @@
 	t.Helper()
 	require.Eventually(t, func() bool {
 		for _, p := range all {
-			if p.seen.Load() < uint64(at) {
+			if p.seenRevision.Load() < uint64(at) {
 				return false
 			}
 		}
--- a/relay/replica.go
+++ b/relay/replica.go
@@ -23,7 +23,9 @@
 	mu sync.Mutex
 	// entries holds the newest change of each member: of all present members while the copy
 	// is complete, and of the members that were deleted in (floor, revision].
-	entries         map[string]entry[T]
+	entries map[string]entry[T]
+	// revision is the revision of the copy, and floor the earliest revision after which the
+	// replica has all changes, except those within gaps.
 	floor, revision feed.Revision
 	// gaps lists the gaps between the copy and later lists, oldest first.
 	gaps []gap
@@ -258,8 +260,9 @@
 	changes     []feed.Change[T]
 	revision    feed.Revision
 	confirmedAt time.Time
-	// version is the replica's version.
+	// version is the number of updates of the replica at the time of the answer.
 	version uint64
+	// changed is closed at the next update of the replica.
 	changed <-chan struct{}
 }
 
@@ -352,13 +355,13 @@
 
 // setSender records the sender of the changes and whether this process passes them on, and logs a
 // change of either. sender is a relay's name, or "" for the source.
-func (h *Replica[T]) setSender(log hclog.Logger, name, sender string, isRelay bool, why string) {
+func (h *Replica[T]) setSender(log hclog.Logger, name, sender string, isRelay bool, reason string) {
 	h.mu.Lock()
 	changed := h.sender != sender || h.isRelay != isRelay
 	h.sender, h.isRelay = sender, isRelay
 	at := h.revision
 	h.mu.Unlock()
 	if changed {
-		log.Info("changes come from elsewhere", "feed", name, "relay", sender, "relays", isRelay, "why", why, "revision", at.String())
+		log.Info("changes come from elsewhere", "feed", name, "relay", sender, "relays", isRelay, "why", reason, "revision", at.String())
 	}
 }
--- a/relay/silent.go
+++ b/relay/silent.go
@@ -42,8 +42,8 @@
 	return false, true
 }
 
-// MarkDown records that a process did not answer. It removes processes for which there are no more
-// requests.
+// MarkDown records that a process did not answer, and schedules its first probe. It removes
+// processes for which there are no more requests.
 func (s *Unresponsive) MarkDown(now time.Time, p *Peer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/relay/spread_test.go
+++ b/relay/spread_test.go
@@ -40,10 +40,10 @@
 
 // simProcess is one process of the fleet.
 type simProcess struct {
-	member  Member
-	replica Replica[int]
-	fleet   Fleet
-	seen    atomic.Uint64
+	member       Member
+	replica      Replica[int]
+	fleet        Fleet
+	seenRevision atomic.Uint64
 	// calls and bytes count its answers to other processes.
 	calls, bytes atomic.Int64
 	down         atomic.Bool
@@ -55,7 +55,7 @@
 	callJitter = 2 * time.Millisecond
 )
 
-func (s *simFleet) draw() float64 {
+func (s *simFleet) drawFraction() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.random.Float64()
@@ -65,12 +65,12 @@
 func (s *simFleet) callTo(to *simProcess) func(context.Context, send.Request) (*response, error) {
 	handler := Handler(&to.replica)
 	return func(ctx context.Context, r send.Request) (*response, error) {
-		delay := func() { time.Sleep(callDelay + time.Duration(s.draw()*float64(callJitter))) }
+		delay := func() { time.Sleep(callDelay + time.Duration(s.drawFraction()*float64(callJitter))) }
 		delay()
 		if to.down.Load() {
 			return nil, syscall.ECONNREFUSED
 		}
-		if s.draw() < s.lossRate {
+		if s.drawFraction() < s.lossRate {
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}
@@ -120,12 +120,12 @@
 			Name: "numbers", Log: hclog.NewNullLogger(), WatchTimeout: 10 * time.Second, Source: source,
 			OnList: func(_ time.Time, all []feed.Item[int]) {
 				for _, i := range all {
-					p.seen.Store(max(p.seen.Load(), uint64(i.Revision)))
+					p.seenRevision.Store(max(p.seenRevision.Load(), uint64(i.Revision)))
 				}
 			},
 			OnChange: func(_ time.Time, all []feed.Change[int]) {
 				for _, c := range all {
-					p.seen.Store(max(p.seen.Load(), uint64(c.Revision)))
+					p.seenRevision.Store(max(p.seenRevision.Load(), uint64(c.Revision)))
 				}
 			},
 		}
@@ -141,7 +141,7 @@
 	for time.Since(began) <= within {
 		missing := false
 		for _, p := range s.all {
-			missing = missing || !p.down.Load() && p.seen.Load() < uint64(at)
+			missing = missing || !p.down.Load() && p.seenRevision.Load() < uint64(at)
 		}
 		if !missing {
 			return time.Since(began), true
@@ -151,8 +151,8 @@
 	return within, false
 }
 
-// busiest returns the largest number of calls and of bytes that one process has answered.
-func (s *simFleet) busiest() (calls, bytes int64) {
+// busiestProcess returns the largest number of calls and of bytes that one process has answered.
+func (s *simFleet) busiestProcess() (calls, bytes int64) {
 	for _, p := range s.all {
 		calls, bytes = max(calls, p.calls.Load()), max(bytes, p.bytes.Load())
 	}
@@ -185,7 +185,7 @@
 func TestChangesReachLargeFleetThroughFewCalls(t *testing.T) {
 	for _, n := range []int{4, 24, *maxSimProcesses} {
 		simulate(t, n, 0, func(s *simFleet) {
-			calls, _ := s.busiest()
+			calls, _ := s.busiestProcess()
 			before := s.calls.Load()
 			var longest time.Duration
 			for i := range 20 {
@@ -194,7 +194,7 @@
 				longest = max(longest, took)
 				time.Sleep(500 * time.Millisecond)
 			}
-			after, bytes := s.busiest()
+			after, bytes := s.busiestProcess()
 			t.Logf("%d processes: last one after %v; busiest answers %d calls and %d bytes in 10 s; source %d calls", n, longest, after-calls, bytes, s.calls.Load()-before)
 			require.Less(t, longest, time.Second)
 			if n >= DefaultMinMembers {
