--- a/side/cache.go
+++ b/side/cache.go
@@ -8,8 +8,8 @@
 )
 
 // cacheEventInterval is how often the engine's cache events are polled. The
-// engine reports events with a delay, and entries use the cached state for
-// tens of seconds, so a shorter interval would not help.
+// engine reports events with a delay, and entries use the state of the cache
+// for tens of seconds, so a shorter interval would not help.
 const cacheEventInterval = 300 * time.Millisecond
 
 // forwardCacheEvents polls the engine for cache events and sends each event
--- a/side/claims.go
+++ b/side/claims.go
@@ -14,8 +14,8 @@
 // Timings of shard ownership. Safety depends on fences alone; the timings set
 // how soon a shard has an owner again. After an owner crashes, a member waits
 // until the owner's heartbeats time out (0.8 s), then takeoverDelay, then
-// takeoverRankDelay for each rank before its own, so that only one member takes
-// over.
+// takeoverRankDelay for each member ranked before it as the shard's owner, so
+// that only one member takes over.
 const (
 	claimInterval     = 100 * time.Millisecond
 	takeoverDelay     = 600 * time.Millisecond
@@ -24,11 +24,15 @@
 	// has been observed, as at the start of a service. It leaves an existing
 	// owner enough time to announce itself.
 	firstOwnerDelay = 300 * time.Millisecond
-	expiryInterval  = time.Minute
-	claimTimeout    = 400 * time.Millisecond
-	// retention is how long a key is kept: it covers a caller's retries over
-	// an evening. At two keyed requests per second per side, a side keeps
-	// 43,200 keys.
+	// expiryInterval is the time between two removals of expired keys, and
+	// between two checks for overdue keys.
+	expiryInterval = time.Minute
+	// claimTimeout bounds the calls of one delivery of the claim ledger's
+	// messages, and of one check for overdue keys.
+	claimTimeout = 400 * time.Millisecond
+	// retention is how long an idempotency key is kept: it covers a
+	// caller's retries over an evening. At two keyed requests per second
+	// per side, a side keeps 43,200 keys.
 	retention = 6 * time.Hour
 	// recordDebounce is how long a membership record must be unchanged before
 	// it is applied; recordMaxDelay is the longest that a record waits. A
@@ -51,11 +55,11 @@
 	ledger  claim.Ledger
 	members peers.Directory
 
-	mu           sync.Mutex
-	inbound      map[*wire.Peer]bool
-	owners       map[claim.Shard]observedOwner
-	unownedSince map[claim.Shard]time.Time
-	announced    []claim.Ownership
+	mu              sync.Mutex
+	inboundPeers    map[*wire.Peer]bool
+	owners          map[claim.Shard]observedOwner
+	unownedSince    map[claim.Shard]time.Time
+	announcedShards []claim.Ownership
 	// pendingRecord is the newest record that is not applied yet, or nil. It
 	// was received at pendingAt; pendingSince is when the first record since
 	// the last applied one was received.
@@ -84,7 +88,7 @@
 	state.ledger.Self = claim.Process{Host: s.Settings.Name, Incarnation: s.incarnation}
 	state.ledger.Limits = claim.Limits{Retention: retention}
 	state.ledger.Live = state.mayOwn
-	state.inbound = make(map[*wire.Peer]bool)
+	state.inboundPeers = make(map[*wire.Peer]bool)
 	state.owners = make(map[claim.Shard]observedOwner)
 	state.unownedSince = make(map[claim.Shard]time.Time)
 	handlers := *s.handlers()
@@ -110,7 +114,7 @@
 // and sends it the shards that this side owns.
 func (c *claims) addInbound(peer *wire.Peer, service domain.Service) {
 	c.mu.Lock()
-	c.inbound[peer] = true
+	c.inboundPeers[peer] = true
 	c.mu.Unlock()
 	_ = peer.Notify(wire.MethodOwned, wire.OwnedShards{Service: service, Shards: c.ledger.Owned()})
 }
@@ -119,7 +123,7 @@
 func (c *claims) removeInbound(peer *wire.Peer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.inbound, peer)
+	delete(c.inboundPeers, peer)
 }
 
 // observeOwned records the complete list of shards that a member announced as
@@ -159,11 +163,11 @@
 		}
 	}
 	state.mu.Lock()
-	if sameOwnerships(owned, state.announced) {
+	if sameOwnerships(owned, state.announcedShards) {
 		state.mu.Unlock()
 		return
 	}
-	state.announced = owned
+	state.announcedShards = owned
 	state.mu.Unlock()
 	state.notifyAll(wire.MethodOwned, wire.OwnedShards{Service: s.Settings.Service, Shards: owned})
 }
@@ -172,8 +176,8 @@
 // side.
 func (c *claims) notifyAll(method string, message any) {
 	c.mu.Lock()
-	peers := make([]*wire.Peer, 0, len(c.inbound))
-	for p := range c.inbound {
+	peers := make([]*wire.Peer, 0, len(c.inboundPeers))
+	for p := range c.inboundPeers {
 		peers = append(peers, p)
 	}
 	c.mu.Unlock()
--- a/side/death.go
+++ b/side/death.go
@@ -21,11 +21,13 @@
 // leaf lock: no other lock is acquired while it is held, except that
 // detectCrash locks the order table.
 type crashState struct {
-	mu       sync.Mutex
-	last     retry.Death
-	detected bool
-	count    domain.Incarnation // crashes of an application server, which reports no incarnation
-	reserved map[admit.Key]reservedRequest
+	mu sync.Mutex
+	// lastCrash is the newest detected crash, and crashDetected is set
+	// once there is one.
+	lastCrash        retry.Death
+	crashDetected    bool
+	crashCount       domain.Incarnation // crashes of an application server, which reports no incarnation
+	reservedRequests map[admit.Key]reservedRequest
 }
 
 // reservedRequest identifies the request of a reservation and the time at which
@@ -36,9 +38,9 @@
 }
 
 // detectCrash checks whether the upstream crashed while it ran the order. It
-// returns the evidence, which lists the requests that the upstream was running,
-// or nil if the upstream did not crash. All orders that the same crash ended
-// get the same evidence.
+// returns the crash, with the requests that the upstream was running, or nil if
+// the upstream did not crash. All orders that the same crash ended get the same
+// result.
 func (s *Side) detectCrash(ctx context.Context, o *order) *retry.Death {
 	if s.sameInstanceResponds(ctx) {
 		return nil
@@ -46,19 +48,19 @@
 	incarnation := s.upstreamIncarnation()
 	s.crashState.mu.Lock()
 	defer s.crashState.mu.Unlock()
-	if s.crashState.detected && s.crashState.last.Incarnation == incarnation {
-		death := s.crashState.last
+	if s.crashState.crashDetected && s.crashState.lastCrash.Incarnation == incarnation {
+		death := s.crashState.lastCrash
 		return &death
 	}
-	s.crashState.last = retry.Death{
+	s.crashState.lastCrash = retry.Death{
 		Upstream: s.Settings.Name, Incarnation: incarnation, Time: time.Now(), Running: s.orderTable.runningIdentities(),
 	}
-	s.crashState.detected = true
+	s.crashState.crashDetected = true
 	if s.Model == nil {
-		s.crashState.count++
+		s.crashState.crashCount++
 	}
-	s.Log.Warn("upstream died", "running", len(s.crashState.last.Running), "request", o.run.Request)
-	death := s.crashState.last
+	s.Log.Warn("upstream died", "running", len(s.crashState.lastCrash.Running), "request", o.run.Request)
+	death := s.crashState.lastCrash
 	return &death
 }
 
@@ -71,7 +73,7 @@
 	}
 	s.crashState.mu.Lock()
 	defer s.crashState.mu.Unlock()
-	return s.crashState.count
+	return s.crashState.crashCount
 }
 
 // sameInstanceResponds reports whether the same instance of the upstream answers
@@ -108,45 +110,46 @@
 	return identities
 }
 
-// mayRunAlongside reports whether the request may run together with the requests
-// that are running or hold a reservation. It removes expired reservations.
+// mayRunAlongside reports whether the request may run on the upstream together
+// with the requests that are running or hold a reservation there, by the
+// evidence of which requests crash upstreams. It removes expired reservations.
 func (s *Side) mayRunAlongside(now time.Time, identity retry.Identity) bool {
 	running := s.orderTable.runningIdentities()
 	s.crashState.mu.Lock()
-	for k, other := range s.crashState.reserved {
+	for k, other := range s.crashState.reservedRequests {
 		switch {
 		case now.After(other.expires):
-			delete(s.crashState.reserved, k)
+			delete(s.crashState.reservedRequests, k)
 		case other.identity != identity:
 			running = append(running, other.identity)
 		}
 	}
 	s.crashState.mu.Unlock()
-	return s.evidence.MayRunWith(now, identity, running)
+	return s.crashEvidence.MayRunWith(now, identity, running)
 }
 
 // addReservation records the request identity of a reservation.
 func (d *crashState) addReservation(key admit.Key, request reservedRequest) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.reserved == nil {
-		d.reserved = make(map[admit.Key]reservedRequest)
+	if d.reservedRequests == nil {
+		d.reservedRequests = make(map[admit.Key]reservedRequest)
 	}
-	d.reserved[key] = request
+	d.reservedRequests[key] = request
 }
 
 // removeReservation removes the request identity of a reservation.
 func (d *crashState) removeReservation(key admit.Key) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	delete(d.reserved, key)
+	delete(d.reservedRequests, key)
 }
 
-// sendEvidence sends the evidence of crashes to a connected process. Every entry
-// connects to all sides of its services, so evidence that one entry reports to
-// a side reaches the other entries.
+// sendEvidence sends the evidence of which requests crash upstreams to a
+// connected process. Every entry connects to all sides of its services, so
+// evidence that one entry reports to a side reaches the other entries.
 func (s *Side) sendEvidence(peer *wire.Peer) {
-	record := s.evidence.Record(time.Now())
+	record := s.crashEvidence.Record(time.Now())
 	if len(record.Deaths) == 0 {
 		return
 	}
--- a/side/deliver.go
+++ b/side/deliver.go
@@ -115,7 +115,7 @@
 }
 
 // sendHandover hands a shard to its new owner. If the new owner does not accept
-// it, the handover stays pending.
+// the shard, the handover stays pending in the claim ledger.
 func (s *Side) sendHandover(ctx context.Context, handover claim.Handover) error {
 	accepted := false
 	if err := s.callMember(ctx, handover.Heir.Host, wire.MethodHandover, handover, &accepted); err != nil {
--- a/side/handover.go
+++ b/side/handover.go
@@ -37,8 +37,9 @@
 	}
 }
 
-// handOverShards hands every owned shard to the next usable member in rank at a
-// planned stop. It returns when no shard is left or when ctx ends.
+// handOverShards hands every owned shard to the next usable member in the
+// shard's rank order at a planned stop. It returns when no shard is left or
+// when ctx ends.
 func (s *Side) handOverShards(ctx context.Context) {
 	ledger := &s.claims.ledger
 	for ctx.Err() == nil {
@@ -65,9 +66,9 @@
 	}
 }
 
-// successor returns the first member after this side in the shard's rank that is
-// usable: connected and not draining. The bool reports whether there is such a
-// member.
+// successor returns the first member after this side in the shard's rank order
+// that is usable: connected and not draining. The bool reports whether there is
+// such a member.
 func (s *Side) successor(shard claim.Shard) (claim.Process, bool) {
 	record := s.claims.ledger.Record()
 	afterSelf := false
--- a/side/membership_record.go
+++ b/side/membership_record.go
@@ -60,7 +60,7 @@
 func (s *Side) applyRecord(ctx context.Context, record claim.Record) {
 	outbox, err := s.claims.ledger.Apply(record, time.Now())
 	if err != nil {
-		s.Log.Error("claims record", "version", record.Version, "err", err)
+		s.Log.Error("claims record not applied", "version", record.Version, "err", err)
 		return
 	}
 	s.Log.Info("claims record", "version", record.Version, "members", len(record.Members))
--- a/side/operator_orders.go
+++ b/side/operator_orders.go
@@ -21,8 +21,8 @@
 // side's engine.
 func orderLeaseName(host domain.Host) string { return "orders/" + string(host) }
 
-// operatorOrder is an operator's order for the goroutine that owns the guard,
-// with the channel for its result.
+// operatorOrder is an operator's order for the goroutine that owns the guard of
+// the order lease, with the channel for the order's result.
 type operatorOrder struct {
 	ctx    context.Context
 	order  wire.Order
@@ -35,8 +35,8 @@
 	err   error
 }
 
-// submitOrder passes an operator's order to the goroutine that owns the guard,
-// and waits for the result up to the order's timeout.
+// submitOrder passes an operator's order to the goroutine that owns the guard
+// of the order lease, and waits for the result up to the order's timeout.
 func (s *Side) submitOrder(ctx context.Context, o wire.Order) (any, error) {
 	if s.Model == nil || s.Objects == nil || o.Kind == engine.OrderRole {
 		return nil, &wire.RefusalError{Reason: domain.ReasonBadInput, Ran: domain.NotRun, Detail: "this side gives no such order; a role is changed in its settings"}
@@ -57,12 +57,12 @@
 	}
 }
 
-// executeOrders owns the guard and executes operators' orders one at a time,
-// until the context ends. A side that was paused must not send an old order
-// after its successor has sent a newer one to an engine that ignores fencing
-// tokens. The guard's lease is measured by the monotonic clock and expires here
-// before another holder can acquire it; an engine that honours fencing tokens
-// rejects any stale order that remains.
+// executeOrders owns the guard of the order lease and executes operators'
+// orders one at a time, until the context ends. A side that was paused must not
+// send an old order after its successor has sent a newer one to an engine that
+// ignores fencing tokens. The guard's lease is measured by the monotonic clock
+// and expires here before another holder can acquire it; an engine that honours
+// fencing tokens rejects any stale order that remains.
 func (s *Side) executeOrders(ctx context.Context) error {
 	keeper := &lease.Keeper{
 		Records: s.Objects, Name: orderLeaseName(s.Settings.Name),
--- a/side/order_table.go
+++ b/side/order_table.go
@@ -19,9 +19,9 @@
 	maxEnded       = 4096
 )
 
-// stateLag is the maximum age of an engine's reported state. A request that
-// ended within this time may still be listed as running there, and must not be
-// cancelled because of that.
+// stateLag is the maximum age of the state that an engine reports. A request
+// that ended within this time may still be listed as running there, and must
+// not be cancelled because of that.
 const stateLag = 400 * time.Millisecond
 
 // orderState is the progress of an order.
@@ -35,12 +35,14 @@
 
 // order is one stage of one attempt that an entry asked this side to run.
 type order struct {
-	run      wire.RunRequest
-	entry    domain.Host
-	state    orderState
-	tokens   []string
-	last     bool
-	outcome  wire.Outcome
+	run    wire.RunRequest
+	entry  domain.Host
+	state  orderState
+	tokens []string
+	// last is set once the token that ends the answer was added.
+	last    bool
+	outcome wire.Outcome
+	// attached is the number of entries that follow the order.
 	attached int
 	// detachedAt is when the last attached entry detached; zero while an entry
 	// is attached.
@@ -67,13 +69,13 @@
 	// heartbeat and sweep iterate over running, because orders also holds
 	// thousands of ended orders.
 	running map[wire.AttemptRef]*order
-	// refused holds the attempts that were refused before they arrived, and
-	// when.
-	refused map[wire.AttemptRef]time.Time
-	// ended lists the ended orders in the order of their ends.
-	ended []wire.AttemptRef
-	// highestRemoved is the highest number of a removed request, for each
-	// incarnation of an entry that numbers requests.
+	// refusedAttempts holds the attempts that were refused before they
+	// arrived, and the time of the refusal.
+	refusedAttempts map[wire.AttemptRef]time.Time
+	// endedOrders lists the ended orders in the order of their ends.
+	endedOrders []wire.AttemptRef
+	// highestRemoved is the highest request number among the removed
+	// orders, by the incarnation of the entry that numbered the request.
 	highestRemoved map[trace.ID]uint64
 }
 
@@ -87,7 +89,7 @@
 	// still on its way to a side that was frozen; the work must not run after
 	// that refusal. An order arrives at most once, so that an attempt that is
 	// in refused when its order arrives never runs.
-	if _, refusedBefore := l.refused[run.AttemptRef]; refusedBefore {
+	if _, refusedBefore := l.refusedAttempts[run.AttemptRef]; refusedBefore {
 		return nil, &wire.RefusalError{Reason: domain.ReasonLost, Ran: domain.NotRun, Detail: "the attempt was given up before it arrived"}
 	}
 	if o := l.orders[run.AttemptRef]; o != nil {
@@ -142,7 +144,7 @@
 	// later check would see no attached entry.
 	o.endedDetached = o.attached == 0
 	delete(l.running, o.run.AttemptRef)
-	l.ended = append(l.ended, o.run.AttemptRef)
+	l.endedOrders = append(l.endedOrders, o.run.AttemptRef)
 	o.notifyChanged()
 	l.removeOld(now)
 }
@@ -155,7 +157,7 @@
 	l.init()
 	o := l.orders[ref]
 	if o == nil {
-		l.refused[ref] = now
+		l.refusedAttempts[ref] = now
 		return wire.Outcome{AttemptRef: ref, Ran: l.unknownAttemptRan(ref), Reason: domain.ReasonLost}
 	}
 	switch o.state {
@@ -177,7 +179,7 @@
 	l.init()
 	o := l.orders[ref]
 	if o == nil {
-		l.refused[ref] = now
+		l.refusedAttempts[ref] = now
 		return
 	}
 	o.abandoned = true
@@ -279,16 +281,16 @@
 	if l.orders == nil {
 		l.orders = make(map[wire.AttemptRef]*order)
 		l.running = make(map[wire.AttemptRef]*order)
-		l.refused = make(map[wire.AttemptRef]time.Time)
+		l.refusedAttempts = make(map[wire.AttemptRef]time.Time)
 		l.highestRemoved = make(map[trace.ID]uint64)
 	}
 }
 
 // unknownAttemptRan returns whether an attempt that is not in the table ran:
-// NotRun or Unknown. An attempt that ran is removed once thousands of later calls have ended,
-// and must not be reported as not run. An entry numbers its requests in
-// ascending order, so that only an attempt whose request number is higher than
-// every removed one has certainly never been in the table.
+// NotRun or Unknown. An attempt that ran is removed once thousands of later
+// calls have ended, and must not be reported as not run. An entry numbers its
+// requests in ascending order, so that only an attempt whose request number is
+// higher than every removed one has certainly never been in the table.
 func (l *OrderTable) unknownAttemptRan(ref wire.AttemptRef) domain.Execution {
 	incarnation, number := splitRequestID(ref.Request)
 	if highest, removed := l.highestRemoved[incarnation]; removed && number <= highest {
@@ -313,22 +315,22 @@
 // oldest ended orders beyond maxEnded. It removes old refusals once there are
 // more than maxEnded.
 func (l *OrderTable) removeOld(now time.Time) {
-	for len(l.ended) > 0 {
-		o := l.orders[l.ended[0]]
-		if len(l.ended) <= maxEnded && now.Sub(o.endedAt) < endedRetention {
+	for len(l.endedOrders) > 0 {
+		o := l.orders[l.endedOrders[0]]
+		if len(l.endedOrders) <= maxEnded && now.Sub(o.endedAt) < endedRetention {
 			break
 		}
 		incarnation, number := splitRequestID(o.run.Request)
 		l.highestRemoved[incarnation] = max(l.highestRemoved[incarnation], number)
-		delete(l.orders, l.ended[0])
-		l.ended = l.ended[1:]
+		delete(l.orders, l.endedOrders[0])
+		l.endedOrders = l.endedOrders[1:]
 	}
-	if len(l.refused) <= maxEnded {
+	if len(l.refusedAttempts) <= maxEnded {
 		return
 	}
-	for ref, at := range l.refused {
+	for ref, at := range l.refusedAttempts {
 		if now.Sub(at) >= endedRetention {
-			delete(l.refused, ref)
+			delete(l.refusedAttempts, ref)
 		}
 	}
 }
--- a/side/order_table_model_test.go
+++ b/side/order_table_model_test.go
@@ -20,7 +20,7 @@
 // keeps the list of all events of each order, and computes every result from
 // that list.
 type modelEvent struct {
-	what   string
+	kind   string
 	at     time.Time
 	tokens []string
 	ran    domain.Execution
@@ -29,17 +29,17 @@
 // modelOrder is the list of the events of one order.
 type modelOrder []modelEvent
 
-func (n modelOrder) has(what string) bool {
-	return slices.ContainsFunc(n, func(e modelEvent) bool { return e.what == what })
+func (n modelOrder) has(kind string) bool {
+	return slices.ContainsFunc(n, func(e modelEvent) bool { return e.kind == kind })
 }
 
-func (n modelOrder) count(what string) (c int) {
+func (n modelOrder) count(kind string) (matching int) {
 	for _, e := range n {
-		if e.what == what {
-			c++
+		if e.kind == kind {
+			matching++
 		}
 	}
-	return c
+	return matching
 }
 
 func (n modelOrder) tokens() (all []string) {
@@ -53,7 +53,7 @@
 // that its other events imply.
 func (n modelOrder) ran() domain.Execution {
 	for _, e := range n {
-		if e.what == "end" {
+		if e.kind == "end" {
 			return e.ran
 		}
 	}
@@ -67,7 +67,7 @@
 // the last detach.
 func (n modelOrder) attached() (followers int, detachedAt time.Time) {
 	for _, e := range n {
-		switch e.what {
+		switch e.kind {
 		case "begin", "attach":
 			followers++
 		case "detach":
@@ -88,7 +88,7 @@
 	now    time.Time
 }
 
-func (x *tableTest) add(r wire.AttemptRef, e modelEvent) {
+func (x *tableTest) addEvent(r wire.AttemptRef, e modelEvent) {
 	e.at = x.now
 	x.model[r] = append(x.model[r], e)
 }
@@ -99,7 +99,7 @@
 	require.Equal(t, refusedBefore || x.model[r].has("begin"), refused != nil)
 	if refused == nil {
 		x.orders[r] = o
-		x.add(r, modelEvent{what: "begin"})
+		x.addEvent(r, modelEvent{kind: "begin"})
 		return
 	}
 	if refusedBefore {
@@ -107,13 +107,13 @@
 	}
 }
 
-func (x *tableTest) hand(t *rapid.T, r wire.AttemptRef) {
+func (x *tableTest) markSent(t *rapid.T, r wire.AttemptRef) {
 	n := x.model[r]
 	ok := x.table.markSent(x.orders[r])
 	require.Equal(t, !n.has("hand") && !n.has("gone") && !n.has("end"), ok)
 	if ok {
 		require.False(t, x.notRun[r], "sent to the upstream after it was reported as not run")
-		x.add(r, modelEvent{what: "hand"})
+		x.addEvent(r, modelEvent{kind: "hand"})
 	}
 }
 
@@ -122,15 +122,15 @@
 	if !x.model[r].has("hand") {
 		ran = domain.NotRun
 	}
-	x.add(r, modelEvent{what: "end", ran: ran})
+	x.addEvent(r, modelEvent{kind: "end", ran: ran})
 }
 
 func (x *tableTest) abandon(r wire.AttemptRef) {
 	if x.orders[r] == nil {
-		x.add(r, modelEvent{what: "refused"})
+		x.addEvent(r, modelEvent{kind: "refused"})
 		return
 	}
-	x.add(r, modelEvent{what: "gone"})
+	x.addEvent(r, modelEvent{kind: "gone"})
 }
 
 func (x *tableTest) settle(t *rapid.T, r wire.AttemptRef) {
@@ -151,14 +151,14 @@
 	require.Equal(t, x.model[r].has("end"), ended)
 }
 
-func (x *tableTest) token(r wire.AttemptRef, offset int, text string) {
+func (x *tableTest) addToken(r wire.AttemptRef, offset int, text string) {
 	x.table.addToken(x.orders[r], offset, text, false)
 	if !x.model[r].has("end") && offset == len(x.model[r].tokens()) {
-		x.add(r, modelEvent{what: "token", tokens: []string{text}})
+		x.addEvent(r, modelEvent{kind: "token", tokens: []string{text}})
 	}
 }
 
-func (x *tableTest) orphans(t *rapid.T, after time.Duration) {
+func (x *tableTest) abandonOrphans(t *rapid.T, after time.Duration) {
 	var want []wire.AttemptRef
 	for r, n := range x.model {
 		followers, detachedAt := n.attached()
@@ -185,9 +185,9 @@
 	case "begin":
 		x.begin(t, r)
 	case "hand":
-		x.hand(t, r)
+		x.markSent(t, r)
 	case "token":
-		x.token(r, rapid.IntRange(0, 4).Draw(t, "offset"), rapid.StringN(1, 3, 3).Draw(t, "text"))
+		x.addToken(r, rapid.IntRange(0, 4).Draw(t, "offset"), rapid.StringN(1, 3, 3).Draw(t, "text"))
 	case "follow":
 		x.follow(t, r, rapid.IntRange(0, 5).Draw(t, "from"))
 	case "end":
@@ -195,18 +195,18 @@
 	case "detach":
 		if followers > 0 {
 			x.table.detach(x.orders[r], x.now)
-			x.add(r, modelEvent{what: "detach"})
+			x.addEvent(r, modelEvent{kind: "detach"})
 		}
 	case "attach":
 		x.table.attach(r)
-		x.add(r, modelEvent{what: "attach"})
+		x.addEvent(r, modelEvent{kind: "attach"})
 	case "settle":
 		x.settle(t, r)
 	case "give up":
 		x.table.abandon(r, x.now)
 		x.abandon(r)
 	case "sweep":
-		x.orphans(t, time.Second)
+		x.abandonOrphans(t, time.Second)
 	}
 }
 
--- a/side/pace.go
+++ b/side/pace.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// decay is the weight of the newest measurement in the moving averages. With
-// 1/8, the averages follow a change of the engine's speed within one second of
-// tokens, and a single slow measurement does not cause refusals.
+// decay is the weight of the newest measurement in the moving averages of the
+// upstream's speed. With 1/8, the averages follow a change of the engine's
+// speed within one second of tokens, and a single slow measurement does not
+// cause refusals.
 const decay = 1.0 / 8
 
 // speedEstimator estimates the speed of the upstream: prefill and KV import in
@@ -19,8 +20,9 @@
 	prefill tokenRate
 	imports tokenRate
 	// Exponentially weighted means for a least-squares fit of the token gap
-	// over the batch size: of batch size, of gap in nanoseconds, of batch size
-	// squared, and of batch size times gap.
+	// over the batch size: of batch size, of gap in nanoseconds, of batch
+	// size squared, and of batch size times gap. measured is set once there
+	// is a gap.
 	measured                                           bool
 	meanBatch, meanGap, meanBatchSquared, meanBatchGap float64
 }
@@ -52,7 +54,8 @@
 	s.seconds += elapsed.Seconds() - decay*s.seconds
 }
 
-// perSecond returns tokens per second, or 0 with fewer than minRateTokens measured.
+// perSecond returns the rate in tokens per second, or 0 if it is based on fewer
+// than minRateTokens.
 func (s *tokenRate) perSecond() float64 {
 	if s.seconds == 0 || s.tokens < minRateTokens {
 		return 0
--- a/side/reconcile.go
+++ b/side/reconcile.go
@@ -7,9 +7,9 @@
 	"jacinthworks/domain"
 )
 
-// Polling of the engine's state. It is read five times within the second in
-// which a cancellation must take effect. The upstream counts as down after
-// three consecutive failures, which is 0.6 s.
+// Polling of the engine's state. The state is read five times within the second
+// in which a cancellation must take effect. The upstream counts as down after
+// three consecutive failures to read the state, which is 0.6 s.
 const (
 	reconcileInterval = 200 * time.Millisecond
 	engineCallTimeout = 500 * time.Millisecond
--- a/side/run.go
+++ b/side/run.go
@@ -65,10 +65,10 @@
 	s.FaultHook.Reach(inject.SideEnded)
 	s.releaseCapacity(r.AttemptRef)
 	if outcome.Reason == "" {
-		s.evidence.RecordSurvival(time.Now(), r.Identity)
+		s.crashEvidence.RecordSurvival(time.Now(), r.Identity)
 	}
 	if s.orderTable.endedDetached(o) {
-		s.undelivered.add(r.Request)
+		s.undeliveredRequests.add(r.Request)
 	}
 	s.recordEvent(o, trace.Event{
 		Kind: trace.AttemptEnded, Tokens: o.outcome.Tokens, Execution: o.outcome.Ran, Reason: outcome.Reason, Detail: outcome.Detail,
@@ -97,8 +97,8 @@
 	return nil
 }
 
-// releaseCapacity releases the capacity that a stage of an attempt uses or has
-// reserved.
+// releaseCapacity releases the capacity of the upstream that a stage of an
+// attempt uses or has reserved.
 func (s *Side) releaseCapacity(r wire.AttemptRef) {
 	if r.Stage == wire.StagePrefill {
 		s.reservations.releasePrefill(reservationKey(r))
@@ -122,8 +122,9 @@
 }
 
 // attach sends the tokens and the outcome of an order to an entry that follows
-// it again. For an attempt that is not in the order table it returns what
-// settle does, which refuses the attempt permanently.
+// the order again over a new connection. For an attempt that is not in the
+// order table it returns what settle does, which refuses the attempt
+// permanently.
 func (s *Side) attach(ctx context.Context, peer *wire.Peer, a wire.AttachRequest) (any, error) {
 	o := s.orderTable.attach(a.AttemptRef)
 	if o == nil {
--- a/side/shards.go
+++ b/side/shards.go
@@ -39,11 +39,11 @@
 	}
 }
 
-// logSettled logs, once for each version of the membership record, that no claim
-// message is pending and that this side completely owns every shard for which
-// it is first in rank. From then on, the loss of one host or of one
-// availability zone leaves no key with an unknown outcome, except keys that ran
-// there.
+// logSettled logs, once for each version of the membership record, that no
+// claim message is pending and that this side completely owns every shard of
+// which it is the first-ranked member. From then on, the loss of one host or of
+// one availability zone leaves no key with an unknown outcome, except keys that
+// ran there.
 func (s *Side) logSettled(outbox claim.Outbox) {
 	record := s.claims.ledger.Record()
 	if len(outbox.Fences)+len(outbox.Restores)+len(outbox.Handovers) > 0 || record.Version == s.claims.settledVersion {
@@ -77,8 +77,8 @@
 }
 
 // takeOverShards takes over shards that have had no connected owner for longer
-// than this side's delay, which depends on its rank. A draining side takes over
-// nothing.
+// than this side's delay, which depends on its rank among the shard's possible
+// owners. A draining side takes over no shard.
 func (s *Side) takeOverShards(ctx context.Context, now time.Time) {
 	if s.draining.Load() {
 		return
@@ -111,12 +111,12 @@
 }
 
 // returnInterval is how often the owned shards are checked for a shard whose
-// first member in rank is another one.
+// first-ranked member is another side.
 const returnInterval = time.Second
 
-// returnShards hands owned shards to their first member in rank once that member
-// is connected and accepts work. Otherwise, if the first member was unreachable
-// for a moment, its successor would keep the shard. The successor is in the
+// returnShards hands owned shards to their first-ranked member once that member
+// is connected and accepts work. Otherwise, if that member was unreachable for
+// a moment, its successor would keep the shard. The successor is in the
 // availability zone of the shard's runners, so the loss of that one host would
 // leave keys with an unknown outcome.
 func (s *Side) returnShards(ctx context.Context, now time.Time, pending claim.Outbox) {
@@ -133,7 +133,7 @@
 		}
 		outbox, err := s.claims.ledger.Retire(o.Shard, first, now)
 		if err != nil {
-			s.Log.Warn("shard not given back", "shard", o.Shard, "err", err)
+			s.Log.Warn("shard not returned to its first-ranked member", "shard", o.Shard, "err", err)
 		}
 		s.deliver(ctx, outbox)
 	}
--- a/side/side.go
+++ b/side/side.go
@@ -34,11 +34,12 @@
 	"jacinthworks/wire"
 )
 
-// Engine memory of a request that no entry follows is released within two
-// seconds: the heartbeat timeout detects an unreachable entry within 0.8 s, an
-// entry has orphanTimeout to attach again on a new connection, and the sweep
-// adds up to sweepInterval. 0.8 + 0.6 + 0.1 s leaves half a second for the
-// cancel call and one retry of it.
+// Times in which an order without an attached entry is ended. Engine memory of
+// a request that no entry follows is released within two seconds: the heartbeat
+// timeout detects an unreachable entry within 0.8 s, an entry has orphanTimeout
+// to attach again on a new connection, and the sweep adds up to sweepInterval.
+// 0.8 + 0.6 + 0.1 s leaves half a second for the cancel call and one retry of
+// it.
 const (
 	orphanTimeout = 600 * time.Millisecond
 	sweepInterval = 100 * time.Millisecond
@@ -60,22 +61,22 @@
 	// connections.
 	OnListen func(netip.AddrPort)
 
-	orderTable     OrderTable
-	reservations   reservations
-	speed          speedEstimator
-	recorder       trace.Recorder
-	undelivered    undelivered
-	claims         claims
-	crashState     crashState
-	operatorOrders chan operatorOrder
-	evidence       retry.Ledger
-	incarnation    domain.Incarnation
-	engineState    atomic.Pointer[engine.State]
-	upstreamDown   atomic.Bool
-	draining       atomic.Bool
-	ownMember      atomic.Pointer[member.Member] // nil until join runs
-	work           group.Group
-	workCtx        context.Context
+	orderTable          OrderTable
+	reservations        reservations
+	speed               speedEstimator
+	recorder            trace.Recorder
+	undeliveredRequests undelivered
+	claims              claims
+	crashState          crashState
+	operatorOrders      chan operatorOrder
+	crashEvidence       retry.Ledger
+	incarnation         domain.Incarnation
+	engineState         atomic.Pointer[engine.State]
+	upstreamDown        atomic.Bool
+	draining            atomic.Bool
+	ownMember           atomic.Pointer[member.Member] // nil until join runs
+	work                group.Group
+	workCtx             context.Context
 }
 
 // Run serves until ctx ends, then refuses new work, waits for the running work
@@ -98,7 +99,7 @@
 	var metricsListener net.Listener
 	if s.Settings.AdminListen.IsValid() {
 		if metricsListener, err = net.Listen("tcp", s.Settings.AdminListen.String()); err != nil {
-			return errors.Wrap(err, "side: admin_listen")
+			return errors.Wrap(err, "side: listen on admin_listen")
 		}
 	}
 	serving, stopServing := context.WithCancel(context.WithoutCancel(ctx))
@@ -134,7 +135,7 @@
 	s.work.Close()
 	stopServing()
 	for _, e := range loops.Wait() {
-		s.Log.Warn("ended with an error", "goroutine", e.Name, "err", e.Err)
+		s.Log.Warn("goroutine ended with an error", "goroutine", e.Name, "err", e.Err)
 	}
 	return nil
 }
@@ -182,19 +183,19 @@
 	return wire.Heartbeat{Draining: s.draining.Load(), Load: load}
 }
 
-// onOpen sends a process that has connected the evidence of crashes and the
-// shards that this side owns.
+// onOpen sends a process that has connected the evidence of which requests
+// crash upstreams, and the shards that this side owns.
 func (s *Side) onOpen(peer *wire.Peer) {
 	s.sendEvidence(peer)
 	s.claims.addInbound(peer, s.Settings.Service)
 }
 
-// handleNotification merges evidence of crashes from entries. It ignores other
-// notifications.
+// handleNotification merges the evidence, received from an entry, of which
+// requests crash upstreams. It ignores other notifications.
 func (s *Side) handleNotification(_ *wire.Peer, method string, params json.RawMessage) {
 	var evidence retry.Record
 	if method == wire.MethodEvidence && json.Unmarshal(params, &evidence) == nil {
-		s.evidence.Merge(time.Now(), evidence)
+		s.crashEvidence.Merge(time.Now(), evidence)
 	}
 }
 
@@ -229,7 +230,7 @@
 func (s *Side) logWorkExits(context.Context) error {
 	for e := range s.work.Exits() {
 		if e.Err != nil {
-			s.Log.Debug("work ended", "name", e.Name, "err", e.Err)
+			s.Log.Debug("background work ended with an error", "name", e.Name, "err", e.Err)
 		}
 	}
 	return nil
@@ -287,8 +288,8 @@
 	defer s.leave()
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
-	// Draining lasts at least two heartbeat intervals, so that every entry is
-	// notified before the listener closes.
+	// Draining lasts at least two heartbeat intervals, so that every entry
+	// is sent a heartbeat with Draining set before the listener closes.
 	notifiedAt := time.Now().Add(2 * s.Settings.Timings.Heartbeat)
 	for s.orderTable.runningCount() > 0 || time.Now().Before(notifiedAt) {
 		select {
@@ -304,11 +305,11 @@
 // membership record, and handing over shards.
 const leaveTimeout = 2 * time.Second
 
-// leave removes this incarnation of the side from the membership record, so that
-// no owner waits for its replies about keys that it ran, and hands its shards to
-// the remaining members. During a platform outage the side stays in the record,
-// as a side that was killed does, and hands each shard to a member later in
-// rank.
+// leave removes this incarnation of the side from the membership record, so
+// that no owner waits for its replies about keys that it ran, and hands its
+// shards to the remaining members. During a platform outage the side stays in
+// the record, as a side that was killed does, and hands each shard to a member
+// that comes later in the shard's rank order.
 func (s *Side) leave() {
 	if s.Objects == nil {
 		return
--- a/side/spans.go
+++ b/side/spans.go
@@ -71,7 +71,7 @@
 func (s *Side) packSpans(now time.Time, packer *trace.Packer, outbox *trace.Outbox) {
 	var batch []*trace.Span
 	for _, span := range s.recorder.TakePending() {
-		if s.undelivered.remove(span.Request) {
+		if s.undeliveredRequests.remove(span.Request) {
 			batch = append(batch, span)
 		}
 	}
@@ -80,7 +80,7 @@
 	}
 	segments, err := packer.Pack(now, batch)
 	if err != nil {
-		s.Log.Error("stories left out", "err", err)
+		s.Log.Error("spans left out of trace segments", "err", err)
 	}
 	outbox.Add(segments...)
 }
--- a/side/upstream_work.go
+++ b/side/upstream_work.go
@@ -31,7 +31,7 @@
 	}
 	outcome := s.runOnUpstream(ctx, o)
 	if _, err := s.claims.ledger.Settle(dispatch.Token.Key, dispatch.Attempt, claimState(o.run, outcome), time.Now()); err != nil {
-		s.Log.Error("claim not settled", "request", o.run.Request, "err", err)
+		s.Log.Error("outcome not stored in the claim ledger", "request", o.run.Request, "err", err)
 	}
 	return outcome
 }
@@ -106,7 +106,7 @@
 	case errors.Is(err, engine.ErrCrashed) && ctx.Err() == nil:
 		if death := s.detectCrash(ctx, o); death != nil {
 			outcome.Reason, outcome.Death = domain.ReasonLost, death
-			s.evidence.RecordDeath(*death)
+			s.crashEvidence.RecordDeath(*death)
 		}
 	}
 	if s.Model == nil || outcome.Ran == domain.NotRun {
