--- a/entry/accounts_test.go
+++ b/entry/accounts_test.go
@@ -57,7 +57,7 @@
 	for _, count := range []int{2, 2100} {
 		callers := testCallers(count)
 		a := newAccounts(callers)
-		b.Run(fmt.Sprintf("naive/accounts=%d", count), func(b *testing.B) {
+		b.Run(fmt.Sprintf("comparison/accounts=%d", count), func(b *testing.B) {
 			for b.Loop() {
 				accountByComparison(callers, "token-of-the-stud-0001")
 			}
--- a/entry/crashes.go
+++ b/entry/crashes.go
@@ -16,7 +16,7 @@
 		return false
 	}
 	v := e.retries.Decide(time.Now(), retry.Failure{
-		Attempt: r.attempt - r.unsentAttempts, Ran: f.ran, Idempotent: r.row.Idempotent, Deadline: r.accepted.Add(time.Duration(r.row.Deadline)),
+		Attempt: r.attempt - r.unsentAttempts, Ran: f.ran, Idempotent: r.row.Idempotent, Deadline: r.acceptedAt.Add(time.Duration(r.row.Deadline)),
 	})
 	e.Log.Info("decision", "request", r.id, "attempt", r.attempt, "retry", v, "ran", f.ran, "reason", f.reason)
 	return v == retry.Allowed
@@ -34,9 +34,10 @@
 	}
 }
 
-// recordDeath records that an upstream died during an attempt, and sends the evidence at
-// once to the sides of the service and to the other entries: the next attempt of the same
-// request may come from another entry. It does nothing if d is nil.
+// recordDeath records that an upstream died during an attempt, and sends the evidence
+// against the requests that it ran at once to the sides of the service and to the other
+// entries: the next attempt of the same request may come from another entry. It does
+// nothing if d is nil.
 func (e *Entry) recordDeath(s *peers.Link, d *retry.Death) {
 	if d == nil {
 		return
@@ -53,7 +54,8 @@
 	}
 }
 
-// mergeEvidence merges the evidence that a side or another entry has sent.
+// mergeEvidence merges the evidence, received from a side or another entry, of which
+// requests crash upstreams.
 func (e *Entry) mergeEvidence(params json.RawMessage) {
 	var r retry.Record
 	if json.Unmarshal(params, &r) == nil {
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -54,15 +54,15 @@
 	sides         peers.Directory
 	entries       peers.Directory
 	entriesRecord atomic.Pointer[member.Record] // the record of all entries, including this entry
-	self          atomic.Pointer[member.Member]
+	ownMember     atomic.Pointer[member.Member]
 	tables        table.Holder
 	schedulers    schedulers
 	rates         rates
 	owners        owners
 	retries       retry.Policy
 	crashes       retry.Ledger
-	// leaving: /ready reports the entry as not ready, and it still serves requests.
-	// draining: it refuses new requests.
+	// leaving is set once /ready reports the entry as not ready, although it still
+	// serves requests; draining is set once it refuses new requests.
 	leaving       atomic.Bool
 	draining      atomic.Bool
 	started       time.Time
@@ -104,7 +104,7 @@
 }
 
 // Run serves until ctx ends. It then accepts no new requests, waits until open requests
-// have ended, bounded by stop_within, and returns.
+// have ended, bounded by the setting stop_within, and returns.
 func (e *Entry) Run(ctx context.Context) error {
 	e.init()
 	l, err := e.listen(ctx)
@@ -141,7 +141,7 @@
 	stopServing()
 	e.background.Close()
 	for _, end := range loops.Wait() {
-		e.Log.Warn("ended with an error", "goroutine", end.Name, "err", end.Err)
+		e.Log.Warn("goroutine ended with an error", "goroutine", end.Name, "err", end.Err)
 	}
 	return nil
 }
@@ -217,7 +217,7 @@
 const drainDelay = 2 * time.Second
 
 // drain lets the balancer remove this entry, then closes the listener and waits until
-// open requests have ended, bounded by stop_within.
+// open requests have ended, bounded by the setting stop_within.
 func (e *Entry) drain(s *http.Server) {
 	e.leaving.Store(true)
 	within := e.Settings.Timings.StopTimeout
--- a/entry/health.go
+++ b/entry/health.go
@@ -8,12 +8,12 @@
 	"jacinthworks/peers"
 )
 
-// evaluateInterval is how often the upstreams of a pool are compared; package eject
-// requires an interval of this length.
+// evaluateInterval is how often the speed and failures of the upstreams of a pool are
+// compared; package eject requires an interval of this length.
 const evaluateInterval = time.Second
 
-// health compares the upstreams of a service with the other upstreams of the same role.
-// The zero value is ready to use.
+// health compares the speed and failures of each upstream of a service with those of the
+// other upstreams of the same role. The zero value is ready to use.
 type health struct{ prefill, decode, app eject.Pool }
 
 func (h *health) pool(r domain.Role) *eject.Pool {
@@ -45,8 +45,9 @@
 	}
 }
 
-// evaluate ejects and readmits upstreams, and applies the share of new work of each host.
-func (e *Entry) evaluate(now time.Time) {
+// evaluateHealth ejects and readmits upstreams of all services, and applies each host's
+// share of new work.
+func (e *Entry) evaluateHealth(now time.Time) {
 	for _, service := range e.services() {
 		s := e.schedulers.get(service)
 		for _, role := range []domain.Role{domain.RolePrefill, domain.RoleDecode, domain.RoleApp} {
--- a/entry/http.go
+++ b/entry/http.go
@@ -31,7 +31,7 @@
 	m.HandleFunc("POST /v1/chat/completions", e.serve(readChat, e.serveModel))
 	m.HandleFunc("/services/{service}/{path...}", e.serve(readCall, e.serveCall))
 	m.HandleFunc("GET /ready", e.serveReady)
-	m.HandleFunc("/", e.serve(readNothing, nil))
+	m.HandleFunc("/", e.serve(readUnknownPath, nil))
 	return m
 }
 
@@ -76,7 +76,7 @@
 // answer.
 func (e *Entry) serve(read readFunc, answer answerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, h *http.Request) {
-		r := &request{id: e.nextID(), accepted: time.Now(), kind: defaultKind}
+		r := &request{id: e.nextID(), acceptedAt: time.Now(), kind: defaultKind}
 		w.Header().Set(headerID, string(r.id))
 		f := e.read(r, w, h, read)
 		e.recordAccepted(r)
@@ -118,13 +118,13 @@
 	}
 	r.bodyHash = hashParts(h.Method, h.URL.RequestURI(), string(body))
 	r.identity = retry.Identify(r.account, r.service, []byte(h.URL.RequestURI()), body)
-	r.row, _ = e.lookup(r.service, r.kind)
+	r.row, _ = e.lookupRow(r.service, r.kind)
 	return nil
 }
 
 // findRow returns a failure if the table has no row for the request.
 func (e *Entry) findRow(r *request) *failure {
-	_, found := e.lookup(r.service, r.kind)
+	_, found := e.lookupRow(r.service, r.kind)
 	switch {
 	case found:
 		return nil
--- a/entry/keys.go
+++ b/entry/keys.go
@@ -13,9 +13,9 @@
 	"jacinthworks/wire"
 )
 
-// Times of claims. A shard whose owner has failed gets a new owner within about two
-// seconds. A claim is retried for somewhat longer, so that the loss of a side refuses no
-// request whose deadline allows the wait.
+// Times of claims of idempotency keys. A shard whose owner has failed gets a new owner
+// within about two seconds. A claim is retried for somewhat longer, so that the loss of a
+// side refuses no request whose deadline allows the wait.
 const (
 	claimTimeout       = 4 * time.Second
 	claimRetryInterval = 50 * time.Millisecond
@@ -120,9 +120,9 @@
 	return f, false
 }
 
-// settleEarlier asks the runner of an earlier attempt, which its entry no longer has
-// open, how the attempt ended, and passes the state on to the owner. It reports whether
-// to retry the claim.
+// settleEarlier asks the runner of an earlier attempt with the same key, which its entry
+// no longer has open, how the attempt ended, and passes the state on to the owner of the
+// key's shard. It reports whether to retry the claim.
 func (e *Entry) settleEarlier(ctx context.Context, r *request, refused *claim.Refusal) bool {
 	runner := e.sides.Find(refused.Runner.Host)
 	if runner == nil {
@@ -172,9 +172,9 @@
 	return false
 }
 
-// resolve reports to the owner of the key how the attempt ended. Only after a failure it
-// waits for the owner's reply, at most callTimeout: the caller may then retry with the
-// same key.
+// resolve reports to the owner of the key's shard how the attempt ended. Only after a
+// failure it waits for the owner's reply, at most callTimeout: the caller may then retry
+// with the same key.
 func (e *Entry) resolve(r *request, d *claim.Dispatch, f *failure) {
 	if d == nil {
 		return
@@ -208,9 +208,9 @@
 	}
 }
 
-// keyState returns the state in which an attempt leaves its key. Idempotent work that was
-// not answered frees the key: only this entry could have delivered the attempt's answer,
-// and it did not.
+// keyState returns the state in which an attempt leaves its idempotency key. Idempotent
+// work that was not answered frees the key: only this entry could have delivered the
+// attempt's answer, and it did not.
 func keyState(r *request, f *failure) claim.State {
 	switch {
 	case f == nil:
--- a/entry/keys_test.go
+++ b/entry/keys_test.go
@@ -27,18 +27,18 @@
 // a shard owner that is being superseded.
 func TestFencedGrantsDoNotUseAttempts(t *testing.T) {
 	e := &Entry{Log: hclog.NewNullLogger()}
-	r := &request{accepted: time.Now(), key: "k"}
+	r := &request{acceptedAt: time.Now(), key: "k"}
 	r.row.Deadline = table.Duration(10 * time.Second)
-	const former = 6
+	const formerGrants = 6
 	tries := 0
 	f := e.attempts(t.Context(), r, func(context.Context) *failure {
-		if tries++; tries <= former {
+		if tries++; tries <= formerGrants {
 			return failureOf(fencedOutcome(claim.Epoch{Version: 3, Turn: 1}))
 		}
 		return nil
 	})
 	require.Nil(t, f)
-	require.Equal(t, former+1, tries)
+	require.Equal(t, formerGrants+1, tries)
 }
 
 // Guards against a request that waits until its deadline although no new owner of the
--- a/entry/members.go
+++ b/entry/members.go
@@ -10,14 +10,14 @@
 	"jacinthworks/wire"
 )
 
-// Times of the watches: how long one watch waits at the platform, and the delay after a
-// watch that failed.
+// Times of the watches of membership records and of the table: how long one watch waits
+// at the platform for a change, and the delay after a watch that failed.
 const (
 	watchTimeout    = member.WatchWait
 	watchRetryDelay = member.WatchRetryDelay
 )
 
-// watchMembers watches the record of each service in the table.
+// watchMembers watches the membership record of each service in the table.
 func (e *Entry) watchMembers(ctx context.Context) error {
 	var g group.Group
 	watched := make(map[domain.Service]bool)
@@ -40,7 +40,8 @@
 	return nil
 }
 
-// watchRecord watches the record of one service and passes each newer version to apply.
+// watchRecord watches the membership record of one service and passes each newer version
+// to apply.
 func (e *Entry) watchRecord(ctx context.Context, s domain.Service, apply func(member.Record) bool) error {
 	return member.Watch(ctx, e.Objects, s, func(r member.Record) bool {
 		taken := apply(r)
@@ -51,9 +52,9 @@
 	}, func(ctx context.Context, at member.Record) member.Record { return e.recordFromPeers(ctx, s, at, apply) })
 }
 
-// recordFromPeers requests a record from the other entries while the platform does not
-// return it, and returns the newest version. An entry that starts during an outage of the
-// platform finds its sides this way.
+// recordFromPeers requests a membership record from the other entries while the platform
+// does not return it, and returns the newest version. An entry that starts during an
+// outage of the platform finds its sides this way.
 func (e *Entry) recordFromPeers(ctx context.Context, s domain.Service, at member.Record, apply func(member.Record) bool) member.Record {
 	for _, l := range e.entries.Connected() {
 		var got member.Record
--- a/entry/model.go
+++ b/entry/model.go
@@ -27,7 +27,8 @@
 	hasBegun() bool
 }
 
-// runModel runs a request on a prefill and a decode engine.
+// runModel runs a completion on a prefill and a decode engine, with retries, and writes
+// its tokens to the sink.
 func (e *Entry) runModel(ctx context.Context, r *request, to sink) *failure {
 	return e.attempts(ctx, r, func(ctx context.Context) *failure {
 		to.discard()
@@ -67,7 +68,8 @@
 	return f
 }
 
-// runStages runs prefill and then decode under the claim.
+// runStages runs prefill and then decode, the latter under the claim of the request's
+// key if there is one.
 func (e *Entry) runStages(ctx context.Context, r *request, p pair, d *claim.Dispatch, to sink) *failure {
 	started := time.Now()
 	began := started
@@ -85,7 +87,7 @@
 		e.cancel(p.prefill, wire.AttemptRef{Request: r.id, Attempt: r.attempt, Stage: wire.StagePrefill})
 	}
 	if f == nil {
-		e.schedulers.get(r.service).observe(r, r.firstToken.Sub(started), time.Since(started))
+		e.schedulers.get(r.service).observe(r, r.firstTokenAt.Sub(started), time.Since(started))
 	}
 	e.recordHealth(p.decode, time.Since(began), r.tokens, f)
 	r.avoidHost(p.decode, f)
@@ -174,19 +176,20 @@
 		return callerErr
 	}
 	if r.tokens == 0 {
-		r.firstToken = time.Now()
+		r.firstTokenAt = time.Now()
 		e.recordEvent(r, trace.Event{Kind: trace.FirstToken})
 	}
 	r.tokens += len(fresh)
-	return errors.Wrap(to.add(fresh), "entry: caller")
+	return errors.Wrap(to.add(fresh), "entry: write tokens to the caller")
 }
 
 // timeLeft returns the time until the request's deadline.
 func (e *Entry) timeLeft(r *request) time.Duration {
-	return time.Until(r.accepted.Add(time.Duration(r.row.Deadline)))
+	return time.Until(r.acceptedAt.Add(time.Duration(r.row.Deadline)))
 }
 
-// prefixOf hashes the start of a prompt, whose KV cache engines may already hold.
+// prefixOf returns a hash of the start of a prompt, whose KV cache engines may already
+// hold.
 func prefixOf(prompt string) uint64 { return hashParts(prompt[:min(len(prompt), prefixBytes)]) }
 
 // prefixBytes is the length of the prompt start that is treated as a shared prefix: the
--- a/entry/owners.go
+++ b/entry/owners.go
@@ -45,6 +45,7 @@
 	}
 }
 
+// host returns the reported owner of a shard, or "" if none was reported.
 func (o *owners) host(s domain.Service, n claim.Shard) domain.Host {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/entry/parse_request.go
+++ b/entry/parse_request.go
@@ -94,16 +94,17 @@
 
 func (r *request) estimateTokens() { r.promptTokens = max(1, len(r.prompt)/bytesPerToken) }
 
-// hopHeaders apply to one connection and are not forwarded. Authorization authenticates
-// the caller to the entry and is of no use to an upstream.
-var hopHeaders = []string{
+// unforwardedHeaders are the headers of a plain call that are not forwarded to the
+// upstream. Most apply to one connection only. Authorization authenticates the caller to
+// the entry and is of no use to an upstream.
+var unforwardedHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Authorization", "Content-Length",
 }
 
 func readCall(r *request, h *http.Request, body []byte) check.Findings {
 	header := h.Header.Clone()
-	for _, name := range hopHeaders {
+	for _, name := range unforwardedHeaders {
 		header.Del(name)
 	}
 	header.Set(headerID, string(r.id))
@@ -116,7 +117,8 @@
 	return nil
 }
 
-func readNothing(_ *request, h *http.Request, _ []byte) check.Findings {
+// readUnknownPath refuses a request for a method and path that the entry does not serve.
+func readUnknownPath(_ *request, h *http.Request, _ []byte) check.Findings {
 	var found check.Findings
 	found.Add(h.Method+" "+h.URL.Path, "is not served here")
 	return found
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -73,7 +73,7 @@
 	m := member.Member{
 		Host: e.Settings.Name, Zone: e.Settings.Zone, Service: member.EntryService, Address: address, Incarnation: e.incarnation,
 	}
-	e.self.Store(&m)
+	e.ownMember.Store(&m)
 	e.background.Go(ctx, "join", func(ctx context.Context) error {
 		return member.JoinWithRetry(ctx, e.Objects, m, func(r member.Record) {
 			e.Log.Info("joined", "service", r.Service, "version", r.Version, "members", len(r.Members))
@@ -103,7 +103,7 @@
 // its peers neither dial it nor list it. While the platform is down it stays in the
 // record, like an entry that was killed.
 func (e *Entry) leaveEntries() {
-	m := e.self.Load()
+	m := e.ownMember.Load()
 	if m == nil {
 		return
 	}
--- a/entry/rates.go
+++ b/entry/rates.go
@@ -15,7 +15,8 @@
 	// rateTimeout bounds one call to the owner of a caller's rate: a round trip, and a
 	// delay before the remote host gets a processor.
 	rateTimeout = 80 * time.Millisecond
-	// maxRateCalls is how many connected entries are called, one after the other.
+	// maxRateCalls is how many connected entries are called, one after the other, for
+	// a token of one request before this entry uses its own share of the rate.
 	maxRateCalls = 2
 )
 
@@ -30,7 +31,8 @@
 	denied limit.DenialCache
 }
 
-// start sets the start time of the process.
+// start sets the start time of the process. How many requests callers sent before it is
+// not known.
 func (r *rates) start(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -60,17 +62,17 @@
 }
 
 // deniedWait returns the remaining wait of a cached refusal, or zero.
-func (r *rates) deniedWait(now time.Time, of limit.Key) time.Duration {
+func (r *rates) deniedWait(now time.Time, key limit.Key) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.denied.Wait(now, of)
+	return r.denied.Wait(now, key)
 }
 
 // addDenial caches the refusal of a caller for the given wait.
-func (r *rates) addDenial(now time.Time, of limit.Key, wait time.Duration) {
+func (r *rates) addDenial(now time.Time, key limit.Key, wait time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.denied.Add(now, of, wait)
+	r.denied.Add(now, key, wait)
 }
 
 // takeRate takes a token from the caller's bucket for the row, and returns how long to
--- a/entry/rates_test.go
+++ b/entry/rates_test.go
@@ -39,9 +39,9 @@
 func TestRatesCacheDenialUntilItExpires(t *testing.T) {
 	var r rates
 	now := time.Now()
-	of := limit.Key{Account: "loop"}
-	r.addDenial(now, of, time.Second)
-	require.Equal(t, 400*time.Millisecond, r.deniedWait(now.Add(600*time.Millisecond), of))
-	require.Zero(t, r.deniedWait(now.Add(time.Second), of))
+	key := limit.Key{Account: "loop"}
+	r.addDenial(now, key, time.Second)
+	require.Equal(t, 400*time.Millisecond, r.deniedWait(now.Add(600*time.Millisecond), key))
+	require.Zero(t, r.deniedWait(now.Add(time.Second), key))
 	require.Zero(t, r.deniedWait(now, limit.Key{Account: "other"}))
 }
--- a/entry/report.go
+++ b/entry/report.go
@@ -52,7 +52,8 @@
 	s.apps.Pool.SetDraining(h, true)
 }
 
-// remove removes a host that is no longer in the record.
+// remove removes a host that is no longer in the service's membership record from the
+// upstream selection.
 func (s *scheduler) remove(h domain.Host) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/entry/request.go
+++ b/entry/request.go
@@ -18,26 +18,26 @@
 	"jacinthworks/wire"
 )
 
-// request is an accepted request until its end.
+// request is an accepted request, from its arrival until its answer or refusal.
 type request struct {
-	id       domain.RequestID
-	account  domain.Account
-	service  domain.Service
-	kind     domain.Kind
-	row      table.Row
-	key      string
-	bodyHash uint64
-	identity retry.Identity
-	accepted time.Time
-	// firstToken is when the first token of the current attempt arrived.
-	firstToken     time.Time
+	id         domain.RequestID
+	account    domain.Account
+	service    domain.Service
+	kind       domain.Kind
+	row        table.Row
+	key        string
+	bodyHash   uint64
+	identity   retry.Identity
+	acceptedAt time.Time
+	// firstTokenAt is when the first token of the current attempt arrived.
+	firstTokenAt   time.Time
 	attempt        domain.Attempt
-	unsentAttempts domain.Attempt // attempts that use no retry; see attempts
-	// firstFenced is when a side first rejected an attempt because a former owner had
-	// granted its claim.
-	firstFenced time.Time
-	claimTries  domain.Attempt // number of the latest claim; each claim has a new number
-	tokens      int
+	unsentAttempts domain.Attempt // attempts that did not run and that use no retry
+	// firstFencedAt is when a side first rejected an attempt because a former owner
+	// had granted its claim.
+	firstFencedAt time.Time
+	claimTries    domain.Attempt // number of the latest claim; each claim has a new number
+	tokens        int
 	// prefilled is set once an engine has begun a prefill for the request, however the
 	// decode ended: the request can't be reported as not_run any more.
 	prefilled bool
@@ -92,7 +92,7 @@
 func (e *Entry) recordAccepted(r *request) {
 	e.retries.Budget.Accepted()
 	e.recorder.Record(trace.Event{
-		Kind: trace.Accepted, Time: r.accepted, Host: e.Settings.Name, Request: r.id,
+		Kind: trace.Accepted, Time: r.acceptedAt, Host: e.Settings.Name, Request: r.id,
 		Service: r.service, RequestKind: r.kind, Caller: r.account, Idempotent: r.row.Idempotent, Tokens: r.promptTokens,
 	})
 }
@@ -110,14 +110,14 @@
 func (e *Entry) recordAnswered(r *request) {
 	e.recordEvent(r, trace.Event{Kind: trace.Answered, Execution: domain.DidRun, Tokens: r.tokens})
 	e.Log.Info("answered", "request", r.id, "kind", r.kind, "account", r.account,
-		"attempts", r.attempt, "tokens", r.tokens, "took", time.Since(r.accepted))
+		"attempts", r.attempt, "tokens", r.tokens, "took", time.Since(r.acceptedAt))
 }
 
 // recordRefusal ends the request's trace with a refusal, and returns the refusal.
 func (e *Entry) recordRefusal(r *request, f *failure) *domain.Refusal {
 	e.recordEvent(r, trace.Event{Kind: trace.Refused, Execution: f.ran, Reason: f.reason, Detail: f.detail, Tokens: r.tokens})
 	e.Log.Info("refused", "request", r.id, "kind", r.kind, "account", r.account,
-		"attempts", r.attempt, "reason", f.reason, "ran", f.ran, "took", time.Since(r.accepted))
+		"attempts", r.attempt, "reason", f.reason, "ran", f.ran, "took", time.Since(r.acceptedAt))
 	return &domain.Refusal{RequestID: r.id, Reason: f.reason, Ran: f.ran, Detail: f.detail, RetryAfter: f.retryAfter, Findings: f.findings}
 }
 
@@ -188,10 +188,10 @@
 	if !f.fenced || f.final || f.ran != domain.NotRun {
 		return false
 	}
-	if r.firstFenced.IsZero() {
-		r.firstFenced = now
+	if r.firstFencedAt.IsZero() {
+		r.firstFencedAt = now
 	}
-	return now.Sub(r.firstFenced) < claimTimeout
+	return now.Sub(r.firstFencedAt) < claimTimeout
 }
 
 // avoidHost records the host of a failed attempt, so that the next attempt prefers
--- a/entry/response_test.go
+++ b/entry/response_test.go
@@ -113,7 +113,7 @@
 	e := &Entry{Log: hclog.NewNullLogger()}
 	for reason, status := range statusByReason {
 		for _, after := range []time.Duration{0, 300 * time.Millisecond, 2 * time.Second, 2001 * time.Millisecond} {
-			r := &request{id: e.nextID(), accepted: time.Now()}
+			r := &request{id: e.nextID(), acceptedAt: time.Now()}
 			e.recordAccepted(r)
 			w := httptest.NewRecorder()
 			e.writeRefusal(w, r, &failure{ran: domain.Unknown, reason: reason, retryAfter: after})
--- a/entry/scheduler.go
+++ b/entry/scheduler.go
@@ -24,11 +24,11 @@
 	job   route.Job
 	kind  domain.Kind
 	plain bool
-	// mayRunKey reports whether the shard of the request's key allows a host; nil without
-	// a key.
+	// mayRunKey reports whether the shard of the request's idempotency key allows a
+	// host; nil without a key.
 	mayRunKey func(domain.Host) bool
-	// unservedSince is since when no allowed host takes work; zero while an allowed host
-	// does.
+	// unservedSince is the time from which no allowed host takes work; zero while an
+	// allowed host takes work.
 	unservedSince time.Time
 	result        chan turnResult
 }
@@ -54,12 +54,12 @@
 	random         *rand.Rand
 	turns          map[domain.RequestID]*turn
 	running        map[domain.Kind]int
-	inFlightLimits map[domain.Kind]int // limit on running requests in the table row, read when a request of the kind is queued
-	queueLimits    map[domain.Kind]int // limit on waiting requests in the table row, read at the same time
-	held           map[domain.Kind][]queue.Item
-	health         health               // its pools have leaf locks of their own
-	lastServed     time.Time            // when the service last had sides that take work
-	prefillZones   map[domain.Zone]bool // zones of the prefill engines that have sent a heartbeat
+	inFlightLimits map[domain.Kind]int          // limit on running requests in the table row, read when a request of the kind is queued
+	queueLimits    map[domain.Kind]int          // limit on waiting requests in the table row, read at the same time
+	held           map[domain.Kind][]queue.Item // turns held back by their kind's in-flight limit
+	health         health                       // its pools have leaf locks of their own
+	lastServedAt   time.Time                    // when the service last had sides that take work
+	prefillZones   map[domain.Zone]bool         // zones of the prefill engines that have sent a heartbeat
 	kvLifetime     time.Duration
 	latency        queue.LatencyEstimator
 }
@@ -273,7 +273,8 @@
 	return turnResult{pair: p, model: g}, ok
 }
 
-// finish frees the slot and the upstream capacity of a dispatched turn.
+// finish frees the in-flight slot of a dispatched turn, and the upstream capacity that
+// its selection counted.
 func (s *scheduler) finish(t *turn, got turnResult) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -307,7 +308,7 @@
 		case now := <-t.C:
 			if now.Sub(evaluated) >= evaluateInterval {
 				evaluated = now
-				e.evaluate(now)
+				e.evaluateHealth(now)
 				e.refuseUnserved(now)
 			}
 			e.schedulers.each(func(s *scheduler) { s.tick(now) })
--- a/entry/scheduler_test.go
+++ b/entry/scheduler_test.go
@@ -84,13 +84,13 @@
 	x.settle()
 }
 
-func (x *schedulerTest) count(k domain.Kind, which func(*caller) bool) (n int) {
+func (x *schedulerTest) count(k domain.Kind, which func(*caller) bool) (matching int) {
 	for _, c := range x.callers {
 		if c.kind == k && which(c) {
-			n++
+			matching++
 		}
 	}
-	return n
+	return matching
 }
 
 func (c *caller) waiting() bool { return len(c.answers) == 0 }
@@ -225,14 +225,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		x := newSchedulerTest()
 		x.report("wallapp-1")
-		running, leaves, stays := x.addCaller("ascent", time.Minute), x.addCaller("ascent", time.Minute), x.addCaller("ascent", time.Minute)
-		leaves.cancel()
+		firstCaller, canceledCaller, nextCaller := x.addCaller("ascent", time.Minute), x.addCaller("ascent", time.Minute), x.addCaller("ascent", time.Minute)
+		canceledCaller.cancel()
 		x.settle()
-		require.Equal(t, domain.ReasonCallerGone, leaves.answers[0].refused.Reason)
-		x.s.finish(running.turn, running.answers[0])
-		running.running = false
+		require.Equal(t, domain.ReasonCallerGone, canceledCaller.answers[0].refused.Reason)
+		x.s.finish(firstCaller.turn, firstCaller.answers[0])
+		firstCaller.running = false
 		x.settle()
-		require.True(t, stays.running)
+		require.True(t, nextCaller.running)
 		x.checkInvariants(t)
 	})
 }
--- a/entry/stage.go
+++ b/entry/stage.go
@@ -18,8 +18,8 @@
 const (
 	attachTimeout  = 1500 * time.Millisecond
 	cancelTimeout  = 2 * time.Second
-	callTimeout    = 500 * time.Millisecond
-	redialInterval = 20 * time.Millisecond
+	callTimeout    = 500 * time.Millisecond // bounds a call that runs no stage, to a side, an entry or the platform
+	redialInterval = 20 * time.Millisecond  // delay between two tries of a call to a side
 )
 
 // runStage runs one stage at a side and returns its outcome. It always returns an
@@ -34,7 +34,7 @@
 func (e *Entry) callStage(ctx context.Context, s *peers.Link, r wire.RunRequest, st *stream) wire.Outcome {
 	var out wire.Outcome
 	err := s.Call(ctx, wire.MethodRun, r, &out)
-	if err == nil && complete(out, st) {
+	if err == nil && answerComplete(out, st) {
 		return out
 	}
 	var refused *wire.RefusalError
@@ -52,8 +52,9 @@
 	return e.reattach(ctx, s, r, st)
 }
 
-// complete reports whether every token of the answer has been received.
-func complete(out wire.Outcome, st *stream) bool {
+// answerComplete reports whether every token of the answer has been received. It also
+// does so for a failed stage, and for a stage without a token stream.
+func answerComplete(out wire.Outcome, st *stream) bool {
 	return st == nil || out.Reason != "" || st.nextOffset() == out.Tokens
 }
 
@@ -70,7 +71,7 @@
 		}
 		var out wire.Outcome
 		err := s.Call(ctx, wire.MethodAttach, a, &out)
-		if err == nil && complete(out, st) {
+		if err == nil && answerComplete(out, st) {
 			e.Log.Info("taken up", "request", r.Request, "attempt", r.Attempt, "stage", r.Stage, "side", s.Member.Host)
 			return out
 		}
--- a/entry/stream_test.go
+++ b/entry/stream_test.go
@@ -74,16 +74,16 @@
 func TestOwnersKeepNewestEpoch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var o owners
-		best := make(map[claim.Shard]claim.Epoch)
+		newest := make(map[claim.Shard]claim.Epoch)
 		for range rapid.IntRange(1, 20).Draw(t, "lists") {
 			shard := claim.Shard(rapid.IntRange(0, 2).Draw(t, "shard"))
 			epoch := claim.Epoch{Version: rapid.Uint64Range(1, 4).Draw(t, "version"), Turn: rapid.Uint32Range(0, 2).Draw(t, "rank")}
 			host := func(e claim.Epoch) domain.Host { return domain.Host("side-" + e.String()) } // each epoch belongs to one process
 			o.update(host(epoch), wire.OwnedShards{Service: "wallapp", Shards: []claim.Ownership{{Shard: shard, Epoch: epoch}}})
-			if best[shard].Less(epoch) {
-				best[shard] = epoch
+			if newest[shard].Less(epoch) {
+				newest[shard] = epoch
 			}
-			require.Equal(t, host(best[shard]), o.host("wallapp", shard))
+			require.Equal(t, host(newest[shard]), o.host("wallapp", shard))
 			require.Empty(t, o.host("marketplace-app", shard))
 		}
 	})
--- a/entry/tables.go
+++ b/entry/tables.go
@@ -15,16 +15,16 @@
 	"jacinthworks/wire"
 )
 
-// How an entry confirms that its table is the newest. The platform's watch returns
-// changes. In addition, the entry asks its peers or the platform every confirmInterval,
-// which shows that it is still connected and finds changes that a stalled watch
-// withholds. With a stale_after of 3 s, three replies in a row may be lost. Three peers
-// are asked rather than all: a version at one entry of a zone reaches each of its 15
-// entries within two rounds, and the cost per entry does not grow with the zone.
+// How an entry confirms that its version of the operators' table is the newest. The
+// platform's watch returns changes. In addition, the entry asks its peers or the platform
+// every confirmInterval, which shows that it is still connected and finds changes that a
+// stalled watch withholds. With a stale_after of 3 s, three replies in a row may be lost.
+// Three peers are asked rather than all: a version at one entry of a zone reaches each of
+// its 15 entries within two rounds, and the cost per entry does not grow with the zone.
 const (
 	confirmInterval  = 700 * time.Millisecond
 	confirmPeers     = 3
-	replicateTimeout = time.Second
+	replicateTimeout = time.Second // bounds the push of a newly written table to the other entries
 )
 
 // services returns the services in the table.
@@ -38,7 +38,7 @@
 	return all
 }
 
-func (e *Entry) lookup(s domain.Service, k domain.Kind) (table.Row, bool) {
+func (e *Entry) lookupRow(s domain.Service, k domain.Kind) (table.Row, bool) {
 	return e.tables.Table().Find(s, e.Settings.Zone, k)
 }
 
@@ -50,7 +50,7 @@
 	return e.tables.Fresh(now, e.Settings.Timings.MaxTableAge)
 }
 
-// watchTable applies each new version that the platform returns.
+// watchTable applies each new version of the operators' table that the platform returns.
 func (e *Entry) watchTable(ctx context.Context) error {
 	for ctx.Err() == nil {
 		asked := time.Now()
@@ -68,7 +68,7 @@
 func (e *Entry) applyObject(o infra.Object, asked time.Time) error {
 	t, err := table.Decode(o.Value)
 	if err != nil {
-		return errors.Wrap(err, "entry: table")
+		return errors.Wrap(err, "entry: decode the table from the platform")
 	}
 	e.updateTable(t.WithVersion(table.Version(o.Version)), asked, "platform")
 	return nil
--- a/entry/traces.go
+++ b/entry/traces.go
@@ -21,8 +21,10 @@
 // the sides' spans are not affected.
 const (
 	flushIntervalPerEntry = 20 * time.Millisecond
-	flushInterval         = 250 * time.Millisecond
-	traceTimeout          = 2 * time.Second
+	// flushInterval is the time between two tries to write the pending segments.
+	flushInterval = 250 * time.Millisecond
+	// traceTimeout bounds one write of a segment, and the collection of one trace.
+	traceTimeout = 2 * time.Second
 	// traceRetention is how long written traces are kept; support engineers receive
 	// questions about a request within days. Every expireInterval an entry deletes its
 	// own older segments, with deleteInterval between two deletions, which is a
--- a/entry/turn.go
+++ b/entry/turn.go
@@ -21,8 +21,9 @@
 // matters.
 const bytesPerKV = 1
 
-// maxReserveTries bounds how often one attempt is queued again because the decode side
-// had no capacity after all. Each selection uses newer reports.
+// maxReserveTries bounds how often one attempt is queued. It is queued again if the
+// selected decode side had no capacity after all; each selection uses newer reports of
+// capacity.
 const maxReserveTries = 8
 
 // pair is the two sides of one attempt of a completion.
@@ -35,7 +36,7 @@
 	t := &turn{kind: r.kind, plain: r.call != nil, result: make(chan turnResult, 1)}
 	t.item = queue.Item{
 		ID: r.id, Account: r.account, Key: r.bodyHash, Priority: r.row.Priority, PromptTokens: r.promptTokens, MaxOutputTokens: r.maxTokens,
-		Deadline: r.accepted.Add(time.Duration(r.row.Deadline)), MayWait: r.row.MayWait,
+		Deadline: r.acceptedAt.Add(time.Duration(r.row.Deadline)), MayWait: r.row.MayWait,
 	}
 	t.mayRunKey = e.eligible(r)
 	runRole := domain.RoleDecode
@@ -53,7 +54,7 @@
 	}
 	t.item.FirstTokenLatency, t.item.TotalLatency = first, end
 	if r.row.FirstToken > 0 {
-		t.item.FirstTokenDeadline = r.accepted.Add(time.Duration(r.row.FirstToken))
+		t.item.FirstTokenDeadline = r.acceptedAt.Add(time.Duration(r.row.FirstToken))
 	}
 	t.job.PromptTokens, t.job.MaxOutputTokens = r.promptTokens, r.maxTokens
 	t.job.Prefix, t.job.PrefixTokens = prefixOf(r.prompt), min(r.promptTokens, prefixBytes/bytesPerToken)
--- a/entry/unserved.go
+++ b/entry/unserved.go
@@ -20,10 +20,10 @@
 		s := e.schedulers.get(name)
 		served := e.sides.CanServe(name)
 		s.mu.Lock()
-		if served || s.lastServed.IsZero() {
-			s.lastServed = now
+		if served || s.lastServedAt.IsZero() {
+			s.lastServedAt = now
 		}
-		if now.Sub(s.lastServed) >= unservedTimeout {
+		if now.Sub(s.lastServedAt) >= unservedTimeout {
 			s.refuseAll(queue.Refusal{
 				Reason: domain.ReasonNoUpstream, Detail: "no upstream of the service takes work", RetryAfter: 2 * time.Second,
 			})
