--- a/wire/messages.go
+++ b/wire/messages.go
@@ -86,7 +86,8 @@
 	Kind    domain.Kind    `json:"kind"`
 	// Identity identifies the caller's request independently of its request ID.
 	Identity retry.Identity `json:"identity"`
-	// Within is the time left until the request's deadline, at which the side cancels the stage.
+	// Within is the time left until the request's deadline, at which the side cancels the
+	// stage.
 	Within time.Duration `json:"within"`
 	// Tokens is the KV memory, in tokens, needed when the answer is complete.
 	Tokens  int                    `json:"tokens,omitempty"`
@@ -237,7 +238,8 @@
 	MethodOwned = "owned"
 )
 
-// ClaimReply is the owner's decision on a claim of an idempotency key; exactly one of its fields is set.
+// ClaimReply is the owner's decision on a claim of an idempotency key; exactly one of its fields is
+// set.
 type ClaimReply struct {
 	Grant   *claim.Grant   `json:"grant,omitempty"`
 	Refusal *claim.Refusal `json:"refusal,omitempty"`
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -22,10 +22,10 @@
 	"jacinthworks/domain"
 )
 
-// Heartbeat defaults for zero settings, and the bound on a dial. An unresponsive connection is closed after more than three
-// missed heartbeats, so that the sides of a lost entry detect the loss in less than a second.
-// The rest of the two seconds for which engine memory may stay reserved is left for the
-// attempt to be attached again or cancelled.
+// Heartbeat defaults for zero settings, and the bound on a dial. An unresponsive connection is
+// closed after more than three missed heartbeats, so that the sides of a lost entry detect the loss
+// in less than a second. The rest of the two seconds for which engine memory may stay reserved is
+// left for the attempt to be attached again or cancelled.
 const (
 	DefaultHeartbeatInterval = 200 * time.Millisecond
 	DefaultHeartbeatTimeout  = 800 * time.Millisecond
