--- a/engine/http_test.go
+++ b/engine/http_test.go
@@ -72,7 +72,7 @@
 	require.Equal(t, model.Done, decodeEngine.Runs()[0].Outcome)
 }
 
-func TestHTTPModelReturnsEachErrorClass(t *testing.T) {
+func TestHTTPModelReturnsEachErrorKind(t *testing.T) {
 	fake := &model.Engine{Settings: fastSettings}
 	client := startEngine(t, fake)
 	discard := func(engine.Token) error { return nil }
