--- a/feed/feed_test.go
+++ b/feed/feed_test.go
@@ -115,10 +115,10 @@
 
 // feedEvents collects the calls of a feed's functions.
 type feedEvents struct {
-	listed   chan []feed.Item[string]
-	changed  chan []feed.Change[string]
-	lost     chan time.Time
-	regained chan time.Time
+	listed       chan []feed.Item[string]
+	changed      chan []feed.Change[string]
+	disconnected chan time.Time
+	reconnected  chan time.Time
 }
 
 func startFeed(t *testing.T, s *source) (*feed.Feed[string], feedEvents) {
@@ -128,8 +128,8 @@
 		Name: "test", Source: s, Log: hclog.NewNullLogger(), WatchTimeout: time.Minute,
 		OnList:       func(_ time.Time, all []feed.Item[string]) { h.listed <- all },
 		OnChange:     func(_ time.Time, changes []feed.Change[string]) { h.changed <- changes },
-		OnDisconnect: func(now time.Time) { h.lost <- now },
-		OnReconnect:  func(now time.Time) { h.regained <- now },
+		OnDisconnect: func(now time.Time) { h.disconnected <- now },
+		OnReconnect:  func(now time.Time) { h.reconnected <- now },
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
@@ -156,10 +156,10 @@
 	_, h := startFeed(t, s)
 	<-h.listed
 	s.update(func() { s.down = true })
-	<-h.lost
+	<-h.disconnected
 	s.update(func() { s.down = false })
 	select {
-	case <-h.regained:
+	case <-h.reconnected:
 	case <-time.After(5 * time.Second):
 		t.Fatal("OnReconnect was not called although the source answers")
 	}
