--- a/wire/peer_test.go
+++ b/wire/peer_test.go
@@ -135,19 +135,19 @@
 // as current if a heartbeat were dated by its arrival.
 func TestHeartbeatNotBeforePrecedesCreationAfterPausedDelivery(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var made [256]time.Time
-		count, dated := 0, 0
+		var createdAt [256]time.Time
+		count, datedCount := 0, 0
 		sender := &Handlers{HeartbeatTimeout: time.Minute, Heartbeat: func() Heartbeat {
 			count++
-			made[count] = time.Now()
+			createdAt[count] = time.Now()
 			return Heartbeat{}
 		}}
 		reader := &Handlers{HeartbeatTimeout: time.Minute, HandleNotification: func(p *Peer, _ string, _ json.RawMessage) {
 			b, _ := p.LastHeartbeat()
-			require.False(t, b.NotBefore.After(made[b.Number]), "heartbeat %d", b.Number)
+			require.False(t, b.NotBefore.After(createdAt[b.Number]), "heartbeat %d", b.Number)
 			if !b.NotBefore.IsZero() {
-				dated++
-				require.Less(t, made[b.Number].Sub(b.NotBefore), DefaultHeartbeatTimeout, "NotBefore is earlier than the heartbeat by more than the timeout")
+				datedCount++
+				require.Less(t, createdAt[b.Number].Sub(b.NotBefore), DefaultHeartbeatTimeout, "NotBefore is earlier than the heartbeat by more than the timeout")
 			}
 		}}
 		var p pipe
@@ -161,7 +161,7 @@
 		}
 		stopPeers(runs, left, right)
 		synctest.Wait()
-		require.Greater(t, dated, 40)
+		require.Greater(t, datedCount, 40)
 	})
 }
 
@@ -191,20 +191,20 @@
 // that was never sent.
 func TestCallErrorDistinguishesRefusalLossAndNotSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		said := &RefusalError{Reason: domain.ReasonDraining, Ran: domain.NotRun, Detail: "stopping"}
+		refusal := &RefusalError{Reason: domain.ReasonDraining, Ran: domain.NotRun, Detail: "stopping"}
 		var p pipe
 		left, right := openPeers(t, &p, &Handlers{}, &Handlers{
 			Handle: func(ctx context.Context, p *Peer, method string, params json.RawMessage) (any, error) {
 				if method == "blocked" {
 					return blockingHandler(ctx, p, method, params)
 				}
-				return nil, said
+				return nil, refusal
 			},
 		})
 		runs := runPeers(left, right)
 		var refused *RefusalError
 		require.ErrorAs(t, left.Call(t.Context(), "refused", nil, nil), &refused)
-		require.Equal(t, said, refused)
+		require.Equal(t, refusal, refused)
 
 		called := make(chan error, 1)
 		go func() { called <- left.Call(t.Context(), "blocked", nil, nil) }()
--- a/wire/tls_test.go
+++ b/wire/tls_test.go
@@ -37,11 +37,11 @@
 	}
 	der, err := x509.CreateCertificate(rand.Reader, a.cert, a.cert, &key.PublicKey, key)
 	require.NoError(t, err)
-	a.write(t, "ca.pem", "CERTIFICATE", der)
+	a.writePEM(t, "ca.pem", "CERTIFICATE", der)
 	return a
 }
 
-func (a authority) write(t *testing.T, name, kind string, der []byte) {
+func (a authority) writePEM(t *testing.T, name, kind string, der []byte) {
 	text := pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der})
 	require.NoError(t, os.WriteFile(filepath.Join(a.dir, name), text, 0o600))
 }
@@ -54,10 +54,10 @@
 	c := &x509.Certificate{SerialNumber: big.NewInt(2), NotBefore: time.Unix(0, 0), NotAfter: time.Now().Add(time.Hour)}
 	der, err := x509.CreateCertificate(rand.Reader, c, a.cert, &key.PublicKey, a.key)
 	require.NoError(t, err)
-	a.write(t, "cert.pem", "CERTIFICATE", der)
+	a.writePEM(t, "cert.pem", "CERTIFICATE", der)
 	private, err := x509.MarshalECPrivateKey(key)
 	require.NoError(t, err)
-	a.write(t, "key.pem", "EC PRIVATE KEY", private)
+	a.writePEM(t, "key.pem", "EC PRIVATE KEY", private)
 	config, err := FleetTLS(filepath.Join(a.dir, "cert.pem"), filepath.Join(a.dir, "key.pem"), filepath.Join(trusts.dir, "ca.pem"))
 	require.NoError(t, err)
 	return config
