--- a/relay/poll.go
+++ b/relay/poll.go
@@ -58,30 +58,30 @@
 // answerPoll answers a poll for changes after a revision, once there are changes or wait has passed.
 func answerPoll[T any](w http.ResponseWriter, r *http.Request, h *Replica[T], after feed.Revision, wait time.Duration) {
 	called := boottime()
-	n, err := awaitChanges(r.Context(), h, after, wait)
+	result, err := awaitChanges(r.Context(), h, after, wait)
 	switch {
 	case errors.Is(err, feed.ErrCompacted):
 		w.WriteHeader(http.StatusGone)
 	case err != nil:
 		w.WriteHeader(http.StatusServiceUnavailable)
-	case len(n.changes) == 0:
-		setConfirmed(w.Header(), called, n.confirmedAt)
-		w.Header().Set(headerRevision, strconv.FormatUint(uint64(n.revision), 10))
+	case len(result.changes) == 0:
+		setConfirmed(w.Header(), called, result.confirmedAt)
+		w.Header().Set(headerRevision, strconv.FormatUint(uint64(result.revision), 10))
 		w.WriteHeader(http.StatusNoContent)
 	default:
-		writeAnswer(w, h, answerKey{version: n.version, after: after, at: n.revision}, called, n)
+		writeAnswer(w, h, answerKey{version: result.version, after: after, at: result.revision}, called, result)
 	}
 }
 
 // answerList answers a list of the whole collection.
 func answerList[T any](w http.ResponseWriter, r *http.Request, h *Replica[T], wait time.Duration) {
 	called := boottime()
-	n, err := awaitSnapshot(r.Context(), h, wait)
+	result, err := awaitSnapshot(r.Context(), h, wait)
 	if err != nil {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	writeAnswer(w, h, answerKey{version: n.version, at: n.revision, list: true}, called, n)
+	writeAnswer(w, h, answerKey{version: result.version, at: result.revision, list: true}, called, result)
 }
 
 // awaitChanges waits, at most the given time, for changes after a revision.
@@ -89,17 +89,17 @@
 	deadline := time.NewTimer(wait)
 	defer deadline.Stop()
 	for {
-		n, err := h.since(boottime(), after)
-		if err != nil && !errors.Is(err, errBehind) || len(n.changes) > 0 {
-			return n, err
+		result, err := h.since(boottime(), after)
+		if err != nil && !errors.Is(err, errBehind) || len(result.changes) > 0 {
+			return result, err
 		}
 		select {
-		case <-n.changed:
+		case <-result.changed:
 		case <-deadline.C:
 			// An answer that nothing has changed must be fresh as well.
 			return h.since(boottime(), after)
 		case <-ctx.Done():
-			return n, ctx.Err()
+			return result, ctx.Err()
 		}
 	}
 }
@@ -111,16 +111,16 @@
 	deadline := time.NewTimer(wait)
 	defer deadline.Stop()
 	for {
-		n, err := h.snapshot(boottime())
+		result, err := h.snapshot(boottime())
 		if err == nil || h.Revision() > 0 {
-			return n, err
+			return result, err
 		}
 		select {
-		case <-n.changed:
+		case <-result.changed:
 		case <-deadline.C:
-			return n, err
+			return result, err
 		case <-ctx.Done():
-			return n, ctx.Err()
+			return result, ctx.Err()
 		}
 	}
 }
@@ -134,14 +134,14 @@
 }
 
 // writeAnswer sends an answer, from the cache if the same answer was encoded before.
-func writeAnswer[T any](w http.ResponseWriter, h *Replica[T], key answerKey, called time.Time, n answer[T]) {
-	body, err := h.answers.get(key, func() ([]byte, error) { return encode(n.changes) })
+func writeAnswer[T any](w http.ResponseWriter, h *Replica[T], key answerKey, called time.Time, result answer[T]) {
+	body, err := h.answers.get(key, func() ([]byte, error) { return encode(result.changes) })
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
 	w.Header().Set(headerRevision, strconv.FormatUint(uint64(key.at), 10))
-	setConfirmed(w.Header(), called, n.confirmedAt)
+	setConfirmed(w.Header(), called, result.confirmedAt)
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	_, _ = w.Write(body) // the caller detects a broken connection itself
 }
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -22,11 +22,11 @@
 
 // origin is a source in memory that counts its calls.
 type origin struct {
-	mu      sync.Mutex
-	at      feed.Revision
-	log     []feed.Change[int]
-	down    bool
-	changed chan struct{}
+	mu       sync.Mutex
+	revision feed.Revision
+	changes  []feed.Change[int]
+	down     bool
+	changed  chan struct{}
 	// floor is the revision up to which history is dropped.
 	floor feed.Revision
 	calls atomic.Int64
@@ -35,24 +35,24 @@
 
 var errDown = errors.New("down")
 
-func newOrigin() *origin { return &origin{at: 5, changed: make(chan struct{})} }
+func newOrigin() *origin { return &origin{revision: 5, changed: make(chan struct{})} }
 
 func (o *origin) put(name string) feed.Revision {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.at++
-	o.log = append(o.log, put(name, o.at))
+	o.revision++
+	o.changes = append(o.changes, putChange(name, o.revision))
 	close(o.changed)
 	o.changed = make(chan struct{})
-	return o.at
+	return o.revision
 }
 
 // compact drops all history.
 func (o *origin) compact() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.at += 100 // changes of other collections
-	o.floor = o.at
+	o.revision += 100 // changes of other collections
+	o.floor = o.revision
 	close(o.changed)
 	o.changed = make(chan struct{})
 }
@@ -79,8 +79,8 @@
 	if o.down {
 		return feed.Page[int]{}, errDown
 	}
-	p := feed.Page[int]{Revision: o.at}
-	for _, c := range o.log {
+	p := feed.Page[int]{Revision: o.revision}
+	for _, c := range o.changes {
 		p.Items = append(p.Items, c.Item)
 	}
 	return p, nil
@@ -92,12 +92,12 @@
 	for {
 		o.mu.Lock()
 		var all []feed.Change[int]
-		for _, c := range o.log {
+		for _, c := range o.changes {
 			if c.Revision > after {
 				all = append(all, c)
 			}
 		}
-		at, down, changed, floor := o.at, o.down, o.changed, o.floor
+		at, down, changed, floor := o.revision, o.down, o.changed, o.floor
 		o.mu.Unlock()
 		switch {
 		case down:
@@ -127,7 +127,7 @@
 	// frozen leaves polls unanswered.
 	frozen       atomic.Bool
 	seenRevision atomic.Uint64
-	ended        chan error
+	runResult    chan error
 }
 
 func (p *process) member() Member {
@@ -149,20 +149,20 @@
 			}
 		},
 	}
-	p.ended <- f.Run(ctx)
+	p.runResult <- f.Run(ctx)
 }
 
 func (p *process) recordSeenRevision(r feed.Revision) {
 	p.seenRevision.Store(max(p.seenRevision.Load(), uint64(r)))
 }
 
-// startAll runs n processes on one source; the first relayCount of them are the relays.
-func startAll(t *testing.T, source *origin, n int, sources ...func(n int) feed.Source[int]) []*process {
+// startProcesses runs n processes on one source; the first relayCount of them are the relays.
+func startProcesses(t *testing.T, source *origin, n int, sources ...func(n int) feed.Source[int]) []*process {
 	ctx, stop := context.WithCancel(t.Context())
 	all := make([]*process, n)
 	var members []Member
 	for i := range all {
-		p := &process{name: domain.Host(fmt.Sprintf("front-%d", i)), source: source, ended: make(chan error, 1)}
+		p := &process{name: domain.Host(fmt.Sprintf("front-%d", i)), source: source, runResult: make(chan error, 1)}
 		for _, source := range sources {
 			p.source = source(i)
 		}
@@ -189,7 +189,7 @@
 		stop()
 		for _, p := range all {
 			p.http.CloseClientConnections()
-			require.NoError(t, <-p.ended)
+			require.NoError(t, <-p.runResult)
 			p.http.Close()
 		}
 	})
@@ -213,7 +213,7 @@
 // ends the watch of each of 40 processes, which makes 800 calls.
 func TestChangesReachAllProcessesWithCallsOfRelaysOnly(t *testing.T) {
 	o := newOrigin()
-	all := startAll(t, o, 40)
+	all := startProcesses(t, o, 40)
 	requireAllSee(t, all, o.put("first"), 10*time.Second)
 	before := o.calls.Load()
 	for n := range 20 {
@@ -233,7 +233,7 @@
 // call the source.
 func TestChangeReachesAllProcessesWhileOneRelayIsFrozen(t *testing.T) {
 	o := newOrigin()
-	all := startAll(t, o, 30)
+	all := startProcesses(t, o, 30)
 	requireAllSee(t, all, o.put("first"), 10*time.Second)
 	before := o.calls.Load()
 	all[0].frozen.Store(true)
@@ -246,7 +246,7 @@
 // After both relays have been killed at once, the remaining processes must watch the source.
 func TestProcessesWatchSourceAfterAllRelaysAreKilled(t *testing.T) {
 	o := newOrigin()
-	all := startAll(t, o, 20)
+	all := startProcesses(t, o, 20)
 	requireAllSee(t, all, o.put("first"), 10*time.Second)
 	for _, p := range all[:relayCount] {
 		p.http.CloseClientConnections()
@@ -261,7 +261,7 @@
 func TestStartingProcessesListAtRelays(t *testing.T) {
 	o := newOrigin()
 	first := o.put("first")
-	all := startAll(t, o, 40)
+	all := startProcesses(t, o, 40)
 	requireAllSee(t, all, first, 10*time.Second)
 	require.LessOrEqual(t, o.lists.Load(), int64(relayCount))
 }
@@ -270,7 +270,7 @@
 // against a change that is missed then.
 func TestOnlyRelaysListSourceAfterItDropsHistory(t *testing.T) {
 	o := newOrigin()
-	all := startAll(t, o, 40)
+	all := startProcesses(t, o, 40)
 	requireAllSee(t, all, o.put("first"), 10*time.Second)
 	before := o.lists.Load()
 	for n := range 3 {
@@ -298,7 +298,7 @@
 func TestProcessesKeepToRelaysAfterSourceBreaksOffWatches(t *testing.T) {
 	o := newOrigin()
 	var watches atomic.Int64
-	all := startAll(t, o, 40, func(n int) feed.Source[int] {
+	all := startProcesses(t, o, 40, func(n int) feed.Source[int] {
 		if n < relayCount {
 			return o
 		}
@@ -319,9 +319,9 @@
 // Guards against a process that accepts an invalid answer of a relay. The process must list the
 // source instead, and put the relay into backoff.
 func TestListAfterInvalidRelayAnswerUsesSource(t *testing.T) {
-	twice, err := encode([]feed.Change[int]{put("a", 1), put("a", 2)})
+	twice, err := encode([]feed.Change[int]{putChange("a", 1), putChange("a", 2)})
 	require.NoError(t, err)
-	sound, err := encode([]feed.Change[int]{put("a", 1)})
+	sound, err := encode([]feed.Change[int]{putChange("a", 1)})
 	require.NoError(t, err)
 	for name, body := range map[string][]byte{
 		"a member twice": twice,
@@ -359,7 +359,7 @@
 // which would leave all other processes without new changes.
 func TestProcessesWatchSourceWhileItRefusesRelays(t *testing.T) {
 	o := newOrigin()
-	all := startAll(t, o, 20, func(n int) feed.Source[int] {
+	all := startProcesses(t, o, 20, func(n int) feed.Source[int] {
 		if n < relayCount {
 			return refusingSource{o}
 		}
@@ -378,7 +378,7 @@
 // change soon after the recovery.
 func TestProcessesCallUnreachableSourceLessThanOncePerSecond(t *testing.T) {
 	o := newOrigin()
-	all := startAll(t, o, 40)
+	all := startProcesses(t, o, 40)
 	requireAllSee(t, all, o.put("first"), 10*time.Second)
 	o.setDown(true)
 	o.put("wakes all watches")
@@ -418,7 +418,7 @@
 
 func TestHandlerRefusesInvalidQuery(t *testing.T) {
 	var h Replica[int]
-	h.ApplyListPage(start, true, false, page(1))
+	h.ApplyListPage(start, true, false, emptyPage(1))
 	for _, query := range []string{"", "?after=x&wait_ms=1", "?after=-1&wait_ms=1", "?after=1&wait_ms=-5", "?after=1"} {
 		w := httptest.NewRecorder()
 		Handler(&h).ServeHTTP(w, httptest.NewRequest("GET", Path+"numbers"+query, nil))
--- a/relay/replica.go
+++ b/relay/replica.go
@@ -251,8 +251,8 @@
 // after the revision. next, returned without an error and with errBehind, is closed when there may
 // be more changes.
 func (h *Replica[T]) ChangesSince(now time.Time, after feed.Revision) (changes []feed.Change[T], at feed.Revision, next <-chan struct{}, err error) {
-	n, err := h.since(now, after)
-	return n.changes, n.revision, n.changed, err
+	result, err := h.since(now, after)
+	return result.changes, result.revision, result.changed, err
 }
 
 // answer is the replica's answer to a poll or a list.
@@ -267,29 +267,29 @@
 }
 
 // since returns the answer to a poll after a revision, with the errors of ChangesSince.
-func (h *Replica[T]) since(now time.Time, after feed.Revision) (n answer[T], err error) {
+func (h *Replica[T]) since(now time.Time, after feed.Revision) (result answer[T], err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	switch {
 	case !h.isFresh(now):
-		return n, ErrStale
+		return result, ErrStale
 	case after < h.floor, h.inGap(after):
-		return n, feed.ErrCompacted
+		return result, feed.ErrCompacted
 	}
-	n.changed = h.changedChan()
+	result.changed = h.changedChan()
 	if after > h.revision {
-		return n, errBehind
+		return result, errBehind
 	}
-	n.revision, n.version, n.confirmedAt = h.revision, h.version, h.confirmedAt
+	result.revision, result.version, result.confirmedAt = h.revision, h.version, h.confirmedAt
 	if after == h.revision {
-		return n, nil
+		return result, nil
 	}
 	for _, k := range h.entries {
 		if k.revision > after {
-			n.changes = append(n.changes, k.change)
+			result.changes = append(result.changes, k.change)
 		}
 	}
-	return n, nil
+	return result, nil
 }
 
 // changedChan returns a channel that is closed at the next update of the replica.
@@ -312,20 +312,20 @@
 
 // snapshot returns all present members. ErrStale means that the source has not answered recently,
 // or that members are missing in the copy.
-func (h *Replica[T]) snapshot(now time.Time) (n answer[T], err error) {
+func (h *Replica[T]) snapshot(now time.Time) (result answer[T], err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	n.changed = h.changedChan()
+	result.changed = h.changedChan()
 	if !h.isFresh(now) || !h.complete {
-		return n, ErrStale
+		return result, ErrStale
 	}
-	n.revision, n.version, n.confirmedAt = h.revision, h.version, h.confirmedAt
+	result.revision, result.version, result.confirmedAt = h.revision, h.version, h.confirmedAt
 	for _, k := range h.entries {
 		if !k.change.Deleted {
-			n.changes = append(n.changes, k.change)
+			result.changes = append(result.changes, k.change)
 		}
 	}
-	return n, nil
+	return result, nil
 }
 
 // Revision returns the newest revision of the replica, or zero if it has none.
--- a/relay/replica_test.go
+++ b/relay/replica_test.go
@@ -14,21 +14,21 @@
 
 var start = time.Unix(1000, 0)
 
-func put(name string, at feed.Revision) feed.Change[int] {
+func putChange(name string, at feed.Revision) feed.Change[int] {
 	return feed.Change[int]{Item: feed.Item[int]{Name: name, Revision: at, Value: int(at)}}
 }
 
-func page(at feed.Revision) feed.Page[int] { return feed.Page[int]{Revision: at} }
+func emptyPage(at feed.Revision) feed.Page[int] { return feed.Page[int]{Revision: at} }
 
 func TestReplicaChangesSinceReturnsNewestChangePerMember(t *testing.T) {
 	var h Replica[int]
-	h.ApplyListPage(start, true, false, page(10))
-	h.ApplyWatch(start, 10, []feed.Change[int]{put("a", 11), put("b", 12)}, 12)
-	h.ApplyWatch(start, 12, []feed.Change[int]{put("a", 14)}, 15)
+	h.ApplyListPage(start, true, false, emptyPage(10))
+	h.ApplyWatch(start, 10, []feed.Change[int]{putChange("a", 11), putChange("b", 12)}, 12)
+	h.ApplyWatch(start, 12, []feed.Change[int]{putChange("a", 14)}, 15)
 	all, at, _, err := h.ChangesSince(start, 10)
 	require.NoError(t, err)
 	require.EqualValues(t, 15, at)
-	require.ElementsMatch(t, []feed.Change[int]{put("a", 14), put("b", 12)}, all, "the newest change of each member")
+	require.ElementsMatch(t, []feed.Change[int]{putChange("a", 14), putChange("b", 12)}, all, "the newest change of each member")
 	all, _, next, err := h.ChangesSince(start, 15)
 	require.NoError(t, err)
 	require.Empty(t, all)
@@ -47,7 +47,7 @@
 	var h Replica[int]
 	_, _, _, err := h.ChangesSince(start, 0)
 	require.ErrorIs(t, err, ErrStale, "the source has never answered")
-	h.ApplyListPage(start, true, true, page(10))
+	h.ApplyListPage(start, true, true, emptyPage(10))
 	_, _, _, err = h.ChangesSince(start, 10)
 	require.ErrorIs(t, err, ErrStale, "a stale list may be seconds old")
 	h.ApplyWatch(start, 10, nil, 10)
@@ -59,7 +59,7 @@
 	h.MarkSourceLost(start)
 	_, _, _, err = h.ChangesSince(start.Add(time.Minute), 10)
 	require.ErrorIs(t, err, ErrStale)
-	h.ApplyRelayed(time.Time{}, 11, []feed.Change[int]{put("a", 12)}, 12)
+	h.ApplyRelayed(time.Time{}, 11, []feed.Change[int]{putChange("a", 12)}, 12)
 	_, _, _, err = h.ChangesSince(start.Add(time.Minute), 10)
 	require.ErrorIs(t, err, ErrStale, "an answer of a relay without a time of confirmation is not fresh")
 }
@@ -69,10 +69,10 @@
 // has not received yet.
 func TestReplicaBehindCallerReturnsErrBehind(t *testing.T) {
 	var h Replica[int]
-	h.ApplyListPage(start, true, false, page(10))
+	h.ApplyListPage(start, true, false, emptyPage(10))
 	_, _, next, err := h.ChangesSince(start, 12)
 	require.ErrorIs(t, err, errBehind)
-	h.ApplyWatch(start, 10, []feed.Change[int]{put("a", 13)}, 13)
+	h.ApplyWatch(start, 10, []feed.Change[int]{putChange("a", 13)}, 13)
 	<-next
 	all, _, _, err := h.ChangesSince(start, 12)
 	require.NoError(t, err)
@@ -83,16 +83,16 @@
 // does not have all changes after the process's revision.
 func TestReplicaBeforeListOrGapReturnsErrCompacted(t *testing.T) {
 	var h Replica[int]
-	h.ApplyListPage(start, true, false, page(10))
+	h.ApplyListPage(start, true, false, emptyPage(10))
 	_, _, _, err := h.ChangesSince(start, 9)
 	require.ErrorIs(t, err, feed.ErrCompacted)
-	h.ApplyWatch(start, 10, []feed.Change[int]{put("a", 11)}, 11)
-	h.ApplyWatch(start, 20, []feed.Change[int]{put("b", 21)}, 21)
+	h.ApplyWatch(start, 10, []feed.Change[int]{putChange("a", 11)}, 11)
+	h.ApplyWatch(start, 20, []feed.Change[int]{putChange("b", 21)}, 21)
 	_, _, _, err = h.ChangesSince(start, 11)
 	require.ErrorIs(t, err, feed.ErrCompacted)
 	all, _, _, err := h.ChangesSince(start, 20)
 	require.NoError(t, err)
-	require.Equal(t, []feed.Change[int]{put("b", 21)}, all)
+	require.Equal(t, []feed.Change[int]{putChange("b", 21)}, all)
 }
 
 func pageOf(at feed.Revision, changes ...feed.Change[int]) feed.Page[int] {
@@ -106,40 +106,40 @@
 // Guards against a list by every process after the source has dropped its history.
 func TestReplicaListIsPassedOnAsChanges(t *testing.T) {
 	var h Replica[int]
-	h.ApplyListPage(start, true, false, pageOf(10, put("a", 1), put("b", 2), put("c", 3)))
-	h.ApplyListPage(start, true, false, feed.Page[int]{Revision: 20, More: true, Items: []feed.Item[int]{put("a", 1).Item}})
+	h.ApplyListPage(start, true, false, pageOf(10, putChange("a", 1), putChange("b", 2), putChange("c", 3)))
+	h.ApplyListPage(start, true, false, feed.Page[int]{Revision: 20, More: true, Items: []feed.Item[int]{putChange("a", 1).Item}})
 	all, at, _, err := h.ChangesSince(start, 10)
 	require.NoError(t, err)
 	require.EqualValues(t, 10, at, "the list is not complete yet")
 	require.Empty(t, all)
-	h.ApplyListPage(start, false, false, pageOf(21, put("b", 15), put("d", 16)))
+	h.ApplyListPage(start, false, false, pageOf(21, putChange("b", 15), putChange("d", 16)))
 	all, at, _, err = h.ChangesSince(start, 10)
 	require.NoError(t, err)
 	require.EqualValues(t, 20, at)
-	gone := put("c", 3)
+	gone := putChange("c", 3)
 	gone.Deleted = true
-	require.ElementsMatch(t, []feed.Change[int]{put("b", 15), put("d", 16), gone}, all)
+	require.ElementsMatch(t, []feed.Change[int]{putChange("b", 15), putChange("d", 16), gone}, all)
 	n, err := h.snapshot(start)
 	require.NoError(t, err)
-	require.ElementsMatch(t, []feed.Change[int]{put("a", 1), put("b", 15), put("d", 16)}, n.changes)
+	require.ElementsMatch(t, []feed.Change[int]{putChange("a", 1), putChange("b", 15), putChange("d", 16)}, n.changes)
 }
 
 // Guards against passing on a list with missing members, or changes across a restore of the source
 // from an older snapshot.
 func TestReplicaSnapshotRequiresCompleteFreshCopy(t *testing.T) {
 	var h Replica[int]
-	h.ApplyListPage(start, true, false, pageOf(10, put("a", 1)))
-	h.ApplyWatch(start, 12, []feed.Change[int]{put("b", 13)}, 13)
+	h.ApplyListPage(start, true, false, pageOf(10, putChange("a", 1)))
+	h.ApplyWatch(start, 12, []feed.Change[int]{putChange("b", 13)}, 13)
 	_, err := h.snapshot(start)
 	require.ErrorIs(t, err, ErrStale, "the changes between 10 and 12 are missing")
-	h.ApplyListPage(start, true, false, pageOf(14, put("a", 1), put("b", 13)))
+	h.ApplyListPage(start, true, false, pageOf(14, putChange("a", 1), putChange("b", 13)))
 	_, err = h.snapshot(start)
 	require.NoError(t, err)
 	later := epoch.New(1, 5)
-	h.ApplyListPage(start, true, false, pageOf(later, put("a", epoch.New(1, 1))))
+	h.ApplyListPage(start, true, false, pageOf(later, putChange("a", epoch.New(1, 1))))
 	_, _, _, err = h.ChangesSince(start, 14)
 	require.ErrorIs(t, err, feed.ErrCompacted, "a process with a revision of the earlier era has to list")
-	h.ApplySnapshot(time.Time{}, pageOf(later, put("a", epoch.New(1, 1))))
+	h.ApplySnapshot(time.Time{}, pageOf(later, putChange("a", epoch.New(1, 1))))
 	_, err = h.snapshot(start)
 	require.ErrorIs(t, err, ErrStale, "a snapshot of a relay without a time of confirmation is not fresh")
 }
@@ -147,10 +147,10 @@
 // Guards against a replica that grows with every member that ever existed.
 func TestReplicaPrunesDeletedMembersBeyondMaxEntries(t *testing.T) {
 	var h Replica[int]
-	h.ApplyListPage(start, true, false, pageOf(1, put("a", 1)))
+	h.ApplyListPage(start, true, false, pageOf(1, putChange("a", 1)))
 	at := feed.Revision(1)
 	for range maxEntries + 10 {
-		c := put(fmt.Sprint("upstream-", at), at+1)
+		c := putChange(fmt.Sprint("upstream-", at), at+1)
 		c.Deleted = true
 		h.ApplyWatch(start, at, []feed.Change[int]{c}, at+1)
 		at++
@@ -171,14 +171,14 @@
 
 func (w *referenceSource) change(t *rapid.T) {
 	w.at += feed.Revision(rapid.IntRange(1, 3).Draw(t, "step"))
-	c := put(rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "name"), w.at)
+	c := putChange(rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "name"), w.at)
 	c.Deleted = rapid.IntRange(0, 3).Draw(t, "gone") == 0
 	w.history = append(w.history, c)
 }
 
 func (w *referenceSource) state(at feed.Revision) map[string]int {
 	s := make(map[string]int)
-	apply(s, w.since(0, at))
+	applyChanges(s, w.since(0, at))
 	return s
 }
 
@@ -186,7 +186,7 @@
 func (w *referenceSource) page() feed.Page[int] {
 	p := feed.Page[int]{Revision: w.at}
 	for name, value := range w.state(w.at) {
-		p.Items = append(p.Items, put(name, feed.Revision(value)).Item)
+		p.Items = append(p.Items, putChange(name, feed.Revision(value)).Item)
 	}
 	return p
 }
@@ -201,7 +201,7 @@
 	return out
 }
 
-func apply(s map[string]int, changes []feed.Change[int]) {
+func applyChanges(s map[string]int, changes []feed.Change[int]) {
 	for _, c := range changes {
 		if c.Deleted {
 			delete(s, c.Name)
@@ -246,7 +246,7 @@
 				}
 				own.ApplySnapshot(time.Time{}, pageOf(n.revision, n.changes...))
 				at, copied = n.revision, map[string]int{}
-				apply(copied, n.changes)
+				applyChanges(copied, n.changes)
 			case 4:
 				h.MarkSourceLost(now)
 			case 5:
@@ -257,7 +257,7 @@
 					continue
 				}
 				own.ApplyRelayed(time.Time{}, at, changes, to)
-				apply(copied, changes)
+				applyChanges(copied, changes)
 				if to < at {
 					t.Fatalf("went back from %d to %d", at, to)
 				}
--- a/relay/spread_test.go
+++ b/relay/spread_test.go
@@ -33,9 +33,9 @@
 	// watches counts the watches of the source by processes that are not relays.
 	watches atomic.Int64
 
-	ended  sync.WaitGroup
-	mu     sync.Mutex
-	random *rand.Rand
+	runningFeeds sync.WaitGroup
+	mu           sync.Mutex
+	random       *rand.Rand
 }
 
 // simProcess is one process of the fleet.
@@ -129,7 +129,7 @@
 				}
 			},
 		}
-		s.ended.Go(func() { _ = f.Run(ctx) }) // Run returns no error
+		s.runningFeeds.Go(func() { _ = f.Run(ctx) }) // Run returns no error
 	}
 	return s
 }
@@ -173,7 +173,7 @@
 		time.Sleep(3 * time.Second)
 		fn(s)
 		stop()
-		s.ended.Wait()
+		s.runningFeeds.Wait()
 		time.Sleep(time.Second) // canceled calls end
 	})
 }
