--- a/entry/stream.go
+++ b/entry/stream.go
@@ -9,10 +9,11 @@
 	"jacinthworks/wire"
 )
 
-// stream collects the tokens of one attempt in order.
+// stream collects the tokens of one decode attempt in order.
 type stream struct {
-	mu        sync.Mutex
-	tokens    []string
+	mu     sync.Mutex
+	tokens []string
+	// delivered is the number of tokens that takeNew has returned.
 	delivered int
 	// changed has capacity for one signal, which is sent when tokens have arrived.
 	changed chan struct{}
@@ -60,6 +61,7 @@
 	all map[wire.AttemptRef]*stream
 }
 
+// open adds an empty stream for the attempt, replacing an earlier one.
 func (s *streams) open(r wire.AttemptRef) *stream {
 	st := &stream{changed: make(chan struct{}, 1)}
 	s.mu.Lock()
@@ -71,12 +73,14 @@
 	return st
 }
 
+// close removes the attempt's stream, so that later frames of the attempt are dropped.
 func (s *streams) close(r wire.AttemptRef) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.all, r)
 }
 
+// find returns the attempt's stream, or nil if there is none.
 func (s *streams) find(r wire.AttemptRef) *stream {
 	s.mu.Lock()
 	defer s.mu.Unlock()
