--- a/side/order_table_model_test.go
+++ b/side/order_table_model_test.go
@@ -176,12 +176,12 @@
 // step applies one random event to one order. The cases are listed in the usual
 // sequence of an order's events.
 func (x *tableTest) step(t *rapid.T, r wire.AttemptRef) {
-	what := rapid.SampledFrom([]string{"begin", "hand", "token", "follow", "end", "detach", "attach", "settle", "give up", "sweep"}).Draw(t, "what")
-	if o := x.orders[r]; o == nil && slices.Contains([]string{"hand", "token", "follow", "end", "detach", "attach"}, what) {
-		what = "begin"
+	action := rapid.SampledFrom([]string{"begin", "hand", "token", "follow", "end", "detach", "attach", "settle", "give up", "sweep"}).Draw(t, "what")
+	if o := x.orders[r]; o == nil && slices.Contains([]string{"hand", "token", "follow", "end", "detach", "attach"}, action) {
+		action = "begin"
 	}
 	followers, _ := x.model[r].attached()
-	switch what {
+	switch action {
 	case "begin":
 		x.begin(t, r)
 	case "hand":
