--- a/load/load.go
+++ b/load/load.go
@@ -32,8 +32,8 @@
 	"jacinthworks/send"
 )
 
-// Defaults for the bounds that a Plan leaves at zero, and the most times that one
-// request is retried.
+// DefaultMaxInFlight and DefaultGrace replace zero values of Plan.MaxInFlight and
+// Plan.Grace; maxRetries is the maximum number of retries of one request.
 const (
 	DefaultMaxInFlight = 2000
 	DefaultGrace       = 30 * time.Second
@@ -138,7 +138,7 @@
 	return r.report, nil
 }
 
-// runner is one run of a plan.
+// runner holds the state of one run of a plan: a client for each entry, and the report.
 type runner struct {
 	plan    Plan
 	entries []*send.Client
--- a/load/report.go
+++ b/load/report.go
@@ -14,14 +14,14 @@
 	"jacinthworks/send"
 )
 
-// The histograms count microseconds up to ten minutes, with three significant
-// digits.
+// The latency histograms of a report count microseconds up to ten minutes, with
+// three significant decimal digits.
 const (
 	maxMicroseconds   = int64(10 * time.Minute / time.Microsecond)
 	significantDigits = 3
 )
 
-// The outcomes of a request that was neither answered nor refused.
+// Outcomes of a request that was neither answered completely nor refused.
 const (
 	reasonTruncated domain.Reason = "truncated"
 	reasonGivenUp   domain.Reason = "given_up"
@@ -29,7 +29,8 @@
 	reasonBroken    domain.Reason = "broken"
 )
 
-// sample holds the times at which the caller of one request received its answer.
+// sample holds the times at which the caller of one request received the tokens of
+// its answer.
 type sample struct {
 	class *RequestClass
 	// planned is the planned arrival, firstAt and lastAt are the times of the
@@ -215,7 +216,8 @@
 	return lines
 }
 
-// countLines returns a metric line for each reason, sorted by name.
+// countLines returns a metric line with the number of requests for each reason,
+// sorted by metric name.
 func countLines(prefix string, counts map[domain.Reason]int) []string {
 	var lines []string
 	for reason, n := range counts {
--- a/load/request.go
+++ b/load/request.go
@@ -16,7 +16,8 @@
 	"jacinthworks/send"
 )
 
-// maxAnswerBytes limits the length of an answer that is read into memory.
+// maxAnswerBytes limits the length of the answer to a plain call, which is read into
+// memory whole.
 const maxAnswerBytes = 16 << 20
 
 // completionBody is the JSON body of a completion request.
@@ -81,14 +82,15 @@
 	}
 }
 
-// attempt sends the request of an arrival once, to an entry that changes with
-// each attempt, and reads the answer into s. A refusal is returned as *refusal.
-func (r *runner) attempt(ctx context.Context, a arrival, attempts int, s *sample) error {
+// attempt sends the request of an arrival once and records its answer in s. Each retry
+// goes to the next entry; earlierAttempts is the number of earlier attempts. A refusal is
+// returned as *refusal.
+func (r *runner) attempt(ctx context.Context, a arrival, earlierAttempts int, s *sample) error {
 	q, err := r.buildRequest(a)
 	if err != nil {
 		return err
 	}
-	entry := r.entries[(a.number+attempts)%len(r.entries)]
+	entry := r.entries[(a.number+earlierAttempts)%len(r.entries)]
 	reply, err := entry.Do(ctx, q)
 	if err != nil {
 		return err
