--- a/bench/app.go
+++ b/bench/app.go
@@ -110,5 +110,5 @@
 func (w *simulation) crashApp() {
 	a := w.apps[0]
 	a.crashed = true
-	w.after(detection, func() { w.policy.upstreamCrashed(a.host, unfinished(append(a.running, a.queue...))) })
+	w.after(crashDetectionTime, func() { w.policy.upstreamCrashed(a.host, unfinished(append(a.running, a.queue...))) })
 }
--- a/bench/bench_test.go
+++ b/bench/bench_test.go
@@ -22,8 +22,8 @@
 	require.Equal(t, runSmall(scenarios...), runSmall(scenarios...))
 }
 
-// value returns the value of a metric in the output of a run.
-func value(t *testing.T, out, scenario, deployment, policy, metric string) float64 {
+// metricValue returns the value of a metric in the output of a run.
+func metricValue(t *testing.T, out, scenario, deployment, policy, metric string) float64 {
 	prefix := strings.Join([]string{scenario, deployment, policy, metric}, "\t") + "\t"
 	for line := range strings.Lines(out) {
 		if text, ok := strings.CutPrefix(line, prefix); ok {
@@ -45,7 +45,7 @@
 	for _, d := range []string{"tollygunge", "registry"} {
 		t.Run(d, func(t *testing.T) {
 			at := func(scenario, policy, metric string) float64 {
-				return value(t, out, scenario, d, policy, metric)
+				return metricValue(t, out, scenario, d, policy, metric)
 			}
 			require.Greater(t, at("overload_2x", policyRouter, "goodput"), 1.5*at("overload_2x", policyNaive, "goodput"))
 			require.Greater(t, at("overload_4x", policyRouter, "goodput"), 0.95*at("overload_2x", policyRouter, "goodput"))
--- a/bench/clock.go
+++ b/bench/clock.go
@@ -48,7 +48,7 @@
 
 // event is a scheduled function.
 type event struct {
-	// at is the virtual time, counted from the epoch.
+	// at is the virtual time at which fn runs, counted from the epoch.
 	at       time.Duration
 	sequence int
 	fn       func()
--- a/bench/deployment.go
+++ b/bench/deployment.go
@@ -27,13 +27,13 @@
 // its sizes.
 type kind struct {
 	row table.Row
-	// percent is the kind's part of all requests.
+	// percent is the kind's part of all requests, in percent.
 	percent int
 	// Prompt and output lengths in tokens are uniformly distributed between these
 	// bounds.
 	minPrompt, maxPrompt int
 	minOutput, maxOutput int
-	// prefixPercent is the part of a prompt that its prefix makes up.
+	// prefixPercent is the prefix's part of the tokens of a prompt, in percent.
 	prefixPercent int
 	// serviceTime is the mean duration of a plain call.
 	serviceTime time.Duration
@@ -58,6 +58,7 @@
 
 func tableDuration(d time.Duration) table.Duration { return table.Duration(d) }
 
+// tokenGap is the target of all model requests for the mean time between tokens.
 const tokenGap = 48 * time.Millisecond
 
 // tollygunge has a weight on wasted prefill; 30% of its requests are appraisals
--- a/bench/engine.go
+++ b/bench/engine.go
@@ -29,9 +29,8 @@
 	// tokens per second.
 	ledger       admit.Ledger
 	measuredRate float64
-	// onFilled is called after a prefill, with the time at which its KV cache will
-	// be evicted.
-	onFilled func(r *request, evict time.Time)
+	// onFilled is called after a prefill, whose KV cache will be evicted at evictAt.
+	onFilled func(r *request, evictAt time.Time)
 	// filledTokens counts the prompt tokens that were prefilled.
 	filledTokens int
 }
--- a/bench/goals.go
+++ b/bench/goals.go
@@ -6,13 +6,14 @@
 	"time"
 )
 
-// goal is a figure derived from several scenarios of one policy at one deployment.
+// goal is a named metric derived from the tallies of several scenarios under one policy
+// at one deployment.
 type goal struct {
 	name  string
 	value float64
 }
 
-// printGoals writes a line for each goal whose scenarios are all in the list.
+// printGoals writes a line for each goal whose scenarios were all run in the given cells.
 func printGoals(out io.Writer, list []*cell) {
 	for _, d := range []string{"tollygunge", "registry", "wallapp"} {
 		for _, label := range []string{policyNaive, policyRouter, policyNaive + heldOutSuffix, policyRouter + heldOutSuffix} {
@@ -70,22 +71,22 @@
 	return names
 }
 
-// ratioToBest returns the figure at load 2x divided by the highest figure at any
-// load.
-func ratioToBest(tallies map[string]*tally, figure func(*tally) float64) float64 {
+// ratioToBest returns the metric at load 2x divided by its highest value at any load
+// of the overload scenarios.
+func ratioToBest(tallies map[string]*tally, metric func(*tally) float64) float64 {
 	best := 0.0
 	for _, x := range overloadFactors {
-		best = max(best, figure(tallies["overload_"+x]))
+		best = max(best, metric(tallies["overload_"+x]))
 	}
-	return figure(tallies["overload_2x"]) / best
+	return metric(tallies["overload_2x"]) / best
 }
 
-// minStepRatio returns the smallest ratio, for the loads 2x to 4x, of the figure at
-// one load to the figure at the next lower load.
-func minStepRatio(tallies map[string]*tally, figure func(*tally) float64) float64 {
+// minStepRatio returns the smallest ratio, for the loads 2x to 4x, of the metric at
+// one load to the metric at the next lower load.
+func minStepRatio(tallies map[string]*tally, metric func(*tally) float64) float64 {
 	least := 1e9
 	for n := 2; n < len(overloadFactors); n++ {
-		least = min(least, figure(tallies["overload_"+overloadFactors[n]])/figure(tallies["overload_"+overloadFactors[n-1]]))
+		least = min(least, metric(tallies["overload_"+overloadFactors[n]])/metric(tallies["overload_"+overloadFactors[n-1]]))
 	}
 	return least
 }
--- a/bench/naive.go
+++ b/bench/naive.go
@@ -9,17 +9,19 @@
 // maxAttempts bounds the attempts per send, under every policy.
 const maxAttempts = 2
 
-// naive is the policy for comparison: round robin, unbounded queues at the engines,
+// naivePolicy is the baseline that the router is compared with: round robin, unbounded queues at the engines,
 // no reservations and no refusals.
-type naive struct {
+type naivePolicy struct {
 	sim                     *simulation
 	nextPrefill, nextDecode int
 	crashed                 map[domain.Host]bool
 }
 
-func newNaive(w *simulation) *naive { return &naive{sim: w, crashed: make(map[domain.Host]bool)} }
+func newNaivePolicy(w *simulation) *naivePolicy {
+	return &naivePolicy{sim: w, crashed: make(map[domain.Host]bool)}
+}
 
-func (n *naive) arrive(r *request) {
+func (n *naivePolicy) arrive(r *request) {
 	if len(n.sim.apps) > 0 {
 		n.callApp(r)
 		return
@@ -35,7 +37,7 @@
 }
 
 // callApp sends a plain call to the next application server.
-func (n *naive) callApp(r *request) {
+func (n *naivePolicy) callApp(r *request) {
 	for range n.sim.apps {
 		r.app = n.sim.apps[n.nextPrefill%len(n.sim.apps)]
 		n.nextPrefill++
@@ -46,7 +48,7 @@
 	r.app.add(r)
 }
 
-func (n *naive) prefillDone(r *request, evict time.Time) {
+func (n *naivePolicy) prefillDone(r *request, evictAt time.Time) {
 	if r.hasEnded() {
 		n.sim.filledTokens += r.filledTokens
 		n.sim.wastedTokens += r.filledTokens
@@ -59,10 +61,10 @@
 			break
 		}
 	}
-	n.sim.transferKV(r, evict)
+	n.sim.transferKV(r, evictAt)
 }
 
-func (n *naive) kvEvicted(r *request) {
+func (n *naivePolicy) kvEvicted(r *request) {
 	if r.hasEnded() {
 		return
 	}
@@ -74,12 +76,12 @@
 	n.arrive(r)
 }
 
-func (n *naive) upstreamCrashed(h domain.Host, lost []*request) {
+func (n *naivePolicy) upstreamCrashed(h domain.Host, lost []*request) {
 	n.crashed[h] = true
 	for _, r := range lost {
 		n.kvEvicted(r)
 	}
 }
 
-func (n *naive) release(*request) {}
-func (n *naive) expire(*request)  {}
+func (n *naivePolicy) release(*request) {}
+func (n *naivePolicy) expire(*request)  {}
--- a/bench/request.go
+++ b/bench/request.go
@@ -87,7 +87,7 @@
 	return r.kind.row.MayWait || !r.firstTokenAt.After(r.firstTokenDeadline())
 }
 
-// finish records the outcome and calls onEnd; further calls have no effect.
+// finish records the request's outcome and calls onEnd; further calls have no effect.
 func (r *request) finish(o outcome) {
 	if r.hasEnded() {
 		return
--- a/bench/router_policy.go
+++ b/bench/router_policy.go
@@ -147,14 +147,14 @@
 	e.arrive(r)
 }
 
-func (s *routerPolicy) prefillDone(r *request, evict time.Time) {
+func (s *routerPolicy) prefillDone(r *request, evictAt time.Time) {
 	if r.hasEnded() {
 		s.sim.filledTokens += r.filledTokens
 		s.sim.wastedTokens += r.filledTokens
 		return
 	}
 	r.prefill.ledger.Release(admit.Key{Request: r.id, Attempt: r.attempt})
-	s.sim.transferKV(r, evict)
+	s.sim.transferKV(r, evictAt)
 	s.entryOf[r.id].dispatchQueued()
 }
 
--- a/bench/run.go
+++ b/bench/run.go
@@ -33,8 +33,9 @@
 	return list
 }
 
-// appliesToPlainCalls reports whether a policy affects plain calls. The policies
-// that switch off a decision about engines make no difference to them.
+// appliesToPlainCalls reports whether the policy with this name is run for deployments
+// of application servers. Policies that switch off a decision about engines are not:
+// they make no difference to plain calls.
 func appliesToPlainCalls(name string) bool {
 	switch strings.TrimPrefix(name, policyWithout) {
 	case policyNaive, policyRouter, "refusal", "fair_queueing", "priority", "hot_key", "retry_spacing", "own_counts":
@@ -45,7 +46,7 @@
 
 func newPolicy(w *simulation, name string, seed uint64) policy {
 	if name == policyNaive {
-		return newNaive(w)
+		return newNaivePolicy(w)
 	}
 	disabled, _ := strings.CutPrefix(name, policyWithout)
 	return newRouterPolicy(w, disabled, seed)
--- a/bench/scenario.go
+++ b/bench/scenario.go
@@ -17,9 +17,9 @@
 // scenario is a load pattern, with or without a fault.
 type scenario struct {
 	name string
-	// load returns the load at a time of the run as a multiple of the deployment's
-	// capacity.
-	load func(passed time.Duration) float64
+	// load returns the load, as a multiple of the deployment's capacity, when elapsed
+	// has passed since the start of the run.
+	load func(elapsed time.Duration) float64
 	// modify changes the deployment before the run; fault changes the simulation or
 	// schedules a crash in it.
 	modify func(d *deployment)
@@ -32,13 +32,13 @@
 	// skipDisabled excludes the policies that switch off a decision: at calm loads
 	// a disabled decision makes no difference, and 3x lies between 2x and 4x.
 	skipDisabled bool
-	// recovery holds the second from which recovery is measured and the first
-	// (inclusive) and last (exclusive) second of the reference; zero means that
-	// recovery is not measured.
+	// recovery holds the second of the run from which recovery is measured, and the
+	// first (inclusive) and last (exclusive) second in which the reference goodput is
+	// measured; zero means that recovery is not measured.
 	recovery [3]int
 }
 
-// constantLoad returns a load that is x at all times.
+// constantLoad returns a load function that is x times the capacity throughout the run.
 func constantLoad(x float64) func(time.Duration) float64 {
 	return func(time.Duration) float64 { return x }
 }
@@ -63,7 +63,8 @@
 	return list
 }
 
-// burstLoad is 3x between burstStart and burstEnd and 0.6x at other times.
+// burstLoad returns the load as a multiple of the capacity: 3 between burstStart and
+// burstEnd, 0.6 at other times.
 func burstLoad(elapsed time.Duration) float64 {
 	if elapsed >= burstStart && elapsed < burstEnd {
 		return 3
--- a/bench/simulation.go
+++ b/bench/simulation.go
@@ -9,18 +9,18 @@
 	"jacinthworks/route"
 )
 
-// detection is the time from the crash of an upstream to its detection, under every
+// crashDetectionTime is the time from the crash of an upstream to its detection, under every
 // policy.
-const detection = 1500 * time.Millisecond
+const crashDetectionTime = 1500 * time.Millisecond
 
 // policy routes requests. The simulation calls its methods at events of requests and
 // upstreams.
 type policy interface {
 	// arrive accepts a new request of a caller.
 	arrive(r *request)
-	// prefillDone is called after a prefill; its KV cache will be evicted at the
-	// given time.
-	prefillDone(r *request, evict time.Time)
+	// prefillDone is called after a prefill, whose KV cache will be evicted at
+	// evictAt.
+	prefillDone(r *request, evictAt time.Time)
 	// kvEvicted is called when a KV cache was evicted before its transfer had ended.
 	kvEvicted(r *request)
 	// release is called when a request has ended and was removed from its decode
@@ -61,7 +61,7 @@
 		for n := range d.prefillsPerZone {
 			e := &prefillEngine{clock: w.clock, random: w.random, zone: z, host: domain.Host(fmt.Sprintf("prefill-%s-%d", z, n))}
 			e.cache.onChange = func(uint64, int, bool) {}
-			e.onFilled = func(r *request, evict time.Time) { w.policy.prefillDone(r, evict) }
+			e.onFilled = func(r *request, evictAt time.Time) { w.policy.prefillDone(r, evictAt) }
 			w.prefills = append(w.prefills, e)
 		}
 		for n := range d.decodesPerZone {
@@ -128,11 +128,11 @@
 
 // transferKV asks the decode engine to import the request's KV cache over the link
 // between the zones of both engines.
-func (w *simulation) transferKV(r *request, evict time.Time) {
+func (w *simulation) transferKV(r *request, evictAt time.Time) {
 	path := route.ZonePair{From: r.prefill.zone, To: r.decode.zone}
 	for _, l := range w.links {
 		if l.path == path {
-			r.decode.importKV(&kvTransfer{r: r, evictAt: evict, link: l, onEvicted: w.policy.kvEvicted})
+			r.decode.importKV(&kvTransfer{r: r, evictAt: evictAt, link: l, onEvicted: w.policy.kvEvicted})
 			return
 		}
 	}
@@ -162,7 +162,7 @@
 
 func (w *simulation) crashPrefill(e *prefillEngine) {
 	e.crashed = true
-	w.after(detection, func() {
+	w.after(crashDetectionTime, func() {
 		lost := e.queue
 		if e.running != nil {
 			lost = append(lost, e.running)
@@ -174,7 +174,7 @@
 func (w *simulation) crashDecode(e *decodeEngine) {
 	e.advance()
 	e.crashed = true
-	w.after(detection, func() {
+	w.after(crashDetectionTime, func() {
 		var lost []*request
 		for _, s := range e.batch {
 			lost = append(lost, s.r)
--- a/bench/tally.go
+++ b/bench/tally.go
@@ -27,7 +27,8 @@
 	allGood int
 }
 
-// goodShare counts offered requests and the sends of them that met their targets.
+// goodShare counts first sends as offered, and sends that met both latency targets as
+// good.
 type goodShare struct{ offered, good int }
 
 // fraction returns good divided by offered, and 1 if nothing was offered.
@@ -93,7 +94,8 @@
 	recordSend(t.perKind, string(r.kind.row.Kind), r.sendNumber, good)
 }
 
-// recordSend counts a send in the entry of shares with the given name.
+// recordSend counts a send in shares[name]: every first send as offered, and good as
+// the number of good sends, 0 or 1.
 func recordSend(shares map[string]*goodShare, name string, sendNumber, good int) {
 	s, ok := shares[name]
 	if !ok {
@@ -125,8 +127,8 @@
 	return float64(t.refused) / math.Max(1, float64(t.sends))
 }
 
-// minFraction returns the smallest fraction of requests answered in time, over all
-// callers or kinds.
+// minFraction returns the smallest fraction of offered requests that were answered
+// within the targets, over the callers or kinds in shares; 1 if there are none.
 func minFraction(shares map[string]*goodShare) float64 {
 	minimum := 1.0
 	for _, s := range shares {
@@ -135,7 +137,8 @@
 	return minimum
 }
 
-// recoveryWindow is in seconds. It contains about 180 first sends over six seeds,
+// recoveryWindow is the length, in seconds, of the window over which recoverySeconds
+// measures goodput. It contains about 180 first sends over six seeds,
 // which keeps random variation well below 5%.
 const recoveryWindow = 5
 
@@ -143,18 +146,19 @@
 // level in the reference seconds, over a sliding window of recoveryWindow. Goodput is
 // measured per first send, so that random variation in the number of arrivals has no effect.
 func (t *tally) recoverySeconds(from, refFrom, refTo int) float64 {
-	threshold := 0.95 * t.sum(refFrom, refTo).fraction()
+	threshold := 0.95 * t.sumSeconds(refFrom, refTo).fraction()
 	recovered := from
 	for second := from; second+recoveryWindow <= len(t.perSecond); second++ {
-		if t.sum(second, second+recoveryWindow).fraction() < threshold {
+		if t.sumSeconds(second, second+recoveryWindow).fraction() < threshold {
 			recovered = second + 1
 		}
 	}
 	return float64(recovered - from)
 }
 
-// sum adds up the counts of the seconds from from up to and excluding to.
-func (t *tally) sum(from, to int) (s goodShare) {
+// sumSeconds adds up the first sends and the good sends of the seconds from (inclusive)
+// to (exclusive) of the run.
+func (t *tally) sumSeconds(from, to int) (s goodShare) {
 	for _, x := range t.perSecond[from:to] {
 		s.offered += x.offered
 		s.good += x.good
@@ -172,8 +176,8 @@
 	return float64(durations[len(durations)*95/100]) / float64(time.Millisecond)
 }
 
-// othersGoodFraction returns the fraction of requests answered in time, without the
-// callers that the scenario adds.
+// othersGoodFraction returns the fraction of offered requests that were answered within
+// the targets, without the callers that the scenario adds.
 func (t *tally) othersGoodFraction() float64 {
 	return goodShare{offered: t.othersOffered, good: t.othersGood}.fraction()
 }
