--- a/fakes/apps/apps.go
+++ b/fakes/apps/apps.go
@@ -27,7 +27,8 @@
 // call is recorded as executed before the crash.
 const CrashMarker = "[crash]"
 
-// DefaultDownTime is how long a server refuses connections after a crash.
+// DefaultDownTime is how long a server refuses connections after a crash if
+// App.DownTime is zero.
 const DefaultDownTime = 500 * time.Millisecond
 
 // Fault describes how the server misbehaves. The zero value means no fault.
--- a/fakes/apps/calls.go
+++ b/fakes/apps/calls.go
@@ -15,7 +15,7 @@
 	"jacinthworks/fakes/serve"
 )
 
-// maxBodyBytes limits the body of a call.
+// maxBodyBytes limits the body of a call that the server reads.
 const maxBodyBytes = 8 << 20
 
 // Run is one execution of a call.
--- a/fakes/main.go
+++ b/fakes/main.go
@@ -33,7 +33,7 @@
 	exitCrashed = 3
 )
 
-// listenFlag holds the flag that all commands share.
+// listenFlag holds the flag --listen, which all commands have.
 type listenFlag struct {
 	Listen netip.AddrPort `arg:"--listen" default:"127.0.0.1:0" help:"IP:port to serve at, port 0 for a free one"`
 }
--- a/fakes/model/events.go
+++ b/fakes/model/events.go
@@ -9,7 +9,8 @@
 	"jacinthworks/fakes/serve"
 )
 
-// prefix is a cached prompt prefix: the last prompt that was prefilled with its hash.
+// prefix is a cached prompt prefix: the last prompt that was prefilled with this prefix
+// hash.
 type prefix struct {
 	prompt   string
 	tokens   int
--- a/fakes/model/link.go
+++ b/fakes/model/link.go
@@ -28,15 +28,16 @@
 	maxTransferBytes  = 64 << 20
 )
 
-// transferHeader is the first line of an export, which the bytes of the cache follow.
+// transferHeader is the first line of an exported KV cache; the bytes of the cache follow
+// it. Crash makes the importing engine crash when it decodes from the cache.
 type transferHeader struct {
 	Tokens int    `json:"tokens"`
 	Seed   uint64 `json:"seed"`
 	Crash  bool   `json:"crash"`
 }
 
-// link models the outgoing link that all exports of an engine share. The zero value is
-// idle.
+// link models the outgoing network link over which an engine sends all exported KV
+// caches, one after the other. The zero value is idle.
 type link struct {
 	mu sync.Mutex
 	// freeAt is the time at which the accepted transfers end.
@@ -109,7 +110,7 @@
 	return readTransfer(body)
 }
 
-// readTransfer decodes an export and checks that its length matches its header.
+// readTransfer decodes an exported KV cache and checks that its length matches its header.
 func readTransfer(body []byte) (transferHeader, error) {
 	rest := bufio.NewReader(bytes.NewReader(body))
 	line, err := rest.ReadBytes('\n')
--- a/fakes/model/model.go
+++ b/fakes/model/model.go
@@ -119,8 +119,8 @@
 	e.mux.HandleFunc("GET /orders", func(w http.ResponseWriter, _ *http.Request) { serve.WriteJSON(w, http.StatusOK, e.Orders()) })
 }
 
-// gated delays a call while the engine is frozen, and closes its connection if the
-// engine crashes meanwhile.
+// gated returns a handler that delays each call while the engine is frozen, and closes
+// the call's connection if the engine crashes meanwhile.
 func (e *Engine) gated(handle http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if e.gate.Pass(e.currentState().ctx) != nil {
--- a/fakes/model/prefill_queue.go
+++ b/fakes/model/prefill_queue.go
@@ -5,15 +5,15 @@
 	"sync"
 )
 
-// prefillQueue lets one prefill run at a time, in the order of priority, and of arrival
-// for equal priorities. The zero value is free.
+// prefillQueue lets one prefill run at a time: the waiting prefill with the highest
+// priority first, and for equal priorities the first to arrive. The zero value is idle.
 type prefillQueue struct {
 	mu      sync.Mutex
 	busy    bool
 	waiters []*waiter
 }
 
-// waiter is a prefill that waits; ready is closed when it may run.
+// waiter is a waiting prefill; ready is closed when the prefill may run.
 type waiter struct {
 	priority int
 	ready    chan struct{}
--- a/fakes/model/runs.go
+++ b/fakes/model/runs.go
@@ -7,10 +7,11 @@
 	"jacinthworks/domain"
 )
 
-// Outcome is the way in which a run ended.
+// Outcome is how a prefill or decode run ended; empty while the run is in progress.
 type Outcome string
 
-// Outcomes of a run; a run in progress has an empty outcome.
+// Outcomes of a run. Evicted is the outcome of a decode that could not import its KV
+// cache, which the prefill engine may have evicted.
 const (
 	Done      Outcome = "done"
 	Cancelled Outcome = "cancelled"
--- a/fakes/model/settings.go
+++ b/fakes/model/settings.go
@@ -32,11 +32,11 @@
 	// LinkRate is the rate of the link that all exports share, in tokens per second
 	// (200,000).
 	LinkRate int
-	// EventDelay is the delay of cache events (300 ms); every EventGap-th event is
-	// never delivered (10).
+	// EventDelay is the delay of cache events (300 ms). One in EventGap events is never
+	// delivered (10).
 	EventDelay time.Duration
 	EventGap   int
-	// ReportLag is the delay of the load report (200 ms).
+	// ReportLag is the age of the state in a load report (200 ms).
 	ReportLag time.Duration
 	// LoadTime is the duration of an order to load a model (none).
 	LoadTime time.Duration
--- a/fakes/model/state.go
+++ b/fakes/model/state.go
@@ -36,7 +36,8 @@
 	return s
 }
 
-// recordState records the current state for later reports. The caller holds e.mu.
+// recordState records the current state, which load reports return after ReportLag. The
+// caller holds e.mu.
 func (e *Engine) recordState() {
 	now := time.Now()
 	e.volatile.report.Set(now, e.snapshot())
--- a/fakes/serve/json.go
+++ b/fakes/serve/json.go
@@ -5,7 +5,7 @@
 	"net/http"
 )
 
-// maxBodyBytes limits the body of a request that Read accepts.
+// maxBodyBytes limits the body of a request that ReadJSON accepts.
 const maxBodyBytes = 16 << 20
 
 // WriteJSON answers with the value as JSON. It ignores write errors.
--- a/fakes/store/call_counter.go
+++ b/fakes/store/call_counter.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// callCounter counts the calls in the current second.
+// callCounter counts the calls in the current second, to limit their rate.
 type callCounter struct {
 	second time.Time
 	count  int
--- a/fakes/store/hosts.go
+++ b/fakes/store/hosts.go
@@ -11,7 +11,7 @@
 	"jacinthworks/infra"
 )
 
-// SetHost adds a host to the host list, or replaces its entry.
+// SetHost adds a host to the host list, or replaces the listed host of the same name.
 func (p *Platform) SetHost(h infra.ListedHost) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/fakes/store/objects.go
+++ b/fakes/store/objects.go
@@ -13,8 +13,8 @@
 	"jacinthworks/infra"
 )
 
-// maxWait limits the duration of a watch.
-const maxWait = time.Minute
+// maxWatchWait limits the time that a watch waits for a change.
+const maxWatchWait = time.Minute
 
 func (p *Platform) list(w http.ResponseWriter, r *http.Request) {
 	p.mu.Lock()
@@ -82,7 +82,7 @@
 	if !allowed {
 		return
 	}
-	timeout := time.NewTimer(min(wait, maxWait))
+	timeout := time.NewTimer(min(wait, maxWatchWait))
 	defer timeout.Stop()
 	for {
 		o, withheld, changed := p.observe(r.PathValue("name"))
--- a/fakes/store/store.go
+++ b/fakes/store/store.go
@@ -48,7 +48,8 @@
 	HostLag time.Duration `json:"host_lag,omitempty"`
 }
 
-// Counts holds the number of calls by kind; a watch counts as one call.
+// Counts holds the number of calls to the platform by kind of call; a watch counts as
+// one call, however long it waits.
 type Counts struct {
 	Get     int `json:"get"`
 	List    int `json:"list"`
@@ -142,7 +143,8 @@
 	}
 }
 
-// withFaults applies the faults that affect all calls before it calls the handler.
+// withFaults returns a handler that applies the faults that affect all calls, and then
+// calls handle.
 func (p *Platform) withFaults(handle http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		ctx := context.WithoutCancel(r.Context()) // a call that was received is executed even if its caller disconnects, as by a paused process
