--- a/test/bad_input.go
+++ b/test/bad_input.go
@@ -37,12 +37,12 @@
 func (g outputArgs) check(text string) error {
 	for _, words := range g.required {
 		if !strings.Contains(text, words) {
-			return errors.Errorf("%q is missing in: %s", words, text)
+			return errors.Errorf("%q is missing in the output: %s", words, text)
 		}
 	}
 	for _, token := range []string{callerToken, otherToken, operatorToken, rivalToken} {
 		if strings.Contains(text, token) {
-			return errors.Errorf("a token is visible in: %s", text)
+			return errors.Errorf("a token is visible in the output: %s", text)
 		}
 	}
 	return nil
@@ -55,7 +55,7 @@
 func cmdSend(w *world, args []string) error {
 	g := parseOutputArgs(args[3:])
 	o := g.options
-	p, err := w.find(orDefault(o["to"], "entry-1"))
+	p, err := w.findProcess(orDefault(o["to"], "entry-1"))
 	if err != nil {
 		return err
 	}
@@ -88,7 +88,7 @@
 		return err
 	}
 	if strconv.Itoa(answer.StatusCode) != args[0] {
-		return errors.Errorf("status is %s: %s", answer.Status, text)
+		return errors.Errorf("unexpected status %s: %s", answer.Status, text)
 	}
 	if kind := answer.Header.Get("Content-Type"); answer.StatusCode >= 400 && kind != "application/problem+json" {
 		return errors.Errorf("content type of the refusal is %s: %s", kind, text)
@@ -132,7 +132,7 @@
 	if err != nil {
 		return err
 	}
-	p, err := w.find(args[3])
+	p, err := w.findProcess(args[3])
 	if err != nil {
 		return err
 	}
--- a/test/call.go
+++ b/test/call.go
@@ -190,7 +190,7 @@
 	return nil
 }
 
-// notify wakes up whoever waits for a change of the call. c.mu must be held.
+// notify wakes up all goroutines that wait for a change of the call. c.mu must be held.
 func (c *call) notify() {
 	close(c.changed)
 	c.changed = make(chan struct{})
@@ -205,8 +205,8 @@
 	whole   bool
 	problem refusalBody
 	err     error
-	ended   time.Time
-	more    <-chan struct{}
+	endedAt time.Time
+	changed <-chan struct{} // closed at the next change of the call
 }
 
 func (c *call) snapshot() callState {
@@ -214,6 +214,6 @@
 	defer c.mu.Unlock()
 	return callState{
 		id: c.id, status: c.status, text: c.text.String(), tokens: c.tokens, whole: c.whole,
-		problem: c.problem, err: c.err, ended: c.endedAt, more: c.changed,
+		problem: c.problem, err: c.err, endedAt: c.endedAt, changed: c.changed,
 	}
 }
--- a/test/calls.go
+++ b/test/calls.go
@@ -31,7 +31,7 @@
 	if o["as"] == "second" {
 		token = otherToken
 	}
-	p, err := w.find(c.entry)
+	p, err := w.findProcess(c.entry)
 	if err != nil {
 		return err
 	}
@@ -74,7 +74,7 @@
 				return errors.Errorf("call ended after %d tokens: %+v", v.tokens, v.problem)
 			}
 			return nil
-		case <-v.more:
+		case <-v.changed:
 		case <-until:
 			return errors.Errorf("call still runs after %s: %+v", WaitTimeout, v)
 		}
--- a/test/cluster.go
+++ b/test/cluster.go
@@ -95,7 +95,7 @@
 
 // Process returns a process by its name. The platform's name is "platform".
 func (d *Cluster) Process(name string) (Process, error) {
-	p, err := d.w.find(name)
+	p, err := d.w.findProcess(name)
 	if err != nil {
 		return Process{}, err
 	}
@@ -117,7 +117,7 @@
 	if found {
 		return at, nil
 	}
-	p, err := w.find(name)
+	p, err := w.findProcess(name)
 	if err != nil {
 		return netip.AddrPort{}, err
 	}
--- a/test/drive/caller.go
+++ b/test/drive/caller.go
@@ -13,7 +13,8 @@
 	"github.com/pkg/errors"
 )
 
-// Services and request kinds of the deployment that the measuring programs start.
+// Services and request kinds in the policy tables Table and PlainTable, which the measuring
+// programs use.
 const (
 	App        = "marketplace-app"
 	Model      = "appraiser-lm"
@@ -85,7 +86,7 @@
 	defer answer.Body.Close()
 	text, err := io.ReadAll(answer.Body)
 	if err == nil && answer.StatusCode != http.StatusOK {
-		err = errors.Errorf("drive: %s: %.200s", answer.Status, text)
+		err = errors.Errorf("drive: request failed with status %s: %.200s", answer.Status, text)
 	}
 	return err
 }
@@ -110,7 +111,7 @@
 	defer answer.Body.Close()
 	if answer.StatusCode != http.StatusOK {
 		text, _ := io.ReadAll(answer.Body)
-		return errors.Errorf("drive: %s: %.200s", answer.Status, text)
+		return errors.Errorf("drive: request failed with status %s: %.200s", answer.Status, text)
 	}
 	return readEvents(answer.Body, answer.Header.Get("Request-Id"), onText)
 }
--- a/test/fault_points_test.go
+++ b/test/fault_points_test.go
@@ -85,7 +85,7 @@
 	case <-time.After(3 * time.Second): // longer than every timeout for a silent process
 	}
 	for _, v := range c.processes {
-		p, err := w.find(v)
+		p, err := w.findProcess(v)
 		require.NoError(t, err)
 		if c.action == inject.Pause {
 			require.NoError(t, p.command.Process.Signal(syscall.SIGCONT))
@@ -119,7 +119,7 @@
 			v.problem.Reason == domain.ReasonAlreadyRan, v.problem.Reason == domain.ReasonMayHaveRun:
 			return nil
 		}
-		pause(w.ctx, 200*time.Millisecond)
+		sleep(w.ctx, 200*time.Millisecond)
 		return fmt.Errorf("%s got %+v (%v)", name, v.problem, v.err)
 	})
 }
--- a/test/faults.go
+++ b/test/faults.go
@@ -10,15 +10,15 @@
 	"github.com/pkg/errors"
 )
 
-// errProcessEnded reports a signal to a process that has already exited.
-var errProcessEnded = errors.New("process has exited")
+// errProcessEnded is the error of a signal to a process that has already exited.
+var errProcessEnded = errors.New("signal a process that has already exited")
 
 func (w *world) signal(args []string, s syscall.Signal, wait bool) error {
 	if s != syscall.SIGCONT {
 		w.faults.Add(int32(len(args)))
 	}
 	for _, name := range args {
-		p, err := w.find(name)
+		p, err := w.findProcess(name)
 		if err != nil {
 			return err
 		}
@@ -53,7 +53,7 @@
 // cmdGone waits until processes have exited by themselves.
 func cmdGone(w *world, args []string) error {
 	for _, name := range args {
-		p, err := w.find(name)
+		p, err := w.findProcess(name)
 		if err != nil {
 			return err
 		}
@@ -120,7 +120,7 @@
 
 // cmdHosts sets the state of a host in the platform's host list: hosts NAME live|leaving.
 func cmdHosts(w *world, args []string) error {
-	p, err := w.find("platform")
+	p, err := w.findProcess("platform")
 	if err != nil {
 		return err
 	}
@@ -137,7 +137,7 @@
 }
 
 func (w *world) post(name, path, body string) error {
-	p, err := w.find(name)
+	p, err := w.findProcess(name)
 	if err != nil {
 		return err
 	}
@@ -147,7 +147,7 @@
 	}
 	defer answer.Body.Close()
 	if answer.StatusCode >= 300 {
-		return errors.Errorf("%s answered %s", name, answer.Status)
+		return errors.Errorf("%s answered with status %s", name, answer.Status)
 	}
 	return nil
 }
--- a/test/fleet.go
+++ b/test/fleet.go
@@ -51,10 +51,10 @@
 	name  string
 	index int
 	proxy *proxy // to the store
-	// repeats is the setting repeats.fixed, which a reload changes.
+	// repeats is the value of the setting repeats.fixed, which a reload changes.
 	repeats int
-	// restarts is held while the entry is stopped and started.
-	restarts sync.Mutex
+	// restartMu is held while the entry is stopped and started.
+	restartMu sync.Mutex
 
 	mu           sync.Mutex
 	incarnations []*incarnation
@@ -70,15 +70,17 @@
 	started       chan struct{}
 	done          chan struct{}
 
-	mu       sync.Mutex
-	accepted map[string]int
-	ended    map[string]int
-	killed   bool
+	mu sync.Mutex
+	// acceptCounts and endCounts are how often the log says that a request was accepted and
+	// that it ended, by request ID.
+	acceptCounts map[string]int
+	endCounts    map[string]int
+	killed       bool
 	// stopRequestedAt is when the process received SIGTERM, exitedAt when it exited.
 	stopRequestedAt, exitedAt time.Time
 }
 
-// leaveRecord is the time at which a server registered in the store that it leaves.
+// leaveRecord is the time at which a server registered in the store as draining.
 type leaveRecord struct {
 	server *fake.Server
 	at     time.Time
@@ -109,13 +111,13 @@
 	}
 	f.configure(0)
 	for n := range 3 {
-		f.add(fmt.Sprintf("app-%d", n+1), "cards", "")
-		f.add(fmt.Sprintf("decode-%d", n+1), "model", "decode")
+		f.startServer(fmt.Sprintf("app-%d", n+1), "cards", "")
+		f.startServer(fmt.Sprintf("decode-%d", n+1), "model", "decode")
 	}
-	f.add("prefill-1", "model", "prefill")
-	f.add("prefill-2", "model", "prefill")
+	f.startServer("prefill-1", "model", "prefill")
+	f.startServer("prefill-2", "model", "prefill")
 	for n := range fleetConfigVersions {
-		f.add(generation(n), generation(n), "")
+		f.startServer(generationName(n), generationName(n), "")
 	}
 	for n := range fleetEntries {
 		h := &entryHost{name: fmt.Sprintf("entry-%d", n+1), index: n, repeats: 40}
@@ -131,16 +133,16 @@
 		}
 	}
 	for _, h := range f.entries {
-		if err := f.untilReady(h); err != nil {
+		if err := f.waitUntilReady(h); err != nil {
 			return f, err
 		}
 	}
 	return f, nil
 }
 
-// generation returns the name of the service and server that answer probes under one version of
-// the configuration.
-func generation(n int) string { return fmt.Sprintf("generation-%d", n) }
+// generationName returns the name of the service and server that answer probes under the n-th
+// version of the configuration.
+func generationName(n int) string { return fmt.Sprintf("generation-%d", n) }
 
 // configure writes the configuration that routes probes to a generation, and records it. The
 // version numbers increase in uneven steps.
@@ -155,7 +157,7 @@
 func (f *fleet) writeConfig(n int) {
 	plain := []string{"cards"}
 	for i := range fleetConfigVersions {
-		plain = append(plain, generation(i))
+		plain = append(plain, generationName(i))
 	}
 	f.store.Put("config", "main", fake.Configuration(3+n*n*2+n, plain,
 		fake.Route{Prefix: "/once/", Kind: "non_idempotent", Service: "cards", Attempts: 2},
@@ -163,12 +165,12 @@
 		fake.Route{Prefix: "/stream/", Kind: "streaming", Service: "model", Attempts: 2},
 		fake.Route{Prefix: fake.LongPrefix, Kind: "streaming", Service: "model", Attempts: 1},
 		fake.Route{Prefix: "/resumed/", Kind: "streaming", Service: "model", Attempts: 2, Resumable: true},
-		fake.Route{Prefix: "/probe/", Kind: "idempotent", Service: generation(n), Attempts: 1},
+		fake.Route{Prefix: "/probe/", Kind: "idempotent", Service: generationName(n), Attempts: 1},
 	))
 }
 
-// add starts a server under a name, for the first time or as a replacement.
-func (f *fleet) add(name, service, stage string) {
+// startServer starts a server under a name, for the first time or as a replacement.
+func (f *fleet) startServer(name, service, stage string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s := f.servers[name]
@@ -209,7 +211,7 @@
 	h.mu.Lock()
 	l := &incarnation{
 		number: len(h.incarnations), started: make(chan struct{}), done: make(chan struct{}),
-		accepted: make(map[string]int), ended: make(map[string]int),
+		acceptCounts: make(map[string]int), endCounts: make(map[string]int),
 	}
 	h.mu.Unlock()
 	log, err := os.Create(filepath.Join(f.w.dir, fmt.Sprintf("%s.%d.log", h.name, l.number)))
@@ -228,7 +230,7 @@
 	go func() { // ends when the process exits; closes l.done
 		defer close(l.done)
 		defer log.Close()
-		l.read(io.TeeReader(out, log))
+		l.readLog(io.TeeReader(out, log))
 		_ = l.command.Wait()
 		l.mu.Lock()
 		l.exitedAt = time.Now()
@@ -255,9 +257,9 @@
 	Ready   netip.AddrPort `json:"ready"`
 }
 
-// read parses the process's log: its addresses, and how often each request was accepted and
+// readLog parses the process's log: its addresses, and how often each request was accepted and
 // ended.
-func (l *incarnation) read(from io.Reader) {
+func (l *incarnation) readLog(from io.Reader) {
 	lines := bufio.NewScanner(from)
 	lines.Buffer(nil, 1<<20)
 	for lines.Scan() {
@@ -271,9 +273,9 @@
 			l.listen, l.ready = n.Listen, n.Ready
 			close(l.started)
 		case "accepted":
-			l.accepted[n.Request]++
+			l.acceptCounts[n.Request]++
 		case "answered", "refused", "caller_gone":
-			l.ended[n.Request]++
+			l.endCounts[n.Request]++
 		}
 		l.mu.Unlock()
 	}
@@ -297,8 +299,8 @@
 	return answer.StatusCode == http.StatusOK
 }
 
-// untilReady waits until the host's entry is ready.
-func (f *fleet) untilReady(h *entryHost) error {
+// waitUntilReady waits until the host's entry is ready.
+func (f *fleet) waitUntilReady(h *entryHost) error {
 	for until := time.Now().Add(WaitTimeout); time.Now().Before(until); group.Sleep(f.w.ctx, 20*time.Millisecond) {
 		if h.current().isReady() {
 			return nil
@@ -324,18 +326,18 @@
 	}
 }
 
-// stop signals an entry's process, waits until it exits, and starts the next one, as the
+// stopAndRestart signals an entry's process, waits until it exits, and starts the next one, as the
 // platform does.
-func (f *fleet) stop(h *entryHost, with syscall.Signal) error {
-	h.restarts.Lock()
-	defer h.restarts.Unlock()
+func (f *fleet) stopAndRestart(h *entryHost, stopSignal syscall.Signal) error {
+	h.restartMu.Lock()
+	defer h.restartMu.Unlock()
 	l := h.current()
 	l.mu.Lock()
-	if l.killed = l.killed || with == syscall.SIGKILL; !l.killed {
+	if l.killed = l.killed || stopSignal == syscall.SIGKILL; !l.killed {
 		l.stopRequestedAt = time.Now()
 	}
 	l.mu.Unlock()
-	if err := l.command.Process.Signal(with); err != nil && !errors.Is(err, os.ErrProcessDone) {
+	if err := l.command.Process.Signal(stopSignal); err != nil && !errors.Is(err, os.ErrProcessDone) {
 		return err
 	}
 	select {
--- a/test/fleet_announcements.go
+++ b/test/fleet_announcements.go
@@ -10,14 +10,16 @@
 )
 
 const (
-	// pauseSlack is how long after a server has asked for a pause requests under way may still reach
-	// it, and pauseMaxRequests how many requests may reach it in the rest of the pause.
-	pauseSlack       = 500 * time.Millisecond
-	pauseMaxRequests = 2
+	// backoffSlack is how long requests in flight may still reach a server after the server has
+	// refused a request with a Retry-After, and backoffMaxRequests how many requests may reach it
+	// in the rest of the backoff.
+	backoffSlack       = 500 * time.Millisecond
+	backoffMaxRequests = 2
 )
 
-// addAnnouncements adds, each to one plan of two, a server that asks for pauses for some seconds,
-// and a server that announces in its answers that it leaves before it registers this.
+// addAnnouncements adds, each with probability one half, a server that for some seconds refuses
+// all requests with a Retry-After, and a server that announces its shutdown in its answers before
+// it registers as draining.
 func (s *FleetSoak) addAnnouncements(r *rand.Rand) {
 	start := func() time.Duration { return time.Duration(r.Int64N(int64(fleetQuietTime + fleetFaultTime/2))) }
 	duration := func() time.Duration { return fleetLimitMin/2 + time.Duration(r.Int64N(int64(fleetLimitMin))) }
@@ -47,7 +49,8 @@
 	call fleetCall
 }
 
-// receivedRequests returns the requests of known calls that reached a server.
+// receivedRequests returns the requests that reached a server, without requests of calls that were
+// not recorded.
 func (f *fleet) receivedRequests(s *fake.Server) (all []receivedRequest) {
 	callsByID := make(map[string]fleetCall, len(f.calls))
 	for _, c := range f.calls {
@@ -61,37 +64,38 @@
 	return all
 }
 
-// judgeAnnouncements checks that a server that announced that it leaves, or asked for a pause,
-// receives no further requests from the incarnations that received the announcement.
+// judgeAnnouncements checks that a server that announced its shutdown, or refused a request with a
+// Retry-After, receives no further requests from the entry processes that received the answer.
 func (f *fleet) judgeAnnouncements(found *findings) {
 	for _, s := range f.allServers {
 		arrived := f.receivedRequests(s)
 		f.judgeAnnouncedLeaving(found, s, arrived)
-		f.judgePauses(found, s, arrived)
+		f.judgeBackoffs(found, s, arrived)
 	}
 }
 
-// judgeAnnouncedLeaving checks that no request reaches a leaving server through an incarnation
+// judgeAnnouncedLeaving checks that no request reaches a leaving server through an entry process
 // that had forwarded the server's announcement before the caller sent the request.
 func (f *fleet) judgeAnnouncedLeaving(found *findings, s *fake.Server, arrived []receivedRequest) {
 	announcedAt := make(map[[2]int]time.Time) // when an incarnation (host, number) first forwarded the announcement
 	for _, c := range f.calls {
 		incarnationID := [2]int{c.entry, c.incarnation}
-		if first, known := announcedAt[incarnationID]; c.response.Leaving == s.Entry.ID && (!known || c.ended.Before(first)) {
-			announcedAt[incarnationID] = c.ended
+		if first, known := announcedAt[incarnationID]; c.response.Leaving == s.Entry.ID && (!known || c.endedAt.Before(first)) {
+			announcedAt[incarnationID] = c.endedAt
 		}
 	}
 	for _, a := range arrived {
 		first, known := announcedAt[[2]int{a.call.entry, a.call.incarnation}]
-		if known && a.call.sent.After(first.Add(judgeSlack)) && !f.suspended(a.call.entry, first, a.call.sent) {
-			found.add("%s reached %s, sent %v after an answer had announced that the server leaves", a.call.id, s.Entry.ID, a.call.sent.Sub(first))
+		if known && a.call.sentAt.After(first.Add(judgeSlack)) && !f.suspended(a.call.entry, first, a.call.sentAt) {
+			found.add("%s reached %s, sent %v after an answer had announced that the server leaves", a.call.id, s.Entry.ID, a.call.sentAt.Sub(first))
 		}
 	}
 }
 
-// judgePauses checks that after a server has asked an incarnation for a pause, at most
-// pauseMaxRequests requests of this incarnation reach the server until the pause ends.
-func (f *fleet) judgePauses(found *findings, s *fake.Server, arrived []receivedRequest) {
+// judgeBackoffs checks that after a server has refused a request of an entry process with a
+// Retry-After, at most backoffMaxRequests requests of this process reach the server until the
+// backoff ends.
+func (f *fleet) judgeBackoffs(found *findings, s *fake.Server, arrived []receivedRequest) {
 	byID := make(map[string]receivedRequest, len(arrived))
 	for _, a := range arrived {
 		byID[a.call.id] = a
@@ -104,17 +108,18 @@
 		n, until := 0, p.At.Add(p.Duration)
 		for _, a := range arrived {
 			sameIncarnation := a.call.entry == asker.call.entry && a.call.incarnation == asker.call.incarnation
-			if sameIncarnation && a.at.After(p.At.Add(pauseSlack)) && a.at.Before(until) {
+			if sameIncarnation && a.at.After(p.At.Add(backoffSlack)) && a.at.Before(until) {
 				n++
 			}
 		}
-		if n > pauseMaxRequests && f.noFaults(asker.call.entry, p.At, until) {
+		if n > backoffMaxRequests && f.noFaults(asker.call.entry, p.At, until) {
 			found.add("%s asked entry-%d for a pause of %v and received %d requests during the pause", s.Entry.ID, asker.call.entry+1, p.Duration, n)
 		}
 	}
 }
 
-// suspended reports whether an entry was suspended at any moment between two times.
+// suspended reports whether an entry's process was suspended (SIGSTOP) at any moment between two
+// times.
 func (f *fleet) suspended(entry int, from, to time.Time) bool {
 	name := "suspend entry-" + strconv.Itoa(entry+1)
 	for _, s := range f.periods {
--- a/test/fleet_calls.go
+++ b/test/fleet_calls.go
@@ -15,7 +15,7 @@
 type fleetCall struct {
 	id, kind, method, target, body string
 	entry, incarnation             int
-	sent, ended                    time.Time
+	sentAt, endedAt                time.Time
 	response                       fake.Response
 	// newConn reports whether a new connection was opened for the request, and abandoned whether
 	// its caller gave up.
@@ -32,15 +32,15 @@
 	fleetAbandonEvery   = 15 // one call of this many is abandoned
 )
 
-// fleetKinds are the kinds whose answers are read to the end. longKind is a stream that its
+// fleetKinds are the kinds of requests whose answers are read to the end. longKind is a stream that its
 // caller always abandons.
 var fleetKinds = []string{"once", "again", "stream", "resumed"}
 
 const longKind = "long"
 
-// caller sends requests until ctx ends. It keeps a connection for as long as the entry allows,
+// runCaller sends requests until ctx ends. It keeps a connection for as long as the entry allows,
 // also while the entry stops.
-func (f *fleet) caller(ctx context.Context, number int, r *rand.Rand) {
+func (f *fleet) runCaller(ctx context.Context, number int, r *rand.Rand) {
 	var c *fake.Caller
 	var h *entryHost
 	var l *incarnation
@@ -69,7 +69,7 @@
 		}
 		request := newFleetCall(fmt.Sprintf("c%d-%d", number, n), kind)
 		request.entry, request.incarnation = h.index, l.number
-		f.call(c, request, givesUp, r)
+		f.sendCall(c, request, givesUp, r)
 		group.Sleep(ctx, fleetThinkTime)
 		if hasExited(l) {
 			c.Close()
@@ -88,7 +88,7 @@
 	}
 }
 
-// newFleetCall returns a call of a kind with a target of its own.
+// newFleetCall returns a call of a kind, with a target that no other call has.
 func newFleetCall(id, kind string) fleetCall {
 	request := fleetCall{id: id, kind: kind, method: "POST", target: "/" + kind + "/" + id}
 	if kind == "again" || kind == "probe" {
@@ -99,8 +99,8 @@
 	return request
 }
 
-// call sends one request and records its outcome.
-func (f *fleet) call(c *fake.Caller, request fleetCall, givesUp bool, r *rand.Rand) fleetCall {
+// sendCall sends one request on the caller's connection and records its outcome.
+func (f *fleet) sendCall(c *fake.Caller, request fleetCall, givesUp bool, r *rand.Rand) fleetCall {
 	patience := fleetCallerTimeout
 	if givesUp {
 		patience = time.Duration(20+r.IntN(150)) * time.Millisecond
@@ -111,9 +111,9 @@
 	if request.kind == "stream" || request.kind == "resumed" || request.kind == longKind {
 		a.PromptTokens, a.MaxOutputTokens = 1000, 200
 	}
-	request.sent = time.Now()
+	request.sentAt = time.Now()
 	request.response, request.newConn = c.Do(ctx, a)
-	request.ended = time.Now()
+	request.endedAt = time.Now()
 	request.abandoned = givesUp && ctx.Err() != nil
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -138,14 +138,14 @@
 	return pick(r, all)
 }
 
-// probe asks one host periodically which version of the configuration is in force there.
-func (f *fleet) probe(ctx context.Context, h *entryHost) {
+// runProbes asks one host periodically which version of the configuration is in force there.
+func (f *fleet) runProbes(ctx context.Context, h *entryHost) {
 	for n := 0; ctx.Err() == nil; n++ {
 		l := h.current()
 		request := newFleetCall("p"+strconv.Itoa(h.index)+"-"+strconv.Itoa(n), "probe")
 		request.entry, request.incarnation = h.index, l.number
 		c := &fake.Caller{To: l.listen}
-		f.call(c, request, false, nil)
+		f.sendCall(c, request, false, nil)
 		c.Close()
 		group.Sleep(ctx, fleetProbeInterval)
 	}
--- a/test/fleet_judge.go
+++ b/test/fleet_judge.go
@@ -18,11 +18,13 @@
 const (
 	// settleTime is how long after its end a fault may still affect requests.
 	settleTime = 3 * time.Second
-	// judgeSlack allows for timers and for messages on the network.
+	// judgeSlack is added to the time limits that the judge checks, for the delays of timers and of
+	// messages on the network.
 	judgeSlack = 500 * time.Millisecond
 	// configTimeout is how long a version of the configuration may take to come into force.
 	configTimeout = 2 * time.Second
-	// recoveryTimeout is how long after the last fault every kind must be answered again.
+	// recoveryTimeout is how long after the last fault each entry may take until it answers every
+	// kind of request again.
 	recoveryTimeout = 6 * time.Second
 )
 
@@ -98,7 +100,7 @@
 	return all
 }
 
-// judgeRecovery checks that after the faults each kind is answered through each entry.
+// judgeRecovery checks that after the faults each kind of request is answered through each entry.
 func (f *fleet) judgeRecovery(found *findings) {
 	for _, h := range f.entries {
 		for _, kind := range fleetKinds {
@@ -108,7 +110,7 @@
 				l := h.current()
 				request.entry, request.incarnation = h.index, l.number
 				c := &fake.Caller{To: l.listen}
-				request = f.call(c, request, false, nil)
+				request = f.sendCall(c, request, false, nil)
 				c.Close()
 				if request.response.Status == http.StatusOK {
 					break
@@ -205,16 +207,16 @@
 // response, also while the entry stops, and that without planned work it is answered.
 func (f *fleet) judgeWithoutFaults(found *findings, ran map[string][]execution) {
 	for _, c := range f.calls {
-		if c.abandoned || !f.noFaults(c.entry, c.sent, c.ended) {
+		if c.abandoned || !f.noFaults(c.entry, c.sentAt, c.endedAt) {
 			continue
 		}
 		// A request on a kept connection that the entry closes at the same moment was not
 		// read; a request on a refused connection was not accepted.
-		closedUnread := c.response.Err != nil && !c.response.HeaderReceived && len(ran[c.id]) == 0 && !f.noDisruptions(c.entry, c.sent, c.ended)
+		closedUnread := c.response.Err != nil && !c.response.HeaderReceived && len(ran[c.id]) == 0 && !f.noDisruptions(c.entry, c.sentAt, c.endedAt)
 		switch {
 		case c.response.Err != nil && !closedUnread:
 			found.add("%s at entry-%d broke off without a fault (header received %v, new connection %v): %v", c.id, c.entry+1, c.response.HeaderReceived, c.newConn, c.response.Err)
-		case c.response.Status != http.StatusOK && !closedUnread && f.noDisruptions(c.entry, c.sent, c.ended):
+		case c.response.Status != http.StatusOK && !closedUnread && f.noDisruptions(c.entry, c.sentAt, c.endedAt):
 			found.add("%s at entry-%d was answered with status %d without a fault or planned work", c.id, c.entry+1, c.response.Status)
 		}
 	}
@@ -239,9 +241,9 @@
 // that each version comes into force in time at each process that no fault affects.
 func (f *fleet) judgeVersions(found *findings) {
 	type seen struct {
-		generation  int
-		sent, ended time.Time
-		id          string
+		generation      int
+		sentAt, endedAt time.Time
+		id              string
 	}
 	byIncarnation := make(map[[2]int][]seen)
 	for _, c := range f.calls {
@@ -256,18 +258,18 @@
 			continue
 		}
 		incarnationID := [2]int{c.entry, c.incarnation}
-		byIncarnation[incarnationID] = append(byIncarnation[incarnationID], seen{generation: g, sent: c.sent, ended: c.ended, id: c.id})
+		byIncarnation[incarnationID] = append(byIncarnation[incarnationID], seen{generation: g, sentAt: c.sentAt, endedAt: c.endedAt, id: c.id})
 		for _, v := range f.configs {
-			if due := v.at.Add(configTimeout + judgeSlack); c.sent.After(due) && v.generation > g && f.noFaults(c.entry, v.at, c.sent) {
-				found.add("%s was answered under version %d, %v after version %d was written", c.id, g, c.sent.Sub(v.at), v.generation)
+			if due := v.at.Add(configTimeout + judgeSlack); c.sentAt.After(due) && v.generation > g && f.noFaults(c.entry, v.at, c.sentAt) {
+				found.add("%s was answered under version %d, %v after version %d was written", c.id, g, c.sentAt.Sub(v.at), v.generation)
 			}
 		}
 	}
 	for _, all := range byIncarnation {
-		slices.SortFunc(all, func(a, b seen) int { return cmp.Compare(a.sent.UnixNano(), b.sent.UnixNano()) })
+		slices.SortFunc(all, func(a, b seen) int { return cmp.Compare(a.sentAt.UnixNano(), b.sentAt.UnixNano()) })
 		for i, late := range all {
 			for _, early := range all[:i] {
-				if early.ended.Before(late.sent) && early.generation > late.generation {
+				if early.endedAt.Before(late.sentAt) && early.generation > late.generation {
 					found.add("%s reverted from version %d to %d", late.id, early.generation, late.generation)
 				}
 			}
@@ -285,8 +287,8 @@
 			if took := l.exitedAt.Sub(l.stopRequestedAt); !l.stopRequestedAt.IsZero() && !l.exitedAt.IsZero() && !affected && took > fleetStopTimeout+judgeSlack {
 				found.add("%s took %v to stop", h.name, took)
 			}
-			for id, n := range l.accepted {
-				if ends := l.ended[id]; !l.killed && hasExited(l) && ends != n || ends > n {
+			for id, n := range l.acceptCounts {
+				if ends := l.endCounts[id]; !l.killed && hasExited(l) && ends != n || ends > n {
 					found.add("%s at %s was accepted %d times and ended %d times", id, h.name, n, ends)
 				}
 			}
--- a/test/fleet_limits.go
+++ b/test/fleet_limits.go
@@ -9,8 +9,8 @@
 )
 
 // A server that states a rate limit may receive, in any limitWindow, limitFactor times the
-// requests that the limit allows and limitBurst more. Only requests of entries that learned
-// of the limit at least limitLearnTime before count.
+// requests that the limit allows and limitBurst more. A request counts only if its entry had
+// learned of the limit at least limitLearnTime earlier.
 const (
 	limitWindow    = 4 * time.Second
 	limitFactor    = 1.5
@@ -18,14 +18,14 @@
 	limitLearnTime = 500 * time.Millisecond
 )
 
-// limitPeriod is the time in which a server states a rate limit.
+// limitPeriod is the time in which a server states a rate limit, in requests per second.
 type limitPeriod struct {
 	server   *fake.Server
 	rate     float64
 	from, to time.Time // to is zero while the limit lasts
 }
 
-// addRateLimit adds, to one plan of two, a server that states a rate limit for some seconds.
+// addRateLimit adds, with probability one half, a server that states a rate limit for some seconds.
 func (s *FleetSoak) addRateLimit(r *rand.Rand) {
 	if r.IntN(2) == 0 {
 		return
@@ -68,8 +68,8 @@
 	for _, c := range f.calls {
 		callsByID[c.id] = c
 		incarnationID := [2]int{c.entry, c.incarnation}
-		if first, known := learnedAt[incarnationID]; c.response.Limited && (!known || c.ended.Before(first)) {
-			learnedAt[incarnationID] = c.ended
+		if first, known := learnedAt[incarnationID]; c.response.Limited && (!known || c.endedAt.Before(first)) {
+			learnedAt[incarnationID] = c.endedAt
 		}
 	}
 	for _, l := range f.limits {
--- a/test/fleet_plan.go
+++ b/test/fleet_plan.go
@@ -34,10 +34,10 @@
 	// firstLimitSeed is the first seed whose plan may have rate limits and restores of the store.
 	// Plans of lower seeds stay as they were.
 	firstLimitSeed = 200
-	// firstAnnouncementSeed is the first seed whose plan may have servers that ask for pauses, or
-	// that announce that they leave before they register it.
+	// firstAnnouncementSeed is the first seed whose plan may have servers that refuse requests with
+	// a Retry-After, or that announce their shutdown before they register as draining.
 	firstAnnouncementSeed = 300
-	// fleetLimitMin is the minimum duration of a rate limit, and half of the maximum.
+	// fleetLimitMin is the minimum duration of a rate limit; the maximum is twice as long.
 	fleetLimitMin = 4 * time.Second
 )
 
@@ -47,8 +47,9 @@
 // disruption is one fault or one planned operation of a plan.
 type disruption struct {
 	name string
-	// entry is the number of the affected entry. Planned operations must break off no request.
-	entry           int
+	// entry is the number of the affected entry, or everyEntry.
+	entry int
+	// planned reports that this is a planned operation, which must break off no request.
 	planned         bool
 	start, duration time.Duration
 	begin           func(*fleet) error
@@ -74,7 +75,7 @@
 	s := FleetSoak{Seed: seed}
 	for n := 1; n < fleetConfigVersions; n++ {
 		s.addDisruption(r, disruption{
-			name: "configure " + generation(n), entry: everyEntry, planned: true,
+			name: "configure " + generationName(n), entry: everyEntry, planned: true,
 			begin: func(f *fleet) error { f.configure(n); return nil },
 		})
 		// The versions are written in ascending order.
@@ -117,7 +118,7 @@
 	case 0:
 		return disruption{
 			name: fmt.Sprintf("stop entry-%d", n+1), entry: n, planned: true,
-			begin: func(f *fleet) error { return f.stop(f.entries[n], syscall.SIGTERM) },
+			begin: func(f *fleet) error { return f.stopAndRestart(f.entries[n], syscall.SIGTERM) },
 		}
 	case 1:
 		return disruption{
@@ -140,7 +141,7 @@
 	oneWay := pick(r, []direction{towardsServer, towardsClient})
 	switch r.IntN(16) {
 	case 0:
-		return disruption{name: "kill " + entry, entry: n, begin: func(f *fleet) error { return f.stop(f.entries[n], syscall.SIGKILL) }}
+		return disruption{name: "kill " + entry, entry: n, begin: func(f *fleet) error { return f.stopAndRestart(f.entries[n], syscall.SIGKILL) }}
 	case 1:
 		return disruption{
 			name: "kill all entries", entry: everyEntry,
@@ -284,10 +285,10 @@
 	defer stop()
 	for n := range fleetCallers {
 		r := rand.New(rand.NewPCG(s.Seed, uint64(100+n)))
-		callers.Go(traffic, "caller", func(ctx context.Context) error { f.caller(ctx, n, r); return nil })
+		callers.Go(traffic, "caller", func(ctx context.Context) error { f.runCaller(ctx, n, r); return nil })
 	}
 	for _, h := range f.entries {
-		callers.Go(traffic, "probe", func(ctx context.Context) error { f.probe(ctx, h); return nil })
+		callers.Go(traffic, "probe", func(ctx context.Context) error { f.runProbes(ctx, h); return nil })
 	}
 	for _, t := range s.disruptions {
 		troubles.Go(f.w.ctx, t.name, func(ctx context.Context) error { return f.runDisruption(ctx, t) })
@@ -341,11 +342,11 @@
 	s := f.servers[name]
 	f.mu.Unlock()
 	f.store.Delete("servers", old.Entry.ID)
-	f.add(name, s.service, s.stage)
+	f.startServer(name, s.service, s.stage)
 }
 
-// leave makes a server register that it leaves, starts its replacement, and deletes the entry of
-// the leaving server one second after its drain time.
+// leave makes a server register as draining, starts its replacement, and deletes the draining
+// server's registry entry one second after its drain time.
 func (f *fleet) leave(name string) {
 	old := f.server(name)
 	old.RegisterLeaving()
@@ -353,15 +354,15 @@
 	f.leaves = append(f.leaves, leaveRecord{server: old, at: time.Now()})
 	s := f.servers[name]
 	f.mu.Unlock()
-	f.add(name, s.service, s.stage)
+	f.startServer(name, s.service, s.stage)
 	group.Sleep(f.w.ctx, fleetDrainTime+time.Second)
 	f.store.Delete("servers", old.Entry.ID)
 }
 
 // reload changes an entry's settings and sends SIGHUP.
 func (f *fleet) reload(h *entryHost) error {
-	h.restarts.Lock()
-	defer h.restarts.Unlock()
+	h.restartMu.Lock()
+	defer h.restartMu.Unlock()
 	h.repeats++
 	if _, err := f.writeSettings(h); err != nil {
 		return err
@@ -374,7 +375,7 @@
 func (f *fleet) killAll() error {
 	var all group.Group
 	for _, h := range f.entries {
-		all.Go(f.w.ctx, h.name, func(context.Context) error { return f.stop(h, syscall.SIGKILL) })
+		all.Go(f.w.ctx, h.name, func(context.Context) error { return f.stopAndRestart(h, syscall.SIGKILL) })
 	}
 	for _, e := range all.Wait() {
 		return e.Err
@@ -390,8 +391,8 @@
 	})
 }
 
-// noDisruptions reports whether neither a fault nor a planned operation affected an entry in the
-// same time.
+// noDisruptions reports whether neither a fault nor a planned operation affected an entry from
+// settleTime before the first time until the second.
 func (f *fleet) noDisruptions(entry int, from, to time.Time) bool {
 	return !slices.ContainsFunc(f.periods, func(s disruptionPeriod) bool {
 		return s.affects(entry) && s.overlaps(from.Add(-settleTime), to)
--- a/test/fleet_restores.go
+++ b/test/fleet_restores.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	storeCopyAgeRange = 7 * time.Second        // added to the minimum of one second
-	storeRewriteDelay = 500 * time.Millisecond // delay between a restore and rewriteStore
+	storeSnapshotAgeRange = 7 * time.Second        // random part of a snapshot's age, added to the minimum of one second
+	storeRewriteDelay     = 500 * time.Millisecond // delay between a restore and rewriteStore
 )
 
-// addStoreRestores adds restores of the store from older copies, one or two, to one plan of
-// two. Plans with planned work only have none.
+// addStoreRestores adds, with probability one half, one or two restores of the store from older
+// snapshots. Plans that have only planned operations have none.
 func (s *FleetSoak) addStoreRestores(r *rand.Rand) {
 	if s.Seed%4 == 0 || r.IntN(2) == 0 {
 		return
 	}
 	for range 1 + r.IntN(2) {
-		age := time.Second + time.Duration(r.Int64N(int64(storeCopyAgeRange)))
+		age := time.Second + time.Duration(r.Int64N(int64(storeSnapshotAgeRange)))
 		s.addDisruption(r, disruption{
 			name: fmt.Sprintf("store comes back from a copy %v old", age.Round(time.Millisecond)), entry: everyEntry,
 			begin: func(f *fleet) error {
@@ -39,8 +39,8 @@
 	}
 }
 
-// rewriteStore writes the configuration and the servers' entries again, which the restored copy
-// may lack, and deletes the entries of servers that no longer run.
+// rewriteStore writes the configuration and the servers' registry entries again, which the restored
+// snapshot may lack, and deletes the registry entries of servers that no longer run.
 func (f *fleet) rewriteStore() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/test/fleet_test.go
+++ b/test/fleet_test.go
@@ -35,8 +35,9 @@
 
 // fleetSeeds are the plans of every CI run: 1 to 4; 161, where a list that lags behind arrives
 // half a second after a version of the configuration; 204, 206 and 218 with rate limits, one
-// of them with a store that is restored from a copy; 301 and 308 with servers that announce
-// that they leave and ask for pauses. Seeds that have found a fault are added, with the fault.
+// of them with a store that is restored from a snapshot; 301 and 308 with servers that announce
+// their shutdown and refuse requests with a Retry-After. Seeds that have found a fault are added,
+// with the fault.
 var fleetSeeds = []uint64{1, 2, 3, 4, 161, 204, 206, 218, 301, 308}
 
 // TestFleetSoakFreshSeeds runs for the given time, four plans at once, and prints the seeds of
@@ -45,7 +46,7 @@
 	if *fleetSeed != 0 {
 		soakFleet(t, *fleetSeed)
 	}
-	freshSeeds(t, *fleetSeconds, func(seed uint64) { soakFleet(t, seed) })
+	runFreshSeeds(t, *fleetSeconds, func(seed uint64) { soakFleet(t, seed) })
 }
 
 func soakFleet(t *testing.T, seed uint64) {
--- a/test/judge.go
+++ b/test/judge.go
@@ -25,7 +25,7 @@
 func (w *world) upstreamRuns() (upstreamRuns, error) {
 	var all upstreamRuns
 	for _, name := range w.engines {
-		p, err := w.find(name)
+		p, err := w.findProcess(name)
 		if err != nil {
 			return all, err
 		}
@@ -36,7 +36,7 @@
 		all.engines = append(all.engines, r...)
 	}
 	for _, name := range w.apps {
-		p, err := w.find(name)
+		p, err := w.findProcess(name)
 		if err != nil {
 			return all, err
 		}
@@ -77,7 +77,7 @@
 	}
 	return w.eventuallyTimed(MemoryFree, within, func() error {
 		for _, name := range w.engines {
-			p, err := w.find(name)
+			p, err := w.findProcess(name)
 			if err != nil {
 				return err
 			}
@@ -111,12 +111,12 @@
 
 // judgeTable checks that no watched entry reverted to an older table.
 func (w *world) judgeTable(found *check.Findings) {
-	if w.watch == nil {
+	if w.tableWatcher == nil {
 		return
 	}
-	w.watch.mu.Lock()
-	defer w.watch.mu.Unlock()
-	for _, name := range w.watch.reverted {
+	w.tableWatcher.mu.Lock()
+	defer w.tableWatcher.mu.Unlock()
+	for _, name := range w.tableWatcher.reverted {
 		found.Add(name, "reverted to an older version of the table")
 	}
 }
@@ -207,7 +207,7 @@
 // of answered, refused and open requests, and that no request ended twice.
 func (w *world) judgeCounts(found *check.Findings) {
 	for _, name := range w.entries {
-		p, err := w.find(name)
+		p, err := w.findProcess(name)
 		if err != nil {
 			continue
 		}
--- a/test/operator.go
+++ b/test/operator.go
@@ -31,7 +31,7 @@
 
 // adminClient returns an admin client of an operator for an entry.
 func (w *world) adminClient(entry, who string) (*admin.Client, error) {
-	p, err := w.find(entry)
+	p, err := w.findProcess(entry)
 	if err != nil {
 		return nil, err
 	}
@@ -166,15 +166,15 @@
 	reverted []string
 }
 
-// cmdWatch reads the table version of every entry until the scenario ends. judge reports an
-// entry whose version decreased.
+// cmdWatch reads the table version of every entry until the scenario ends. The command judge
+// reports each entry whose version decreased.
 func cmdWatch(w *world, _ []string) error {
-	w.watch = &watcher{highest: make(map[string]table.Version)}
+	w.tableWatcher = &watcher{highest: make(map[string]table.Version)}
 	for _, name := range w.entries {
 		w.background.Go(w.ctx, "watch", func(ctx context.Context) error {
 			for ctx.Err() == nil {
-				w.watch.readVersion(w, name)
-				pause(ctx, 20*time.Millisecond)
+				w.tableWatcher.readVersion(w, name)
+				sleep(ctx, 20*time.Millisecond)
 			}
 			return nil
 		})
@@ -266,7 +266,7 @@
 // cmdOrders checks which orders an engine received, in this sequence, and that their fencing
 // tokens increase: orders ENGINE [VALUE ...].
 func cmdOrders(w *world, args []string) error {
-	p, err := w.find(args[0])
+	p, err := w.findProcess(args[0])
 	if err != nil {
 		return err
 	}
--- a/test/path/plain.go
+++ b/test/path/plain.go
@@ -44,7 +44,7 @@
 		for i, c := range callers {
 			r := drive.ClosedLoop(ctx, 1, a.Calls/roundCount, c.Plain)
 			if r.Failed > 0 {
-				return errors.Wrap(r.SampleError, "sequential plain calls")
+				return errors.Wrap(r.SampleError, "make sequential plain calls")
 			}
 			if round > 0 { // the first round warms up
 				latencies[i].Merge(r.Latencies)
@@ -56,7 +56,7 @@
 	for _, c := range callers {
 		r := drive.ClosedLoop(ctx, a.Workers, a.Load, c.Plain)
 		if r.Failed > 0 {
-			return errors.Wrap(r.SampleError, "concurrent plain calls")
+			return errors.Wrap(r.SampleError, "make concurrent plain calls")
 		}
 		rates = append(rates, r.Rate())
 	}
--- a/test/path/tokens.go
+++ b/test/path/tokens.go
@@ -108,7 +108,7 @@
 		o := engine.DecodeRequest{Request: id, Attempt: 1, KV: kv, MaxTokens: a.Tokens}
 		return decode.Decode(ctx, o, func(t engine.Token) error { return results.add(e.sends.elapsed(id, t.Offset)) })
 	})
-	return results.histogram, errors.Wrap(r.SampleError, "direct streams")
+	return results.histogram, errors.Wrap(r.SampleError, "read direct streams")
 }
 
 // measureThrough measures streams requested from the entry.
@@ -126,5 +126,5 @@
 			return nil
 		})
 	})
-	return results.histogram, errors.Wrap(r.SampleError, "streams through the entry")
+	return results.histogram, errors.Wrap(r.SampleError, "read streams through the entry")
 }
--- a/test/promises.go
+++ b/test/promises.go
@@ -18,7 +18,7 @@
 // project's brief.
 type Promise int
 
-// The promises.
+// The promises, with what each requires.
 const (
 	MemoryFree    Promise = iota + 1 // no engine holds memory for a disconnected caller
 	AnsweredOnce                     // no request is answered twice
@@ -44,22 +44,22 @@
 		for _, word := range strings.Fields(rest) {
 			n, err := strconv.Atoi(word)
 			if err != nil || n < 1 || Promise(n) > lastPromise {
-				return nil, errors.Errorf("no promise %q", word)
+				return nil, errors.Errorf("no promise has the number %q", word)
 			}
 			all = append(all, Promise(n))
 		}
 		return all, nil
 	}
-	return nil, errors.Errorf("no line %q", promisePrefix)
+	return nil, errors.Errorf("script has no line %q", promisePrefix)
 }
 
 // result is the outcome of one scenario.
 type result struct {
-	promises   []Promise
-	passed     bool
-	faults     int
-	violations map[Promise]int
-	worst      map[Promise]time.Duration
+	promises     []Promise
+	passed       bool
+	faults       int
+	violations   map[Promise]int
+	longestTimes map[Promise]time.Duration
 }
 
 // Results collects the outcomes of the scenarios of one run. The zero value is ready to use.
@@ -83,7 +83,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.all = append(r.all, result{promises: promises, passed: !failed, faults: int(w.faults.Load()), violations: w.violations, worst: w.worst})
+	r.all = append(r.all, result{promises: promises, passed: !failed, faults: int(w.faults.Load()), violations: w.violations, longestTimes: w.longestTimes})
 }
 
 // Write prints one tab-separated line for each promise: promise, scenarios, passed
@@ -109,7 +109,7 @@
 			if sc.passed {
 				passed++
 			}
-			if took, measured := sc.worst[p]; measured && took >= longest {
+			if took, measured := sc.longestTimes[p]; measured && took >= longest {
 				longest, worst = took, strconv.FormatInt(took.Milliseconds(), 10)
 			}
 		}
@@ -120,22 +120,23 @@
 	return nil
 }
 
-// countViolations runs one of the judge's checks and counts its findings as violations of
-// a promise.
-func (w *world) countViolations(p Promise, found *check.Findings, look func(*check.Findings)) {
+// countViolations calls judge, which adds its findings to found, and counts them as
+// violations of a promise.
+func (w *world) countViolations(p Promise, found *check.Findings, judge func(*check.Findings)) {
 	before := len(*found)
-	look(found)
+	judge(found)
 	if n := len(*found) - before; n > 0 {
 		w.violations[p] += n
 	}
 }
 
-// eventuallyTimed waits like eventually, and records how long the promise took to hold.
+// eventuallyTimed calls try until it succeeds or the time is up, and records how long the
+// promise took to hold.
 func (w *world) eventuallyTimed(p Promise, within time.Duration, try func() error) error {
 	began := time.Now()
 	err := w.eventually(within, try)
 	if err == nil {
-		w.worst[p] = max(w.worst[p], time.Since(began))
+		w.longestTimes[p] = max(w.longestTimes[p], time.Since(began))
 	}
 	return err
 }
--- a/test/promises_test.go
+++ b/test/promises_test.go
@@ -25,9 +25,9 @@
 	}
 	require.Len(t, named, int(lastPromise))
 	_, err = PromisesOf("# promises: 9\n")
-	require.EqualError(t, err, `no promise "9"`)
+	require.EqualError(t, err, `no promise has the number "9"`)
 	_, err = PromisesOf("world\n")
-	require.EqualError(t, err, `no line "# promises:"`)
+	require.EqualError(t, err, `script has no line "# promises:"`)
 }
 
 // A scenario with findings of the judge counts each finding, a scenario that failed at one
@@ -41,8 +41,8 @@
 		change(w)
 		r.add(promises, w, failed)
 	}
-	scenario(false, func(w *world) { w.worst[MemoryFree] = 900 * time.Millisecond }, MemoryFree, OwnWhole)
-	scenario(true, func(w *world) { w.worst[MemoryFree] = 1200 * time.Millisecond }, MemoryFree)
+	scenario(false, func(w *world) { w.longestTimes[MemoryFree] = 900 * time.Millisecond }, MemoryFree, OwnWhole)
+	scenario(true, func(w *world) { w.longestTimes[MemoryFree] = 1200 * time.Millisecond }, MemoryFree)
 	scenario(true, func(w *world) { w.violations[AtMostOnce] = 3 }, OwnWhole)
 	var out strings.Builder
 	require.NoError(t, r.Write(&out))
--- a/test/proxy.go
+++ b/test/proxy.go
@@ -32,27 +32,27 @@
 // direction is a direction of the bytes through a proxy.
 type direction int
 
-// The directions.
+// Directions of the bytes through a proxy.
 const (
-	towardsServer direction = iota // from the connecting process
-	towardsClient
+	towardsServer direction = iota // from the connecting process to the listener's process
+	towardsClient                  // from the listener's process to the connecting process
 )
 
 // proxiedConn is one connection through a proxy.
 type proxiedConn struct {
-	from           string
+	clientName     string // the connecting process; empty if it is not identified
 	client, server net.Conn
 	silent         bool
 }
 
 var helloHost = regexp.MustCompile(`"host":"([a-z0-9-]+)"`)
 
-func newProxy(user string) (*proxy, error) {
+func newProxy(client string) (*proxy, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	return &proxy{onlyClient: user, listener: ln, refused: make(map[string]bool), connections: make(map[*proxiedConn]bool), released: make(chan struct{})}, nil
+	return &proxy{onlyClient: client, listener: ln, refused: make(map[string]bool), connections: make(map[*proxiedConn]bool), released: make(chan struct{})}, nil
 }
 
 func (r *proxy) address() netip.AddrPort { return r.listener.Addr().(*net.TCPAddr).AddrPort() }
@@ -102,9 +102,9 @@
 		_ = c.Close()
 		return
 	}
-	p := &proxiedConn{from: r.onlyClient, client: c}
+	p := &proxiedConn{clientName: r.onlyClient, client: c}
 	if m := helloHost.FindSubmatch(first[:n]); r.onlyClient == "" && m != nil {
-		p.from = string(m[1])
+		p.clientName = string(m[1])
 	}
 	p.server, err = net.Dial("tcp", target.String())
 	if err != nil || !r.add(p) {
@@ -129,7 +129,7 @@
 func (r *proxy) add(p *proxiedConn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.refused[p.from] || r.refused[""] {
+	if r.refused[p.clientName] || r.refused[""] {
 		return false
 	}
 	r.connections[p] = true
@@ -187,7 +187,7 @@
 	r.mu.Lock()
 	r.refused[from] = true
 	r.mu.Unlock()
-	r.closeMatching(func(p *proxiedConn) bool { return from == "" || p.from == from })
+	r.closeMatching(func(p *proxiedConn) bool { return from == "" || p.clientName == from })
 }
 
 // hold stops forwarding in one direction, for all connections.
@@ -248,17 +248,18 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for p := range r.connections {
-		if from == "" || p.from == from {
+		if from == "" || p.clientName == from {
 			p.silent = true
 		}
 	}
 }
 
-func (r *proxy) closeMatching(which func(*proxiedConn) bool) {
+// closeMatching closes the connections for which matches returns true; all if it is nil.
+func (r *proxy) closeMatching(matches func(*proxiedConn) bool) {
 	r.mu.Lock()
 	var found []*proxiedConn
 	for p := range r.connections {
-		if which == nil || which(p) {
+		if matches == nil || matches(p) {
 			found = append(found, p)
 		}
 	}
--- a/test/script.go
+++ b/test/script.go
@@ -91,11 +91,12 @@
 		if err == nil || time.Since(began) > within {
 			return err
 		}
-		pause(w.ctx, 10*time.Millisecond)
+		sleep(w.ctx, 10*time.Millisecond)
 	}
 }
 
-func pause(ctx context.Context, d time.Duration) {
+// sleep waits for d, or until ctx ends.
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(d):
@@ -159,7 +160,7 @@
 
 // cmdReady waits until an entry is ready.
 func cmdReady(w *world, args []string) error {
-	p, err := w.find(args[0])
+	p, err := w.findProcess(args[0])
 	if err != nil {
 		return err
 	}
@@ -193,20 +194,20 @@
 }
 
 // cmdWithin waits for the time within which a promise need not hold yet, and records
-// what the upstreams have run so far.
+// the requests that the upstreams have run so far.
 func cmdWithin(w *world, args []string) error {
 	d, err := time.ParseDuration(args[0])
 	if err != nil {
 		return err
 	}
-	pause(w.ctx, d)
+	sleep(w.ctx, d)
 	w.runsBefore, err = w.upstreamRuns()
 	return err
 }
 
-// cmdIdle checks that an application server has run nothing new since the last within.
+// cmdIdle checks that an application server has run no request since the last command within.
 func cmdIdle(w *world, args []string) error {
-	p, err := w.find("server-" + args[0])
+	p, err := w.findProcess("server-" + args[0])
 	if err != nil {
 		return err
 	}
--- a/test/seeded/seeded.go
+++ b/test/seeded/seeded.go
@@ -25,21 +25,21 @@
 	noFileFlag = "rapid.nofailfile"
 )
 
-// Main parses the flags, sets the seed unless the command line does, runs the tests and
+// Main parses the flags, sets rapid's seed unless the command line sets it, runs the tests and
 // exits the process with their exit code.
 func Main(m *testing.M) {
 	flag.Parse()
 	given := false
 	flag.Visit(func(f *flag.Flag) { given = given || f.Name == seedFlag })
 	if !given {
-		set(seedFlag, seed)
+		setFlag(seedFlag, seed)
 	}
-	set(noFileFlag, "true")
+	setFlag(noFileFlag, "true")
 	os.Exit(m.Run())
 }
 
-// set sets a flag; it panics if the flag does not exist.
-func set(name, value string) {
+// setFlag sets a command-line flag; it panics if the flag does not exist.
+func setFlag(name, value string) {
 	if err := flag.Set(name, value); err != nil {
 		panic(err)
 	}
--- a/test/slopes/claims.go
+++ b/test/slopes/claims.go
@@ -51,8 +51,9 @@
 	return measureKeyed(ctx, processes)
 }
 
-// measureKeyed makes keyed calls. It sums the costs of all sides, since each side is the
-// runner of some keys and the owner of others.
+// measureKeyed reports the processor time of keyed calls at the entry and at the sides, and
+// the resident memory that the keys take at the sides. It sums the costs of all sides, since
+// each side is the runner of some keys and the owner of other keys.
 func measureKeyed(ctx context.Context, processes map[string]test.Process) error {
 	c := &drive.Caller{Base: "http://" + processes["entry"].Address.String(), Token: test.CallerToken}
 	var number atomic.Int64
@@ -60,7 +61,7 @@
 		return c.Keyed(ctx, fmt.Sprintf("enquiry-%d", number.Add(1)))
 	}
 	if r := drive.ClosedLoop(ctx, plainWorkers, keyedCallCounts[0], call); r.Failed > 0 { // warm up
-		return errors.Wrap(r.SampleError, "keyed calls")
+		return errors.Wrap(r.SampleError, "make keyed calls")
 	}
 	roleOf := map[string]string{}
 	for name := range processes {
@@ -77,7 +78,7 @@
 			}
 		}
 		if r := drive.ClosedLoop(ctx, plainWorkers, size, call); r.Failed > 0 {
-			return errors.Wrap(r.SampleError, "keyed calls")
+			return errors.Wrap(r.SampleError, "make keyed calls")
 		}
 		cpuMicros, residentBytes := map[string]float64{}, map[string]float64{}
 		for name, p := range processes {
--- a/test/slopes/links.go
+++ b/test/slopes/links.go
@@ -38,9 +38,10 @@
 
 // linkProcess is one measured process and its number of connections.
 type linkProcess struct {
-	size  int
-	pid   int
-	first usage
+	size int
+	pid  int
+	// initial is the usage at the start of linkWindow.
+	initial usage
 }
 
 // measureLinks reports the cost of a connection that carries heartbeats and load reports:
@@ -82,7 +83,7 @@
 	for _, processes := range byKind {
 		for i := range processes {
 			var err error
-			if processes[i].first, err = readUsage(processes[i].pid); err != nil {
+			if processes[i].initial, err = readUsage(processes[i].pid); err != nil {
 				return err
 			}
 		}
@@ -104,9 +105,9 @@
 		if err != nil {
 			return err
 		}
-		size, seconds := float64(p.size), last.at.Sub(p.first.at).Seconds()
-		cpu = append(cpu, point{size, microseconds(last.cpu-p.first.cpu) / seconds})
-		bytes = append(bytes, point{size, (last.bytes - p.first.bytes) / seconds})
+		size, seconds := float64(p.size), last.at.Sub(p.initial.at).Seconds()
+		cpu = append(cpu, point{size, microseconds(last.cpu-p.initial.cpu) / seconds})
+		bytes = append(bytes, point{size, (last.bytes - p.initial.bytes) / seconds})
 		resident = append(resident, point{size, last.resident})
 	}
 	reportLine(mechanism, role, "cpu", "us/s", per, cpu)
--- a/test/slopes/main.go
+++ b/test/slopes/main.go
@@ -102,7 +102,7 @@
 			continue
 		}
 		if err := s.run(ctx, b); err != nil {
-			fmt.Fprintf(os.Stderr, "slopes: %s: %v\n", s.name, err)
+			fmt.Fprintf(os.Stderr, "slopes: measure %s: %v\n", s.name, err)
 		}
 	}
 	return <-calls
--- a/test/slopes/orders.go
+++ b/test/slopes/orders.go
@@ -15,7 +15,7 @@
 	"jacinthworks/wire"
 )
 
-// orderSizes are the numbers of sequential calls.
+// orderSizes are the numbers of sequential calls whose total cost is measured.
 var orderSizes = []int{500, 1000, 2000, 4000}
 
 // measureOrders reports the cost of one small call between processes of the router, at
@@ -85,7 +85,8 @@
 	}
 }
 
-// reportOrders makes the calls and reports their cost at the process pid.
+// reportOrders makes orderSizes calls, numbered from 1, and reports the cost per call at the
+// process pid.
 func reportOrders(ctx context.Context, mechanism, role string, pid int, call func(n int) error) error {
 	var cpu, bytes []point
 	number := 0
--- a/test/slopes/packages.go
+++ b/test/slopes/packages.go
@@ -92,8 +92,9 @@
 	})
 }
 
-// measureValue reports encoded size, heap size and decoding time per part of a value.
-// encoded returns an encoded value with a number of parts.
+// measureValue reports encoded size, heap size and decoding time per part of a value, such
+// as a row of a table. encoded returns an encoded value with the given number of parts,
+// and read decodes it.
 func measureValue[T any](name, part string, sizes []int, encoded func(int) ([]byte, error), read func([]byte) (T, error)) error {
 	var stored, heap, decode []point
 	for _, n := range sizes {
--- a/test/slopes/proc.go
+++ b/test/slopes/proc.go
@@ -72,7 +72,7 @@
 			return strconv.ParseFloat(fields[0], 64)
 		}
 	}
-	return 0, errors.Errorf("%s: no %s", path, name)
+	return 0, errors.Errorf("read %s: no line with %s", path, name)
 }
 
 // microseconds returns a duration in microseconds.
--- a/test/slopes/requests.go
+++ b/test/slopes/requests.go
@@ -142,7 +142,7 @@
 	for _, size := range plainSizes {
 		err := measureLoad(ctx, processes, float64(size), 1, func() error {
 			r := drive.ClosedLoop(ctx, plainWorkers, size, p.caller.Plain)
-			return errors.Wrap(r.SampleError, "plain calls")
+			return errors.Wrap(r.SampleError, "make plain calls")
 		})
 		if err != nil {
 			return err
@@ -171,7 +171,7 @@
 			r := drive.ClosedLoop(ctx, streamWorkers, streamsPerSize, func(ctx context.Context) error {
 				return p.caller.Stream(ctx, prompt, tokens, func(string, int) error { return nil })
 			})
-			return errors.Wrap(r.SampleError, "streams")
+			return errors.Wrap(r.SampleError, "read streams")
 		})
 		if err != nil {
 			return err
--- a/test/slopes/streams.go
+++ b/test/slopes/streams.go
@@ -20,10 +20,10 @@
 }
 
 const (
-	slowGap     = "500ms"
-	openTokens  = 600 // five minutes, which is longer than the run
+	slowGap     = "500ms" // token gap of the engines
+	openTokens  = 600     // tokens per stream: five minutes at slowGap, which is longer than the run
 	openTimeout = 20 * time.Second
-	openBurst   = 50
+	openBurst   = 50 // streams that are opened without a pause
 	settleTime  = 3 * time.Second
 	promptWord  = "pedigree"
 )
--- a/test/soak.go
+++ b/test/soak.go
@@ -105,7 +105,7 @@
 	r := rand.New(rand.NewPCG(s.Seed, 1))
 	edits, editSeed := make(chan error, 1), r.Uint64()
 	go func() { edits <- w.soakEdits(editSeed) }() // its result is received below
-	if err := w.traffic(r); err != nil {
+	if err := w.sendTraffic(r); err != nil {
 		return err
 	}
 	if err := <-edits; err != nil {
@@ -121,17 +121,17 @@
 
 // runFault begins a fault at its start time and ends it after its duration.
 func (w *world) runFault(f soakFault) error {
-	pause(w.ctx, f.start)
-	if err := w.command(f.begin); err != nil {
+	sleep(w.ctx, f.start)
+	if err := w.runCommand(f.begin); err != nil {
 		return errors.Wrap(err, f.name)
 	}
-	pause(w.ctx, f.duration)
-	return errors.Wrap(w.command(f.end), f.name)
+	sleep(w.ctx, f.duration)
+	return errors.Wrap(w.runCommand(f.end), f.name)
 }
 
-// command runs one command of the scenario language. It ignores the error of a signal to a process
+// runCommand runs one command of the scenario language. It ignores the error of a signal to a process
 // that another fault has already killed.
-func (w *world) command(words []string) error {
+func (w *world) runCommand(words []string) error {
 	err := commands()[words[0]](w, words[1:])
 	if errors.Is(err, errProcessEnded) {
 		return nil
@@ -139,9 +139,9 @@
 	return err
 }
 
-// traffic sends appraisals, look-ups and enquiries through all entries. Some keys are sent twice,
+// sendTraffic sends appraisals, look-ups and enquiries through all entries. Some keys are sent twice,
 // and some calls are abandoned by their callers.
-func (w *world) traffic(r *rand.Rand) error {
+func (w *world) sendTraffic(r *rand.Rand) error {
 	until := time.Now().Add(soakTrafficTime)
 	for n := 1; time.Now().Before(until); n++ {
 		name := "soak-" + strconv.Itoa(n)
@@ -161,7 +161,7 @@
 			c := w.calls[name]
 			go c.cancelAndWait() // ends with the call, for which settleSoak waits
 		}
-		pause(w.ctx, soakCallInterval)
+		sleep(w.ctx, soakCallInterval)
 	}
 	return nil
 }
@@ -173,7 +173,7 @@
 func (w *world) soakEdits(seed uint64) error {
 	r := rand.New(rand.NewPCG(seed, 2))
 	for n, cell := range soakCells {
-		pause(w.ctx, time.Duration(r.Int64N(int64(soakTrafficTime/3))))
+		sleep(w.ctx, time.Duration(r.Int64N(int64(soakTrafficTime/3))))
 		err := cmdEdit(w, []string{"edit-" + strconv.Itoa(n), "entry=" + strconv.Itoa(1+r.IntN(3)), "row=appraiser-lm/*/appraisal", cell, "for=8s", "&"})
 		if err != nil {
 			return err
--- a/test/soak_test.go
+++ b/test/soak_test.go
@@ -36,7 +36,7 @@
 		s := NewSoak(*soakSeed)
 		require.NoError(t, s.Run(built, t.TempDir()), s.String())
 	}
-	freshSeeds(t, *soakSeconds, func(seed uint64) {
+	runFreshSeeds(t, *soakSeconds, func(seed uint64) {
 		s := NewSoak(seed)
 		if err := s.Run(built, t.TempDir()); err != nil {
 			t.Errorf("%s\n%v", s, err)
@@ -44,8 +44,8 @@
 	})
 }
 
-// freshSeeds runs plans with new seeds, four at once, for the given number of seconds.
-func freshSeeds(t *testing.T, seconds int, play func(seed uint64)) {
+// runFreshSeeds calls runPlan with new seeds, four at once, for the given number of seconds.
+func runFreshSeeds(t *testing.T, seconds int, runPlan func(seed uint64)) {
 	until := time.Now().Add(time.Duration(seconds) * time.Second)
 	var workers sync.WaitGroup
 	var next, runs atomic.Uint64
@@ -54,7 +54,7 @@
 		workers.Go(func() {
 			for time.Now().Before(until) {
 				runs.Add(1)
-				play(next.Add(1))
+				runPlan(next.Add(1))
 			}
 		})
 	}
--- a/test/world.go
+++ b/test/world.go
@@ -67,17 +67,17 @@
 	faults         atomic.Int32 // number of injected faults
 	runsBefore     upstreamRuns
 	edits          map[string]*edit
-	watch          *watcher
-	restarts       sync.Mutex
+	tableWatcher   *watcher          // nil unless the command watch has run
+	restartMu      sync.Mutex        // held while a process is restarted
 	injectedFaults map[string]string // value of --drill by process, removed when the process restarts
 	entries        []string
 	engines        []string
 	apps           []string
 
-	// worst is the longest time that each promise took to hold in this scenario, and
+	// longestTimes holds the longest time that each promise took to hold in this scenario, and
 	// violations how often each promise was broken.
-	worst      map[Promise]time.Duration
-	violations map[Promise]int
+	longestTimes map[Promise]time.Duration
+	violations   map[Promise]int
 	// withoutProxies reports whether processes connect to each other directly and log
 	// at the level of a deployment.
 	withoutProxies bool
@@ -90,7 +90,7 @@
 	return &world{
 		binaries: binaries, dir: dir, ctx: ctx, stop: stop, processes: make(map[string]*process),
 		proxies: make(map[string]*proxy), calls: make(map[string]*call),
-		worst: make(map[Promise]time.Duration), violations: make(map[Promise]int),
+		longestTimes: make(map[Promise]time.Duration), violations: make(map[Promise]int),
 	}
 }
 
@@ -158,13 +158,13 @@
 
 // proxyFor returns the proxy with this name and starts it at first use. client is the
 // only process that connects to it, or empty for any number of processes.
-func (w *world) proxyFor(name, user string) (*proxy, error) {
+func (w *world) proxyFor(name, client string) (*proxy, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if r := w.proxies[name]; r != nil {
 		return r, nil
 	}
-	r, err := newProxy(user)
+	r, err := newProxy(client)
 	if err != nil {
 		return nil, err
 	}
@@ -173,7 +173,8 @@
 	return r, nil
 }
 
-func (w *world) find(name string) (*process, error) {
+// findProcess returns the process with a name.
+func (w *world) findProcess(name string) (*process, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	p := w.processes[name]
@@ -214,7 +215,7 @@
 // platformFor returns the address at which a process reaches the platform.
 func (w *world) platformFor(name string) (netip.AddrPort, error) {
 	if w.withoutProxies {
-		p, err := w.find("platform")
+		p, err := w.findProcess("platform")
 		if err != nil {
 			return netip.AddrPort{}, err
 		}
@@ -224,7 +225,7 @@
 	if err != nil {
 		return netip.AddrPort{}, err
 	}
-	p, err := w.find("platform")
+	p, err := w.findProcess("platform")
 	if err != nil {
 		return netip.AddrPort{}, err
 	}
@@ -321,9 +322,9 @@
 // restart starts a process that has exited with the arguments of its first start. A fake
 // listens on its previous address; a side or entry gets a new address behind its proxy.
 func (w *world) restart(name string) error {
-	w.restarts.Lock() // two faults may kill the same process
-	defer w.restarts.Unlock()
-	old, err := w.find(name)
+	w.restartMu.Lock() // two faults may kill the same process
+	defer w.restartMu.Unlock()
+	old, err := w.findProcess(name)
 	if err != nil {
 		return err
 	}
