--- a/test/fleet_announcements.go
+++ b/test/fleet_announcements.go
@@ -29,7 +29,7 @@
 		var busy *fake.Server // the server that ran when the pauses began
 		s.disruptions = append(s.disruptions, disruption{
 			name: fmt.Sprintf("%s asks for pauses of %s s", name, pause), entry: everyEntry, planned: true, start: start(), duration: duration(),
-			begin: func(f *fleet) error { busy = f.server(name); busy.SetBusy(pause); return nil },
+			begin: func(f *fleet) error { busy = f.currentServer(name); busy.SetBusy(pause); return nil },
 			end:   func(*fleet) error { busy.SetBusy(""); return nil },
 		})
 	}
@@ -37,7 +37,7 @@
 		name := pick(r, []string{"app-1", "app-3", "decode-2", "prefill-2"})
 		s.disruptions = append(s.disruptions, disruption{
 			name: name + " says that it leaves, and registers it later", entry: everyEntry, planned: true, start: start(), duration: duration(),
-			begin: func(f *fleet) error { f.server(name).SetLeaving(true); return nil },
+			begin: func(f *fleet) error { f.currentServer(name).SetLeaving(true); return nil },
 			end:   func(f *fleet) error { f.leave(name); return nil },
 		})
 	}
--- a/test/fleet_limits.go
+++ b/test/fleet_limits.go
@@ -38,7 +38,7 @@
 		start:    time.Duration(r.Int64N(int64(fleetQuietTime))),
 		duration: fleetLimitMin + time.Duration(r.Int64N(int64(fleetLimitMin))),
 		begin: func(f *fleet) error {
-			limited = f.server(name)
+			limited = f.currentServer(name)
 			limited.SetLimit(fmt.Sprint(rate))
 			f.mu.Lock()
 			defer f.mu.Unlock()
--- a/test/fleet_plan.go
+++ b/test/fleet_plan.go
@@ -150,7 +150,7 @@
 	case 2, 3:
 		return disruption{name: "suspend " + entry, entry: n, begin: signalEntry(n, syscall.SIGSTOP), end: signalEntry(n, syscall.SIGCONT)}
 	case 4:
-		return disruption{name: "store down", entry: everyEntry, begin: storeDown(true), end: storeDown(false)}
+		return disruption{name: "store down", entry: everyEntry, begin: setStoreDown(true), end: setStoreDown(false)}
 	case 5:
 		return disruption{
 			name: "store slow and behind, its history dropped", entry: everyEntry,
@@ -179,19 +179,22 @@
 		lost := &answerLoss{random: rand.New(rand.NewPCG(r.Uint64(), 0))}
 		return disruption{
 			name: "answers lost by " + upstream, entry: everyEntry,
-			begin: func(f *fleet) error { f.server(upstream).Intercept(lost.interceptor(f.server(upstream))); return nil },
-			end:   func(f *fleet) error { f.server(upstream).Intercept(nil); return nil },
+			begin: func(f *fleet) error {
+				f.currentServer(upstream).Intercept(lost.interceptor(f.currentServer(upstream)))
+				return nil
+			},
+			end: func(f *fleet) error { f.currentServer(upstream).Intercept(nil); return nil },
 		}
 	case 14:
 		return disruption{
 			name: "full " + upstream, entry: everyEntry,
-			begin: func(f *fleet) error { f.server(upstream).SetFull(true); return nil },
-			end:   func(f *fleet) error { f.server(upstream).SetFull(false); return nil },
+			begin: func(f *fleet) error { f.currentServer(upstream).SetFull(true); return nil },
+			end:   func(f *fleet) error { f.currentServer(upstream).SetFull(false); return nil },
 		}
 	}
 	return disruption{
 		name: "crash " + upstream, entry: everyEntry,
-		begin: func(f *fleet) error { f.server(upstream).Crash(); return nil },
+		begin: func(f *fleet) error { f.currentServer(upstream).Crash(); return nil },
 		end:   func(f *fleet) error { f.replace(upstream); return nil },
 	}
 }
@@ -256,7 +259,8 @@
 	}
 }
 
-func storeDown(down bool) func(*fleet) error {
+// setStoreDown returns a function that makes the store refuse every call, or serve again.
+func setStoreDown(down bool) func(*fleet) error {
 	return func(f *fleet) error { f.store.SetDown(down); return nil }
 }
 
@@ -322,7 +326,8 @@
 	return err
 }
 
-func (f *fleet) server(name string) *fake.Server {
+// currentServer returns the server that runs now under a name.
+func (f *fleet) currentServer(name string) *fake.Server {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.servers[name].current
@@ -337,7 +342,7 @@
 // replace starts the next server under a name, and deletes the registry entry of the previous
 // one, as the registry does after a crash.
 func (f *fleet) replace(name string) {
-	old := f.server(name)
+	old := f.currentServer(name)
 	f.mu.Lock()
 	s := f.servers[name]
 	f.mu.Unlock()
@@ -348,7 +353,7 @@
 // leave makes a server register as draining, starts its replacement, and deletes the draining
 // server's registry entry one second after its drain time.
 func (f *fleet) leave(name string) {
-	old := f.server(name)
+	old := f.currentServer(name)
 	old.RegisterLeaving()
 	f.mu.Lock()
 	f.leaves = append(f.leaves, leaveRecord{server: old, at: time.Now()})
