--- a/fence/fence.go
+++ b/fence/fence.go
@@ -57,7 +57,8 @@
 	// MaxClockDrift is the maximum relative difference in rate between two monotonic
 	// clocks. Crystals stay within 0.02%; 1% covers a clock that is being slewed.
 	MaxClockDrift = 0.01
-	// RetryInterval is the delay after a lost reply or an error of the platform.
+	// RetryInterval is the delay before the next request to the platform after a lost reply
+	// or an error of the platform.
 	RetryInterval = 500 * time.Millisecond
 	// setUpEra is the highest era of a platform that was just set up: platforms count eras
 	// from zero or from one.
@@ -69,7 +70,8 @@
 	// ErrNotHolder means that the side does not hold the lease, or not for long enough to
 	// issue an order.
 	ErrNotHolder = errors.New("fence: order lease not held")
-	// ErrStaleToken means that the token is not higher than one used before.
+	// ErrStaleToken means that the token is not higher than every token used before, or that
+	// the holder's term has no token left.
 	ErrStaleToken = errors.New("fence: old fencing number")
 	// ErrOverrun means that the order may have reached the engine after the lease had
 	// expired: read the engine's state before any other action.
@@ -101,18 +103,18 @@
 	Released bool `json:"released,omitempty"`
 }
 
-// ActionKind is the kind of an Action that the caller of Next has to perform.
+// ActionKind is the kind of an Action that Next returns.
 type ActionKind string
 
-// The kinds of actions.
+// The kinds of actions: read the lease's record, write it, or wait.
 const (
 	Read  ActionKind = "read"
 	Write ActionKind = "write"
 	Wait  ActionKind = "wait"
 )
 
-// Action is the action to perform next. Record and Version are set for Write, Until for
-// Wait.
+// Action is the action that the caller of Next must perform. Record and Version are set for
+// Write, Until for Wait.
 type Action struct {
 	Kind    ActionKind
 	Record  Record
@@ -124,10 +126,10 @@
 type leaseState int
 
 const (
-	unread  leaseState = iota // record not read yet: read it before any other action
-	waiting                   // another process may hold the lease: wait until its lease must have expired
-	free                      // no process can hold the lease: write
-	holding
+	stateUnread  leaseState = iota // record not read yet: read it before any other action
+	stateWaiting                   // another process may hold the lease: wait until its lease must have expired
+	stateFree                      // no process can hold the lease: write
+	stateHolding                   // this process acquired the lease: renew it
 )
 
 // Guard is the state machine of one process for one lease. Set Holder and Incarnation; the
@@ -140,45 +142,45 @@
 	// held the lease before in the era that is read first.
 	Fresh bool
 
-	state     leaseState
-	version   epoch.Position // of the record as last read or written
-	lastWrite epoch.Position // of this process's last write that is confirmed
-	firstRead time.Time      // when that version was first read
-	waitFor   time.Duration  // time from firstRead until its holder's lease has expired
-	renewed   time.Time      // when the write that last renewed the lease was sent
-	term      uint64         // term of the version at which this process acquired the lease
-	issued    uint64         // orders issued in this term
-	highest   Token          // the highest token issued
-	nonce     uint64         // of this process's last write
+	state         leaseState
+	version       epoch.Position // of the record as last read or written
+	lastWrite     epoch.Position // of this process's last write that is confirmed
+	firstReadAt   time.Time      // when version was first read
+	waitFor       time.Duration  // time from firstReadAt until its holder's lease has expired
+	renewalSentAt time.Time      // when the write that last renewed the lease was sent
+	term          uint64         // term of the version at which this process acquired the lease
+	ordersIssued  uint64         // orders issued in this term
+	highestToken  Token          // the highest token issued
+	nonce         uint64         // of this process's last write
 	// hasRead reports that the record was read; firstEra is the era of the first read.
 	hasRead     bool
 	firstEra    uint64
 	unconfirmed map[uint64]time.Time // send times of this process's writes with unknown outcome, by nonce
-	retryAt     time.Time            // no request is sent before
+	retryAt     time.Time            // no request to the platform is sent before
 }
 
-// Next returns the action to perform now.
+// Next returns the action that the caller must perform now to acquire or keep the lease.
 func (g *Guard) Next(now time.Time) Action {
-	if g.state == holding && !now.Before(g.renewed.Add(shortenByDrift(TTL))) {
+	if g.state == stateHolding && !now.Before(g.renewalSentAt.Add(shortenByDrift(TTL))) {
 		// The lease expired, for example during a pause. Another process may hold it: read
 		// first.
-		g.state = unread
+		g.state = stateUnread
 	}
 	switch {
 	case now.Before(g.retryAt):
 		return Action{Kind: Wait, Until: g.retryAt}
-	case g.state == unread:
+	case g.state == stateUnread:
 		return Action{Kind: Read}
-	case g.state == waiting:
+	case g.state == stateWaiting:
 		// The last holder may be alive and not have noticed yet that its lease has expired.
 		// Its TTL, measured from this process's first read of its renewal and lengthened by
 		// the clock drift, ends after the holder's own measurement.
-		if end := g.firstRead.Add(g.waitFor); now.Before(end) {
+		if end := g.firstReadAt.Add(g.waitFor); now.Before(end) {
 			return Action{Kind: Wait, Until: end}
 		}
 		return Action{Kind: Read}
-	case g.state == holding && now.Before(g.renewed.Add(RenewInterval)):
-		return Action{Kind: Wait, Until: g.renewed.Add(RenewInterval)}
+	case g.state == stateHolding && now.Before(g.renewalSentAt.Add(RenewInterval)):
+		return Action{Kind: Wait, Until: g.renewalSentAt.Add(RenewInterval)}
 	}
 	return g.newWrite(now)
 }
@@ -212,16 +214,16 @@
 	case ownRecord && version == g.lastWrite, missing && g.neverRestored(version):
 		// No other process has written the record since this one did, or ever: no other
 		// process can be issuing orders, and the write is conditional on this version.
-		g.state, g.version = free, version
-	case version != g.version || g.firstRead.IsZero():
-		g.state, g.version, g.firstRead, g.waitFor = waiting, version, answered, lengthenByDrift(TTL)
+		g.state, g.version = stateFree, version
+	case version != g.version || g.firstReadAt.IsZero():
+		g.state, g.version, g.firstReadAt, g.waitFor = stateWaiting, version, answered, lengthenByDrift(TTL)
 		if r.Released {
 			g.waitFor = lengthenByDrift(OrderTimeout)
 		}
-	case answered.Sub(g.firstRead) >= g.waitFor:
-		g.state = free
+	case answered.Sub(g.firstReadAt) >= g.waitFor:
+		g.state = stateFree
 	default:
-		g.state = waiting
+		g.state = stateWaiting
 	}
 }
 
@@ -247,20 +249,20 @@
 // and writes the record again; all other processes wait for the whole duration of a lease,
 // whatever the record contains.
 func (g *Guard) observeRestored(answered time.Time, version epoch.Position) {
-	held := g.term != 0 && answered.Before(g.renewed.Add(shortenByDrift(TTL)))
+	held := g.term != 0 && answered.Before(g.renewalSentAt.Add(shortenByDrift(TTL)))
 	g.version, g.lastWrite = version, 0
 	if held {
-		g.state = free
+		g.state = stateFree
 		return
 	}
-	g.state, g.firstRead, g.waitFor = waiting, answered, lengthenByDrift(TTL)
+	g.state, g.firstReadAt, g.waitFor = stateWaiting, answered, lengthenByDrift(TTL)
 }
 
 // Invalidate makes the next action read the record again. Call it when another process may
 // have written the record.
 func (g *Guard) Invalidate() {
-	if g.state == waiting {
-		g.state = unread
+	if g.state == stateWaiting {
+		g.state = stateUnread
 	}
 }
 
@@ -274,7 +276,7 @@
 	if !g.Holds(now) {
 		return Action{}, false
 	}
-	g.term, g.state = 0, unread
+	g.term, g.state = 0, stateUnread
 	release := g.newWrite(now)
 	release.Record.Released = true
 	return release, true
@@ -285,23 +287,23 @@
 
 // WriteConflicted records that another process had written first, so that this write had no
 // effect.
-func (g *Guard) WriteConflicted() { g.state = unread }
+func (g *Guard) WriteConflicted() { g.state = stateUnread }
 
 // RequestFailed records that the reply to a read or write was lost, or that the platform
 // returned an error. A holder keeps its lease until the lease expires.
 func (g *Guard) RequestFailed(now time.Time) {
 	g.retryAt = now.Add(RetryInterval)
-	g.state = unread
+	g.state = stateUnread
 }
 
 // confirmWrite records that a write sent at the given time took effect: the lease lasts from then.
 func (g *Guard) confirmWrite(sent time.Time, version epoch.Position) {
 	// A new term starts whenever another process may have held the lease in between.
-	continued := g.term != 0 && sent.Before(g.renewed.Add(shortenByDrift(TTL)))
+	continued := g.term != 0 && sent.Before(g.renewalSentAt.Add(shortenByDrift(TTL)))
 	if !continued {
-		g.term, g.issued = version.Term(), 0
+		g.term, g.ordersIssued = version.Term(), 0
 	}
-	g.state, g.version, g.lastWrite, g.renewed, g.firstRead = holding, version, version, sent, time.Time{}
+	g.state, g.version, g.lastWrite, g.renewalSentAt, g.firstReadAt = stateHolding, version, version, sent, time.Time{}
 	clear(g.unconfirmed)
 }
 
@@ -311,19 +313,19 @@
 	if g.term == 0 || !now.Before(g.issueUntil()) {
 		return 0, errors.WithStack(ErrNotHolder)
 	}
-	g.issued++
-	token := newToken(g.term, g.issued)
-	if token <= g.highest || g.issued >= 1<<sequenceBits {
+	g.ordersIssued++
+	token := newToken(g.term, g.ordersIssued)
+	if token <= g.highestToken || g.ordersIssued >= 1<<sequenceBits {
 		return 0, errors.WithStack(ErrStaleToken)
 	}
-	g.highest = token
+	g.highestToken = token
 	return token, nil
 }
 
 // Complete records that the engine has accepted the order, or that the order certainly had
 // no effect. It returns ErrOverrun if the lease may have expired before that.
 func (g *Guard) Complete(now time.Time, token Token) error {
-	if token.Term() != g.term || !now.Before(g.renewed.Add(shortenByDrift(TTL))) {
+	if token.Term() != g.term || !now.Before(g.renewalSentAt.Add(shortenByDrift(TTL))) {
 		return errors.WithStack(ErrOverrun)
 	}
 	return nil
@@ -334,7 +336,9 @@
 
 // issueUntil returns the time at which the holder stops issuing orders: OrderTimeout before
 // the earliest time at which another process may start.
-func (g *Guard) issueUntil() time.Time { return g.renewed.Add(shortenByDrift(TTL) - OrderTimeout) }
+func (g *Guard) issueUntil() time.Time {
+	return g.renewalSentAt.Add(shortenByDrift(TTL) - OrderTimeout)
+}
 
 // shortenByDrift returns the duration that this clock shows at the earliest when d has passed on
 // another clock.
--- a/fence/fence_test.go
+++ b/fence/fence_test.go
@@ -35,11 +35,11 @@
 
 // host is one side with its clock rate, pauses and pending request.
 type host struct {
-	guard     Guard
-	rate      float64
-	unguarded bool // issues orders until a write conflicts, without checking its clock
-	paused    time.Time
-	call      *call
+	guard       Guard
+	rate        float64
+	unguarded   bool // issues orders until a write conflicts, without checking its clock
+	pausedUntil time.Time
+	call        *call
 }
 
 // snapshot is the content of the platform's store from a time on.
@@ -108,9 +108,9 @@
 func (s *simulation) runHost(h *host) {
 	now := h.localTime(s.now)
 	if s.random.IntN(400) == 0 {
-		h.paused = s.randomTime(40 * time.Second)
+		h.pausedUntil = s.randomTime(40 * time.Second)
 	}
-	if s.now.Before(h.paused) {
+	if s.now.Before(h.pausedUntil) {
 		return
 	}
 	if h.call != nil {
@@ -132,9 +132,9 @@
 		return
 	}
 	token, err := h.guard.Issue(now)
-	if h.unguarded && h.guard.term != 0 && h.guard.state == holding {
-		h.guard.issued++
-		token, err = newToken(h.guard.term, h.guard.issued), nil
+	if h.unguarded && h.guard.term != 0 && h.guard.state == stateHolding {
+		h.guard.ordersIssued++
+		token, err = newToken(h.guard.term, h.guard.ordersIssued), nil
 	}
 	if err == nil {
 		effectAt := s.randomTime(OrderTimeout)
--- a/fence/restore_test.go
+++ b/fence/restore_test.go
@@ -47,7 +47,7 @@
 						w.restore(age)
 					}
 					if stopped < 2 && since == 8*time.Second {
-						w.hosts[stopped].paused = w.now.Add(12 * time.Second)
+						w.hosts[stopped].pausedUntil = w.now.Add(12 * time.Second)
 					}
 					w.advance()
 				}
