--- a/lease/lease.go
+++ b/lease/lease.go
@@ -55,7 +55,7 @@
 	return time.Unix(now.Unix())
 }
 
-// now returns the time by the keeper's clock.
+// now returns the time of the keeper's clock.
 func (k *Keeper) now() time.Time {
 	if k.Now != nil {
 		return k.Now()
@@ -74,7 +74,8 @@
 // fence.Guard.Complete.
 func (k *Keeper) Complete(token fence.Token) error { return k.Guard.Complete(k.now(), token) }
 
-// Acquire performs the guard's actions until an order may be issued, and returns its token.
+// Acquire performs the guard's actions until an order may be issued, and returns the order's
+// fencing token.
 func (k *Keeper) Acquire(ctx context.Context) (fence.Token, error) {
 	for ctx.Err() == nil {
 		if token, err := k.Issue(time.Time{}); err == nil {
@@ -88,10 +89,10 @@
 		}
 		timer.Stop()
 	}
-	return 0, errors.Wrap(fence.ErrNotHolder, "lease")
+	return 0, errors.Wrap(fence.ErrNotHolder, "lease: acquire")
 }
 
-// Step performs one action of the guard and returns the delay until the next.
+// Step performs one action of the guard and returns the delay until the next Step.
 func (k *Keeper) Step(ctx context.Context) time.Duration {
 	switch action := k.Guard.Next(k.now()); action.Kind {
 	case fence.Read:
