--- a/epoch/epoch.go
+++ b/epoch/epoch.go
@@ -23,7 +23,8 @@
 	termsPerEra = 1 << 20
 )
 
-// Position is a revision in an era. Positions are compared as numbers.
+// Position is a revision of a store in one of the store's eras. Positions are compared as
+// numbers: a later era is higher.
 type Position uint64
 
 // New returns the position of a revision in an era. It limits era and revision to the
