--- a/group/group.go
+++ b/group/group.go
@@ -93,14 +93,15 @@
 	return failed
 }
 
-// initExits creates the channel on first use. g.mu must be held.
+// initExits creates the channel of exits on first use. g.mu must be held.
 func (g *Group) initExits() {
 	if g.exits == nil {
 		g.exits = make(chan Exit, 1)
 	}
 }
 
-// goroutineEnded closes the channel after the last goroutine of a closed group.
+// goroutineEnded counts one goroutine as ended, and closes the channel of exits after the
+// last goroutine of a closed group.
 func (g *Group) goroutineEnded() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
