--- a/peers/peers.go
+++ b/peers/peers.go
@@ -29,9 +29,9 @@
 type Link struct {
 	Member member.Member
 	wire.Link
-	stop context.CancelFunc
+	stopRun context.CancelFunc
 	// Leaving reports that the host list marks the member's host as leaving. The host list
-	// lags.
+	// lags behind the hosts' state.
 	Leaving atomic.Bool
 	// removed reports that the service's record does not list the member any more.
 	removed atomic.Bool
@@ -59,18 +59,18 @@
 	// its connection has closed.
 	OnRemoved func(member.Member)
 
-	mu      sync.Mutex
-	byHost  map[domain.Host]*Link
-	records map[domain.Service]member.Record
-	group   group.Group
-	ctx     context.Context
-	ready   chan struct{}
-	once    sync.Once
+	mu       sync.Mutex
+	byHost   map[domain.Host]*Link
+	records  map[domain.Service]member.Record
+	group    group.Group
+	ctx      context.Context
+	ready    chan struct{}
+	initOnce sync.Once
 }
 
-// init prepares the channel that makes Apply and Dial wait for Run.
+// init creates the channel ready, on which Apply and Dial wait until Run has started.
 func (d *Directory) init() {
-	d.once.Do(func() { d.ready = make(chan struct{}) })
+	d.initOnce.Do(func() { d.ready = make(chan struct{}) })
 }
 
 // Run runs the links until the context ends.
@@ -82,7 +82,7 @@
 	close(d.ready)
 	stop := context.AfterFunc(ctx, d.group.Close)
 	defer stop()
-	ticker := time.NewTicker(sweepInterval)
+	ticker := time.NewTicker(removalCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -91,20 +91,20 @@
 				return nil
 			}
 		case <-ticker.C:
-			d.sweep()
+			d.dropRemoved()
 		}
 	}
 }
 
-// sweepInterval is the interval at which removed members are checked for closed
+// removalCheckInterval is the interval at which removed members are checked for closed
 // connections.
-const sweepInterval = time.Second
+const removalCheckInterval = time.Second
 
-// sweep drops removed members whose connection has closed. A member that stops as planned
+// dropRemoved drops removed members whose connection has closed. A member that stops as planned
 // leaves its record before its last requests have ended, so that a link dropped as soon as
 // the record changes would cut those requests. The member itself closes the connection only
 // when it runs no request any more.
-func (d *Directory) sweep() {
+func (d *Directory) dropRemoved() {
 	for _, m := range d.dropClosed() {
 		if d.OnRemoved != nil {
 			d.OnRemoved(m) // without d.mu: it may acquire locks that are held during calls of Directory methods
@@ -119,7 +119,7 @@
 	var dropped []member.Member
 	for h, l := range d.byHost {
 		if l.removed.Load() && l.Peer() == nil {
-			l.stop()
+			l.stopRun()
 			delete(d.byHost, h)
 			dropped = append(dropped, l.Member)
 		}
@@ -162,10 +162,10 @@
 // connect starts a link to the member and stops an earlier link to its host. d.mu must be held.
 func (d *Directory) connect(m member.Member) {
 	if previous := d.byHost[m.Host]; previous != nil {
-		previous.stop()
+		previous.stopRun()
 	}
 	ctx, stop := context.WithCancel(d.ctx)
-	link := &Link{Member: m, stop: stop, Link: wire.Link{Target: m.Address, Local: d.Local, TLS: d.TLS}}
+	link := &Link{Member: m, stopRun: stop, Link: wire.Link{Target: m.Address, Local: d.Local, TLS: d.TLS}}
 	d.byHost[m.Host] = link
 	d.group.Go(ctx, string(m.Host), link.Run)
 }
@@ -295,7 +295,7 @@
 	return zones
 }
 
-// Record returns the service's newest applied record; an empty one if there is none.
+// Record returns the service's newest applied record; the zero Record if none was applied.
 func (d *Directory) Record(s domain.Service) member.Record {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/peers/peers_test.go
+++ b/peers/peers_test.go
@@ -92,7 +92,7 @@
 
 	require.True(t, d.Apply(recordOf(2, remaining)))
 	require.False(t, l.Usable(), "no new work")
-	d.sweep()
+	d.dropRemoved()
 	require.Same(t, l, d.Find("side-2"))
 	require.Same(t, p, l.Peer())
 
