--- a/inject/inject.go
+++ b/inject/inject.go
@@ -22,11 +22,11 @@
 // Point is a point in the processing of a request.
 type Point string
 
-// The points at an entry.
+// The points at an entry, in order.
 const (
 	// EntryAccepted: the trace is open, nothing else was done.
 	EntryAccepted Point = "entry_accepted"
-	// EntryClaimed: the key is claimed for this request.
+	// EntryClaimed: the request's idempotency key is claimed.
 	EntryClaimed Point = "entry_claimed"
 	// EntryReserved: decode capacity is reserved, no prefill has started.
 	EntryReserved Point = "entry_reserved"
@@ -34,7 +34,7 @@
 	EntryPrefilled Point = "entry_prefilled"
 	// EntryRan: the outcome of the last stage is known, the answer is not written.
 	EntryRan Point = "entry_ran"
-	// EntryAnswered: the answer is written, its claim may not be settled yet.
+	// EntryAnswered: the answer is written, the request's claim may not be settled yet.
 	EntryAnswered Point = "entry_answered"
 )
 
@@ -52,7 +52,7 @@
 	SideEnded Point = "side_ended"
 )
 
-// EntryPoints returns the points at an entry.
+// EntryPoints returns the points at an entry, in order.
 func EntryPoints() []Point {
 	return []Point{EntryAccepted, EntryClaimed, EntryReserved, EntryPrefilled, EntryRan, EntryAnswered}
 }
@@ -63,7 +63,7 @@
 // Hook is called with each point that a request reaches.
 type Hook func(Point)
 
-// Reach calls the hook with s if the hook is not nil.
+// Reach calls the hook with the point that a request has reached, if the hook is not nil.
 func (h Hook) Reach(s Point) {
 	if h != nil {
 		h(s)
@@ -73,7 +73,7 @@
 // Action is what a Fault does to its process.
 type Action string
 
-// The actions.
+// The actions of a Fault.
 const (
 	// Exit ends the process at once, like SIGKILL.
 	Exit Action = "exit"
@@ -90,7 +90,7 @@
 	Point  Point
 }
 
-// UnmarshalText parses ACTION:STEP, as in exit:side_handed.
+// UnmarshalText parses ACTION:STEP, where STEP is a Point, as in exit:side_handed.
 func (f *Fault) UnmarshalText(text []byte) error {
 	action, point, found := strings.Cut(string(text), ":")
 	if !found || Action(action) != Exit && Action(action) != Pause {
@@ -102,10 +102,10 @@
 			return nil
 		}
 	}
-	return errors.Errorf("inject: unknown step %q", point)
+	return errors.Errorf("inject: parse fault: unknown step %q", point)
 }
 
-// Hook returns a hook that performs the fault; nil for the zero value.
+// Hook returns a hook that performs the fault's action once; nil for the zero Fault.
 func (f Fault) Hook() Hook {
 	if f.Point == "" {
 		return nil
