--- a/domain/domain.go
+++ b/domain/domain.go
@@ -1,5 +1,5 @@
 // Package domain defines the terms that all other packages share: the names of hosts,
-// availability zones, callers and kinds of requests, the execution of a request, and its
+// availability zones, callers and kinds of requests, whether a request ran, and its
 // refusal. It performs no network calls.
 //
 // # Usage
@@ -48,17 +48,19 @@
 // Role is the role of a side's upstream.
 type Role string
 
-// The roles.
+// The roles of upstreams: an engine that prefills, an engine that decodes, or an application
+// server.
 const (
 	RolePrefill Role = "prefill"
 	RoleDecode  Role = "decode"
 	RoleApp     Role = "app"
 )
 
-// Execution reports whether a request ran on an upstream.
+// Execution states whether a request ran on an upstream.
 type Execution string
 
-// The values of Execution. Without a reply from the upstream, it is Unknown.
+// The values of Execution. Unknown means that the request may have run, as when its upstream
+// sent no reply.
 const (
 	NotRun  Execution = "not_run"
 	DidRun  Execution = "ran"
@@ -68,7 +70,7 @@
 // Reason is the reason for which a request was refused.
 type Reason string
 
-// The reasons; docs/OPERATING.md describes what to do about each.
+// The reasons for refusals; docs/OPERATING.md describes what to do about each.
 const (
 	ReasonBadInput    Reason = "bad_input"
 	ReasonTooLarge    Reason = "too_large"
@@ -136,7 +138,7 @@
 	Findings check.Findings `json:"findings,omitempty"`
 }
 
-// Error returns reason, execution and detail in one line.
+// Error returns the reason, whether the request ran, and the detail, in one line.
 func (r *Refusal) Error() string {
 	return fmt.Sprintf("refused: %s (%s) %s", r.Reason, r.Ran, r.Detail)
 }
--- a/domain/execution.go
+++ b/domain/execution.go
@@ -6,7 +6,8 @@
 	"github.com/pkg/errors"
 )
 
-// Merge returns the more severe of two executions: DidRun, then Unknown, then NotRun.
+// Merge combines whether each of two attempts ran into one value: DidRun if either ran, else
+// Unknown if either may have run, else NotRun.
 func (r Execution) Merge(o Execution) Execution {
 	if o.severity() > r.severity() {
 		return o
@@ -14,7 +15,7 @@
 	return r
 }
 
-// severity orders executions for Merge.
+// severity ranks the values of Execution for Merge, from 0 for NotRun to 2 for DidRun.
 func (r Execution) severity() int {
 	switch r {
 	case NotRun:
@@ -25,7 +26,8 @@
 	return 1
 }
 
-// ReasonOf returns the reason for a request whose context has ended.
+// ReasonOf returns the reason for the refusal of a request whose context has ended: its
+// deadline has passed, or its caller has disconnected.
 func ReasonOf(ctx context.Context) Reason {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return ReasonDeadline
--- a/domain/problem.go
+++ b/domain/problem.go
@@ -7,7 +7,7 @@
 )
 
 // Problem is a refusal in the form in which callers receive it: an RFC 9457 problem,
-// extended by the request's ID, reason and execution.
+// extended by the request's ID, the reason, and whether the request ran.
 type Problem struct {
 	Type       string         `json:"type"`
 	Title      string         `json:"title"`
