--- a/admit/admit.go
+++ b/admit/admit.go
@@ -52,8 +52,8 @@
 // entries' fair queues, where other requests can still be served before them.
 const MaxPrefillQueueTime = 500 * time.Millisecond
 
-// ErrUnknown is returned where there is no such reservation: it was never made, or has
-// expired, or was released.
+// ErrUnknown is returned where the key has no reservation: the reservation was never made,
+// has expired, or was released.
 var ErrUnknown = errors.New("admit: no such reservation")
 
 // ErrDemandMismatch is returned where the key already has a reservation of another size.
@@ -85,8 +85,8 @@
 
 // Capacity is the free capacity of an engine and the number of its reservations.
 type Capacity struct {
-	// FreeRequests and FreeTokens are not reserved. They are negative after the limits were
-	// lowered below what is reserved.
+	// FreeRequests and FreeTokens are the slots and tokens that are not reserved. They are
+	// negative after the limits were lowered below what is reserved.
 	FreeRequests int `json:"free_requests"`
 	FreeTokens   int `json:"free_tokens"`
 	// Unconfirmed is the number of unconfirmed reservations, Confirmed that of confirmed ones.
@@ -120,9 +120,10 @@
 		r.Shortage, r.Demand.Requests, r.Demand.Tokens, r.Capacity.FreeRequests, r.Capacity.FreeTokens)
 }
 
+// reservation is the capacity reserved under one key.
 type reservation struct {
 	demand    Demand
-	until     time.Time
+	until     time.Time // end of an unconfirmed reservation; a confirmed one is overdue from then
 	confirmed bool
 }
 
@@ -132,7 +133,7 @@
 	Limits Limits
 
 	reservations map[Key]*reservation
-	used         Demand
+	reserved     Demand
 	// nextExpiry is not after the earliest expiry of an unconfirmed reservation, so that most
 	// calls need not search for expired ones.
 	nextExpiry time.Time
@@ -142,12 +143,12 @@
 // reserves no more and extends the reservation if the time is later. The error is a *Refusal
 // or ErrDemandMismatch.
 func (l *Ledger) Reserve(now time.Time, k Key, d Demand, until time.Time) error {
-	l.sweep(now)
+	l.removeExpired(now)
 	if r, ok := l.reservations[k]; ok {
 		if r.demand != d {
 			return ErrDemandMismatch
 		}
-		r.extend(until)
+		r.extendTo(until)
 		return nil
 	}
 	if shortage := l.shortage(d); shortage != "" {
@@ -157,8 +158,8 @@
 		l.reservations = make(map[Key]*reservation)
 	}
 	l.reservations[k] = &reservation{demand: d, until: until}
-	l.used.Requests += d.Requests
-	l.used.Tokens += d.Tokens
+	l.reserved.Requests += d.Requests
+	l.reserved.Tokens += d.Tokens
 	if l.nextExpiry.IsZero() || until.Before(l.nextExpiry) {
 		l.nextExpiry = until
 	}
@@ -168,12 +169,12 @@
 // Renew extends a reservation to a later time. It returns ErrUnknown if the reservation has
 // ended; its capacity may then belong to another request.
 func (l *Ledger) Renew(now time.Time, k Key, until time.Time) error {
-	l.sweep(now)
+	l.removeExpired(now)
 	r, ok := l.reservations[k]
 	if !ok {
 		return ErrUnknown
 	}
-	r.extend(until)
+	r.extendTo(until)
 	return nil
 }
 
@@ -181,7 +182,7 @@
 // time. It must be called before the work is sent: memory in use at the engine must never
 // count as free. It is idempotent and returns ErrUnknown as Renew does.
 func (l *Ledger) Confirm(now time.Time, k Key, until time.Time) error {
-	l.sweep(now)
+	l.removeExpired(now)
 	r, ok := l.reservations[k]
 	if !ok {
 		return ErrUnknown
@@ -197,11 +198,11 @@
 	if !ok {
 		return false
 	}
-	l.remove(k, r)
+	l.removeReservation(k, r)
 	return true
 }
 
-// Overdue returns the confirmed reservations whose time has passed, ordered by key. Their
+// Overdue returns the keys of the confirmed reservations whose time has passed, in order. Their
 // memory is still in use at the engine: cancel the work there, then call Release.
 func (l *Ledger) Overdue(now time.Time) []Key {
 	var keys []Key
@@ -216,14 +217,14 @@
 
 // Capacity returns the free capacity at the given time.
 func (l *Ledger) Capacity(now time.Time) Capacity {
-	l.sweep(now)
+	l.removeExpired(now)
 	return l.capacity()
 }
 
 func (l *Ledger) capacity() Capacity {
 	c := Capacity{
-		FreeRequests: l.Limits.Requests - l.used.Requests,
-		FreeTokens:   l.Limits.Tokens - l.used.Tokens,
+		FreeRequests: l.Limits.Requests - l.reserved.Requests,
+		FreeTokens:   l.Limits.Tokens - l.reserved.Tokens,
 	}
 	for _, r := range l.reservations {
 		if r.confirmed {
@@ -244,19 +245,19 @@
 	switch {
 	case d.Requests > l.Limits.Requests || tokens > l.Limits.Tokens:
 		return ShortageEngineSize
-	case l.used.Requests+d.Requests > l.Limits.Requests:
+	case l.reserved.Requests+d.Requests > l.Limits.Requests:
 		return ShortageRequests
-	case l.used.Tokens+tokens > l.Limits.Tokens:
+	case l.reserved.Tokens+tokens > l.Limits.Tokens:
 		return ShortageTokens
 	}
 	return ""
 }
 
-// sweep removes expired unconfirmed reservations. It guards against an entry that crashes
+// removeExpired removes expired unconfirmed reservations. It guards against an entry that crashes
 // between the reservation and the hand-over to the engine: its slot would stay reserved
 // forever, and an idle engine would refuse work. No message from the entry is needed, only
 // the side's own clock.
-func (l *Ledger) sweep(now time.Time) {
+func (l *Ledger) removeExpired(now time.Time) {
 	if l.nextExpiry.IsZero() || now.Before(l.nextExpiry) {
 		return
 	}
@@ -265,22 +266,22 @@
 		switch {
 		case r.confirmed:
 		case !now.Before(r.until):
-			l.remove(k, r)
+			l.removeReservation(k, r)
 		case l.nextExpiry.IsZero() || r.until.Before(l.nextExpiry):
 			l.nextExpiry = r.until
 		}
 	}
 }
 
-func (l *Ledger) remove(k Key, r *reservation) {
+func (l *Ledger) removeReservation(k Key, r *reservation) {
 	delete(l.reservations, k)
-	l.used.Requests -= r.demand.Requests
-	l.used.Tokens -= r.demand.Tokens
+	l.reserved.Requests -= r.demand.Requests
+	l.reserved.Tokens -= r.demand.Tokens
 }
 
-// extend moves the end of the reservation to a later time and never to an earlier one: a
+// extendTo moves the end of the reservation to a later time and never to an earlier one: a
 // renewal that is delayed must not end a reservation that a later renewal has extended.
-func (r *reservation) extend(until time.Time) {
+func (r *reservation) extendTo(until time.Time) {
 	if until.After(r.until) {
 		r.until = until
 	}
--- a/admit/admit_test.go
+++ b/admit/admit_test.go
@@ -16,13 +16,13 @@
 
 var start = time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC)
 
-// naiveLedger is the reference: it adds up all reservations on every call.
-type naiveLedger struct {
+// recomputingLedger is the reference: it adds up all reservations on every call.
+type recomputingLedger struct {
 	limits       Limits
 	reservations map[Key]reservation
 }
 
-func (l *naiveLedger) used(now time.Time) (d Demand) {
+func (l *recomputingLedger) used(now time.Time) (d Demand) {
 	for k, r := range l.reservations {
 		if !r.confirmed && !now.Before(r.until) {
 			delete(l.reservations, k)
@@ -34,13 +34,13 @@
 	return d
 }
 
-func (l *naiveLedger) reserve(now time.Time, k Key, d Demand, until time.Time) bool {
+func (l *recomputingLedger) reserve(now time.Time, k Key, d Demand, until time.Time) bool {
 	u := l.used(now)
 	if r, ok := l.reservations[k]; ok {
 		if r.demand != d {
 			return false
 		}
-		r.extend(until)
+		r.extendTo(until)
 		l.reservations[k] = r
 		return true
 	}
@@ -51,7 +51,7 @@
 	return true
 }
 
-func (l *naiveLedger) change(now time.Time, k Key, until time.Time, confirm bool) bool {
+func (l *recomputingLedger) change(now time.Time, k Key, until time.Time, confirm bool) bool {
 	l.used(now)
 	r, ok := l.reservations[k]
 	if !ok {
@@ -60,17 +60,17 @@
 	if confirm {
 		r.confirmed, r.until = true, until
 	} else {
-		r.extend(until)
+		r.extendTo(until)
 	}
 	l.reservations[k] = r
 	return true
 }
 
-func TestLedgerMatchesNaiveLedger(t *testing.T) {
+func TestLedgerMatchesRecomputedReservations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := Limits{Requests: 4, Tokens: 1000}
 		l := Ledger{Limits: limits}
-		naive := naiveLedger{limits: limits, reservations: map[Key]reservation{}}
+		reference := recomputingLedger{limits: limits, reservations: map[Key]reservation{}}
 		now := start
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 900).Draw(t, "ms")) * time.Millisecond)
@@ -79,19 +79,19 @@
 			switch rapid.IntRange(0, 3).Draw(t, "call") {
 			case 0:
 				d := Demand{Requests: 1, Tokens: rapid.SampledFrom([]int{100, 400, 1200}).Draw(t, "tokens")}
-				require.Equal(t, naive.reserve(now, k, d, until), l.Reserve(now, k, d, until) == nil)
+				require.Equal(t, reference.reserve(now, k, d, until), l.Reserve(now, k, d, until) == nil)
 			case 1:
-				require.Equal(t, naive.change(now, k, until, false), l.Renew(now, k, until) == nil)
+				require.Equal(t, reference.change(now, k, until, false), l.Renew(now, k, until) == nil)
 			case 2:
-				require.Equal(t, naive.change(now, k, until, true), l.Confirm(now, k, until) == nil)
+				require.Equal(t, reference.change(now, k, until, true), l.Confirm(now, k, until) == nil)
 			case 3:
 				l.Release(k)
-				delete(naive.reservations, k)
+				delete(reference.reservations, k)
 			}
-			u, r := naive.used(now), l.Capacity(now)
+			u, r := reference.used(now), l.Capacity(now)
 			require.Equal(t, limits.Requests-u.Requests, r.FreeRequests)
 			require.Equal(t, limits.Tokens-u.Tokens, r.FreeTokens)
-			require.Equal(t, len(naive.reservations), r.Unconfirmed+r.Confirmed)
+			require.Equal(t, len(reference.reservations), r.Unconfirmed+r.Confirmed)
 		}
 	})
 }
