--- a/delay/age_estimator.go
+++ b/delay/age_estimator.go
@@ -48,8 +48,8 @@
 		h = &timeoutHistogram{}
 		a.routes[route] = h
 	}
-	h.add(timeout)
-	return max(0, time.Duration(h.minFirstSend()*float64(h.longest))-timeout)
+	h.addTimeout(timeout)
+	return max(0, time.Duration(h.minFirstSend()*float64(h.longestTimeout))-timeout)
 }
 
 const (
@@ -59,8 +59,8 @@
 	histogramDecay = 0.998
 	// histogramBuckets is the number of intervals between zero and the longest timeout.
 	histogramBuckets = 50
-	// firstSendWeight is the fraction of the heaviest bucket's weight from which a bucket
-	// counts as first sends. Retries arrive seconds later and are fewer.
+	// firstSendWeight is the fraction of the heaviest bucket's weight from which the timeouts
+	// in a bucket count as those of first sends. Retries arrive seconds later and are fewer.
 	firstSendWeight = 0.1
 	// firstSendGap is the number of consecutive buckets below firstSendWeight that ends the
 	// range of first sends.
@@ -78,29 +78,29 @@
 // retries; with timeouts of 14 s, a fraction of 0.82 classifies retries after two seconds
 // as first sends. The weights show where the range of first sends ends.
 type timeoutHistogram struct {
-	longest time.Duration
-	weights [histogramBuckets + 1]float64
-	total   float64
+	longestTimeout time.Duration
+	weights        [histogramBuckets + 1]float64
+	totalWeight    float64
 }
 
-func (h *timeoutHistogram) add(timeout time.Duration) {
-	h.longest = time.Duration(histogramDecay * float64(h.longest))
-	if timeout > h.longest {
-		h.longest = timeout
+func (h *timeoutHistogram) addTimeout(timeout time.Duration) {
+	h.longestTimeout = time.Duration(histogramDecay * float64(h.longestTimeout))
+	if timeout > h.longestTimeout {
+		h.longestTimeout = timeout
 	}
-	h.total = 0
+	h.totalWeight = 0
 	for n := range h.weights {
 		h.weights[n] *= histogramDecay
-		h.total += h.weights[n]
+		h.totalWeight += h.weights[n]
 	}
-	h.weights[int(histogramBuckets*float64(timeout)/float64(h.longest))]++
-	h.total++
+	h.weights[int(histogramBuckets*float64(timeout)/float64(h.longestTimeout))]++
+	h.totalWeight++
 }
 
 // minFirstSend returns the shortest timeout that counts as a first send, as a fraction of
 // the longest timeout.
 func (h *timeoutHistogram) minFirstSend() float64 {
-	if h.total < minTotalWeight {
+	if h.totalWeight < minTotalWeight {
 		return defaultFirstSend
 	}
 	peak := 0.0
--- a/delay/stagger.go
+++ b/delay/stagger.go
@@ -6,7 +6,7 @@
 )
 
 // RetryShare is the fraction of the upstreams' throughput that retries may use. The rest
-// is for first sends.
+// is for requests that callers send for the first time.
 const RetryShare = 1.0 / 3
 
 // Stagger computes the delays after which refused callers should retry while all upstreams
@@ -17,8 +17,8 @@
 // and cause the next backoff. Each caller is told a time of its own instead; these times
 // follow one another at RetryShare of the upstreams' throughput.
 type Stagger struct {
-	mu   sync.Mutex // leaf lock: no other lock is acquired while it is held
-	last time.Time  // the latest retry time that was returned
+	mu          sync.Mutex // leaf lock: no other lock is acquired while it is held
+	lastRetryAt time.Time  // the latest retry time that was returned
 }
 
 // Delay returns the delay after which the next refused caller should retry. The upstreams
@@ -26,10 +26,10 @@
 func (s *Stagger) Delay(now time.Time, backoff, interval time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if next := s.last.Add(time.Duration(float64(interval) / RetryShare)); next.After(now.Add(backoff)) {
-		s.last = next
+	if next := s.lastRetryAt.Add(time.Duration(float64(interval) / RetryShare)); next.After(now.Add(backoff)) {
+		s.lastRetryAt = next
 	} else {
-		s.last = now.Add(backoff)
+		s.lastRetryAt = now.Add(backoff)
 	}
-	return s.last.Sub(now)
+	return s.lastRetryAt.Sub(now)
 }
