--- a/eject/eject.go
+++ b/eject/eject.go
@@ -45,8 +45,8 @@
 	// MinGap is the minimum difference from the median above which an upstream is slow. Smaller
 	// differences are scheduling noise, which no caller notices.
 	MinGap = 2 * time.Millisecond
-	// MinAnswers is the number of answers per measurement; a mean of eight evens out a single
-	// stall.
+	// MinAnswers is the number of answers per measurement of an upstream's latency per
+	// token; a mean of eight evens out a single stall.
 	MinAnswers = 8
 	// ConsecutiveSlow is the number of consecutive slow measurements that eject an upstream.
 	ConsecutiveSlow = 3
@@ -72,10 +72,10 @@
 	InitialWeight = 0.05
 )
 
-// Failure is the kind of a failure.
+// Failure is a kind of failure of an upstream.
 type Failure string
 
-// The failures.
+// The kinds of failures of an upstream.
 const (
 	// SilentConnection is an established connection on which no message is received within the
 	// timeout. It ejects nobody; dial again and record the result.
@@ -91,9 +91,9 @@
 type Change struct {
 	Host    domain.Host
 	Ejected bool
-	// Reason is a one-line explanation.
+	// Reason explains the ejection or return in one line.
 	Reason string
-	// Until is the earliest time at which an ejection ends.
+	// Until is the earliest time at which an ejection ends; zero for a return.
 	Until time.Time
 }
 
@@ -115,15 +115,15 @@
 	tokens  int
 	answers int
 
-	perToken     time.Duration // the last measurement; zero if there is none
-	slowCount    int           // consecutive slow measurements
-	measured     bool          // perToken is new since the last Evaluate
-	failureCount int           // consecutive failures
-	ejected      bool
-	ejectedUntil time.Time
-	ejectionTime time.Duration // duration of the last ejection
-	returnedAt   time.Time
-	ejectedAt    time.Time
+	perToken       time.Duration // the last measurement; zero if there is none
+	slowCount      int           // consecutive slow measurements
+	newMeasurement bool          // perToken is new since the last Evaluate
+	failureCount   int           // consecutive failures
+	ejected        bool
+	ejectedUntil   time.Time
+	ejectionTime   time.Duration // duration of the last ejection
+	returnedAt     time.Time
+	ejectedAt      time.Time
 }
 
 // SetMembers sets the members of the pool. A new upstream starts in service; the state of a
@@ -168,11 +168,12 @@
 		return
 	}
 	m.perToken = m.elapsed / time.Duration(m.tokens)
-	m.measured = true
+	m.newMeasurement = true
 	m.elapsed, m.tokens, m.answers = 0, 0, 0
 }
 
-// RecordFailure records a failure.
+// RecordFailure records a failure of an upstream. A SilentConnection does not count towards
+// ejection.
 func (p *Pool) RecordFailure(_ time.Time, h domain.Host, f Failure) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -205,18 +206,18 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var changes []Change
-	if c, ok := p.returnNext(now); ok {
+	if c, ok := p.returnOne(now); ok {
 		changes = append(changes, c)
 	}
-	p.compare()
-	if c, ok := p.eject(now); ok {
+	p.updateSlowCounts()
+	if c, ok := p.ejectWorst(now); ok {
 		changes = append(changes, c)
 	}
 	return changes
 }
 
-// compare updates the count of slow measurements of each member with a new measurement.
-func (p *Pool) compare() {
+// updateSlowCounts updates the count of slow measurements of each member with a new measurement.
+func (p *Pool) updateSlowCounts() {
 	var sorted []time.Duration
 	for _, m := range p.members {
 		if !m.ejected && m.perToken > 0 {
@@ -225,10 +226,10 @@
 	}
 	slices.Sort(sorted)
 	for _, m := range p.members {
-		if m.ejected || !m.measured {
+		if m.ejected || !m.newMeasurement {
 			continue
 		}
-		m.measured = false
+		m.newMeasurement = false
 		if isSlow(m.perToken, sorted) {
 			m.slowCount++
 			continue
@@ -238,7 +239,7 @@
 }
 
 // isSlow reports whether a latency per token is slow in comparison with the median of the
-// others. sorted holds all of them, including d, in ascending order.
+// peers' latencies. sorted holds the latencies of all members, including d, in ascending order.
 func isSlow(d time.Duration, sorted []time.Duration) bool {
 	peers := len(sorted) - 1
 	if peers < MinPeers {
@@ -254,20 +255,20 @@
 	return float64(d) > Ratio*float64(median) && d-median > MinGap
 }
 
-// eject ejects the worst of the members that are slow or failing: failing members before slow
-// ones, then the one with the highest latency per token.
-func (p *Pool) eject(now time.Time) (Change, bool) {
+// ejectWorst ejects the worst of the members that are slow or failing: failing members
+// before slow ones, then the one with the highest latency per token.
+func (p *Pool) ejectWorst(now time.Time) (Change, bool) {
 	if p.ejectedCount() >= p.maxEjected() || now.Sub(p.lastEjection) < MinInterval {
 		return Change{}, false
 	}
 	var worst domain.Host
-	for _, h := range p.hosts() {
+	for _, h := range p.sortedHosts() {
 		m := p.members[h]
 		outlier := m.failureCount >= ConsecutiveFailures || m.slowCount >= ConsecutiveSlow
 		if m.ejected || !outlier {
 			continue
 		}
-		if worst == "" || m.worse(p.members[worst]) {
+		if worst == "" || m.worseThan(p.members[worst]) {
 			worst = h
 		}
 	}
@@ -284,7 +285,7 @@
 	return Change{Host: worst, Ejected: true, Reason: reason, Until: m.ejectedUntil}, true
 }
 
-func (p *Pool) returnNext(now time.Time) (Change, bool) {
+func (p *Pool) returnOne(now time.Time) (Change, bool) {
 	h := p.nextReturn()
 	if h == "" || now.Before(p.members[h].ejectedUntil) || now.Sub(p.lastReturn) < MinInterval {
 		return Change{}, false
@@ -297,7 +298,7 @@
 // nextReturn returns the ejected member whose ejection ends first, or "".
 func (p *Pool) nextReturn() domain.Host {
 	var next domain.Host
-	for _, h := range p.hosts() {
+	for _, h := range p.sortedHosts() {
 		if m := p.members[h]; m.ejected && (next == "" || m.ejectedUntil.Before(p.members[next].ejectedUntil)) {
 			next = h
 		}
@@ -305,9 +306,9 @@
 	return next
 }
 
-// hosts returns the members in a stable order, so that the same records lead to the same
-// decisions.
-func (p *Pool) hosts() []domain.Host {
+// sortedHosts returns the members in a stable order, so that the same recorded answers and
+// failures lead to the same decisions.
+func (p *Pool) sortedHosts() []domain.Host {
 	hosts := make([]domain.Host, 0, len(p.members))
 	for h := range p.members {
 		hosts = append(hosts, h)
@@ -330,7 +331,7 @@
 // pool of two has no ejections.
 func (p *Pool) maxEjected() int { return len(p.members) / 3 }
 
-func (m *member) worse(o *member) bool {
+func (m *member) worseThan(o *member) bool {
 	if (m.failureCount >= ConsecutiveFailures) != (o.failureCount >= ConsecutiveFailures) {
 		return m.failureCount >= ConsecutiveFailures
 	}
--- a/eject/eject_test.go
+++ b/eject/eject_test.go
@@ -44,7 +44,7 @@
 	for tick := range 60 * 200 {
 		at := time.Duration(tick) * 5 * time.Millisecond
 		now := start.Add(at)
-		i := pick(random, n, func(i int) float64 {
+		i := pickByWeight(random, n, func(i int) float64 {
 			if !withEjection {
 				return 1
 			}
@@ -65,12 +65,12 @@
 				r.ejections++
 			}
 		}
-		r.maxEjected = max(r.maxEjected, count(ejected))
+		r.maxEjected = max(r.maxEjected, countEjected(ejected))
 	}
 	return r
 }
 
-func count(ejected map[domain.Host]bool) int {
+func countEjected(ejected map[domain.Host]bool) int {
 	n := 0
 	for _, isEjected := range ejected {
 		if isEjected {
@@ -80,7 +80,7 @@
 	return n
 }
 
-func pick(random *rand.Rand, n int, weight func(int) float64) int {
+func pickByWeight(random *rand.Rand, n int, weight func(int) float64) int {
 	total := 0.0
 	for i := range n {
 		total += weight(i)
@@ -211,8 +211,9 @@
 	}
 }
 
-// naiveSlow is the reference implementation of isSlow.
-func naiveSlow(values []time.Duration, own int) bool {
+// isSlowByDefinition is the reference for isSlow: it computes the median of the other values
+// directly.
+func isSlowByDefinition(values []time.Duration, own int) bool {
 	peers := slices.Concat(values[:own], values[own+1:])
 	if len(peers) < MinPeers {
 		return false
@@ -222,7 +223,7 @@
 	return float64(values[own]) > Ratio*float64(median) && values[own]-median > MinGap
 }
 
-func TestIsSlowMatchesNaive(t *testing.T) {
+func TestIsSlowMatchesDefinition(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ms := rapid.SliceOfN(rapid.IntRange(1, 60), 1, 12).Draw(t, "ms")
 		values := make([]time.Duration, len(ms))
@@ -231,7 +232,7 @@
 		}
 		sorted := slices.Sorted(slices.Values(values))
 		for i := range values {
-			require.Equal(t, naiveSlow(values, i), isSlow(values[i], sorted), "%v at %d", values, i)
+			require.Equal(t, isSlowByDefinition(values, i), isSlow(values[i], sorted), "%v at %d", values, i)
 		}
 	})
 }
