--- a/limit/limit.go
+++ b/limit/limit.go
@@ -10,7 +10,7 @@
 //
 // # Usage
 //
-//	l := limit.Limiter{Since: started}          // at the entry that owns the key
+//	l := limit.Limiter{Start: started}          // at the entry that owns the key
 //	wait, ok := l.Take(now, limit.Key{Account: a, Service: s, Kind: k}, row.CallerRate, limit.Burst)
 //	if !ok { refuse(retryAfter(wait)) }
 //
@@ -24,20 +24,20 @@
 	"jacinthworks/domain"
 )
 
-// Burst is the capacity of a bucket, as time at the row's rate. Five seconds allow a caller
-// that keeps to its rate to load a page of look-ups at once.
+// Burst is the capacity of a bucket, as the time in which the row's rate fills it. Five
+// seconds allow a caller that keeps to its rate to load a page of look-ups at once.
 const Burst = 5 * time.Second
 
-// StandbyBurst is the capacity at an entry that enforces the limit while the owner of the key
-// is unreachable: the owner may already have granted a whole burst.
+// StandbyBurst takes the place of Burst at an entry that enforces the limit while the owner
+// of the key is unreachable: the owner may already have granted a whole burst.
 const StandbyBurst = 250 * time.Millisecond
 
-// maxEntries is the number of keys from which entries without effect are removed: buckets
-// that have not been used for Burst, and denials that are over. 2,100 callers with a few
-// kinds each fit.
-const maxEntries = 16384
+// maxKeys is the number of keys in a map from which items without effect are removed:
+// buckets that have not been used for Burst, and refusals whose wait is over. 2,100 callers
+// with a few kinds each fit.
+const maxKeys = 16384
 
-// Key identifies what a rate applies to: a caller and a row of the table.
+// Key identifies the caller and the row of the table that a rate applies to.
 type Key struct {
 	Account domain.Account `json:"account"`
 	Service domain.Service `json:"service"`
@@ -49,10 +49,10 @@
 	return "rate/" + string(k.Account) + "/" + string(k.Service) + "/" + string(k.Kind)
 }
 
-// bucket is a token bucket; level is in requests.
+// bucket is a token bucket; level is the number of requests that it still allows.
 type bucket struct {
-	level   float64
-	updated time.Time
+	level     float64
+	updatedAt time.Time
 }
 
 // Limiter holds a token bucket for each key. The zero value is ready to use.
@@ -74,60 +74,61 @@
 	capacity := max(1, rate*burst.Seconds())
 	b, known := l.buckets[key]
 	if !known {
-		b = bucket{level: min(capacity, rate*now.Sub(l.Start).Seconds()), updated: now}
+		b = bucket{level: min(capacity, rate*now.Sub(l.Start).Seconds()), updatedAt: now}
 	}
-	b.level = min(capacity, b.level+now.Sub(b.updated).Seconds()*rate)
-	b.updated = now
+	b.level = min(capacity, b.level+now.Sub(b.updatedAt).Seconds()*rate)
+	b.updatedAt = now
 	if b.level < 1 {
 		return time.Duration((1 - b.level) / rate * float64(time.Second)), false
 	}
 	b.level--
-	l.keep(now, key, b)
+	l.storeBucket(now, key, b)
 	return 0, true
 }
 
-func (l *Limiter) keep(now time.Time, key Key, b bucket) {
+func (l *Limiter) storeBucket(now time.Time, key Key, b bucket) {
 	if l.buckets == nil {
 		l.buckets = make(map[Key]bucket)
 	}
-	if len(l.buckets) >= maxEntries {
-		l.drop(now)
+	if len(l.buckets) >= maxKeys {
+		l.dropUnusedBuckets(now)
 	}
 	l.buckets[key] = b
 }
 
-// drop removes the buckets that have not been used for Burst. At any rate of at least one
-// request per Burst they are full again, as a new bucket would be.
-func (l *Limiter) drop(now time.Time) {
+// dropUnusedBuckets removes the buckets that have not been used for Burst. At any rate of
+// at least one request per Burst they are full again, as a new bucket would be.
+func (l *Limiter) dropUnusedBuckets(now time.Time) {
 	for key, b := range l.buckets {
-		if now.Sub(b.updated) >= Burst {
+		if now.Sub(b.updatedAt) >= Burst {
 			delete(l.buckets, key)
 		}
 	}
 }
 
-// DenialCache holds, for each key, the latest refusal until its wait is over. The zero value is ready to use.
+// DenialCache holds, for each key, the time until which its latest refusal holds. The zero
+// value is ready to use.
 //
 // It guards against a caller's program that sends in a loop and ignores Retry-After: each of
 // its requests would cost a call to the owner of the key. With the cache, an entry refuses
 // locally until the wait is over.
-type DenialCache struct{ until map[Key]time.Time }
+type DenialCache struct{ deniedUntil map[Key]time.Time }
 
 // Wait returns the remaining wait of a cached refusal, or zero.
 func (c *DenialCache) Wait(now time.Time, key Key) time.Duration {
-	return max(0, c.until[key].Sub(now))
+	return max(0, c.deniedUntil[key].Sub(now))
 }
 
 // Add caches a refusal for the given wait, unless the cache is full of refusals that have not
 // expired.
 func (c *DenialCache) Add(now time.Time, key Key, wait time.Duration) {
-	if c.until == nil {
-		c.until = make(map[Key]time.Time)
+	if c.deniedUntil == nil {
+		c.deniedUntil = make(map[Key]time.Time)
 	}
-	if len(c.until) >= maxEntries {
-		maps.DeleteFunc(c.until, func(_ Key, until time.Time) bool { return !until.After(now) })
+	if len(c.deniedUntil) >= maxKeys {
+		maps.DeleteFunc(c.deniedUntil, func(_ Key, until time.Time) bool { return !until.After(now) })
 	}
-	if len(c.until) < maxEntries {
-		c.until[key] = now.Add(wait)
+	if len(c.deniedUntil) < maxKeys {
+		c.deniedUntil[key] = now.Add(wait)
 	}
 }
