--- a/quota/quota.go
+++ b/quota/quota.go
@@ -21,7 +21,7 @@
 //
 // # Usage
 //
-//	counter := quota.Counter{Since: started}           // at the owner
+//	counter := quota.Counter{Start: started}           // at the owner
 //	d := counter.Take(now, account, allowance, cost)
 //	if !d.Granted { refuse(d.Wait) }
 //	counter.Refund(now, account, allowance, cost, d.OverQuota) // if it was not executed
@@ -36,7 +36,7 @@
 	"jacinthworks/domain"
 )
 
-// Limit is a token-bucket limit. Its unit is that of the requests' cost.
+// Limit is a token-bucket limit, in the unit of the requests' cost.
 type Limit struct {
 	// Rate is refilled each second; Burst is the capacity of the bucket.
 	Rate, Burst float64
@@ -47,8 +47,8 @@
 	return Limit{Rate: l.Rate * fraction, Burst: l.Burst * fraction}
 }
 
-// Allowance is what an account may use: its quota, and the excess over it that operators
-// allow.
+// Allowance is how much an account may use: its quota, and the excess over the quota that
+// operators allow.
 type Allowance struct {
 	Quota, Excess Limit
 }
@@ -85,15 +85,15 @@
 	OverQuota bool `json:"over,omitempty"`
 	// Wait is the time until the account can be granted a request, if it was not granted.
 	Wait time.Duration `json:"wait"`
-	// Level is the remaining level of the bucket; a debt is negative.
+	// Level is the level of the bucket after the Take, in cost; a debt is negative.
 	Level float64 `json:"level"`
 }
 
 // Bucket is a token bucket. The zero value is empty, and starts to refill on first use.
 type Bucket struct {
-	level   float64
-	updated time.Time
-	// limit was in force at the last use; time since then is refilled at its rate.
+	level     float64
+	updatedAt time.Time
+	// limit was in force at the last use; the bucket refills at its rate since then.
 	limit Limit
 }
 
@@ -120,17 +120,17 @@
 }
 
 func (b *Bucket) refill(now time.Time, l Limit) {
-	if b.updated.IsZero() {
-		b.updated = now
+	if b.updatedAt.IsZero() {
+		b.updatedAt = now
 	}
 	if b.limit == (Limit{}) {
 		b.limit = l
 	}
-	b.level = min(b.level+b.limit.Rate*max(now.Sub(b.updated), 0).Seconds(), b.limit.Burst, l.Burst)
-	b.updated, b.limit = now, l
+	b.level = min(b.level+b.limit.Rate*max(now.Sub(b.updatedAt), 0).Seconds(), b.limit.Burst, l.Burst)
+	b.updatedAt, b.limit = now, l
 }
 
-// Counter enforces the allowances of accounts. Set Since first; it must not be copied. It is
+// Counter enforces the allowances of accounts. Set Start first; it must not be copied. It is
 // safe for concurrent use; its lock is a leaf lock, under which no other is acquired.
 type Counter struct {
 	// Start is the start of the process. What accounts used before is not known, so all
@@ -141,14 +141,14 @@
 	accounts map[domain.Account]*buckets
 }
 
-// buckets are the bucket of an account's total allowance and that of its quota.
+// buckets holds the bucket of an account's total allowance and the bucket of its quota.
 type buckets struct{ total, quota Bucket }
 
 // Take consumes the cost of a request from the account's allowance.
 func (c *Counter) Take(now time.Time, account domain.Account, a Allowance, cost float64) Decision {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	b := c.buckets(account)
+	b := c.bucketsOf(account)
 	d := b.total.Take(now, a.total(), cost)
 	if d.Granted {
 		d.OverQuota = !b.quota.Take(now, a.Quota, cost).Granted
@@ -161,19 +161,19 @@
 func (c *Counter) Refund(now time.Time, account domain.Account, a Allowance, cost float64, overQuota bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	b := c.buckets(account)
+	b := c.bucketsOf(account)
 	b.total.Refund(now, a.total(), cost)
 	if !overQuota {
 		b.quota.Refund(now, a.Quota, cost)
 	}
 }
 
-func (c *Counter) buckets(account domain.Account) *buckets {
+func (c *Counter) bucketsOf(account domain.Account) *buckets {
 	if c.accounts == nil {
 		c.accounts = make(map[domain.Account]*buckets)
 	}
 	if c.accounts[account] == nil {
-		c.accounts[account] = &buckets{total: Bucket{updated: c.Start}, quota: Bucket{updated: c.Start}}
+		c.accounts[account] = &buckets{total: Bucket{updatedAt: c.Start}, quota: Bucket{updatedAt: c.Start}}
 	}
 	return c.accounts[account]
 }
