--- a/search/queue.go
+++ b/search/queue.go
@@ -34,7 +34,7 @@
 // copied.
 type Queue struct {
 	// RetryAfter computes the delay after which refused requests should be retried, and
-	// Stagger that delay while all upstreams have requested a backoff.
+	// Stagger computes it while all upstreams have requested a backoff.
 	RetryAfter delay.RetryEstimator
 	Stagger    delay.Stagger
 
@@ -43,15 +43,16 @@
 	// grants has a channel for each queued request, on which it receives the turn (nil)
 	// or a refusal.
 	grants map[domain.RequestID]chan *queue.Refusal
-	// held says that a request holds the turn.
-	held   bool
-	random *rand.Rand
+	// turnHeld reports that a request holds the turn.
+	turnHeld bool
+	random   *rand.Rand
 	// freed receives a signal when capacity may have been freed.
 	freed chan struct{}
-	// timeToFirst is the smoothed time from the reservation of capacity to the first event.
-	timeToFirst time.Duration
-	// lastFull is when an engine last had no capacity for a request.
-	lastFull time.Time
+	// timeToFirstEvent is the smoothed time from the reservation of capacity to the first
+	// event of an answer's stream.
+	timeToFirstEvent time.Duration
+	// lastFullAt is when an engine last had no capacity for a request.
+	lastFullAt time.Time
 	// largeDemand is the decaying maximum of the requests' memory demands, in tokens.
 	largeDemand float64
 }
@@ -73,18 +74,19 @@
 	if q.byService[s] == nil {
 		q.byService[s] = &Queue{
 			grants: make(map[domain.RequestID]chan *queue.Refusal), random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
-			freed: make(chan struct{}, 1), timeToFirst: defaultTimeToFirst,
+			freed: make(chan struct{}, 1), timeToFirstEvent: defaultTimeToFirstEvent,
 		}
 	}
 	return q.byService[s]
 }
 
 const (
-	// defaultTimeToFirst is used until a stream has begun: a prompt of 3,000 tokens at 20
-	// tokens a ms, and one decode step.
-	defaultTimeToFirst = 170 * time.Millisecond
-	// smoothing is the weight of the previous average in each update.
-	smoothing = 0.8
+	// defaultTimeToFirstEvent is the first value of the average time to the first event: a
+	// prompt of 3,000 tokens at 20 tokens a ms, and one decode step.
+	defaultTimeToFirstEvent = 170 * time.Millisecond
+	// previousAverageWeight is the weight of the previous average time to the first event
+	// in each update.
+	previousAverageWeight = 0.8
 )
 
 const (
@@ -104,7 +106,7 @@
 func (q *Queue) RecordFull(now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.lastFull = now
+	q.lastFullAt = now
 }
 
 // Headroom returns how much memory, in tokens, a request must find free beyond its own
@@ -118,22 +120,22 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.largeDemand = max(demandDecay*q.largeDemand, float64(demand))
-	if q.lastFull.IsZero() || now.Sub(q.lastFull) > headroomTime {
+	if q.lastFullAt.IsZero() || now.Sub(q.lastFullAt) > headroomTime {
 		return 0
 	}
 	return int(headroomFraction * max(0, q.largeDemand-float64(demand)))
 }
 
 // RecordFirstEvent updates the average time from the reservation of capacity to the first
-// event.
+// event of an answer's stream.
 func (q *Queue) RecordFirstEvent(latency time.Duration) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.timeToFirst = time.Duration(smoothing*float64(q.timeToFirst) + (1-smoothing)*float64(latency))
+	q.timeToFirstEvent = time.Duration(previousAverageWeight*float64(q.timeToFirstEvent) + (1-previousAverageWeight)*float64(latency))
 }
 
 // Acquire waits until the request holds the turn. If it returns nil, Release must be called;
-// otherwise it returns the refusal. Until is when the request's wait expires.
+// otherwise it returns the refusal. The request's wait expires at until.
 func (q *Queue) Acquire(ctx context.Context, i queue.Item, until time.Time) *queue.Refusal {
 	grant, refusal := q.enqueue(i)
 	if grant == nil {
@@ -171,8 +173,8 @@
 	}
 	grant := make(chan *queue.Refusal, 1)
 	q.grants[i.ID] = grant
-	q.refuse(d.Shed)
-	if !q.held {
+	q.sendRefusals(d.Shed)
+	if !q.turnHeld {
 		q.grantNext(now)
 	}
 	return grant, nil
@@ -216,15 +218,15 @@
 			own = &r.Refusal
 			continue
 		}
-		q.refuse([]queue.Refused{r})
+		q.sendRefusals([]queue.Refused{r})
 	}
 	q.queue.Remove(now, i.ID)
 	return own
 }
 
-func (q *Queue) refuseExpired(now time.Time) { q.refuse(q.queue.RemoveExpired(now, q.random)) }
+func (q *Queue) refuseExpired(now time.Time) { q.sendRefusals(q.queue.RemoveExpired(now, q.random)) }
 
-func (q *Queue) refuse(items []queue.Refused) {
+func (q *Queue) sendRefusals(items []queue.Refused) {
 	for _, r := range items {
 		if grant := q.grants[r.Item.ID]; grant != nil {
 			delete(q.grants, r.Item.ID)
@@ -235,7 +237,7 @@
 
 func (q *Queue) grantNext(now time.Time) {
 	i, ok := q.queue.Dequeue(now, queue.AnyPrompt)
-	q.held = ok
+	q.turnHeld = ok
 	if ok {
 		grant := q.grants[i.ID]
 		delete(q.grants, i.ID)
@@ -255,9 +257,9 @@
 func (q *Queue) Freed() <-chan struct{} { return q.freed }
 
 // FirstEventLatency returns the average time from the reservation of capacity to the first
-// event.
+// event of an answer's stream.
 func (q *Queue) FirstEventLatency() time.Duration {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.timeToFirst
+	return q.timeToFirstEvent
 }
--- a/search/queue_test.go
+++ b/search/queue_test.go
@@ -12,8 +12,9 @@
 	"jacinthworks/queue"
 )
 
-// waiting returns an item whose wait expires after the given time, and when that is.
-func waiting(id string, wait time.Duration) (queue.Item, time.Time) {
+// itemExpiringAfter returns an item whose wait expires after the given time, and the time of its
+// expiry.
+func itemExpiringAfter(id string, wait time.Duration) (queue.Item, time.Time) {
 	until := time.Now().Add(wait)
 	return queue.Item{ID: domain.RequestID(id), Account: domain.Account(id), PromptTokens: 1000, FirstTokenDeadline: until, Deadline: until.Add(time.Minute)}, until
 }
@@ -24,11 +25,11 @@
 func TestExpireRefusesAllExpiredRequests(t *testing.T) {
 	var queues Queues
 	q := queues.For("model")
-	first, until := waiting("first", 30*time.Millisecond)
+	first, until := itemExpiringAfter("first", 30*time.Millisecond)
 	require.Nil(t, q.Acquire(t.Context(), first, until))
 	refusals := make(chan *queue.Refusal, 2)
 	for _, id := range []string{"second", "third"} {
-		i, _ := waiting(id, time.Until(until)) // no later than the first
+		i, _ := itemExpiringAfter(id, time.Until(until)) // no later than the first
 		i.FirstTokenDeadline = first.FirstTokenDeadline
 		grant, refusal := q.enqueue(i)
 		require.Nil(t, refusal)
@@ -47,7 +48,7 @@
 		}
 	}
 	q.Release()
-	next, until := waiting("next", time.Minute)
+	next, until := itemExpiringAfter("next", time.Minute)
 	require.Nil(t, q.Acquire(t.Context(), next, until), "the turn is granted again")
 }
 
@@ -56,12 +57,12 @@
 func TestCancelOfGrantedRequestPassesTurnOn(t *testing.T) {
 	var queues Queues
 	q := queues.For("model")
-	first, until := waiting("first", time.Minute)
+	first, until := itemExpiringAfter("first", time.Minute)
 	require.Nil(t, q.Acquire(t.Context(), first, until))
-	second, _ := waiting("second", time.Minute)
+	second, _ := itemExpiringAfter("second", time.Minute)
 	grant, refusal := q.enqueue(second)
 	require.Nil(t, refusal)
-	third, until := waiting("third", time.Minute)
+	third, until := itemExpiringAfter("third", time.Minute)
 	acquired := make(chan *queue.Refusal, 1)
 	go func() { acquired <- q.Acquire(t.Context(), third, until) }()
 	require.Eventually(t, func() bool {
