--- a/paths/holder.go
+++ b/paths/holder.go
@@ -11,9 +11,9 @@
 // Holder holds the configuration in force. The zero value holds none; it must not be copied.
 // It is safe for concurrent use; its lock is a leaf lock, under which no other is acquired.
 type Holder struct {
-	mu      sync.Mutex
-	current atomic.Pointer[Config]
-	since   atomic.Pointer[time.Time]
+	mu           sync.Mutex
+	current      atomic.Pointer[Config]
+	inForceSince atomic.Pointer[time.Time]
 }
 
 // Update puts a configuration in force if its version is higher than the present one, and
@@ -29,18 +29,19 @@
 	if current := h.current.Load(); current != nil && c.Version <= current.Version {
 		return false, nil
 	}
-	c.index()
+	c.buildIndexes()
 	h.current.Store(c)
-	h.since.Store(&now)
+	h.inForceSince.Store(&now)
 	return true, c.Check()
 }
 
-// Current returns the configuration in force, or nil until one is known.
+// Current returns the configuration in force, or nil before the first Update.
 func (h *Holder) Current() *Config { return h.current.Load() }
 
-// Since returns when this process put the present configuration in force, or the zero time.
+// Since returns when this process put the present configuration in force, or the zero time
+// before the first Update.
 func (h *Holder) Since() time.Time {
-	if at := h.since.Load(); at != nil {
+	if at := h.inForceSince.Load(); at != nil {
 		return *at
 	}
 	return time.Time{}
--- a/paths/paths.go
+++ b/paths/paths.go
@@ -26,10 +26,11 @@
 // Version is the version of a configuration. Versions increase, not necessarily by one.
 type Version uint64
 
-// Kind says how often a route's requests may be executed, and how they are answered.
+// Kind is the kind of a route's requests: how often each may be executed, and how it is
+// answered.
 type Kind string
 
-// The kinds.
+// The kinds of a route's requests.
 const (
 	// Idempotent requests may be executed more than once.
 	Idempotent Kind = "idempotent"
@@ -137,10 +138,10 @@
 	Accounts []Account
 	Limits   Limits
 
-	byHost    map[string][]*Route
-	byKey     map[string]*Account
-	byAccount map[domain.Account]*Account
-	services  map[domain.Service]*Service
+	byHost        map[string][]*Route
+	byKey         map[string]*Account
+	byAccount     map[domain.Account]*Account
+	serviceByName map[domain.Service]*Service
 }
 
 // Check returns the errors in the configuration.
@@ -172,8 +173,8 @@
 	return append(f, c.checkAccounts()...)
 }
 
-// checkAccounts identifies keys by account and index and never quotes one, since findings are
-// logged.
+// checkAccounts returns the errors in the accounts. It identifies keys by account and index
+// and never quotes one, since findings are logged.
 func (c *Config) checkAccounts() check.Findings {
 	var f check.Findings
 	accountOfKey := make(map[string]domain.Account)
@@ -195,13 +196,13 @@
 	return f
 }
 
-// index builds the maps for lookups. Routes without services are omitted, so that the other
-// routes can be served.
-func (c *Config) index() {
+// buildIndexes builds the maps for lookups. Routes without services are omitted, so that
+// the other routes can be served.
+func (c *Config) buildIndexes() {
 	c.byHost = make(map[string][]*Route)
-	c.services = make(map[domain.Service]*Service)
+	c.serviceByName = make(map[domain.Service]*Service)
 	for i := range c.Services {
-		c.services[c.Services[i].Name] = &c.Services[i]
+		c.serviceByName[c.Services[i].Name] = &c.Services[i]
 	}
 	c.byKey = make(map[string]*Account)
 	c.byAccount = make(map[domain.Account]*Account)
@@ -236,7 +237,7 @@
 }
 
 // Service returns a service by name, or nil.
-func (c *Config) Service(name domain.Service) *Service { return c.services[name] }
+func (c *Config) Service(name domain.Service) *Service { return c.serviceByName[name] }
 
 // hostname returns the lower-case host name of a Host header, without the port.
 func hostname(host string) string {
