--- a/admit/admit.go
+++ b/admit/admit.go
@@ -69,7 +69,8 @@
 type Demand struct {
 	// Requests is the number of slots; 1 for a decode.
 	Requests int `json:"requests"`
-	// Tokens is KV memory (prompt and answer) for a decode, and work for a prefill.
+	// Tokens is KV memory (prompt and answer) for a decode, and work for a prefill, both counted
+	// in tokens.
 	Tokens int `json:"tokens"`
 }
 
@@ -77,8 +78,8 @@
 type Limits struct {
 	Requests int `json:"requests"`
 	Tokens   int `json:"tokens"`
-	// QueuedOnly makes Tokens a bound on what is already reserved and not on the sum with the
-	// new demand, which may be of any size. It is for prefill queues: a prompt longer than
+	// QueuedOnly makes Tokens a bound on the tokens that are already reserved and not on their
+	// sum with the new demand, which may be of any size. It is for prefill queues: a prompt longer than
 	// the bound must be admitted when nothing waits.
 	QueuedOnly bool `json:"ahead,omitempty"`
 }
@@ -86,7 +87,7 @@
 // Capacity is the free capacity of an engine and the number of its reservations.
 type Capacity struct {
 	// FreeRequests and FreeTokens are the slots and tokens that are not reserved. They are
-	// negative after the limits were lowered below what is reserved.
+	// negative after the limits were lowered below the reserved capacity.
 	FreeRequests int `json:"free_requests"`
 	FreeTokens   int `json:"free_tokens"`
 	// Unconfirmed is the number of unconfirmed reservations, Confirmed that of confirmed ones.
@@ -202,7 +203,7 @@
 	return true
 }
 
-// Overdue returns the keys of the confirmed reservations whose time has passed, in order. Their
+// Overdue returns the keys of the confirmed reservations whose time has passed, sorted. Their
 // memory is still in use at the engine: cancel the work there, then call Release.
 func (l *Ledger) Overdue(now time.Time) []Key {
 	var keys []Key
