--- a/domain/execution.go
+++ b/domain/execution.go
@@ -6,8 +6,8 @@
 	"github.com/pkg/errors"
 )
 
-// Merge combines whether each of two attempts ran into one value: DidRun if either ran, else
-// Unknown if either may have run, else NotRun.
+// Merge returns the more severe of two values: DidRun, then Unknown, then NotRun. A missing
+// value is as severe as Unknown.
 func (r Execution) Merge(o Execution) Execution {
 	if o.severity() > r.severity() {
 		return o
@@ -15,7 +15,8 @@
 	return r
 }
 
-// severity ranks the values of Execution for Merge, from 0 for NotRun to 2 for DidRun.
+// severity ranks the values of Execution for Merge, from 0 for NotRun to 2 for DidRun; a missing
+// value ranks as Unknown.
 func (r Execution) severity() int {
 	switch r {
 	case NotRun:
