--- a/fence/fence.go
+++ b/fence/fence.go
@@ -156,7 +156,7 @@
 	hasRead     bool
 	firstEra    uint64
 	unconfirmed map[uint64]time.Time // send times of this process's writes with unknown outcome, by nonce
-	retryAt     time.Time            // no request to the platform is sent before
+	retryAt     time.Time            // no request to the platform is sent before this time
 }
 
 // Next returns the action that the caller must perform now to acquire or keep the lease.
