--- a/claim/apply_record.go
+++ b/claim/apply_record.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// Apply replaces the owner's record by a newer one. An owner continues at its epoch of the
-// new record. It hands its table to the rank 0 process instead if that is another process
-// and either live reports that it is reachable or this process is no longer a member. Under
-// the first record of a service, rank 0 starts to own the shard at once. In every other
-// case the caller decides when to call Start. A nil live counts as false: its result
-// decides where the shard is owned, never whether a key may run twice.
-func (o *Owner) Apply(record Record, live func(Process) bool, now time.Time) error {
+// Apply replaces the owner's record by a newer one. An owner continues at its next epoch
+// under the new record. It hands its table to the rank 0 process instead if that is another
+// process and either isLive reports that it is reachable or this process is no longer a
+// member. Under the first record of a service, rank 0 starts to own the shard at once. In
+// every other case the caller decides when to call Start. A nil isLive counts as false: its
+// result decides where the shard is owned, never whether a key may run twice.
+func (o *Owner) Apply(record Record, isLive func(Process) bool, now time.Time) error {
 	for _, p := range endedProcesses(record) {
 		o.MarkLost(p, now)
 	}
@@ -20,7 +20,7 @@
 	}
 	first := record.Ranked(o.Shard)[0].Process()
 	_, member := record.Rank(o.Shard, o.Self)
-	handsOver := first != o.Self && (!member || live != nil && live(first))
+	handsOver := first != o.Self && (!member || isLive != nil && isLive(first))
 	if o.phase == phaseComplete && handsOver {
 		o.Retire(first, Epoch{Version: record.Version}, now)
 		return nil
--- a/claim/bench_test.go
+++ b/claim/bench_test.go
@@ -81,13 +81,13 @@
 	var memory, message float64
 	for range b.N {
 		o, runner := benchOwner(b)
-		before := heap()
+		before := liveHeapBytes()
 		for i := range keys {
 			if _, err := o.Claim(benchRequest(i, runner), modelNow); err != nil {
 				b.Fatal(err)
 			}
 		}
-		memory += (heap() - before) / keys
+		memory += (liveHeapBytes() - before) / keys
 		message += jsonBytes(b, o) / keys
 	}
 	b.ReportMetric(memory/float64(b.N), "owner_B/key")
@@ -101,9 +101,9 @@
 	return float64(len(text))
 }
 
-// heap returns the bytes of live heap objects. It collects garbage twice, because sync.Pool
-// releases its contents only in the second cycle.
-func heap() float64 {
+// liveHeapBytes returns the bytes of live heap objects. It collects garbage twice, because
+// sync.Pool releases its contents only in the second cycle.
+func liveHeapBytes() float64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.GC()
--- a/claim/claim.go
+++ b/claim/claim.go
@@ -80,7 +80,8 @@
 	return string(t.Request) + "/" + strconv.FormatUint(uint64(t.Attempt), 10)
 }
 
-// Limits bounds what a shard remembers. A zero field stands for its default.
+// Limits bounds how many keys a shard remembers, and how long. A zero field stands for its
+// default.
 type Limits struct {
 	// Retention is how long a key is remembered after it was settled. No message may be
 	// delayed longer than this. Default: DefaultRetention.
--- a/claim/fleet_test.go
+++ b/claim/fleet_test.go
@@ -83,7 +83,7 @@
 	f.publish(next)
 }
 
-// deliver passes messages to their receivers and delivers the messages that result.
+// deliver passes messages to their receivers, and so on the messages that these send in reply.
 func (f *fleet) deliver(out Outbox) {
 	for _, o := range out.Fences {
 		l := f.ledgers[o.To.Host]
--- a/claim/key_table.go
+++ b/claim/key_table.go
@@ -6,23 +6,24 @@
 	"jacinthworks/domain"
 )
 
-// storedKey is what an owner or a runner remembers of a key.
+// storedKey is the record of one key at an owner or a runner: the key's attempt and the state
+// of that attempt.
 type storedKey struct {
-	attempt AttemptID
-	body    BodyHash
-	runner  Process
-	state   State
-	at      time.Time // of the last change of state
+	attempt   AttemptID
+	body      BodyHash
+	runner    Process
+	state     State
+	changedAt time.Time // time of the last change of state
 }
 
 // toEntry returns the key in the form in which messages carry it.
 func (k storedKey) toEntry(key Key, now time.Time) Entry {
 	return Entry{Key: key, Try: k.attempt, Body: k.body, Runner: k.runner, State: k.state,
-		Age: max(0, now.Sub(k.at))}
+		Age: max(0, now.Sub(k.changedAt))}
 }
 
-// execution returns what a caller may be told about a remembered key.
-func (k storedKey) execution() domain.Execution {
+// knownExecution returns whether a remembered key ran, as far as this process may tell a caller.
+func (k storedKey) knownExecution() domain.Execution {
 	if k.state == StateRan {
 		return domain.DidRun
 	}
@@ -32,8 +33,8 @@
 // expired reports whether the key may be forgotten. A granted key never expires: its
 // request may still be running after any time, and a forgotten key would let a repeated
 // request run beside it.
-func (k storedKey) expired(now time.Time, keep time.Duration) bool {
-	return k.state != StateGranted && now.Sub(k.at) > keep
+func (k storedKey) expired(now time.Time, retention time.Duration) bool {
+	return k.state != StateGranted && now.Sub(k.changedAt) > retention
 }
 
 // keyTable holds the remembered keys of one shard. The zero value is empty.
@@ -59,10 +60,10 @@
 		e.Try, e.Runner, e.State, e.Age = AttemptID{}, Process{}, StateUnknown, 0
 	}
 	t[e.Key] = storedKey{attempt: e.Try, body: e.Body, runner: e.Runner, state: e.State,
-		at: now.Add(-max(0, e.Age))}
+		changedAt: now.Add(-max(0, e.Age))}
 }
 
-// severity orders states by how much they forbid: ran, then unknown, then granted.
+// severity ranks states by how much they forbid: ran is highest, then unknown, then granted.
 func severity(s State) int {
 	switch s {
 	case StateRan:
@@ -83,7 +84,7 @@
 	case StateNotRun:
 		delete(t, resolution.Key)
 	case StateRan, StateUnknown:
-		stored.state, stored.at = resolution.State, now
+		stored.state, stored.changedAt = resolution.State, now
 		t[resolution.Key] = stored
 	}
 }
@@ -92,7 +93,7 @@
 func (t keyTable) markEnded(p Process, now time.Time) {
 	for key, k := range t {
 		if k.runner == p && k.state == StateGranted {
-			k.state, k.at = StateUnknown, now
+			k.state, k.changedAt = StateUnknown, now
 			t[key] = k
 		}
 	}
@@ -109,10 +110,10 @@
 	return list
 }
 
-// expire forgets the keys that were settled longer than keep ago.
-func (t keyTable) expire(now time.Time, keep time.Duration) {
+// removeExpired forgets the keys that were settled longer ago than the retention.
+func (t keyTable) removeExpired(now time.Time, retention time.Duration) {
 	for k, r := range t {
-		if r.expired(now, keep) {
+		if r.expired(now, retention) {
 			delete(t, k)
 		}
 	}
--- a/claim/ledger.go
+++ b/claim/ledger.go
@@ -16,7 +16,7 @@
 type Ledger struct {
 	// Self is the process that the ledger belongs to.
 	Self Process
-	// Limits bounds what each shard remembers.
+	// Limits bounds how many keys each shard remembers, and how long.
 	Limits Limits
 	// Live reports whether a process is believed to be reachable. When the record changes,
 	// an owner hands its shard to the rank 0 process if Live reports true for it. May be
@@ -95,10 +95,10 @@
 	return out, nil
 }
 
-// TakeOver starts to own a shard at the process's next turn. Call it when no peer has
-// reported to own the shard for a time that grows with the rank of this process. An
-// unnecessary call costs one round of fence requests and stops no grant that a runner has
-// already accepted.
+// TakeOver starts to own a shard at the next epoch that the record assigns to this process.
+// Call it when no peer has reported to own the shard for a time that grows with the rank of
+// this process. An unnecessary call costs one round of fence requests and stops no grant
+// that a runner has already accepted.
 func (l *Ledger) TakeOver(number Shard, now time.Time) (Outbox, error) {
 	record := l.Record()
 	s, err := l.lockShard(number)
--- a/claim/ledger_messages.go
+++ b/claim/ledger_messages.go
@@ -6,10 +6,11 @@
 	"github.com/pkg/errors"
 )
 
-// The methods below find the shard of a message and call the method of the same name of its
-// Owner or Runner, which documents the behaviour.
+// The methods below find the shard of a message and call the method of the same name of the
+// shard's Owner or Runner, which documents the behaviour.
 
-// Claim asks this process as the owner; see Owner.Claim.
+// Claim requests a grant for a key from this process, as the owner of its shard; see
+// Owner.Claim.
 func (l *Ledger) Claim(request Request, now time.Time) (Grant, error) {
 	s, err := l.lockShard(request.Key.Shard())
 	if err != nil {
@@ -42,11 +43,12 @@
 	return nil
 }
 
-// Accept marks the key as handed over; see Runner.Accept.
+// Accept marks the key of a dispatch as handed over to this process's upstream; see
+// Runner.Accept.
 func (l *Ledger) Accept(dispatch Dispatch, now time.Time) error {
 	number := dispatch.Token.Key.Shard()
 	if dispatch.Token.Shard != number {
-		return errors.Errorf("claim: stamp of shard %d for a key of shard %d", dispatch.Token.Shard, number)
+		return errors.Errorf("claim: check dispatch: token of shard %d for a key of shard %d", dispatch.Token.Shard, number)
 	}
 	s, err := l.lockShard(number)
 	if err != nil {
@@ -76,7 +78,8 @@
 	return s.runner.Status(request, now)
 }
 
-// Fence raises this process's fence and lists its keys.
+// Fence raises this process's fence in one shard and lists the keys that it remembers there
+// as runner.
 func (l *Ledger) Fence(request FenceRequest, now time.Time) (FenceReply, error) {
 	s, err := l.lockShard(request.Shard)
 	if err != nil {
@@ -102,7 +105,7 @@
 	return s.owner.Pending(now), nil
 }
 
-// Restore stores the keys of removed runners.
+// Restore stores the keys of removed runners at this process; see Runner.Restore.
 func (l *Ledger) Restore(request RestoreRequest, now time.Time) (RestoreReply, error) {
 	s, err := l.lockShard(request.Shard)
 	if err != nil {
--- a/claim/message.go
+++ b/claim/message.go
@@ -9,7 +9,7 @@
 // State is the state of one attempt.
 type State uint8
 
-// The states of an attempt. The zero State means that nothing is known about the attempt.
+// The states of an attempt. The zero State means that no state of the attempt is recorded.
 const (
 	// StateGranted: granted by the owner, or handed to the upstream by the runner, and not
 	// ended yet.
@@ -75,7 +75,8 @@
 	Token   Token     `json:"stamp"`
 	Attempt AttemptID `json:"try"`
 	Body    BodyHash  `json:"body"`
-	// Heir is the runner that the grant names. Another incarnation refuses the dispatch.
+	// To is the runner that the grant names. Another incarnation of its host refuses the
+	// dispatch.
 	To Process `json:"to"`
 }
 
@@ -107,8 +108,8 @@
 	// Before is the epoch at which the fence stood before it was raised to Epoch; it is the
 	// same in each reply for one Epoch.
 	Before Epoch `json:"before"`
-	// RestoredVersion is the record's version up to which this incarnation holds its part
-	// of the keys that may have run; zero for a restarted runner that has not been
+	// RestoredVersion is the record's version up to which this incarnation's list of keys
+	// that may have run counts as complete; zero for a restarted runner that has not been
 	// restored.
 	RestoredVersion uint64  `json:"vouched"`
 	Entries         []Entry `json:"entries,omitempty"`
@@ -156,7 +157,7 @@
 	State   State     `json:"state"`
 }
 
-// Outbox holds messages to send; each names its receiver in To. Messages may be lost,
+// Outbox holds messages to send; each names its receiver, in To or in Heir. Messages may be lost,
 // repeated and reordered.
 type Outbox struct {
 	Fences    []FenceRequest
--- a/claim/model_intern_test.go
+++ b/claim/model_intern_test.go
@@ -49,8 +49,8 @@
 // sorts maps, so that equal nodes print the same.
 func (c *checker) intern(n node) int32 {
 	o, r := &n.owner, &n.runner
-	key := fmt.Sprint(n.record, o.Self, o.epoch, o.observed, o.phase, o.replies, o.ended, o.keys, o.inherited, o.inheritedFrom, o.handover,
-		r.fence, r.previousFence, r.restoredVersion, r.keys, r.restored, r.blocked)
+	key := fmt.Sprint(n.record, o.Self, o.epoch, o.newestObserved, o.phase, o.replies, o.endedAt, o.keys, o.inherited, o.inheritedFrom, o.handover,
+		r.fence, r.previousFence, r.restoredVersion, r.keys, r.restored, r.blockedAt)
 	id, interned := c.nodeIDs[key]
 	if !interned {
 		id = int32(len(c.nodes))
@@ -63,12 +63,12 @@
 func (c *checker) copyNode(id int32) node {
 	n := c.nodes[id]
 	n.owner.replies = cloneMap(n.owner.replies)
-	n.owner.ended = cloneMap(n.owner.ended)
+	n.owner.endedAt = cloneMap(n.owner.endedAt)
 	n.owner.keys = cloneMap(n.owner.keys)
 	n.owner.inherited = cloneMap(n.owner.inherited)
 	n.runner.keys = cloneMap(n.runner.keys)
 	n.runner.restored = cloneMap(n.runner.restored)
-	n.runner.blocked = cloneMap(n.runner.blocked)
+	n.runner.blockedAt = cloneMap(n.runner.blockedAt)
 	return n
 }
 
@@ -90,7 +90,7 @@
 		key := [3]int32{set, int32(host), id}
 		next, cached := c.dropped[key]
 		if !cached {
-			next = c.without(set, host, &c.nodes[id])
+			next = c.withoutStale(set, host, &c.nodes[id])
 			c.dropped[key] = next
 		}
 		set = next
@@ -98,8 +98,8 @@
 	return set
 }
 
-// without removes from the set the stale messages to the host.
-func (c *checker) without(set int32, host int, n *node) int32 {
+// withoutStale returns the set of messages without the stale messages to the host.
+func (c *checker) withoutStale(set int32, host int, n *node) int32 {
 	ids := c.sets[set]
 	isStale := func(id uint16) bool {
 		e := c.messages[id]
--- a/claim/model_scenarios_test.go
+++ b/claim/model_scenarios_test.go
@@ -5,9 +5,10 @@
 	"testing"
 )
 
-// states bounds each search that must find no violation. The default fits CI under the race
-// detector; docs/claims.md lists the runs that ended before they reached the bound.
-var states = flag.Int("claim.states", 40_000, "states to visit in each search of the claim model")
+// maxStatesFlag bounds each search that must find no violation. The default fits CI under
+// the race detector; docs/claims.md lists the runs that ended before they reached the
+// bound.
+var maxStatesFlag = flag.Int("claim.states", 40_000, "states to visit in each search of the claim model")
 
 var (
 	stable    = members(1, 1, 1)
@@ -52,7 +53,7 @@
 func TestModelHandsEachKeyOverAtMostOnce(t *testing.T) {
 	t.Parallel()
 	for _, s := range modelScenarios() {
-		s.maxStates = *states
+		s.maxStates = *maxStatesFlag
 		t.Run(s.name, func(t *testing.T) {
 			t.Parallel()
 			requireSafe(t, s)
@@ -69,22 +70,22 @@
 		// A paused owner's dispatch arrives after its successor granted the key.
 		{name: "fence", disabled: disabledGuards{fence: true}, records: recordsOf(stable), takeoverHosts: []int{1}},
 		// A dispatch arrives after its runner reported the attempt as "not run".
-		{name: "refusal", disabled: disabledGuards{block: true}, records: recordsOf(stable), takeoverHosts: []int{1}},
+		{name: "block", disabled: disabledGuards{block: true}, records: recordsOf(stable), takeoverHosts: []int{1}},
 		// A successor grants the key before the runner that lists it has replied.
-		{name: "view", disabled: disabledGuards{allReplies: true}, records: recordsOf(stable), takeoverHosts: []int{1}},
+		{name: "allReplies", disabled: disabledGuards{allReplies: true}, records: recordsOf(stable), takeoverHosts: []int{1}},
 		// A restarted runner's empty list counts as complete.
-		{name: "vouched", disabled: disabledGuards{restored: true}, records: restarted, restarts: []int{2}, takeoverHosts: []int{1}},
+		{name: "restored", disabled: disabledGuards{restored: true}, records: restarted, restarts: []int{2}, takeoverHosts: []int{1}},
 		// A restarted runner answers a message to its earlier incarnation.
-		{name: "address", disabled: disabledGuards{incarnation: true}, records: restarted, restarts: []int{2}, takeoverHosts: []int{1}},
+		{name: "incarnation", disabled: disabledGuards{incarnation: true}, records: restarted, restarts: []int{2}, takeoverHosts: []int{1}},
 		// A runner restarts, then the owner that lists its keys dies.
 		{name: "orphans", disabled: disabledGuards{orphans: true}, records: restarted, restarts: []int{2}, runners: []int{2}, takeoverHosts: []int{1}},
 		// Two processes receive the same table at a planned stop.
-		{name: "heir", disabled: disabledGuards{singleHandover: true}, records: recordsOf(stable), mayRetire: true, takeoverHosts: []int{1, 2}},
+		{name: "singleHandover", disabled: disabledGuards{singleHandover: true}, records: recordsOf(stable), mayRetire: true, takeoverHosts: []int{1, 2}},
 		// An owner continues under a new record after a successor took over.
 		{name: "successor", disabled: disabledGuards{successor: true}, records: unchanged, takeoverHosts: []int{1}},
 		// As before, and a runner that the successor had fenced acknowledges the owner's
 		// fence.
-		{name: "before", disabled: disabledGuards{stepEpoch: true}, records: unchanged, takeoverHosts: []int{1}},
+		{name: "stepEpoch", disabled: disabledGuards{stepEpoch: true}, records: unchanged, takeoverHosts: []int{1}},
 	} {
 		s.attempts, s.maxStates = 2, 1_000_000
 		t.Run(s.name, func(t *testing.T) {
--- a/claim/model_steps_test.go
+++ b/claim/model_steps_test.go
@@ -91,7 +91,7 @@
 	}
 	attempt := modelAttempt(int(v.claims))
 	for _, m := range c.records[c.nodes[v.node].record].Members {
-		if !slices.Contains(c.runners, index(m.Process())) {
+		if !slices.Contains(c.runners, hostIndex(m.Process())) {
 			continue
 		}
 		n := c.copyNode(v.node)
@@ -100,7 +100,7 @@
 			continue
 		}
 		e := effect{claim: true, what: fmt.Sprintf("%c grants %s to %s at %s", 'a'+host, attempt, m.Host, g.Token.Epoch)}
-		c.send(&e, index(g.Runner), Dispatch{Token: g.Token, Attempt: g.Try, To: g.Runner})
+		c.send(&e, hostIndex(g.Runner), Dispatch{Token: g.Token, Attempt: g.Try, To: g.Runner})
 		list = append(list, c.finishEffect(&e, n))
 	}
 	return list
@@ -171,20 +171,20 @@
 	case FenceRequest:
 		reply, err := n.runner.Fence(m, modelNow)
 		if refused, ok := err.(*Refusal); ok {
-			c.send(&e, index(m.Owner), superseded{refused.Epoch})
+			c.send(&e, hostIndex(m.Owner), superseded{refused.Epoch})
 			return []effect{c.finishEffect(&e, n)}
 		}
 		if err != nil {
 			return nil
 		}
-		c.send(&e, index(m.Owner), reply)
+		c.send(&e, hostIndex(m.Owner), reply)
 	case RestoreRequest:
 		reply, err := n.runner.Restore(m, modelNow)
 		if err != nil {
 			return nil
 		}
 		owner, _ := c.records[m.Epoch.Version-1].Holder(c.shard, m.Epoch)
-		c.send(&e, index(owner), reply)
+		c.send(&e, hostIndex(owner), reply)
 	case FenceReply:
 		n.owner.Fenced(m, modelNow)
 	case RestoreReply:
@@ -211,7 +211,7 @@
 	} else if refusal, ok := err.(*Refusal); ok && refusal.AttemptNotRun {
 		c.sendResolution(&e, Resolution{Key: modelKey, Attempt: d.Attempt, State: StateNotRun})
 		if c.rounds > 0 && refusal.Code == CodeFenced {
-			c.send(&e, index(d.Token.Owner), superseded{refusal.Epoch})
+			c.send(&e, hostIndex(d.Token.Owner), superseded{refusal.Epoch})
 		}
 	}
 	return c.finishEffect(&e, n)
--- a/claim/model_test.go
+++ b/claim/model_test.go
@@ -66,25 +66,26 @@
 	maxStates int // number of states to visit
 }
 
-// effect is what one event does to one node and to the world. An effect is computed once
+// effect is the change that one event makes to one node and to the world. An effect is computed once
 // for each pair of node and event.
 type effect struct {
 	node       int32
 	sent       []uint16
-	what       string
-	claim      bool  // an attempt was claimed
-	handedOver uint8 // attempts handed to an upstream
-	ended      uint8 // attempts that ended as not run after they were handed over
-	notRun     uint8 // attempts reported as "not run"
+	what       string // the event, as the trace prints it
+	claim      bool   // an attempt was claimed
+	handedOver uint8  // attempts handed to an upstream
+	ended      uint8  // attempts that ended as not run after they were handed over
+	notRun     uint8  // attempts reported as "not run"
 }
 
-// step is how a state was first reached: from the state with index parent, by the event what.
+// step is how a state was first reached: from the state with index parent, by the event
+// that what describes.
 type step struct {
 	parent int32
 	what   string
 }
 
-// event is what may happen to a node: the arrival of a message, or a step of its own while
+// event is an event that may happen to a node: the arrival of a message, or a step of its own while
 // the platform holds a record and a number of attempts were claimed.
 type event struct {
 	node           int32
@@ -155,7 +156,7 @@
 		list = append(list, c.newNode(m.Process()))
 	}
 	if !c.fromStart {
-		establish(list, c.records[0])
+		ownAtFirstEpoch(list, c.records[0])
 	}
 	for i, n := range list {
 		w.nodes[i] = c.intern(n)
@@ -164,8 +165,8 @@
 	return c
 }
 
-// establish makes a the owner at epoch 1.0 with a complete table.
-func establish(nodes []node, record Record) {
+// ownAtFirstEpoch makes a the owner at epoch 1.0 with a complete table.
+func ownAtFirstEpoch(nodes []node, record Record) {
 	for i := range nodes {
 		nodes[i].record = 0
 		nodes[i].runner.Apply(record)
@@ -174,7 +175,7 @@
 		}
 	}
 	for _, o := range nodes[0].owner.Pending(modelNow).Fences {
-		reply, err := nodes[index(o.To)].runner.Fence(o, modelNow)
+		reply, err := nodes[hostIndex(o.To)].runner.Fence(o, modelNow)
 		if err != nil {
 			panic(err)
 		}
@@ -204,13 +205,13 @@
 func (c *checker) finishEffect(e *effect, n node) effect {
 	outbox := n.owner.Pending(modelNow)
 	for _, m := range outbox.Fences {
-		c.send(e, index(m.To), m)
+		c.send(e, hostIndex(m.To), m)
 	}
 	for _, m := range outbox.Restores {
-		c.send(e, index(m.To), m)
+		c.send(e, hostIndex(m.To), m)
 	}
 	for _, m := range outbox.Handovers {
-		c.send(e, index(m.Heir), m)
+		c.send(e, hostIndex(m.Heir), m)
 	}
 	e.node = c.intern(n)
 	return *e
@@ -240,8 +241,8 @@
 	c.push(w, parent, e.what)
 }
 
-// index returns the index of the process's host: 0 for host a.
-func index(p Process) int { return int(p.Host[0] - 'a') }
+// hostIndex returns the index of the process's host: 0 for host a.
+func hostIndex(p Process) int { return int(p.Host[0] - 'a') }
 
 func modelAttempt(i int) AttemptID {
 	return AttemptID{Request: domain.RequestID(rune('0' + i)), Attempt: 1}
--- a/claim/owner.go
+++ b/claim/owner.go
@@ -7,7 +7,7 @@
 	"jacinthworks/domain"
 )
 
-// phase is the state of an ownership.
+// phase is the state of an owner's ownership of its shard.
 type phase uint8
 
 const (
@@ -17,7 +17,7 @@
 	phaseRetired               // handed the table over; grants nothing more
 )
 
-// runnerState is what a runner replied to this epoch's fence and restore requests.
+// runnerState holds a runner's replies to this epoch's fence and restore requests.
 type runnerState struct {
 	previousFence   Epoch  // where the runner's fence stood before this epoch
 	restoredVersion uint64 // record version up to which the runner's list is complete
@@ -32,20 +32,20 @@
 	Self Process
 	// Shard is the owner's shard.
 	Shard Shard
-	// Limits bounds what the owner remembers.
+	// Limits bounds how many keys the owner remembers, and how long.
 	Limits Limits
 
-	epoch         Epoch
-	observed      Epoch // the newest epoch reported by other processes
-	phase         phase
-	runnerSets    []runnerSet // eligible runners, newest version first
-	replies       map[Process]runnerState
-	ended         map[Process]time.Time // when MarkLost first recorded the end of a process
-	keys          keyTable              // in use, or being collected from the runners' lists
-	inherited     keyTable              // the table of epoch inheritedFrom, not validated for this epoch yet
-	inheritedFrom Epoch                 // zero if there is no inherited table
-	handover      Handover              // what Retire assigned, without its entries
-	disabled      disabledGuards
+	epoch          Epoch
+	newestObserved Epoch // the newest epoch reported by other processes
+	phase          phase
+	runnerSets     []runnerSet // eligible runners, newest version first
+	replies        map[Process]runnerState
+	endedAt        map[Process]time.Time // when MarkLost first recorded the end of a process
+	keys           keyTable              // the table in use, or the one being collected from the runners' lists
+	inherited      keyTable              // the table of epoch inheritedFrom, not validated for this epoch yet
+	inheritedFrom  Epoch                 // zero if there is no inherited table
+	handover       Handover              // the handover that Retire assigned to an heir, without its entries
+	disabled       disabledGuards
 }
 
 // Epoch returns the owner's epoch and reports whether its table is complete.
@@ -78,7 +78,7 @@
 		return Grant{}, o.refuse(CodeFull)
 	}
 	o.keys[request.Key] = storedKey{attempt: request.Attempt, body: request.Body, runner: request.Runner,
-		state: StateGranted, at: now}
+		state: StateGranted, changedAt: now}
 	token := Token{Shard: o.Shard, Key: request.Key, Epoch: o.epoch, Owner: o.Self}
 	return Grant{Token: token, Try: request.Attempt, Runner: request.Runner}, nil
 }
@@ -86,7 +86,7 @@
 // refuseListed returns the refusal of a key that the table lists.
 func (o *Owner) refuseListed(request Request, stored storedKey) *Refusal {
 	refusal := o.refuse(CodeInProgress)
-	refusal.Attempt, refusal.Runner, refusal.Ran = stored.attempt, stored.runner, stored.execution()
+	refusal.Attempt, refusal.Runner, refusal.Ran = stored.attempt, stored.runner, stored.knownExecution()
 	refusal.AttemptNotRun = stored.attempt != request.Attempt
 	switch {
 	case stored.body != request.Body:
@@ -122,11 +122,11 @@
 // key that the ended process ran has to be remembered any longer, and the table is complete
 // without its list.
 func (o *Owner) MarkLost(p Process, now time.Time) {
-	if o.ended == nil {
-		o.ended = map[Process]time.Time{}
+	if o.endedAt == nil {
+		o.endedAt = map[Process]time.Time{}
 	}
-	if _, listed := o.ended[p]; !listed {
-		o.ended[p] = now
+	if _, listed := o.endedAt[p]; !listed {
+		o.endedAt[p] = now
 	}
 	o.keys.markEnded(p, now)
 	o.inherited.markEnded(p, now)
@@ -136,8 +136,8 @@
 // safety does not depend on it, as the fences hold without it. A table that was assigned to
 // an heir is kept for the heir.
 func (o *Owner) Superseded(e Epoch) {
-	if o.observed.Less(e) {
-		o.observed = e
+	if o.newestObserved.Less(e) {
+		o.newestObserved = e
 	}
 	if o.owns() && o.epoch.Less(e) {
 		o.phase, o.inheritedFrom, o.keys, o.inherited = phaseNone, Epoch{}, nil, nil
@@ -156,7 +156,7 @@
 		return nil
 	}
 	for key, k := range o.keys {
-		if k.state == StateGranted && now.Sub(k.at) > age {
+		if k.state == StateGranted && now.Sub(k.changedAt) > age {
 			list = append(list, StatusRequest{Key: key, Attempt: k.attempt, To: k.runner})
 		}
 	}
@@ -165,8 +165,8 @@
 
 // Expire forgets keys that were settled longer than the retention ago.
 func (o *Owner) Expire(now time.Time) {
-	o.keys.expire(now, o.Limits.retention())
-	o.inherited.expire(now, o.Limits.retention())
+	o.keys.removeExpired(now, o.Limits.retention())
+	o.inherited.removeExpired(now, o.Limits.retention())
 }
 
 // owns reports whether the process acts as the shard's owner, with a complete table or not.
--- a/claim/record.go
+++ b/claim/record.go
@@ -62,7 +62,7 @@
 	return Record{Generation: Generation{Members: members}, Past: past}
 }
 
-// Check returns an error that lists everything that makes the record invalid.
+// Check returns an error that lists every fault that makes the record invalid, or nil.
 func (r Record) Check() error {
 	var findings check.Findings
 	if r.Version == 0 {
@@ -89,14 +89,14 @@
 	return findings.Err()
 }
 
-// Ranked returns the members in the order in which they own the shard. The order is that of
-// a rendezvous hash on the host's name, so that a change of one member moves only its own
-// shards. The first member in another zone than rank 0, if there is one, becomes rank 1, so
-// that after the loss of a zone the next rank can take over.
+// Ranked returns the members in the order in which they own the shard, the first owner
+// first. The order is that of a rendezvous hash on the host's name, so that a change of one
+// member moves only its own shards. The first member in another zone than rank 0, if there
+// is one, becomes rank 1, so that after the loss of a zone the next rank can take over.
 func (g Generation) Ranked(s Shard) []Member {
 	ranked := slices.Clone(g.Members)
 	slices.SortFunc(ranked, func(a, b Member) int {
-		if c := cmp.Compare(score(b.Host, s), score(a.Host, s)); c != 0 {
+		if c := cmp.Compare(rendezvousScore(b.Host, s), rendezvousScore(a.Host, s)); c != 0 {
 			return c
 		}
 		return cmp.Compare(a.Host, b.Host)
@@ -112,8 +112,8 @@
 	return ranked
 }
 
-// score is the rendezvous hash of a host for a shard.
-func score(h domain.Host, s Shard) uint64 {
+// rendezvousScore is the rendezvous hash of a host for a shard.
+func rendezvousScore(h domain.Host, s Shard) uint64 {
 	return xxhash.Sum64String(string(h) + "\x00" + string(rune(s)))
 }
 
@@ -144,8 +144,8 @@
 	return nil
 }
 
-// Rank returns the process's rank in the shard; the bool is false if the generation does
-// not list this incarnation.
+// Rank returns the process's rank in the shard, its index in Ranked, 0 being the first
+// owner; the bool is false if the generation does not list this incarnation.
 func (g Generation) Rank(s Shard, p Process) (uint32, bool) {
 	for i, m := range g.Ranked(s) {
 		if m.Process() == p {
--- a/claim/refusal.go
+++ b/claim/refusal.go
@@ -9,8 +9,8 @@
 // Code is the reason why a claim, a dispatch or a request to a runner was refused.
 type Code string
 
-// The codes. Owner.Claim returns the first six, CodeOtherRunner and CodeFull; the methods of
-// Runner return the last five.
+// The codes of refusals. Owner.Claim returns the first six, CodeOtherRunner and CodeFull;
+// the methods of Runner return the last five.
 const (
 	// CodeOtherBody: the key was claimed for a request with another body.
 	CodeOtherBody Code = "other_body"
@@ -42,7 +42,7 @@
 // Refusal is the error of a Ledger, an Owner or a Runner that refuses a message.
 type Refusal struct {
 	Code Code `json:"code"`
-	// Ran is what a caller may be told about its key, whichever attempt of the key ran.
+	// Ran states whether any attempt of the key ran, as a caller may be told.
 	Ran domain.Execution `json:"ran"`
 	// AttemptNotRun reports that this attempt did not run and never will: the entry may resolve
 	// it as StateNotRun. If false, the refusal does not say whether the attempt ran.
@@ -56,12 +56,12 @@
 	Runner  Process   `json:"runner"`
 }
 
-// Error returns code, execution and epoch in one line.
+// Error returns the code, whether the key ran, and the epoch, in one line.
 func (r *Refusal) Error() string {
 	return fmt.Sprintf("claim: %s (%s) at epoch %s", r.Code, r.Ran, r.Epoch)
 }
 
-// Reason returns the reason that callers receive.
+// Reason returns the reason that callers receive for a refusal with this code.
 func (r *Refusal) Reason() domain.Reason {
 	switch r.Code {
 	case CodeOtherBody:
--- a/claim/runner.go
+++ b/claim/runner.go
@@ -20,7 +20,7 @@
 	Self Process
 	// Shard is the runner's shard.
 	Shard Shard
-	// Limits bounds what the runner remembers.
+	// Limits bounds how many keys the runner remembers, and how long.
 	Limits Limits
 
 	fence           Epoch    // dispatches of older epochs are refused
@@ -30,9 +30,9 @@
 	// restored holds the keys that removed runners may have run. It is separate from keys,
 	// because Status and Settle apply to this runner's own attempts only.
 	restored keyTable
-	// blocked holds the attempts that must not be accepted, and when each was blocked.
-	blocked  map[keyAttempt]time.Time
-	disabled disabledGuards
+	// blockedAt holds the attempts that must not be accepted, and when each was blocked.
+	blockedAt map[keyAttempt]time.Time
+	disabled  disabledGuards
 }
 
 // Apply sets the restored version if the record's first generation lists this incarnation,
@@ -41,8 +41,8 @@
 	r.restoredVersion = max(r.restoredVersion, record.firstGenerationVersion(r.Self))
 }
 
-// Accept marks the key as handed over, or returns a *Refusal. The caller hands the request
-// to its upstream only after Accept returned nil, and only once.
+// Accept marks the key as handed over to the upstream, or returns a *Refusal. The caller
+// hands the request to its upstream only after Accept returned nil, and only once.
 func (r *Runner) Accept(dispatch Dispatch, now time.Time) error {
 	if err := r.checkTarget(dispatch.To); err != nil {
 		return err
@@ -59,7 +59,7 @@
 	// run" and send the request again. If the first dispatch arrived afterwards and were
 	// accepted, the request would run twice. Status recorded the attempt in blocked, so it
 	// is refused.
-	if _, blocked := r.blocked[keyAttempt{dispatch.Token.Key, dispatch.Attempt}]; blocked {
+	if _, blocked := r.blockedAt[keyAttempt{dispatch.Token.Key, dispatch.Attempt}]; blocked {
 		return &Refusal{Code: CodeBlocked, Ran: domain.Unknown, AttemptNotRun: true, Epoch: r.fence}
 	}
 	// While an owner is paused, its successor may list all keys and grant this key to
@@ -77,7 +77,7 @@
 		r.keys = keyTable{}
 	}
 	r.keys[dispatch.Token.Key] = storedKey{attempt: dispatch.Attempt, body: dispatch.Body, runner: r.Self,
-		state: StateGranted, at: now}
+		state: StateGranted, changedAt: now}
 	return nil
 }
 
@@ -85,18 +85,18 @@
 // nothing new about the listed attempt. Another attempt of the key is blocked, so that a
 // repeated dispatch of it is not accepted after the refusal reported "not run".
 func (r *Runner) refuseListed(dispatch Dispatch, stored storedKey, now time.Time) error {
-	refusal := &Refusal{Code: CodeKeyTaken, Ran: stored.execution(), Epoch: r.fence, Attempt: stored.attempt, Runner: stored.runner}
+	refusal := &Refusal{Code: CodeKeyTaken, Ran: stored.knownExecution(), Epoch: r.fence, Attempt: stored.attempt, Runner: stored.runner}
 	if stored.attempt != dispatch.Attempt {
 		refusal.AttemptNotRun = r.blockAttempt(dispatch.Token.Key, dispatch.Attempt, now)
 	}
 	return refusal
 }
 
-// checkTarget refuses a message that was sent to another incarnation. A restarted runner
-// has forgotten what it ran: asked about an attempt of its earlier incarnation it would
-// report "not run", accept a repeated dispatch, or acknowledge a fence with a list that
-// lacks the lost keys. Messages to the new incarnation are sent only under a record that
-// lists it, and owners under that record count its list as incomplete.
+// checkTarget refuses a message that was sent to another process or incarnation. A
+// restarted runner has forgotten what it ran: asked about an attempt of its earlier
+// incarnation it would report "not run", accept a repeated dispatch, or acknowledge a fence
+// with a list that lacks the lost keys. Messages to the new incarnation are sent only under
+// a record that lists it, and owners under that record count its list as incomplete.
 func (r *Runner) checkTarget(to Process) error {
 	if to == r.Self || (r.disabled.incarnation && to.Host == r.Self.Host) {
 		return nil
@@ -125,9 +125,9 @@
 	}
 }
 
-// Settle records how an attempt that was handed over here ended: StateRan, StateNotRun (the
-// upstream certainly never accepted it) or StateUnknown. It returns the message for the
-// owner.
+// Settle records how an attempt that was handed over to this runner's upstream ended:
+// StateRan, StateNotRun (the upstream certainly never accepted it) or StateUnknown. It
+// returns the message for the owner.
 func (r *Runner) Settle(key Key, attempt AttemptID, state State, now time.Time) (Resolution, error) {
 	stored, listed := r.keys[key]
 	if !listed || stored.attempt != attempt {
@@ -142,7 +142,7 @@
 		r.blockAttempt(key, attempt, now)
 		return Resolution{Key: key, Attempt: attempt, State: state}, nil
 	}
-	stored.state, stored.at = state, now
+	stored.state, stored.changedAt = state, now
 	r.keys[key] = stored
 	return Resolution{Key: key, Attempt: attempt, State: state}, nil
 }
@@ -172,13 +172,13 @@
 // leaves no room.
 func (r *Runner) blockAttempt(key Key, attempt AttemptID, now time.Time) bool {
 	id := keyAttempt{key, attempt}
-	if _, blocked := r.blocked[id]; !blocked && r.full() {
+	if _, blocked := r.blockedAt[id]; !blocked && r.full() {
 		return false
 	}
-	if r.blocked == nil {
-		r.blocked = map[keyAttempt]time.Time{}
+	if r.blockedAt == nil {
+		r.blockedAt = map[keyAttempt]time.Time{}
 	}
-	r.blocked[id] = now
+	r.blockedAt[id] = now
 	return true
 }
 
@@ -206,24 +206,26 @@
 	return RestoreReply{Shard: r.Shard, Epoch: request.Epoch, Runner: r.Self, RestoredVersion: r.restoredVersion}, nil
 }
 
-// Expire forgets what was settled or blocked longer than the retention ago.
+// Expire forgets the keys that were settled, and the attempts that were blocked, longer than
+// the retention ago.
 func (r *Runner) Expire(now time.Time) {
 	keep := r.Limits.retention()
-	r.keys.expire(now, keep)
-	r.restored.expire(now, keep)
-	for id, at := range r.blocked {
+	r.keys.removeExpired(now, keep)
+	r.restored.removeExpired(now, keep)
+	for id, at := range r.blockedAt {
 		if now.Sub(at) > keep {
-			delete(r.blocked, id)
+			delete(r.blockedAt, id)
 		}
 	}
 }
 
-// full reports whether the runner remembers as much as MaxKeys allows.
+// full reports whether the runner remembers as many keys and blocked attempts as MaxKeys
+// allows.
 func (r *Runner) full() bool {
 	return r.size() >= r.Limits.maxKeys()
 }
 
 // size returns the number of keys and blocked attempts that the runner remembers.
 func (r *Runner) size() int {
-	return len(r.keys) + len(r.restored) + len(r.blocked)
+	return len(r.keys) + len(r.restored) + len(r.blockedAt)
 }
--- a/claim/view.go
+++ b/claim/view.go
@@ -16,7 +16,7 @@
 		return errors.Errorf("claim: %s (%d) is not a member at record version %d",
 			o.Self.Host, o.Self.Incarnation, record.Version)
 	}
-	if o.owns() && o.epoch.Version == record.Version && !o.epoch.Less(o.observed) {
+	if o.owns() && o.epoch.Version == record.Version && !o.epoch.Less(o.newestObserved) {
 		return nil
 	}
 	if next, may := record.Turn(o.Shard, o.Self, o.newestEpoch()); may {
@@ -28,8 +28,8 @@
 // newestEpoch returns the newest epoch that this process has started or that was reported
 // to it.
 func (o *Owner) newestEpoch() Epoch {
-	if o.epoch.Less(o.observed) {
-		return o.observed
+	if o.epoch.Less(o.newestObserved) {
+		return o.newestObserved
 	}
 	return o.epoch
 }
@@ -79,7 +79,7 @@
 	o.completeTable(now)
 }
 
-// completeView completes the table as soon as that is safe. Only one of the two tables is
+// completeTable marks the table complete as soon as that is safe. Only one of the two tables is
 // used: a valid inherited table lists every key, and the runners' lists, which may predate
 // the freeing of a key, must not add that key again; an inherited table that was superseded
 // would add keys that later owners have freed since.
@@ -131,7 +131,7 @@
 // retentionElapsed reports whether the process ended so long ago that every key it ran may be
 // forgotten.
 func (o *Owner) retentionElapsed(p Process, now time.Time) bool {
-	at, ended := o.ended[p]
+	at, ended := o.endedAt[p]
 	return ended && now.Sub(at) > o.Limits.retention()
 }
 
