--- a/member/member.go
+++ b/member/member.go
@@ -38,7 +38,7 @@
 // once.
 const joinRetryInterval = time.Second
 
-// Member is one process in the record.
+// Member is one process in a service's record.
 type Member struct {
 	Host        domain.Host        `json:"host"`
 	Zone        domain.Zone        `json:"zone"`
@@ -134,7 +134,7 @@
 	return m.Process() == o.Process() && m.Address == o.Address
 }
 
-// Process returns the member's incarnation in the form that package claim uses.
+// Process returns the member's host and incarnation in the form that package claim uses.
 func (m Member) Process() claim.Process {
 	return claim.Process{Host: m.Host, Incarnation: m.Incarnation}
 }
@@ -200,7 +200,7 @@
 		}
 		value, err := json.Marshal(next)
 		if err != nil {
-			return Record{}, errors.Wrap(err, "member")
+			return Record{}, errors.Wrap(err, "member: encode record")
 		}
 		version, err := objects.Put(ctx, Name(s), value, current.Version)
 		if err == nil {
@@ -242,7 +242,7 @@
 
 // Watch calls apply with each newer version of a service's record until the context ends.
 // When the platform returns an error, it calls fallback with the last applied record and
-// continues from the record that fallback returns, the newest that another source has;
+// continues from the record that fallback returns, the newest record of another source;
 // fallback may be nil.
 func Watch(ctx context.Context, objects infra.Objects, s domain.Service, apply func(Record) bool, fallback func(context.Context, Record) Record) error {
 	var applied Record
--- a/member/member_test.go
+++ b/member/member_test.go
@@ -27,7 +27,7 @@
 	faultReplyLost             // no reply, and the write took effect
 )
 
-// objects is one object in memory, with the record of every write that took effect.
+// objects is one object in memory, with the member record of every write that took effect.
 type objects struct {
 	infra.Objects
 	stored          infra.Object
@@ -91,7 +91,7 @@
 				expected[m.Host] = m
 				r, err := Join(ctx, o, m)
 				require.NoError(t, err)
-				require.Equal(t, 1, countOf(r, m), "in the record once")
+				require.Equal(t, 1, countRecorded(r, m), "in the record once")
 				return
 			}
 			incarnation := domain.Incarnation(rapid.Uint64Range(0, uint64(incarnations[host])).Draw(t, "life"))
@@ -123,7 +123,7 @@
 	})
 }
 
-func countOf(r Record, m Member) (n int) {
+func countRecorded(r Record, m Member) (n int) {
 	for _, o := range r.Members {
 		if o.Host == m.Host {
 			n++
@@ -132,8 +132,9 @@
 	return n
 }
 
-// requireClaims checks what the owners of shards rely on: the claims' version grows by one
-// with each change of the members that own shards, and with no other change.
+// requireClaims requires of successive writes that the claims list the members that own
+// shards, and that the claims' version grows by one with each change of these members and
+// with no other change.
 func requireClaims(t *rapid.T, writes []Record) {
 	var before Record
 	for n, r := range writes {
