--- a/assign/assign.go
+++ b/assign/assign.go
@@ -39,8 +39,9 @@
 	ExtraLatency time.Duration
 }
 
-// Work describes what is to be assigned.
+// Work describes the work to assign.
 type Work struct {
+	// Tokens is the number of tokens that the engine has to process.
 	Tokens int
 	// PerToken is the time that an engine takes for one token.
 	PerToken time.Duration
@@ -48,7 +49,7 @@
 	TTL time.Duration
 }
 
-// Ticket identifies an assignment; zero is none.
+// Ticket identifies an assignment; zero stands for no assignment.
 type Ticket uint64
 
 // Assignment is the result of Assign.
@@ -59,12 +60,12 @@
 	QueueDelay time.Duration `json:"ahead"`
 }
 
-// Found reports whether there was an engine.
+// Found reports whether the work was assigned to an engine.
 func (a Assignment) Found() bool { return a.Ticket != 0 }
 
-// Tracker records what has been assigned to the engines of a pool. The zero value is empty
-// and ready to use; it must not be copied. It is safe for concurrent use; its lock is a
-// leaf lock, under which no other is acquired.
+// Tracker records the work that has been assigned to the engines of a pool. The zero value
+// is empty and ready to use; it must not be copied. It is safe for concurrent use; its lock
+// is a leaf lock, under which no other is acquired.
 type Tracker struct {
 	mu          sync.Mutex
 	assignments map[Ticket]assignment
@@ -75,9 +76,9 @@
 }
 
 type assignment struct {
-	engine  string
-	tokens  int
-	expires time.Time
+	engine    string
+	tokens    int
+	expiresAt time.Time
 }
 
 const (
@@ -97,7 +98,7 @@
 func (tr *Tracker) Assign(now time.Time, engines []Engine, w Work, random *rand.Rand) Assignment {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
-	tr.sweep(now)
+	tr.removeExpired(now)
 	best, lowest := -1, time.Duration(0)
 	for i, e := range engines {
 		score := e.ExtraLatency + time.Duration(tr.backlog[e.ID])*w.PerToken + time.Duration(random.Int64N(int64(scoreJitter)))
@@ -113,16 +114,16 @@
 	if tr.lastTicket == 0 {
 		tr.lastTicket = Ticket(random.Uint64() >> ticketSpareBits)
 	}
-	tr.add(now, id, w)
+	tr.addAssignment(now, id, w)
 	return Assignment{Engine: id, Ticket: tr.lastTicket, QueueDelay: queueDelay}
 }
 
-func (tr *Tracker) add(now time.Time, id string, w Work) {
+func (tr *Tracker) addAssignment(now time.Time, id string, w Work) {
 	if tr.assignments == nil {
 		tr.assignments, tr.backlog = make(map[Ticket]assignment), make(map[string]int)
 	}
 	tr.lastTicket++
-	tr.assignments[tr.lastTicket] = assignment{engine: id, tokens: w.Tokens, expires: now.Add(w.TTL)}
+	tr.assignments[tr.lastTicket] = assignment{engine: id, tokens: w.Tokens, expiresAt: now.Add(w.TTL)}
 	tr.backlog[id] += w.Tokens
 }
 
@@ -131,10 +132,10 @@
 func (tr *Tracker) Finish(t Ticket) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
-	tr.remove(t)
+	tr.removeAssignment(t)
 }
 
-func (tr *Tracker) remove(t Ticket) {
+func (tr *Tracker) removeAssignment(t Ticket) {
 	a, known := tr.assignments[t]
 	if !known {
 		return
@@ -145,17 +146,17 @@
 	}
 }
 
-// sweep removes expired assignments. Without it, an engine whose work was assigned to a
+// removeExpired removes expired assignments. Without it, an engine whose work was assigned to a
 // process that crashed, or whose Finish message was lost, would count as busy forever and
 // receive nothing.
-func (tr *Tracker) sweep(now time.Time) {
+func (tr *Tracker) removeExpired(now time.Time) {
 	if now.Sub(tr.lastSweep) < sweepInterval {
 		return
 	}
 	tr.lastSweep = now
 	for t, a := range tr.assignments {
-		if !now.Before(a.expires) {
-			tr.remove(t)
+		if !now.Before(a.expiresAt) {
+			tr.removeAssignment(t)
 		}
 	}
 }
--- a/assign/assign_test.go
+++ b/assign/assign_test.go
@@ -28,7 +28,7 @@
 	return p
 }
 
-// prefill returns the time that a prompt sent now takes at an engine, with its wait.
+// prefill returns the time that a prompt sent now takes at an engine, including its wait.
 func (p *pool) prefill(now time.Time, engine, tokens int) time.Duration {
 	if p.idleAt[engine].Before(now) {
 		p.idleAt[engine] = now
@@ -76,13 +76,13 @@
 	separate := simulate(separatePool, random, func(now time.Time, tokens int) (int, func(time.Time)) {
 		tr := &trackers[random.IntN(len(trackers))]
 		a := tr.Assign(now, separatePool.engines, Work{Tokens: tokens, PerToken: perToken, TTL: time.Minute}, random)
-		return index(separatePool, a), func(time.Time) { tr.Finish(a.Ticket) }
+		return engineIndex(separatePool, a), func(time.Time) { tr.Finish(a.Ticket) }
 	})
 	sharedPool, random := newPool(11), rand.New(rand.NewPCG(1, 1))
 	var tr Tracker
 	shared := simulate(sharedPool, random, func(now time.Time, tokens int) (int, func(time.Time)) {
 		a := tr.Assign(now, sharedPool.engines, Work{Tokens: tokens, PerToken: perToken, TTL: time.Minute}, random)
-		return index(sharedPool, a), func(time.Time) { tr.Finish(a.Ticket) }
+		return engineIndex(sharedPool, a), func(time.Time) { tr.Finish(a.Ticket) }
 	})
 	quantile := func(d []time.Duration, q float64) time.Duration { return d[int(q*float64(len(d)))] }
 	t.Logf("a tracker per process: median %v, 90th percentile %v; one shared tracker: %v, %v", quantile(separate, 0.5), quantile(separate, 0.9), quantile(shared, 0.5), quantile(shared, 0.9))
@@ -90,7 +90,7 @@
 	require.Less(t, quantile(shared, 0.9), quantile(separate, 0.9)/2)
 }
 
-func index(p *pool, a Assignment) int {
+func engineIndex(p *pool, a Assignment) int {
 	return slices.IndexFunc(p.engines, func(e Engine) bool { return e.ID == a.Engine })
 }
 
--- a/assign/shard.go
+++ b/assign/shard.go
@@ -17,7 +17,8 @@
 // Each prompt picks a shard at random; with dozens of engines in each this is even enough.
 type Shard struct {
 	Service domain.Service `json:"service"`
-	// Count is the number of shards, a power of two; Index is this shard's, from zero.
+	// Count is the number of the service's shards, a power of two; Index is the number of this
+	// shard, from zero.
 	Count int `json:"of"`
 	Index int `json:"number"`
 }
@@ -30,9 +31,9 @@
 	maxShards = 1 << 12
 )
 
-// PickShard picks at random one of the shards into which a service with so many engines is
-// divided. Since the number of shards is a power of two, most engines stay in their shard
-// as more are added.
+// PickShard picks at random one of the shards into which a service with the given number of
+// engines is divided. Since the number of shards is a power of two, most engines stay in
+// their shard as more are added.
 func PickShard(service domain.Service, engines int, random *rand.Rand) Shard {
 	s := Shard{Service: service, Count: 1}
 	for s.Count*maxShardEngines < engines {
