--- a/claim/key_table.go
+++ b/claim/key_table.go
@@ -40,7 +40,7 @@
 // keyTable holds the remembered keys of one shard. The zero value is empty.
 type keyTable map[Key]storedKey
 
-// merge adds a key that another process lists. If two lists give different states for one
+// mergeEntry adds a key that another process lists. If two lists give different states for one
 // attempt, the state that forbids more wins: ran, then unknown, then granted.
 //
 // If two lists name different attempts of a key, the key is stored as unknown without an
@@ -48,7 +48,7 @@
 // "not run" of attempt 1 and grants attempt 2 while its successor collects the lists: the
 // successor finds attempt 1 in an older list, then attempt 2. If the key were stored with
 // attempt 1, the delayed "not run" of attempt 1 would free the key while attempt 2 runs.
-func (t keyTable) merge(e Entry, now time.Time) {
+func (t keyTable) mergeEntry(e Entry, now time.Time) {
 	existing, listed := t[e.Key]
 	sameAttempt := existing.attempt == e.Try
 	switch {
--- a/claim/ledger.go
+++ b/claim/ledger.go
@@ -86,7 +86,7 @@
 		}
 		s.runner.Apply(record)
 		err = s.owner.Apply(record, l.Live, now)
-		out.add(s.owner.Pending(now))
+		out.appendMessages(s.owner.Pending(now))
 		s.mu.Unlock()
 		if err != nil {
 			return out, err
@@ -168,7 +168,7 @@
 // them again.
 func (l *Ledger) Pending(now time.Time) Outbox {
 	var out Outbox
-	l.forEach(func(s *shard) { out.add(s.owner.Pending(now)) })
+	l.forEach(func(s *shard) { out.appendMessages(s.owner.Pending(now)) })
 	return out
 }
 
@@ -205,7 +205,7 @@
 func (l *Ledger) Keys() (owned, run int) {
 	l.forEach(func(s *shard) {
 		owned += len(s.owner.keys) + len(s.owner.inherited)
-		run += s.runner.size()
+		run += s.runner.rememberedCount()
 	})
 	return owned, run
 }
@@ -222,8 +222,8 @@
 	}
 }
 
-// add appends the messages of another outbox.
-func (o *Outbox) add(other Outbox) {
+// appendMessages appends the messages of another outbox.
+func (o *Outbox) appendMessages(other Outbox) {
 	o.Fences = append(o.Fences, other.Fences...)
 	o.Restores = append(o.Restores, other.Restores...)
 	o.Handovers = append(o.Handovers, other.Handovers...)
--- a/claim/owner.go
+++ b/claim/owner.go
@@ -57,7 +57,7 @@
 func (o *Owner) Claim(request Request, now time.Time) (Grant, error) {
 	o.completeTable(now)
 	if !o.owns() {
-		return Grant{}, o.refuse(CodeNotOwner)
+		return Grant{}, o.newRefusal(CodeNotOwner)
 	}
 	if stored, listed := o.keys[request.Key]; listed {
 		return Grant{}, o.refuseListed(request, stored)
@@ -69,13 +69,13 @@
 	// merged: it may have run under an earlier owner, on a runner that has not replied yet,
 	// and a grant would run it a second time.
 	if o.phase != phaseComplete {
-		return Grant{}, o.refuse(CodeNotRestored)
+		return Grant{}, o.newRefusal(CodeNotRestored)
 	}
 	if !slices.Contains(o.runnerSets[0].eligible, request.Runner) {
-		return Grant{}, o.refuse(CodeOtherRunner)
+		return Grant{}, o.newRefusal(CodeOtherRunner)
 	}
 	if len(o.keys) >= o.Limits.maxKeys() {
-		return Grant{}, o.refuse(CodeFull)
+		return Grant{}, o.newRefusal(CodeFull)
 	}
 	o.keys[request.Key] = storedKey{attempt: request.Attempt, body: request.Body, runner: request.Runner,
 		state: StateGranted, changedAt: now}
@@ -85,7 +85,7 @@
 
 // refuseListed returns the refusal of a key that the table lists.
 func (o *Owner) refuseListed(request Request, stored storedKey) *Refusal {
-	refusal := o.refuse(CodeInProgress)
+	refusal := o.newRefusal(CodeInProgress)
 	refusal.Attempt, refusal.Runner, refusal.Ran = stored.attempt, stored.runner, stored.knownExecution()
 	refusal.AttemptNotRun = stored.attempt != request.Attempt
 	switch {
@@ -99,9 +99,9 @@
 	return refusal
 }
 
-// refuse returns the refusal of a claim. No owner has granted the attempt, so it has not run.
+// newRefusal returns the refusal of a claim. No owner has granted the attempt, so it has not run.
 // About the key itself an owner that may have been superseded can make no statement.
-func (o *Owner) refuse(c Code) *Refusal {
+func (o *Owner) newRefusal(c Code) *Refusal {
 	return &Refusal{Code: c, Ran: domain.Unknown, AttemptNotRun: true, Epoch: o.epoch}
 }
 
--- a/claim/runner.go
+++ b/claim/runner.go
@@ -69,7 +69,7 @@
 	if dispatch.Token.Epoch.Less(r.fence) && !r.disabled.fence {
 		return &Refusal{Code: CodeFenced, Ran: domain.Unknown, AttemptNotRun: true, Epoch: r.fence}
 	}
-	if r.full() {
+	if r.isFull() {
 		return &Refusal{Code: CodeFull, Ran: domain.Unknown, Epoch: r.fence}
 	}
 	r.raiseFence(dispatch.Token.Epoch)
@@ -172,7 +172,7 @@
 // leaves no room.
 func (r *Runner) blockAttempt(key Key, attempt AttemptID, now time.Time) bool {
 	id := keyAttempt{key, attempt}
-	if _, blocked := r.blockedAt[id]; !blocked && r.full() {
+	if _, blocked := r.blockedAt[id]; !blocked && r.isFull() {
 		return false
 	}
 	if r.blockedAt == nil {
@@ -200,7 +200,7 @@
 		if e.State != StateRan {
 			e.State = StateUnknown
 		}
-		r.restored.merge(e, now)
+		r.restored.mergeEntry(e, now)
 	}
 	r.restoredVersion = max(r.restoredVersion, request.Epoch.Version)
 	return RestoreReply{Shard: r.Shard, Epoch: request.Epoch, Runner: r.Self, RestoredVersion: r.restoredVersion}, nil
@@ -219,13 +219,13 @@
 	}
 }
 
-// full reports whether the runner remembers as many keys and blocked attempts as MaxKeys
+// isFull reports whether the runner remembers as many keys and blocked attempts as MaxKeys
 // allows.
-func (r *Runner) full() bool {
-	return r.size() >= r.Limits.maxKeys()
+func (r *Runner) isFull() bool {
+	return r.rememberedCount() >= r.Limits.maxKeys()
 }
 
-// size returns the number of keys and blocked attempts that the runner remembers.
-func (r *Runner) size() int {
+// rememberedCount returns the number of keys and blocked attempts that the runner remembers.
+func (r *Runner) rememberedCount() int {
 	return len(r.keys) + len(r.restored) + len(r.blockedAt)
 }
--- a/claim/view.go
+++ b/claim/view.go
@@ -74,7 +74,7 @@
 		return // the list cannot contain new keys, but may contain freed ones
 	}
 	for _, e := range reply.Entries {
-		o.keys.merge(e, now)
+		o.keys.mergeEntry(e, now)
 	}
 	o.completeTable(now)
 }
@@ -204,7 +204,7 @@
 	}
 	o.inheritedFrom, o.inherited = handover.From, keyTable{}
 	for _, e := range handover.Entries {
-		o.inherited.merge(e, now)
+		o.inherited.mergeEntry(e, now)
 	}
 	o.completeTable(now)
 	return true
