--- a/claim/ledger.go
+++ b/claim/ledger.go
@@ -16,7 +16,7 @@
 type Ledger struct {
 	// Self is the process that the ledger belongs to.
 	Self Process
-	// Limits bounds what each shard remembers.
+	// Limits bounds how many keys each shard remembers, and how long.
 	Limits Limits
 	// Live reports whether a process is believed to be reachable. When the record changes,
 	// an owner hands its shard to the rank 0 process if Live reports true for it. May be
@@ -86,7 +86,7 @@
 		}
 		s.runner.Apply(record)
 		err = s.owner.Apply(record, l.Live, now)
-		out.add(s.owner.Pending(now))
+		out.appendMessages(s.owner.Pending(now))
 		s.mu.Unlock()
 		if err != nil {
 			return out, err
@@ -95,10 +95,10 @@
 	return out, nil
 }
 
-// TakeOver starts to own a shard at the process's next turn. Call it when no peer has
-// reported to own the shard for a time that grows with the rank of this process. An
-// unnecessary call costs one round of fence requests and stops no grant that a runner has
-// already accepted.
+// TakeOver starts to own a shard at the next epoch that the record assigns to this process.
+// Call it when no peer has reported to own the shard for a time that grows with the rank of
+// this process. An unnecessary call costs one round of fence requests and stops no grant
+// that a runner has already accepted.
 func (l *Ledger) TakeOver(number Shard, now time.Time) (Outbox, error) {
 	record := l.Record()
 	s, err := l.lockShard(number)
@@ -168,7 +168,7 @@
 // them again.
 func (l *Ledger) Pending(now time.Time) Outbox {
 	var out Outbox
-	l.forEach(func(s *shard) { out.add(s.owner.Pending(now)) })
+	l.forEach(func(s *shard) { out.appendMessages(s.owner.Pending(now)) })
 	return out
 }
 
@@ -205,7 +205,7 @@
 func (l *Ledger) Keys() (owned, run int) {
 	l.forEach(func(s *shard) {
 		owned += len(s.owner.keys) + len(s.owner.inherited)
-		run += s.runner.size()
+		run += s.runner.rememberedCount()
 	})
 	return owned, run
 }
@@ -222,8 +222,8 @@
 	}
 }
 
-// add appends the messages of another outbox.
-func (o *Outbox) add(other Outbox) {
+// appendMessages appends the messages of another outbox.
+func (o *Outbox) appendMessages(other Outbox) {
 	o.Fences = append(o.Fences, other.Fences...)
 	o.Restores = append(o.Restores, other.Restores...)
 	o.Handovers = append(o.Handovers, other.Handovers...)
--- a/domain/execution.go
+++ b/domain/execution.go
@@ -6,7 +6,8 @@
 	"github.com/pkg/errors"
 )
 
-// Merge returns the more severe of two executions: DidRun, then Unknown, then NotRun.
+// Merge returns the more severe of two values: DidRun, then Unknown, then NotRun. A missing
+// value is as severe as Unknown.
 func (r Execution) Merge(o Execution) Execution {
 	if o.severity() > r.severity() {
 		return o
@@ -14,7 +15,8 @@
 	return r
 }
 
-// severity orders executions for Merge.
+// severity ranks the values of Execution for Merge, from 0 for NotRun to 2 for DidRun; a missing
+// value ranks as Unknown.
 func (r Execution) severity() int {
 	switch r {
 	case NotRun:
@@ -25,7 +27,8 @@
 	return 1
 }
 
-// ReasonOf returns the reason for a request whose context has ended.
+// ReasonOf returns the reason for the refusal of a request whose context has ended: its
+// deadline has passed, or its caller has disconnected.
 func ReasonOf(ctx context.Context) Reason {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return ReasonDeadline
