--- a/roster/access.go
+++ b/roster/access.go
@@ -28,8 +28,8 @@
 // Eligible reports whether the upstream may be sent new requests.
 func (e Eligibility) Eligible() bool { return e.Reason == "" }
 
-// Eligibility returns whether the upstream may be sent new requests, from the state in the registry
-// and the upstream's own announcements. Callers check it when they select an upstream and again
+// Eligibility returns whether the upstream may be sent new requests, judged by its registry entry
+// and by its own announcements. Callers check it when they select an upstream and again
 // just before they send, because the response to another request may have changed it in between.
 func (u *Upstream) Eligibility(now time.Time) Eligibility {
 	u.mu.Lock()
@@ -44,7 +44,7 @@
 	return u.Stats.eligibility(now)
 }
 
-// eligibility returns whether an upstream with these announcements may be sent new requests.
+// eligibility returns whether an upstream that made this announcement may be sent new requests.
 func (a *Announcement) eligibility(now time.Time) Eligibility {
 	if !a.LeavingSince.IsZero() {
 		return Eligibility{Reason: ExcludedLeaving}
--- a/roster/access_test.go
+++ b/roster/access_test.go
@@ -13,20 +13,20 @@
 	"jacinthworks/feed"
 )
 
-// announced is what one instance has announced, as the model expects it.
+// announced is the shutdown and the backoff that one instance announced to the model.
 type announced struct {
 	leaving      bool
 	backoffUntil time.Time
 }
 
-// model compares the eligibility that a directory returns with that expected from the registry
-// entries and the announcements of each instance.
-type model struct {
+// eligibilityModel compares the eligibility that a directory returns with the eligibility expected
+// from the registry entries and the announcements of each instance.
+type eligibilityModel struct {
 	r             Directory
 	now           time.Time
 	announcements map[InstanceKey]announced
 	// entries are the registry entries last applied to the directory; upstreams are all upstreams
-	// that requests may still refer to, members or not.
+	// that a request may still hold a pointer to, members of the directory or not.
 	entries   map[ID]Server
 	upstreams []*Upstream
 	// earlierEntries are entries of instances that a later one has replaced.
@@ -34,15 +34,15 @@
 	lastStart      time.Time
 }
 
-func newModel() *model {
-	m := &model{now: time.Now(), announcements: make(map[InstanceKey]announced), entries: make(map[ID]Server)}
+func newEligibilityModel() *eligibilityModel {
+	m := &eligibilityModel{now: time.Now(), announcements: make(map[InstanceKey]announced), entries: make(map[ID]Server)}
 	m.lastStart = m.now.Truncate(time.Millisecond)
 	m.r.Log = hclog.NewNullLogger()
 	return m
 }
 
-// register applies a registry entry: an upstream as it is, draining, or as a later instance.
-func (m *model) register(t *rapid.T) {
+// register applies a registry entry of the same instance, draining or not, or of a later instance.
+func (m *eligibilityModel) register(t *rapid.T) {
 	id := ID(rapid.SampledFrom([]string{"a", "b"}).Draw(t, "id"))
 	e, known := m.entries[id]
 	if !known || rapid.IntRange(0, 3).Draw(t, "later") == 0 {
@@ -59,20 +59,20 @@
 }
 
 // dropEntry deletes the registry entry of an upstream, which may go on serving.
-func (m *model) dropEntry(t *rapid.T) {
+func (m *eligibilityModel) dropEntry(t *rapid.T) {
 	id := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "id")
 	m.r.Apply(m.now, deletion(id))
 }
 
-// restoreEntries applies all entries again, including those deleted before.
-func (m *model) restoreEntries(*rapid.T) {
+// restoreEntries applies the latest entry of each upstream again, even if it was deleted since.
+func (m *eligibilityModel) restoreEntries(*rapid.T) {
 	for id, e := range m.entries {
 		m.r.Apply(m.now, []feed.Change[Server]{{Item: feed.Item[Server]{Name: string(id), Value: e}}})
 	}
 }
 
-// applyLateEntry applies the entry of an earlier instance after that of the later one.
-func (m *model) applyLateEntry(t *rapid.T) {
+// applyLateEntry applies the registry entry of an earlier instance after the later instance's entry.
+func (m *eligibilityModel) applyLateEntry(t *rapid.T) {
 	if len(m.earlierEntries) == 0 {
 		return
 	}
@@ -82,9 +82,9 @@
 	}
 }
 
-// answer records a response with or without an announcement from an upstream that requests may
-// refer to.
-func (m *model) answer(t *rapid.T) {
+// respond records a response, with or without an announcement, from one of the upstreams in
+// m.upstreams.
+func (m *eligibilityModel) respond(t *rapid.T) {
 	if len(m.upstreams) == 0 {
 		return
 	}
@@ -107,12 +107,12 @@
 	m.announcements[key] = s
 }
 
-func (m *model) advance(t *rapid.T) {
+func (m *eligibilityModel) advance(t *rapid.T) {
 	m.now = m.now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(t, "pass")) * time.Millisecond)
 }
 
 // check compares the eligibility of each upstream with the model.
-func (m *model) check(t *rapid.T) {
+func (m *eligibilityModel) check(t *rapid.T) {
 	for id := range m.entries {
 		u := m.r.Upstream(id)
 		if u == nil {
@@ -147,21 +147,21 @@
 // responses, registry changes, restarts and deleted entries.
 func TestEligibilityMatchesModelForAnyEventOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := newModel()
+		m := newEligibilityModel()
 		t.Repeat(map[string]func(*rapid.T){
-			"register": m.register, "lapse": m.dropEntry, "back": m.restoreEntries, "late": m.applyLateEntry, "answer": m.answer, "pass": m.advance, "": m.check,
+			"register": m.register, "lapse": m.dropEntry, "back": m.restoreEntries, "late": m.applyLateEntry, "answer": m.respond, "pass": m.advance, "": m.check,
 		})
 	})
 }
 
 // Guards against allocations in a check that runs for every upstream of a pool on each request.
 func TestEligibilityDoesNotAllocate(t *testing.T) {
-	r := pool(1)
+	r := newDirectoryOf(1)
 	u, now := r.Upstreams("cards")[0], time.Now()
 	require.Zero(t, testing.AllocsPerRun(100, func() { u.Eligibility(now) }))
 }
 
-func pool(n int) *Directory {
+func newDirectoryOf(n int) *Directory {
 	r := &Directory{Log: hclog.NewNullLogger()}
 	var all []feed.Item[Server]
 	for i := range n {
@@ -173,7 +173,7 @@
 
 // BenchmarkEligibility measures Eligibility for 640 upstreams; ns/op covers all of them.
 func BenchmarkEligibility(b *testing.B) {
-	all, now := pool(640).Upstreams("cards"), time.Now()
+	all, now := newDirectoryOf(640).Upstreams("cards"), time.Now()
 	b.ReportAllocs()
 	for b.Loop() {
 		for _, u := range all {
--- a/roster/restore.go
+++ b/roster/restore.go
@@ -6,7 +6,7 @@
 	"jacinthworks/feed"
 )
 
-// overriddenEntry is an entry of a restored registry as it was listed, with the time until which
+// overriddenEntry is a registry entry as a restored registry listed it, with the time until which
 // the directory treats it as draining.
 type overriddenEntry struct {
 	entry Server
@@ -18,10 +18,10 @@
 	// it as ready is taken for stale. A restored snapshot is some seconds old.
 	staleReadyWindow = time.Minute
 	// removedInstanceTTL is how long the state of a removed instance is kept. A registry outage may
-	// drop the entry of an instance that goes on serving, and the instance registers again.
+	// drop the registry entry of an instance that goes on serving, and the instance registers again.
 	removedInstanceTTL = 10 * time.Minute
 	// overrideTTL is how long an entry of a restored registry is treated as draining. Within that
-	// time a running upstream writes its entry again, and the entry of a stopped one expires.
+	// time a running upstream writes its entry again, and the entry of a stopped upstream expires.
 	overrideTTL = 5 * time.Second
 )
 
--- a/roster/roster.go
+++ b/roster/roster.go
@@ -68,7 +68,7 @@
 	// Stats holds what this process observed in the upstream's responses.
 	Stats Stats
 
-	mu         sync.Mutex // a leaf
+	mu         sync.Mutex // leaf lock: no other lock is acquired while it is held
 	server     Server
 	receivedAt time.Time
 	removed    bool
@@ -80,8 +80,8 @@
 	restarted bool
 }
 
-// Server returns the last registry entry of the upstream. If a role change recorded by ExpectRole
-// is due, the entry has the new role.
+// Server returns the upstream's last registry entry. If a role change recorded by ExpectRole is
+// due, the returned entry has the new role.
 func (u *Upstream) Server() Server {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -111,7 +111,7 @@
 }
 
 // Removed reports whether the upstream has been removed from the directory. Later observations of
-// it need not be recorded.
+// a removed upstream need not be recorded.
 func (u *Upstream) Removed() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -126,8 +126,8 @@
 	return u.restarted
 }
 
-// Directory is the directory of upstreams. Set Log before first use. A Roster must not be copied. It
-// is safe for concurrent use. Lock order: Roster, then Upstream.
+// Directory holds the upstreams listed in the registry. Set Log before first use. A Directory must
+// not be copied. It is safe for concurrent use. Lock order: Directory, then Upstream.
 type Directory struct {
 	Log hclog.Logger
 
@@ -136,14 +136,14 @@
 	// byService holds the members of each service sorted by ID. Each change builds a new map; the
 	// map and its slices are never modified, so that callers may keep a slice.
 	byService map[domain.Service][]*Upstream
-	// unconfirmed holds the members whose entries the registry dropped around an outage, with the
+	// unconfirmed holds the members whose registry entries were dropped around an outage, with the
 	// time at which each is removed unless it has registered again.
 	unconfirmed  map[ID]time.Time
 	registryDown bool
 	recoveredAt  time.Time
 	loaded       bool
-	// restored is set until the next list, which is that of a registry restored from an older
-	// snapshot.
+	// restored is set from RegistryRestored until the next SetAll, whose list comes from an older
+	// snapshot of the registry.
 	restored bool
 	// removed holds recently removed instances with their state.
 	removed map[InstanceKey]removedInstance
--- a/roster/roster_test.go
+++ b/roster/roster_test.go
@@ -115,7 +115,7 @@
 
 // Guards against an engine that is suspended again and again by one order: the record of orders is
 // written repeatedly and read late, possibly after the role change is complete.
-func TestAcceptOrderRejectsKnownOrders(t *testing.T) {
+func TestAcceptOrderRejectsTokenNotAboveLast(t *testing.T) {
 	var s Stats
 	require.True(t, s.AcceptOrder(7))
 	require.False(t, s.AcceptOrder(7))
--- a/roster/start_test.go
+++ b/roster/start_test.go
@@ -17,7 +17,7 @@
 	return i
 }
 
-func update(i feed.Item[Server]) []feed.Change[Server] { return []feed.Change[Server]{{Item: i}} }
+func updateOf(i feed.Item[Server]) []feed.Change[Server] { return []feed.Change[Server]{{Item: i}} }
 
 // Guards against state of an earlier instance that is applied to a later one: an upstream crashes
 // and restarts under the same ID and address before its entry expires. Its suspension and its
@@ -29,10 +29,10 @@
 	first := r.Upstream("a")
 	first.Stats.SuspendUntil(now.Add(time.Hour))
 	first.Stats.RecordFailure(now)
-	r.Apply(now, update(itemStartedAt("a", 1000)))
+	r.Apply(now, updateOf(itemStartedAt("a", 1000)))
 	require.Same(t, first, r.Upstream("a"), "a heartbeat is not a restart")
 
-	r.Apply(now, update(itemStartedAt("a", 2000)))
+	r.Apply(now, updateOf(itemStartedAt("a", 2000)))
 	second := r.Upstream("a")
 	require.NotSame(t, first, second)
 	require.True(t, first.Removed())
@@ -54,9 +54,9 @@
 	now := time.Now()
 	r.SetAll(now, []feed.Item[Server]{item("a", false), item("b", false)})
 	bad := feed.Item[Server]{Name: "a", DecodeErr: errors.New("no object")}
-	r.Apply(now, update(bad))
+	r.Apply(now, updateOf(bad))
 	require.Equal(t, []ID{"b"}, ids(r))
-	r.Apply(now, update(item("a", false)))
+	r.Apply(now, updateOf(item("a", false)))
 	require.Equal(t, []ID{"a", "b"}, ids(r), "the upstream has written its entry again")
 	r.SetAll(now, []feed.Item[Server]{bad, item("b", false)})
 	require.Equal(t, []ID{"b"}, ids(r))
--- a/roster/stats.go
+++ b/roster/stats.go
@@ -30,7 +30,7 @@
 	failureRatePrior = 1.5
 )
 
-// Stats holds what this process observed in the responses of one upstream. The zero value holds no
+// Stats holds this process's observations of one upstream's load, failures and announcements. The zero value holds no
 // observations. It is safe for concurrent use; its lock is a leaf lock: no other lock is acquired
 // while it is held.
 type Stats struct {
@@ -47,25 +47,25 @@
 	// failures, refusals and successes are counts that decay.
 	failures, refusals, successes float64
 	decayedAt                     time.Time
-	// unitTime is the time per unit of work: a call, or a prompt token.
+	// unitTime is the moving average of the time per unit of work: a call, or a prompt token.
 	unitTime time.Duration
 	// skipUntil excludes the upstream for a short time after it refused a request for lack of
 	// capacity or accepted no connection.
 	skipUntil time.Time
 	// suspendedUntil excludes the upstream while it changes its role.
 	suspendedUntil time.Time
-	// lastOrder is the fencing token of the newest order accepted.
+	// lastOrder is the fencing token of the newest role change order that was accepted.
 	lastOrder uint64
 	// refusalsInRow counts consecutive refusals of requests that the upstream had reserved capacity
-	// for or that need none, and dialFailuresInRow consecutive failures to connect.
+	// for or that need no reservation, and dialFailuresInRow consecutive failures to connect.
 	refusalsInRow, dialFailuresInRow int
 	// prefillsDone is when the prefills queued at the upstream by QueuePrefill will be done.
 	prefillsDone time.Time
-	// rateLimit is the rate limit that the upstream states.
+	// rateLimit is the rate limit that the upstream states in its responses.
 	rateLimit pacer.LimitState
 	// rateLimitUntil excludes the upstream until its rate limit allows another request.
 	rateLimitUntil time.Time
-	// announcement is what the upstream announced about itself otherwise.
+	// announcement holds the shutdown and the backoff that the upstream announced.
 	announcement Announcement
 }
 
@@ -179,8 +179,8 @@
 	return wait
 }
 
-// SuspendUntil excludes the upstream until the given time, for which it is known to accept no
-// requests.
+// SuspendUntil excludes the upstream until the given time, when its role change is due: until then
+// it accepts no requests.
 func (s *Stats) SuspendUntil(until time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -283,7 +283,7 @@
 	return s.announcement.eligibility(now)
 }
 
-// Announcement returns what the upstream announced about itself.
+// Announcement returns the shutdown and the backoff that the upstream announced.
 func (s *Stats) Announcement() Announcement {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -291,7 +291,7 @@
 }
 
 // Candidate returns the statistics in the form that upstream selection compares. The exclusions by
-// SuspendUntil and SetRateLimitWait appear as RecentlyFull too.
+// SuspendUntil and SetRateLimitWait appear as Excluded too.
 func (s *Stats) Candidate(now time.Time) route.Candidate {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -319,7 +319,7 @@
 	s.decayedAt = now
 }
 
-// decayFactor returns the part that is left of a decaying value after the given time.
+// decayFactor returns the fraction, 0 to 1, that is left of a decaying value after the time age.
 func decayFactor(age, halfLife time.Duration) float64 {
 	if age <= 0 {
 		return 1
