--- a/route/app.go
+++ b/route/app.go
@@ -9,8 +9,8 @@
 
 // AppReport is what the side of a plain application server reports.
 type AppReport struct {
-	// InFlight is the number of calls in progress; Limit is the most there may be,
-	// zero for no limit.
+	// InFlight is the number of calls in progress at the server. Limit is the maximum
+	// of InFlight, zero for no limit.
 	InFlight int
 	Limit    int
 }
@@ -26,7 +26,9 @@
 	Considered []AppCandidate `json:"considered"`
 }
 
-// AppCandidate is a candidate with its figures; the lowest score is chosen.
+// AppCandidate is an application server that a choice compared. Score is the number of
+// its calls in flight, with the new call, divided by the weight of its zone; the server
+// with the lowest score that is not full is chosen.
 type AppCandidate struct {
 	Host     domain.Host `json:"host"`
 	Zone     domain.Zone `json:"zone"`
@@ -73,8 +75,8 @@
 	return evaluation.Considered[best].Host, evaluation, true
 }
 
-// evaluateApp computes the figures of a candidate; a score of zero means that the
-// zone's weight is zero.
+// evaluateApp computes the calls in flight and the score of a candidate; a score of
+// zero means that the zone's weight is zero.
 func evaluateApp(m *member[AppReport], w ZoneWeights) AppCandidate {
 	n := m.report.InFlight + m.unreportedTotal.requests
 	s := AppCandidate{Host: m.host, Zone: m.zone, InFlight: n, Full: m.report.Limit > 0 && n >= m.report.Limit}
@@ -84,10 +86,10 @@
 	return s
 }
 
-// Started records a call sent to the host.
+// Started counts a call sent to the host, until the host's reports include it.
 func (a *AppSelector) Started(now time.Time, h domain.Host) { a.addRequests(now, h, 1) }
 
-// Ended records the end of a call.
+// Ended records the end of a call that Started counted.
 func (a *AppSelector) Ended(now time.Time, h domain.Host) { a.addRequests(now, h, -1) }
 
 func (a *AppSelector) addRequests(now time.Time, h domain.Host, by int) {
--- a/route/backoff.go
+++ b/route/backoff.go
@@ -3,8 +3,8 @@
 import "time"
 
 // CapacityBackoff limits how often one process asks the engines of a pool for
-// capacity: how many engines in one search, and after which interval the same
-// engine again.
+// capacity: how many engines one search asks, and how long the process waits before it
+// asks the same full engine again.
 //
 // When engines are full, many processes ask one engine after another. In a large
 // pool, an engine that refused becomes eligible again before the process has asked
@@ -16,15 +16,15 @@
 // Here all processes together ask each engine at a constant rate, regardless of the
 // number of processes and engines. The zero value is for one process.
 type CapacityBackoff struct {
-	// Processes is the number of processes that ask.
+	// Processes is the number of processes that ask the engines of the pool.
 	Processes int
 }
 
 const (
 	// engineInterval is the time between two calls to a full engine from all
 	// processes together. An engine frees a slot every 300 to 500 ms: with a longer
-	// interval, slots stay empty for long; with a shorter one, most calls return
-	// what is already known.
+	// interval, slots stay empty for long; with a shorter interval, most
+	// calls are refused again.
 	engineInterval = 20 * time.Millisecond
 	// minBackoff is the shortest time between two calls of one process to a full
 	// engine.
--- a/route/backoff_test.go
+++ b/route/backoff_test.go
@@ -11,21 +11,22 @@
 	"jacinthworks/route"
 )
 
-// simulation simulates, in virtual time, engines with a number of slots and
+// searchSimulation simulates, in virtual time, engines with a number of slots and
 // processes whose requests search for a free slot. Each process searches for one
 // request at a time.
-type simulation struct {
+type searchSimulation struct {
 	processes, engines int
 	// load is the arrival rate, as a fraction of the rate that the engines can
 	// serve.
 	load float64
-	// backoff and maxEngines are the policy under test.
+	// backoff is how long a process does not ask a full engine again, maxEngines the
+	// number of engines that one search asks.
 	backoff    time.Duration
 	maxEngines int
 }
 
-// simulationResult is what the callers and the engines observe.
-type simulationResult struct {
+// searchSimulationResult counts the requests and the reserve calls of a simulation.
+type searchSimulationResult struct {
 	requests, served int
 	// served is the number of requests that found a slot in time, reserveCalls the
 	// number of calls to engines, and maxReserveCalls the most calls for one
@@ -55,7 +56,7 @@
 	reserveCalls int
 }
 
-// event is a scheduled event.
+// event is a function that the simulation calls at a virtual time.
 type event struct {
 	at time.Duration
 	do func()
@@ -74,11 +75,11 @@
 	return last
 }
 
-// run runs the simulation.
-func (s simulation) run(seed uint64) simulationResult {
+// run simulates arrivals for arrivalPeriod with the random seed.
+func (s searchSimulation) run(seed uint64) searchSimulationResult {
 	random := rand.New(rand.NewPCG(seed, 1))
 	var (
-		out          simulationResult
+		out          searchSimulationResult
 		now          time.Duration
 		queue        eventQueue
 		inUse        = make([]int, s.engines)
@@ -159,7 +160,7 @@
 	smallestPoolCalls := 0.0
 	for _, size := range []struct{ processes, engines int }{{4, 5}, {24, 28}, {68, 86}} {
 		capacityBackoff := route.CapacityBackoff{Processes: size.processes}
-		s := simulation{processes: size.processes, engines: size.engines, load: 2, backoff: capacityBackoff.Interval(), maxEngines: route.MaxEnginesPerSearch}
+		s := searchSimulation{processes: size.processes, engines: size.engines, load: 2, backoff: capacityBackoff.Interval(), maxEngines: route.MaxEnginesPerSearch}
 		bounded := s.run(1)
 		s.backoff, s.maxEngines = 80*time.Millisecond, 1<<30
 		unbounded := s.run(1)
@@ -182,7 +183,7 @@
 // most twelve at every size.
 func TestCapacityBackoffBoundsReserveCallsAtEverySize(t *testing.T) {
 	for _, size := range []struct{ processes, engines int }{{4, 5}, {24, 28}, {68, 86}} {
-		s := simulation{
+		s := searchSimulation{
 			processes: size.processes, engines: size.engines, load: 2,
 			backoff: route.CapacityBackoff{Processes: size.processes}.Interval(), maxEngines: route.MaxEnginesPerSearch,
 		}
--- a/route/bench_test.go
+++ b/route/bench_test.go
@@ -13,7 +13,7 @@
 		b.Run(fmt.Sprintf("candidates=%d", candidates), func(b *testing.B) {
 			source := random()
 			prefills := candidates * 2 / 3
-			m := model(prefills, candidates-prefills,
+			m := newSelector(prefills, candidates-prefills,
 				func(int) int { return source.IntN(8000) },
 				func(int) int { return source.IntN(14) })
 			for n := range prefills / 4 {
--- a/route/cache.go
+++ b/route/cache.go
@@ -13,8 +13,8 @@
 // eviction events arrive late or never.
 const cacheHalfLife = 15 * time.Second
 
-// missedEventFactor is the factor by which a missed event lowers the probability
-// for each of a host's prefixes: the event may have been the prefix's eviction. An
+// missedEventFactor is the factor by which a missed event lowers the probability that
+// a prefix of the host is still cached: the event may have been the prefix's eviction. An
 // engine holds about thirty prefixes or more.
 const missedEventFactor = 0.97
 
@@ -33,12 +33,14 @@
 	Evicted bool
 }
 
-// holder is a host that is likely to have a prefix cached.
+// holder is a host that is likely to have the first tokens of a prefix cached, as of
+// updatedAt.
 type holder struct {
 	host      domain.Host
 	tokens    int
 	updatedAt time.Time
-	// missedEvents is the host's count of missed events at updatedAt.
+	// missedEvents is the number of the host's events that were missed up to
+	// updatedAt.
 	missedEvents int
 }
 
@@ -87,7 +89,7 @@
 	b.add(now, h, e.Prefix, e.Tokens)
 }
 
-// add records that the host has the prefix cached.
+// add records that the host has the first tokens of a prompt cached under the prefix.
 func (b *cacheIndex) add(now time.Time, h domain.Host, prefix uint64, tokens int) {
 	if prefix == 0 || tokens <= 0 {
 		return
--- a/route/candidate.go
+++ b/route/candidate.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Candidate describes an upstream that has no side: what is known of it from its
-// responses and from the requests that this process has sent to it.
+// Candidate describes an upstream that has no side, by the responses that it sent
+// and the requests that this process has in progress at it.
 type Candidate struct {
 	// Name identifies the upstream in the log.
 	Name string `json:"name"`
@@ -29,19 +29,20 @@
 	// Responsive reports whether its recent requests succeeded, apart from few
 	// failures.
 	Responsive bool `json:"sure,omitempty"`
-	// UnitTime is the time for a unit of work, a call or a prompt token; zero if
-	// unknown.
+	// UnitTime is the upstream's time per unit of work, which is a call or a prompt
+	// token; zero if unknown.
 	UnitTime time.Duration `json:"speed"`
-	// Excluded reports whether it recently refused a request for lack of
-	// capacity, or is held off for another reason.
+	// Excluded reports whether the upstream is to get no requests for some time:
+	// it refused a request for lack of capacity, accepted no connection, is
+	// changing its role or is at its rate limit.
 	Excluded bool `json:"held"`
 }
 
 // Request is a request to place.
 type Request struct {
-	// Units is its work, in the units of Candidate.UnitTime.
+	// Units is the work of the request, in the units of Candidate.UnitTime.
 	Units int
-	// Tokens is the memory that it needs, in tokens.
+	// Tokens is the engine memory that the request needs, in tokens.
 	Tokens int
 	// Typical is the assumed size of a request of another process.
 	Typical RequestSize
@@ -52,7 +53,7 @@
 	// OnlyResponsive leaves out the candidates that are not Responsive. It is for
 	// requests that cannot be retried after a failure.
 	OnlyResponsive bool
-	// MemoryPressureCost is by how much longer a request takes on an engine whose
+	// MemoryPressureCost is the extra time that a request takes on an engine whose
 	// memory is full of other requests, with which it shares the batch steps.
 	MemoryPressureCost time.Duration
 	// FailureCost is the time that a failure costs: the time of a retry, or far
@@ -63,15 +64,17 @@
 	CrossZoneCost time.Duration
 }
 
-// RequestSize is the work and the memory of a request.
+// RequestSize is the work of a request, in the units of Candidate.UnitTime, and its
+// memory in tokens.
 type RequestSize struct{ Units, Tokens int }
 
 // The constants of Candidate.Score.
 const (
-	// defaultCallTime is the assumed time of a request if UnitTime is unknown.
+	// defaultCallTime is the assumed service time of a request whose candidate's
+	// UnitTime is unknown.
 	defaultCallTime = 30 * time.Millisecond
-	// scoreJitter is the largest fraction that is added to a score at random, so
-	// that all entries do not choose equal candidates in the same order.
+	// scoreJitter is the largest fraction of a score that is added to it at random,
+	// so that the entries do not all choose equal candidates in the same order.
 	scoreJitter = 0.1
 	// fullSlowdown is the time that a request takes longer on a full upstream than
 	// on an idle one, as a fraction of its service time.
@@ -81,10 +84,12 @@
 	queueWaitFactor = 1.0
 )
 
-// inFlight returns the estimated number of requests in progress.
+// inFlight returns the estimated number of requests in progress at the candidate,
+// from all processes.
 func (c Candidate) inFlight() float64 { return float64(c.OwnRequests) + c.OtherRequests }
 
-// usedMemory returns the estimated number of tokens in use.
+// usedMemory returns the estimated number of tokens in use in the candidate's
+// memory. Each request of another process counts as r.Typical.
 func (c Candidate) usedMemory(r Request) float64 {
 	return float64(c.OwnTokens) + c.OtherRequests*float64(r.Typical.Tokens)
 }
@@ -95,7 +100,8 @@
 	return time.Duration(float64(c.UnitTime) * (float64(r.Units+c.QueuedTokens) + c.OtherRequests*float64(r.Typical.Units)))
 }
 
-// EstimateRate returns the estimated number of calls that it answers per second.
+// EstimateRate returns the estimated number of calls per second that the upstream
+// can answer.
 func (c Candidate) EstimateRate() float64 {
 	unitTime := c.UnitTime
 	if unitTime == 0 {
@@ -104,8 +110,8 @@
 	return float64(max(c.Slots, 1)) / unitTime.Seconds()
 }
 
-// Score returns the estimated time to a response, plus the penalties of the
-// request.
+// Score returns the estimated time to a response plus the request's penalties for
+// memory pressure, failures and another zone; the lowest score is the best.
 func (c Candidate) Score(r Request) time.Duration {
 	unitTime := c.UnitTime
 	if unitTime == 0 {
@@ -129,18 +135,18 @@
 	return time.Duration(score)
 }
 
-// hasRoom reports whether the candidate is estimated to have capacity for the
+// hasCapacity reports whether the candidate is estimated to have capacity for the
 // request.
-func (c Candidate) hasRoom(r Request) bool {
+func (c Candidate) hasCapacity(r Request) bool {
 	if c.Excluded || c.Slots > 0 && c.inFlight() >= float64(c.Slots) {
 		return false
 	}
 	return c.MemoryTokens == 0 || c.usedMemory(r)+float64(r.Tokens) <= float64(c.MemoryTokens)
 }
 
-// SelectBest returns the index of the candidate with the lowest score; candidates
-// with capacity come first. It returns -1 if there is none. full reports that none
-// is estimated to have capacity.
+// SelectBest returns the index of the candidate with the lowest score among those
+// estimated to have capacity or, if there are none, among all; -1 if the request
+// leaves out every candidate. full reports that none is estimated to have capacity.
 func SelectBest(candidates []Candidate, r Request, random *rand.Rand) (best int, full bool) {
 	best, full = -1, true
 	var lowest float64
@@ -148,7 +154,7 @@
 		if r.SkipExcluded && c.Excluded || r.OnlyResponsive && !c.Responsive {
 			continue
 		}
-		hasRoom := r.SkipExcluded || c.hasRoom(r)
+		hasRoom := r.SkipExcluded || c.hasCapacity(r)
 		if !hasRoom && !full {
 			continue
 		}
--- a/route/estimate.go
+++ b/route/estimate.go
@@ -4,8 +4,8 @@
 	"time"
 )
 
-// evaluatePrefill computes the figures of a prefill candidate, and the reason if it
-// cannot take the job.
+// evaluatePrefill computes the expected wait and prefill time of a prefill candidate
+// for the job, and the reason if the candidate cannot take the job.
 func (m *EngineSelector) evaluatePrefill(now time.Time, j Job, c *member[PrefillReport]) (PrefillCandidate, ExclusionReason) {
 	rate := c.report.Rate
 	if rate <= 0 {
@@ -29,8 +29,8 @@
 	return candidate, ""
 }
 
-// evaluateDecode computes the figures of a decode candidate, and the reason if it
-// cannot take the job.
+// evaluateDecode computes the free capacity and the time between tokens of a decode
+// candidate with the job, and the reason if the candidate cannot take the job.
 func evaluateDecode(j Job, c *member[DecodeReport]) (DecodeCandidate, ExclusionReason) {
 	candidate := DecodeCandidate{
 		Host:         c.host,
@@ -54,8 +54,8 @@
 	return candidate, ""
 }
 
-// estimate computes the expected latency of a pair, and the reason if it cannot
-// take the job.
+// estimate computes the expected latency and the score of a pair for the job, and the
+// reason if the pair cannot take the job.
 func (m *EngineSelector) estimate(now time.Time, j Job, p *PrefillCandidate, d *DecodeCandidate) (Estimate, ExclusionReason) {
 	prefillDone := p.Queue + p.Prefill
 	wait, transferTime := m.links.estimate(now, ZonePair{From: p.Zone, To: d.Zone}, prefillDone, j.KVBytes)
@@ -79,8 +79,8 @@
 	return time.Duration(float64(j.KVLifetime) / (1 + float64(max(j.WastedPrefillWeight, 0))/100))
 }
 
-// score adds the time to the first token and the time between tokens, each divided
-// by its target, so that neither is improved at a greater cost to the other.
+// score returns the time to the first token and the time between tokens, each divided
+// by its target, added up, so that neither is improved at a greater cost to the other.
 func (j Job) score(e Estimate) float64 {
 	first, gap := j.FirstTokenTarget, j.TokenGapTarget
 	if first <= 0 {
--- a/route/evaluation.go
+++ b/route/evaluation.go
@@ -9,7 +9,7 @@
 // ExclusionReason says why a candidate or a pair cannot take a job at present.
 type ExclusionReason string
 
-// The exclusion reasons.
+// The reasons for which a candidate or a pair is excluded.
 const (
 	ExcludedZone      ExclusionReason = "zone_weight_zero"
 	ExcludedLong      ExclusionReason = "short_prompts_only"
@@ -54,11 +54,11 @@
 	}
 }
 
-// Evaluation holds the figures that a choice was based on. They are logged with the
-// decision.
+// Evaluation holds the candidates and the estimates that a choice of an engine pair
+// was based on. It is logged with the decision.
 type Evaluation struct {
-	// PrefillPool and DecodePool are the numbers of known candidates, and Pairs is
-	// the number of pairs that were compared.
+	// PrefillPool and DecodePool are the numbers of engines in the pools, and Pairs is
+	// the number of pairs of sampled candidates that were compared.
 	PrefillPool int `json:"prefill_pool"`
 	DecodePool  int `json:"decode_pool"`
 	Pairs       int `json:"pairs"`
@@ -74,7 +74,7 @@
 	Chosen Estimate `json:"chosen"`
 }
 
-// PrefillCandidate is a prefill engine with its figures.
+// PrefillCandidate is a sampled prefill engine with its expected wait and prefill time.
 type PrefillCandidate struct {
 	Host domain.Host `json:"host"`
 	Zone domain.Zone `json:"zone"`
@@ -87,21 +87,22 @@
 	Weight float64 `json:"weight"`
 }
 
-// DecodeCandidate is a decode engine with its figures.
+// DecodeCandidate is a sampled decode engine with its free capacity and time between
+// tokens.
 type DecodeCandidate struct {
 	Host domain.Host `json:"host"`
 	Zone domain.Zone `json:"zone"`
-	// FreeRequests and FreeTokens are the free capacity. TokenGapTarget is the time
-	// between tokens once the job has joined the batch. Weight is as in
-	// PrefillCandidate.
+	// FreeRequests and FreeTokens are the free request slots and memory tokens.
+	// TokenGap is the time between tokens once the job has joined the batch. Weight is
+	// the zone's weight divided by 100.
 	FreeRequests int           `json:"free_requests"`
 	FreeTokens   int           `json:"free_tokens"`
 	TokenGap     time.Duration `json:"token_gap"`
 	Weight       float64       `json:"weight"`
 }
 
-// Estimate is the expected latency of a pair. The pair with the lowest score is
-// chosen.
+// Estimate is the expected latency of a job on a pair of engines. The pair with the
+// lowest score is chosen.
 type Estimate struct {
 	// Cached is the number of prompt tokens that the prefill engine is expected to
 	// have cached.
@@ -111,7 +112,9 @@
 	// KVWait is how long the KV cache must be kept after the prefill: until its
 	// transfer is complete.
 	KVWait time.Duration `json:"kv_wait"`
-	Score  float64       `json:"score"`
+	// Score is the sum of FirstToken and TokenGap, each divided by its target, and of
+	// the weighted risk that the KV cache expires, divided by the lower zone weight.
+	Score float64 `json:"score"`
 }
 
 func (e *Evaluation) addPrefill(p PrefillCandidate) {
--- a/route/link.go
+++ b/route/link.go
@@ -6,13 +6,14 @@
 	"jacinthworks/domain"
 )
 
-// ZonePair names the shared link over which KV caches are transferred between two
-// zones, or within one.
+// ZonePair identifies the shared link over which KV caches are transferred from one
+// zone to another, or within one zone if From equals To.
 type ZonePair struct{ From, To domain.Zone }
 
 // LinkReport is the last measurement of a link.
 type LinkReport struct {
-	// Rate is in bytes per second; zero means that the link is no bottleneck.
+	// Rate is the link's throughput in bytes per second; zero means that the link is
+	// no bottleneck.
 	Rate float64
 	// QueuedBytes is the number of bytes that are waiting or in transfer.
 	QueuedBytes int64
@@ -26,6 +27,7 @@
 	unreportedTotal int64
 }
 
+// transfer is a planned KV cache transfer over a link.
 type transfer struct {
 	at    time.Time
 	bytes int64
@@ -70,7 +72,8 @@
 }
 
 // estimate returns how long a transfer that is ready after the given delay waits
-// for the link, and how long the transfer itself takes.
+// for the link, and how long the transfer itself takes; both are zero if the link is
+// no bottleneck or has no report.
 func (s links) estimate(now time.Time, p ZonePair, delay time.Duration, bytes int64) (wait, transferTime time.Duration) {
 	l, ok := s[p]
 	if !ok || l.report.Rate <= 0 {
--- a/route/pool.go
+++ b/route/pool.go
@@ -9,13 +9,13 @@
 	"jacinthworks/domain"
 )
 
-// MaxReportAge is the age up to which a report is used. Reports arrive several
-// times per second; without one for this long, the host is lost, or this process
-// was paused and its reports are out of date.
+// MaxReportAge is the age up to which a host's report is used. Reports arrive several
+// times per second. Without a report for this long, the host is unreachable, or this
+// process was paused and its reports are out of date.
 const MaxReportAge = 2 * time.Second
 
-// probesPerCandidate is the most candidates examined for each one wanted. It makes
-// a choice cost the same in a pool of nine and of a thousand. With three in four
+// probesPerCandidate is how many pool members at most are examined for each candidate
+// wanted. It makes a choice cost the same in a pool of nine and of a thousand. With three in four
 // candidates full, 16 probes for four candidates all fail in one choice of 100.
 const probesPerCandidate = 4
 
@@ -23,7 +23,7 @@
 // empty and ready to use.
 type Pool[R any] struct {
 	// ShortOnlyEvery reserves one candidate in this many for short prompts; zero
-	// means DefaultShortOnlyEvery, negative means none. Set it before Update.
+	// means DefaultShortOnlyEvery, a negative value reserves none. Set it before Update.
 	ShortOnlyEvery int
 
 	members []*member[R]
@@ -36,8 +36,9 @@
 	zone       domain.Zone
 	report     R
 	reportedAt time.Time
-	// draining is what the side reports. withheldShare is the fraction of its
-	// traffic that an ejected candidate does not get, from 0 to 1.
+	// draining is set while the candidate's side reports that it is draining.
+	// withheldShare is the fraction of its traffic that an ejected candidate does
+	// not get, from 0 (gets all) to 1 (gets none).
 	draining      bool
 	withheldShare float64
 	// shortOnly reports whether the candidate gets no long prompts; see
@@ -99,7 +100,7 @@
 	p.assignShortOnly()
 }
 
-// Len returns the number of candidates.
+// Len returns the number of candidates, usable or not.
 func (p *Pool[R]) Len() int { return len(p.members) }
 
 func (p *Pool[R]) find(h domain.Host) *member[R] {
@@ -133,8 +134,8 @@
 const DefaultShortOnlyEvery = 3
 
 // assignShortOnly reserves every ShortOnlyEvery-th candidate, in order of host
-// name, for short prompts. All entries that know the same hosts reserve the same
-// ones without coordination.
+// name, for short prompts. Entries that track the same hosts reserve the same
+// candidates without coordination.
 func (p *Pool[R]) assignShortOnly() {
 	every := p.ShortOnlyEvery
 	if every == 0 {
@@ -183,7 +184,8 @@
 	m.unreportedTotal.tokens += l.tokens
 }
 
-// dropReported drops the load that a report made at the given time includes.
+// dropReported drops the load changes up to the given time, which the report made
+// then includes.
 func (m *member[R]) dropReported(at time.Time) {
 	kept := m.unreported[:0]
 	m.unreportedTotal = load{}
--- a/route/route.go
+++ b/route/route.go
@@ -39,8 +39,10 @@
 	"jacinthworks/domain"
 )
 
-// The sample sizes of a choice. Two random candidates of each pool are enough
-// against herding; four also distinguish a near engine from a distant one.
+// The numbers of candidates that a choice samples: prefill engines at random, prefill
+// engines that likely cached the prefix, decode engines and application servers. Two
+// random candidates of a pool are enough against herding; four also distinguish a near
+// engine from a distant one.
 const (
 	prefillSampleSize = 4
 	cachedSampleSize  = 2
@@ -52,7 +54,8 @@
 // engine is not used; it equals queue.LongPromptTokens.
 const longPromptTokens = 8000
 
-// Defaults for figures that a report or a table row does not set.
+// Defaults for the prefill rate that a report, and for the latency targets that a table
+// row, does not set.
 const (
 	defaultPrefillRate = 20_000 // tokens per second
 	defaultFirstToken  = time.Second
@@ -61,15 +64,15 @@
 
 // PrefillReport is what the side of a prefill engine reports.
 type PrefillReport struct {
-	// QueuedTokens are reserved and not yet processed. Rate is measured, in tokens
-	// per second.
+	// QueuedTokens is the number of prompt tokens that are reserved and not yet
+	// processed. Rate is the measured prefill rate, in tokens per second.
 	QueuedTokens int
 	Rate         float64
 }
 
 // DecodeReport is what the side of a decode engine reports.
 type DecodeReport struct {
-	// FreeRequests and FreeTokens are the unreserved capacity.
+	// FreeRequests and FreeTokens are the unreserved request slots and memory tokens.
 	FreeRequests int
 	FreeTokens   int
 	// Batch is the number of reserved and running requests. The time between tokens
@@ -79,7 +82,7 @@
 	GapStep time.Duration
 }
 
-// Job is the request to place.
+// Job is a model request for which a pair of engines is selected.
 type Job struct {
 	PromptTokens    int
 	MaxOutputTokens int
@@ -98,11 +101,12 @@
 	// MaxQueueWait is the longest accepted wait in the prefill engine's queue; zero
 	// for no limit.
 	MaxQueueWait time.Duration
-	// WastedPrefillWeight is the table row's weight of wasted prefill, in percent.
+	// WastedPrefillWeight is the table row's weight of a wasted prefill token against
+	// a token of goodput, in percent.
 	WastedPrefillWeight int
 	Weights             ZoneWeights
-	// MayPrefill and MayDecode report whether a host may take the job; nil allows
-	// all hosts.
+	// MayPrefill and MayDecode report whether a host may prefill and decode the job;
+	// nil allows all hosts.
 	MayPrefill func(domain.Host) bool
 	MayDecode  func(domain.Host) bool
 }
@@ -111,8 +115,8 @@
 // A zone with no weight, or a weight of zero, gets no requests.
 type ZoneWeights map[domain.Zone]int
 
-// of returns the weight of a zone, divided by 100; only its ratio to the other
-// weights matters.
+// of returns the weight of a zone, divided by 100. Scores are divided by it, so that
+// only its ratio to the other zones' weights matters.
 func (w ZoneWeights) of(z domain.Zone) float64 {
 	if w == nil {
 		return 1
@@ -120,7 +124,7 @@
 	return float64(max(w[z], 0)) / 100
 }
 
-// EnginePair is the result of a choice.
+// EnginePair is the prefill engine and the decode engine selected for a job.
 type EnginePair struct {
 	Prefill domain.Host `json:"prefill"`
 	Decode  domain.Host `json:"decode"`
@@ -172,7 +176,8 @@
 	return pair, evaluation, found
 }
 
-// Started records a job sent to a pair, until the engines' reports include it.
+// Started counts the load of a job sent to a pair, until the engines' reports include
+// it.
 func (m *EngineSelector) Started(now time.Time, p EnginePair, j Job) {
 	uncached := j.PromptTokens - m.cached(now, p.Prefill, j)
 	prefill, decode := m.Prefills.find(p.Prefill), m.Decodes.find(p.Decode)
@@ -195,8 +200,8 @@
 	}
 }
 
-// Cached returns the most prompt tokens that any engine is expected to have cached.
-// The job's cost is reduced by them.
+// Cached returns the largest number of the job's prompt tokens that any one engine is
+// expected to have cached. The job's cost in the queue is reduced by them.
 func (m *EngineSelector) Cached(now time.Time, j Job) int {
 	maxTokens := 0
 	for _, h := range m.cache.holders[j.Prefix] {
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -33,9 +33,9 @@
 	return []domain.Zone{"salt-lake", "new-town", "howrah"}[n%3]
 }
 
-// model returns a selector for pools with the given prefill queues and decode
+// newSelector returns a selector for pools with the given prefill queues and decode
 // batches.
-func model(prefills, decodes int, queued, batch func(n int) int) *EngineSelector {
+func newSelector(prefills, decodes int, queued, batch func(n int) int) *EngineSelector {
 	selector := &EngineSelector{}
 	for n := range prefills {
 		selector.Prefills.Update(host("prefill", n), zone(n), start, PrefillReport{QueuedTokens: queued(n), Rate: 20_000})
@@ -49,11 +49,11 @@
 	return selector
 }
 
-func zero(int) int { return 0 }
+func noLoad(int) int { return 0 }
 
-// exhaustive scores all pairs directly and sorts the scores; a pair that cannot
-// take the job scores infinity.
-func exhaustive(j Job, queued, batch []int) []float64 {
+// sortedScoresOfAllPairs returns the scores of all pairs for the job, lowest first; a pair that
+// cannot take the job scores infinity.
+func sortedScoresOfAllPairs(j Job, queued, batch []int) []float64 {
 	var scores []float64
 	for p, q := range queued {
 		for _, b := range batch {
@@ -75,9 +75,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		queued := rapid.SliceOfN(rapid.IntRange(0, 60_000), 1, prefillSampleSize).Draw(t, "queued")
 		batch := rapid.SliceOfN(rapid.IntRange(0, 16), 1, decodeSampleSize).Draw(t, "batch")
-		selector := model(len(queued), len(batch), func(n int) int { return queued[n] }, func(n int) int { return batch[n] })
+		selector := newSelector(len(queued), len(batch), func(n int) int { return queued[n] }, func(n int) int { return batch[n] })
 		j := Job{PromptTokens: rapid.IntRange(1, 50_000).Draw(t, "prompt"), MaxOutputTokens: 100, FirstTokenTarget: time.Second, TokenGapTarget: 40 * time.Millisecond}
-		best := exhaustive(j, queued, batch)[0]
+		best := sortedScoresOfAllPairs(j, queued, batch)[0]
 		_, evaluation, ok := selector.Choose(start, j, random())
 		require.Equal(t, !math.IsInf(best, 1), ok)
 		if ok {
@@ -94,9 +94,9 @@
 	for range 200 {
 		queued, batch = append(queued, source.IntN(60_000)), append(batch, source.IntN(15))
 	}
-	selector := model(200, 200, func(n int) int { return queued[n] }, func(n int) int { return batch[n] })
+	selector := newSelector(200, 200, func(n int) int { return queued[n] }, func(n int) int { return batch[n] })
 	j := Job{PromptTokens: 2000, MaxOutputTokens: 100, FirstTokenTarget: time.Second, TokenGapTarget: 48 * time.Millisecond}
-	all := exhaustive(j, queued, batch)
+	all := sortedScoresOfAllPairs(j, queued, batch)
 	var sum float64
 	for range 500 {
 		_, evaluation, ok := selector.Choose(start, j, source)
@@ -109,7 +109,7 @@
 // Reports are delayed, so all requests of one second see the same idle engine, go
 // to it and wait there. The load sent since the report must be added to it.
 func TestChooseSpreadsRequestsBetweenReports(t *testing.T) {
-	selector := model(6, 3, zero, zero)
+	selector := newSelector(6, 3, noLoad, noLoad)
 	j := Job{PromptTokens: 4000, MaxOutputTokens: 10}
 	sent := map[domain.Host]int{}
 	source := random()
@@ -130,7 +130,7 @@
 // would stay empty while requests wait. Load that the newest report includes must
 // not be counted twice.
 func TestUpdateIgnoresReportOlderThanLast(t *testing.T) {
-	selector := model(1, 1, zero, zero)
+	selector := newSelector(1, 1, noLoad, noLoad)
 	p := EnginePair{Prefill: host("prefill", 0), Decode: host("decode", 0)}
 	selector.Started(start.Add(time.Second), p, Job{PromptTokens: 100, MaxOutputTokens: 10})
 	full := DecodeReport{FreeRequests: 0}
@@ -158,7 +158,7 @@
 	}
 	for name, makeUnusable := range cases {
 		t.Run(name, func(t *testing.T) {
-			selector := model(2, 1, zero, zero)
+			selector := newSelector(2, 1, noLoad, noLoad)
 			makeUnusable(selector)
 			for range 20 {
 				p, _, ok := selector.Choose(start, Job{PromptTokens: 10}, random())
@@ -173,7 +173,7 @@
 // engine keeps it, and the prefill is wasted. The wait is known in advance, so the
 // prefill must not be started.
 func TestChooseExcludesPairWhoseKVCacheWouldExpire(t *testing.T) {
-	selector := model(1, 1, zero, zero)
+	selector := newSelector(1, 1, noLoad, noLoad)
 	path := ZonePair{From: zone(0), To: zone(0)}
 	selector.UpdateLink(path, start, LinkReport{Rate: 1e9, QueuedBytes: 5e9})
 	j := Job{PromptTokens: 50_000, MaxOutputTokens: 10, KVBytes: 3e8, KVLifetime: 800 * time.Millisecond}
@@ -206,7 +206,7 @@
 }
 
 func TestChoosePrefersCachedPrefixUnlessEngineIsBusy(t *testing.T) {
-	selector := model(60, 3, zero, zero)
+	selector := newSelector(60, 3, noLoad, noLoad)
 	j := Job{PromptTokens: 10_000, Prefix: 7, PrefixTokens: 9000}
 	selector.CacheEvent(start, host("prefill", 40), CacheEvent{Seq: 1, Prefix: 7, Tokens: 9000})
 	p, _, _ := selector.Choose(start, j, random())
