--- a/queue/decision.go
+++ b/queue/decision.go
@@ -21,11 +21,11 @@
 	DetailExpired      Detail = "the target can no longer be met"
 )
 
-// DecisionInputs are the figures that a decision was based on. They are logged with
-// the decision.
+// DecisionInputs are the queue's figures on which the decision to admit or to refuse an
+// item was based. They are logged with the decision.
 type DecisionInputs struct {
-	// Wait is the expected time in the queue, and NewCallerWait that of a caller
-	// without waiting items.
+	// Wait is the item's expected time in the queue, and NewCallerWait the expected
+	// time for an item of a caller without waiting items.
 	Wait          time.Duration `json:"wait"`
 	NewCallerWait time.Duration `json:"fresh_wait"`
 	// Rate is the drain rate of the item's lane, in cost per second; zero while
@@ -36,17 +36,19 @@
 	Items       int `json:"items"`
 	CallerItems int `json:"caller_items"`
 	CallerLimit int `json:"caller_limit"`
-	// HotKey reports whether the item is charged to its key. Class is the priority
-	// by which it is served.
+	// HotKey reports whether the item is charged to its key, as to one caller. Class is
+	// the priority by which the item is served: 0, the lowest, to 9; 0 also for a
+	// caller over its share.
 	HotKey bool `json:"hot_key"`
 	Class  int  `json:"class"`
 	// Deferred reports whether the item is in a deferred class, which is served
-	// after the items of priorities 1 and above that may not wait, for a part of
-	// its time to expiry.
+	// after the items of priorities 1 and above that may not wait, for the
+	// first half of its time to expiry.
 	Deferred bool `json:"yields"`
 }
 
-// Refusal says why an item was refused and when its caller may retry.
+// Refusal describes why an item was refused, and after which time its caller may
+// retry.
 type Refusal struct {
 	Reason     domain.Reason
 	Detail     Detail
@@ -66,7 +68,7 @@
 	Refusal Refusal
 }
 
-// Decision is the result of Enqueue.
+// Decision is the result of Enqueue for one item: admitted or refused.
 type Decision struct {
 	Inputs DecisionInputs
 	// Refusal is nil if the item was admitted.
@@ -86,7 +88,8 @@
 	return c, q.history.isOverShare(now, c)
 }
 
-// decisionInputs computes the figures for an item that is charged to the caller.
+// decisionInputs computes the decision inputs for an item that is charged to the
+// caller c.
 func (q *Queue) decisionInputs(now time.Time, i Item, c caller) DecisionInputs {
 	q.advanceDrains(now)
 	l := q.classes[i.class].lane(i)
@@ -132,8 +135,8 @@
 	return wait
 }
 
-// costAhead estimates the cost that fair queueing serves before a further item of
-// the caller. Every active flow is served as much as the caller has waiting or has
+// costAhead estimates the cost that fair queueing serves in this lane before a further
+// item of the caller. Every active flow is served as much as the caller has waiting or has
 // received beyond its share, and one item of mean cost more.
 func (l *lane) costAhead(c caller) int {
 	if l.count == 0 {
@@ -155,11 +158,11 @@
 	return min(l.cost, l.activeFlows*(l.cost/l.count))
 }
 
-// callerLimit returns the number of waiting items that may be charged to one
+// callerLimit returns the largest number of waiting items that may be charged to one
 // caller. With n callers waiting, they hold at most n of n+1 parts of the queue,
 // which leaves places for a new caller.
 func (q *Queue) callerLimit() int {
-	return max(1, q.Limits.items()/(len(q.callers)+1))
+	return max(1, q.Limits.maxItems()/(len(q.callers)+1))
 }
 
 // admissionRefusal returns why the arriving item is refused, or nil if it is
@@ -197,8 +200,8 @@
 	}
 }
 
-// shed removes the item from the queue to make room for an item of a higher
-// priority.
+// shed removes a waiting item from the queue to make room for an item of a higher
+// priority, and returns it with its refusal.
 func (q *Queue) shed(now time.Time, e *queuedItem, random *rand.Rand) Refused {
 	inputs := q.decisionInputs(now, e.item, e.flow.caller)
 	q.unlink(now, e)
--- a/queue/deferral.go
+++ b/queue/deferral.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// classCount is the number of serving classes: one for each priority, and a
-// deferred class for each priority.
+// classCount is the number of serving classes: one for each priority, which has the
+// number of the priority, and then a deferred class for each priority.
 const classCount = 2 * PriorityCount
 
 // servingOrder is the order in which the classes are served: by priority, then the
@@ -27,10 +27,10 @@
 	return order
 }
 
-// deferredFraction is the part of its time to expiry for which an item that may
-// wait is deferred. For the other half it has its own priority, which is enough to
-// be served in time: it was admitted only because its expected wait was shorter
-// than the whole.
+// deferredFraction is the fraction of its time to expiry for which an item that may
+// wait is deferred. For the other half the item has its own priority, which is enough
+// to be served in time: it was admitted only because its expected wait was shorter
+// than its whole time to expiry.
 const deferredFraction = 0.5
 
 // setDeferral places an item that may wait in a deferred class, which is served
@@ -47,8 +47,9 @@
 	i.class = PriorityCount + i.Priority
 }
 
-// shedPriority returns the priority by which a full queue sheds items. A deferred
-// item keeps its own priority; a caller over its share has priority 0.
+// shedPriority returns the priority by which a full queue sheds the item; 0 is shed
+// first. A deferred item keeps its own priority; an item of a caller over its share has
+// priority 0.
 func (i *Item) shedPriority() int { return i.class % PriorityCount }
 
 // promoteDeferred moves items whose deferral has ended to the class of their own
@@ -59,6 +60,6 @@
 		q.unlink(now, e)
 		i := e.item
 		i.class, i.deferredUntil = i.Priority, time.Time{}
-		q.add(now, i, e.flow.caller)
+		q.appendItem(now, i, e.flow.caller)
 	}
 }
--- a/queue/drain.go
+++ b/queue/drain.go
@@ -11,8 +11,8 @@
 // few seconds.
 const drainTimeConstant = 4 * time.Second
 
-// minBacklogTime is the backlogged time that must be observed before the rate is
-// used; over less time, a single dequeued request would determine it.
+// minBacklogTime is the backlogged time that must be observed before the drain rate is
+// used; over less time, a single dequeued request would determine the rate.
 const minBacklogTime = 300 * time.Millisecond
 
 // drainMeter measures the rate at which waiting items are dequeued, as cost per
@@ -25,8 +25,8 @@
 	backlogSeconds, dequeuedCost float64
 }
 
-// advance accounts for the time since the last call; backlogged says whether items
-// were waiting during that time.
+// advance decays the drain rate over the time since the last call; backlogged reports
+// whether items were waiting during that time.
 func (d *drainMeter) advance(now time.Time, backlogged bool) {
 	elapsed := now.Sub(d.lastUpdate).Seconds()
 	known := !d.lastUpdate.IsZero()
@@ -39,14 +39,15 @@
 	d.dequeuedCost *= decay
 }
 
-// add records dequeued cost. A negative cost undoes an earlier record.
-func (d *drainMeter) add(now time.Time, cost int) {
+// recordDequeued counts the cost of an item that was dequeued after it had waited. A negative cost
+// undoes an earlier call.
+func (d *drainMeter) recordDequeued(now time.Time, cost int) {
 	d.advance(now, true)
 	d.dequeuedCost = max(0, d.dequeuedCost+float64(cost))
 }
 
-// rate returns the cost dequeued per second of backlogged time; false while it is
-// not known.
+// rate returns the cost dequeued per second of backlogged time; false until
+// minBacklogTime has been observed.
 func (d *drainMeter) rate() (float64, bool) {
 	if d.backlogSeconds < minBacklogTime.Seconds() {
 		return 0, false
@@ -61,13 +62,13 @@
 	if !known || cost == 0 {
 		return 0
 	}
-	return seconds(float64(cost) / max(rate, 1))
+	return cappedDuration(float64(cost) / max(rate, 1))
 }
 
 // maxWait caps time estimates, so that sums of them fit in a time.Duration.
 const maxWait = time.Hour
 
-// seconds converts s to a duration of at most maxWait.
-func seconds(s float64) time.Duration {
+// cappedDuration converts s to a duration of at most maxWait.
+func cappedDuration(s float64) time.Duration {
 	return min(time.Duration(min(s, maxWait.Seconds())*float64(time.Second)), maxWait)
 }
--- a/queue/flow.go
+++ b/queue/flow.go
@@ -23,21 +23,22 @@
 	// to the flow, counted from the lane's virtual time when the flow last became
 	// active.
 	startTag int64
-	// cost is the total cost of the flow's items.
+	// cost is the total cost of the flow's waiting items.
 	cost int
-	// heapIndex is the position in the lane's heap, or -1.
+	// heapIndex is the flow's position in the lane's heap; -1 if it is not in it.
 	heapIndex int
 }
 
 // lane holds the waiting items of one prompt length, short or long, in one class.
 type lane struct {
-	number   int
+	number   int // laneShort or laneLong
 	flows    heap[*flow]
 	byCaller map[caller]*flow
 	// virtualTime is the start tag of the flow that was served last.
 	virtualTime int64
-	// startTag is the lane's own virtual time, compared with that of the class's
-	// other lane.
+	// startTag is the virtual time of the lane within its class: the cost served from
+	// the lane, raised to the startTag of the other lane whenever the lane was empty.
+	// The lane with the lower startTag is served next.
 	startTag int64
 	count    int
 	cost     int
@@ -46,7 +47,7 @@
 	drain       drainMeter
 }
 
-// The lanes of a class.
+// The lanes of a class, by prompt length: below LongPromptTokens, and from there on.
 const (
 	laneShort = iota
 	laneLong
@@ -71,11 +72,12 @@
 	return laneShort
 }
 
-// class holds the waiting items of one serving class; see classCount.
+// class holds the waiting items of one serving class: of one priority, deferred or
+// not.
 type class struct {
 	lanes [laneCount]lane
-	// oldest and newest are the ends of the list of all items of the class, ordered
-	// by age.
+	// oldest and newest are the ends of the age-ordered list of all items of the
+	// class.
 	oldest, newest *queuedItem
 }
 
@@ -170,7 +172,7 @@
 	return &k.lanes[laneShort]
 }
 
-// nextLane returns the lane to serve next, or nil if none can be served. Each lane
+// nextLane returns the lane to serve next, or nil if neither can be served. Each lane
 // with waiting items gets half of the service, measured in cost: a short item waits
 // behind at most one long item, and a long item behind short ones of the same total
 // cost. A lane whose first item has a prompt longer than maxPrompt tokens is
--- a/queue/heap.go
+++ b/queue/heap.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// fix restores the heap order after the element at n has changed.
+// fix restores the heap order after the element at index n has changed.
 func (h *heap[T]) fix(n int) {
 	if !h.down(n) {
 		h.up(n)
--- a/queue/latency.go
+++ b/queue/latency.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// retainedWeight is the weight that the previous mean keeps at each observation:
-// the mean covers about the last dozen requests, which is about a second of work at
-// the present load.
+// retainedWeight is the weight, 0 to 1, that the previous mean latency keeps at each
+// observed request: the mean covers about the last dozen requests, which is about a
+// second of work at the present load.
 const retainedWeight = 0.92
 
-// deviationFactor is the number of mean deviations that an estimate adds to the
-// mean. With none, half of the requests that are dequeued at the last moment miss
+// deviationFactor is the number of mean absolute deviations that a latency estimate
+// adds to the mean. With none, half of the requests that are dequeued at the last moment miss
 // their target, and their prefill is wasted; with two, about nine in ten meet it.
 const deviationFactor = 2
 
@@ -38,7 +38,7 @@
 // decayingMean is an exponentially weighted mean with its mean absolute deviation.
 type decayingMean struct {
 	mean, meanDeviation float64
-	seen                bool
+	seen                bool // a value has been added
 }
 
 func (a *decayingMean) add(v float64) {
@@ -52,8 +52,8 @@
 
 func (a *decayingMean) upperBound() float64 { return a.mean + deviationFactor*a.meanDeviation }
 
-// Observe records a request that was answered: its prompt and output tokens, and
-// the times from leaving the queue to the first and the last token.
+// Observe records a request that was answered: its numbers of prompt and output tokens,
+// and the times from leaving the queue to the first and the last token.
 func (p *LatencyEstimator) Observe(prompt, output int, first, end time.Duration) {
 	p.overhead[laneFor(prompt)].add(max(0, first-prefillTime(prompt)).Seconds())
 	if output > 1 {
@@ -61,15 +61,16 @@
 	}
 }
 
-// Estimate returns the times from leaving the queue to the first and the last
-// token, such that about nine in ten requests are faster.
+// Estimate returns the times from leaving the queue to the first and the last token of
+// a request with that many prompt and output tokens. About nine in ten such requests
+// are faster.
 func (p *LatencyEstimator) Estimate(prompt, output int) (first, end time.Duration) {
 	tokenInterval := defaultTokenInterval.Seconds()
 	if p.tokenInterval.seen {
 		tokenInterval = p.tokenInterval.upperBound()
 	}
-	first = prefillTime(prompt) + seconds(p.overhead[laneFor(prompt)].upperBound())
-	return first, first + seconds(tokenInterval*float64(output))
+	first = prefillTime(prompt) + cappedDuration(p.overhead[laneFor(prompt)].upperBound())
+	return first, first + cappedDuration(tokenInterval*float64(output))
 }
 
 // prefillTime returns the prefill time of a prompt at the default speed.
--- a/queue/probe.go
+++ b/queue/probe.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// probeInterval is the time between two probes. One request per second costs little
-// while the latency estimates are right, and corrects wrong ones within seconds.
+// probeInterval is the time between two probes, requests that are admitted regardless
+// of their latency estimates. One request per second costs little while the estimates
+// are right, and corrects wrong estimates within seconds.
 const probeInterval = time.Second
 
 // admitProbe clears the latency estimates of one item per probeInterval and lane
--- a/queue/queue.go
+++ b/queue/queue.go
@@ -69,12 +69,13 @@
 // 20,000.
 const OutputTokenCost = 50
 
-// AnyPrompt is the limit with which Dequeue returns prompts of any length.
+// AnyPrompt is the maxPrompt argument with which Dequeue returns prompts of any length.
 const AnyPrompt = math.MaxInt
 
-// Limits bound a queue.
+// Limits bound the number of items in a Queue.
 type Limits struct {
-	// MaxItems is the table's queue limit; zero means DefaultMaxItems.
+	// MaxItems is the largest number of waiting items, the table's queue limit; zero
+	// means DefaultMaxItems.
 	MaxItems int
 }
 
@@ -82,10 +83,10 @@
 type Item struct {
 	ID      domain.RequestID
 	Account domain.Account
-	// Key is a hash of the idempotency key or the body; zero if the item has none,
-	// and is then not counted.
+	// Key is a hash of the idempotency key or the body, by which hot keys are
+	// detected; zero if the item has neither.
 	Key uint64
-	// Priority is that of the table row: 0 to 9, the highest is served first.
+	// Priority is the priority of the table row: 0 to 9; 9 is served first.
 	Priority int
 	// PromptTokens is the number of prompt tokens that are not known to be cached,
 	// and MaxOutputTokens the most tokens of the answer; both are zero for plain
@@ -107,7 +108,7 @@
 	// caller over its share, or a deferred class until deferredUntil.
 	class         int
 	deferredUntil time.Time
-	// chargedTo is the caller that Dequeue charged for the item. countedInDrain
+	// chargedTo is the caller whose service Dequeue charged with the item's cost. countedInDrain
 	// reports whether the item was counted in the drain rate.
 	chargedTo      caller
 	countedInDrain bool
@@ -141,10 +142,10 @@
 	// expiry is the result of Item.expiry on arrival.
 	expiry time.Time
 	flow   *flow
-	// expiryIndex is the position in the heap of expiries, and deferredIndex that
-	// in the heap of deferred items; -1 if the item is not in the heap.
+	// expiryIndex is the item's position in the heap of expiries, and deferredIndex
+	// its position in the heap of deferred items; -1 if it is not in the heap.
 	expiryIndex, deferredIndex int
-	// older and newer are the neighbours in the class's age-ordered list.
+	// older and newer are the item's neighbours in the class's age-ordered list.
 	older, newer *queuedItem
 }
 
@@ -162,7 +163,8 @@
 	// priority later.
 	deferredItems heap[*queuedItem]
 	waitingCost   int
-	// laneTotals hold the cost and the drain rate of each lane over all classes.
+	// laneTotals hold the waiting cost and the drain rate of each lane over all
+	// classes.
 	laneTotals [laneCount]laneTotal
 	retries    retrySchedule
 }
@@ -188,7 +190,7 @@
 		return Decision{Inputs: inputs, Refusal: refusal}
 	}
 	decision := Decision{Inputs: inputs}
-	if len(q.items) >= q.Limits.items() {
+	if len(q.items) >= q.Limits.maxItems() {
 		candidate := q.shedCandidate()
 		if candidate.item.shedPriority() >= i.shedPriority() {
 			decision.Refusal = q.newRefusal(now, i, domain.ReasonNoRoom, DetailQueueFull, inputs, random)
@@ -196,7 +198,7 @@
 		}
 		decision.Shed = append(decision.Shed, q.shed(now, candidate, random))
 	}
-	q.add(now, i, c)
+	q.appendItem(now, i, c)
 	return decision
 }
 
@@ -290,15 +292,15 @@
 	}
 }
 
-func (l Limits) items() int {
+func (l Limits) maxItems() int {
 	if l.MaxItems > 0 {
 		return l.MaxItems
 	}
 	return DefaultMaxItems
 }
 
-// add appends the item to its caller's flow.
-func (q *Queue) add(now time.Time, i Item, c caller) {
+// appendItem appends the item to its caller's flow.
+func (q *Queue) appendItem(now time.Time, i Item, c caller) {
 	e := q.link(now, i, c, atNewest)
 	e.flow.items = append(e.flow.items, e)
 	e.flow.lane.fix(e.flow)
@@ -362,19 +364,20 @@
 	return e.item
 }
 
-// recordService records service for the item's account and its key.
+// recordService adds the cost to the service history of the item's account and of its
+// key; a negative cost undoes an earlier call.
 func (q *Queue) recordService(now time.Time, i Item, cost int) {
-	q.history.add(now, caller{account: i.Account}, cost)
+	q.history.record(now, caller{account: i.Account}, cost)
 	if i.Key != 0 {
-		q.history.add(now, caller{key: i.Key}, cost)
+		q.history.record(now, caller{key: i.Key}, cost)
 	}
 }
 
 // recordDequeue adds the cost to the drain rates of the lane; a negative cost
 // undoes it.
 func (q *Queue) recordDequeue(now time.Time, l *lane, cost int) {
-	l.drain.add(now, cost)
-	q.laneTotals[l.number].drain.add(now, cost)
+	l.drain.recordDequeued(now, cost)
+	q.laneTotals[l.number].drain.recordDequeued(now, cost)
 }
 
 // advanceDrains updates the drain rates over all classes to the given time. It must
--- a/queue/queue_test.go
+++ b/queue/queue_test.go
@@ -27,9 +27,9 @@
 	return Item{ID: domain.RequestID(fmt.Sprint(n)), Account: account, PromptTokens: prompt}
 }
 
-// maxMin returns the max-min fair shares of the budget: demands are filled up to a
-// common level.
-func maxMin(demands []int, budget int) []int {
+// maxMinShares returns the max-min fair share of the budget for each demand: demands are
+// filled up to a common level.
+func maxMinShares(demands []int, budget int) []int {
 	out := make([]int, len(demands))
 	order := make([]int, len(demands))
 	for n := range order {
@@ -67,7 +67,7 @@
 			served[c] += i.Cost()
 			total += i.Cost()
 		}
-		for c, fair := range maxMin(demands, total) {
+		for c, fair := range maxMinShares(demands, total) {
 			require.InDelta(t, fair, served[c], 2*largest, "demands %v served %v", demands, served)
 		}
 	})
@@ -321,8 +321,8 @@
 	highPriority.ID, highPriority.Account = "other", "caller1"
 	require.Equal(t, 9, q.Enqueue(now, highPriority, random()).Inputs.Class)
 	afterDecay := now.Add(10 * shareTimeConstant)
-	q.history.add(afterDecay, caller{account: "caller1"}, 100)
-	q.history.add(afterDecay, caller{account: "caller2"}, 100)
+	q.history.record(afterDecay, caller{account: "caller1"}, 100)
+	q.history.record(afterDecay, caller{account: "caller2"}, 100)
 	highPriority.ID, highPriority.Account = "later", "hot"
 	require.Equal(t, 9, q.Enqueue(afterDecay, highPriority, random()).Inputs.Class)
 }
--- a/queue/retry_after.go
+++ b/queue/retry_after.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// minRetry and maxRetry bound Retry-After: the header is in whole seconds, so that
-// one second is its minimum, and a caller told to wait for more than half a minute
-// gives up and asks elsewhere.
+// minRetry and maxRetry bound the Retry-After of a refusal: the header is in whole
+// seconds, so that one second is its minimum, and a caller told to wait for more than
+// half a minute gives up and asks elsewhere.
 const (
 	minRetry = time.Second
 	maxRetry = 30 * time.Second
 )
 
-// retryJitterPercent is the largest part by which a Retry-After is extended at
-// random, in percent, so that callers refused at the same time do not retry at the
-// same time.
+// retryJitterPercent is the largest extension of a Retry-After at random, in percent of
+// its length, so that callers refused together do not all retry together.
 const retryJitterPercent = 25
 
 // retrySchedule spaces the retries of refused callers at the drain rate. Without
 // it, all callers refused in a burst get the same Retry-After, and their retries
 // are the next burst.
 type retrySchedule struct {
-	// nextRetry is when the engines will have capacity for the next retry.
+	// nextRetry is when the engines will have capacity for the retry of the next
+	// refused caller.
 	nextRetry time.Time
 }
 
--- a/queue/share.go
+++ b/queue/share.go
@@ -15,18 +15,18 @@
 // minute to minute; see docs/decisions.md.
 const maxShareFactor = 3
 
-// shareSweepInterval is the time between removals of callers without recent
-// service.
+// shareSweepInterval is the time between removals of callers without recent service
+// from the service history.
 const shareSweepInterval = time.Second
 
-// decayingCost is an amount of cost that decays with shareTimeConstant; cost is its
-// amount at the time at.
+// decayingCost is the cost of past service, which decays with shareTimeConstant; cost
+// is the amount left at the time at.
 type decayingCost struct {
 	cost float64
 	at   time.Time
 }
 
-// decayedTo returns the amount left at the given time.
+// decayedTo returns the cost left at the given time.
 func (s decayingCost) decayedTo(now time.Time) float64 {
 	return s.cost * math.Exp(-now.Sub(s.at).Seconds()/shareTimeConstant.Seconds())
 }
@@ -46,8 +46,9 @@
 	lastSweep    time.Time
 }
 
-// add records service; a negative cost undoes it.
-func (s *serviceHistory) add(now time.Time, c caller, cost int) {
+// record records that a caller was served an item of the given cost; a negative cost
+// undoes an earlier call.
+func (s *serviceHistory) record(now time.Time, c caller, cost int) {
 	if s.served == nil {
 		s.served = make(map[caller]decayingCost)
 	}
@@ -63,13 +64,14 @@
 	s.total = decayingCost{cost: max(0, s.total.decayedTo(now)+float64(cost)), at: now}
 }
 
-// isOverShare reports whether the caller received more than its share.
+// isOverShare reports whether the caller received more than maxShareFactor times the
+// mean service of an account.
 func (s *serviceHistory) isOverShare(now time.Time, c caller) bool {
 	previous, known := s.served[c]
 	return known && previous.decayedTo(now)*float64(s.accountCount) > maxShareFactor*s.total.decayedTo(now)
 }
 
-// sweep removes callers whose service has decayed to less than one token.
+// sweep removes callers whose service has decayed to a cost of less than one token.
 func (s *serviceHistory) sweep(now time.Time) {
 	if now.Sub(s.lastSweep) < shareSweepInterval {
 		return
