--- a/send/conn.go
+++ b/send/conn.go
@@ -19,12 +19,12 @@
 // milliseconds.
 const TCPUserTimeout = 18
 
-// keepAliveProbes is how many keep-alive probes may go unanswered: a single one may be lost in the
-// network.
+// keepAliveProbes is the number of consecutive unanswered TCP keep-alive probes after which the
+// kernel closes the connection; with one, a single lost packet would close it.
 const keepAliveProbes = 2
 
-// idleTimeoutFraction is the part of the idle timeout stated by the server for which a connection
-// is used. The rest covers the network latency and a late timer.
+// idleTimeoutFraction is the fraction of the idle timeout stated by the server for which an idle
+// connection may be reused. The rest covers the network latency and a late timer.
 const idleTimeoutFraction = 0.7
 
 // conn is one connection. It carries one exchange, a request and its response, at a time.
@@ -34,7 +34,7 @@
 	// idleSince is when the connection became idle, and idleTimeout how long it may stay idle.
 	idleSince   time.Time
 	idleTimeout time.Duration
-	exchanges   int
+	exchanges   int // completed exchanges
 	// bytesWritten counts the bytes of the current request that the kernel accepted.
 	bytesWritten atomic.Int64
 	// bytesRead counts the bytes read over all exchanges.
@@ -51,7 +51,7 @@
 	}
 	c, err := d.DialContext(ctx, "tcp", addr.String())
 	if err != nil {
-		return nil, errors.Wrap(err, "send: dial")
+		return nil, errors.Wrap(err, "send: dial the upstream")
 	}
 	k := &conn{Conn: c}
 	k.reader = bufio.NewReaderSize(k, 8<<10)
@@ -94,14 +94,14 @@
 func (k *conn) write(q *http.Request) error {
 	out := bufio.NewWriterSize(k, 8<<10)
 	if err := q.Write(out); err != nil {
-		return errors.Wrap(err, "send: writing request")
+		return errors.Wrap(err, "send: write request")
 	}
-	return errors.Wrap(out.Flush(), "send: writing request")
+	return errors.Wrap(out.Flush(), "send: write request")
 }
 
 func (k *conn) expired(now time.Time) bool { return now.Sub(k.idleSince) > k.idleTimeout }
 
-// usable reports whether an idle connection can carry a request.
+// usable reports whether the idle connection can carry a further request.
 //
 // The server may have closed an idle connection, or have sent data that belongs to no request. A
 // request on such a connection would fail, or receive that data as its response. One non-blocking
@@ -128,8 +128,9 @@
 	return err == nil && noData
 }
 
-// statedIdleTimeout returns how long an idle connection may be used according to the Keep-Alive
-// header of a response; zero if the header states no timeout.
+// statedIdleTimeout returns how long a connection may be idle and still be reused:
+// idleTimeoutFraction of the timeout in the Keep-Alive header of a response; zero if the header
+// states no timeout.
 func statedIdleTimeout(h http.Header) time.Duration {
 	for _, part := range strings.Split(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
--- a/send/failure.go
+++ b/send/failure.go
@@ -6,7 +6,7 @@
 	"github.com/pkg/errors"
 )
 
-// FailureStage tells how far a request without a complete response got.
+// FailureStage is how far a request without a complete response got.
 type FailureStage string
 
 // The stages at which a request can fail.
@@ -47,8 +47,8 @@
 	return ""
 }
 
-// failure classifies an error. A request of which no byte was written is NotSent, whatever the
-// cause.
+// failure returns the Failure for an error of an exchange. A request of which no byte was written is
+// NotSent, whatever the cause.
 //
 // A device between the two ends may lose its state of open connections, which then never deliver
 // data again while new connections work. One request after another would time out on them. A
--- a/send/reply.go
+++ b/send/reply.go
@@ -9,7 +9,7 @@
 	"github.com/pkg/errors"
 )
 
-// Response is a response of which the header has arrived; Read returns its body.
+// Response is a response whose header has arrived; Read reads its body.
 type Response struct {
 	Status int
 	Header http.Header
@@ -29,7 +29,7 @@
 	writeDone chan error
 	// reusable reports whether the connection stays open after the end of the response.
 	reusable bool
-	done     bool
+	done     bool // the exchange has ended
 }
 
 // Read reads the body. It returns io.EOF at the end of a complete body and a *Failure on any other
@@ -48,7 +48,8 @@
 	return n, err
 }
 
-// SetReadTimeout changes how long the upstream may send no data, from now on.
+// SetReadTimeout sets for how long the upstream may send no data before the response times out, and
+// restarts that time.
 func (p *Response) SetReadTimeout(d time.Duration) {
 	p.readTimeout = d
 	if !p.done {
@@ -56,7 +57,7 @@
 	}
 }
 
-// Abort ends the exchange as timed out. Unlike the other methods it may be called from any
+// Abort fails the exchange as TimedOut and closes its connection. Unlike the other methods it may be called from any
 // goroutine.
 func (p *Response) Abort() { p.cancel(errReadTimeout) }
 
@@ -95,7 +96,7 @@
 	}
 }
 
-// discard ends the exchange and closes its connection.
+// discard ends the exchange without reuse of its connection, which it closes.
 func (p *Response) discard() {
 	p.done = true
 	p.watchdog.stop()
--- a/send/send.go
+++ b/send/send.go
@@ -31,8 +31,8 @@
 	"github.com/pkg/errors"
 )
 
-// Defaults of a Client. A dial within a deployment takes less than a millisecond, so an upstream
-// that accepts no connection for a second is down.
+// Defaults of the fields of a Client. A dial within a deployment takes less than a millisecond, so
+// an upstream that accepts no connection for a second is down.
 const (
 	DefaultDialTimeout  = time.Second
 	DefaultReadTimeout  = 10 * time.Second
@@ -40,8 +40,8 @@
 	DefaultMaxIdleConns = 256
 )
 
-// maxInlineBody is the longest body, in bytes, that is written before the response is read. A
-// longer one is written concurrently: an upstream may respond early and read the rest of the body
+// maxInlineBody is the longest request body, in bytes, that is written before the response is read.
+// A longer body is written concurrently: an upstream may respond early and read the rest of the body
 // later. Writing the whole body first would block, and the response would not be read.
 const maxInlineBody = 16 << 10
 
@@ -52,7 +52,7 @@
 // Client sends requests to one address. The zero value with a Base is ready to use. A Client must
 // not be copied after first use.
 type Client struct {
-	// Base is the address that requests are sent to.
+	// Base is the address to which requests are sent.
 	Base netip.AddrPort
 	// DialTimeout bounds the time to connect; zero is DefaultDialTimeout.
 	DialTimeout time.Duration
@@ -158,7 +158,7 @@
 	for n := 0; n <= maxSkippedResponses; n++ {
 		response, err := http.ReadResponse(p.conn.reader, q)
 		if err != nil {
-			return nil, errors.Wrap(err, "send: reading response header")
+			return nil, errors.Wrap(err, "send: read response header")
 		}
 		interim := response.StatusCode < http.StatusOK
 		if !interim && (r.Match == nil || r.Match(response.Header)) {
@@ -168,17 +168,17 @@
 		// passed on as the response to this request, to another caller. Reading on finds the right
 		// response because the upstream answers the requests of a connection in order.
 		if _, err := io.Copy(io.Discard, response.Body); err != nil || response.Close {
-			return nil, errors.New("send: connection ended after a response to another request")
+			return nil, errors.New("send: skip a response to another request: the connection ended")
 		}
 	}
-	return nil, errors.New("send: too many responses to other requests")
+	return nil, errors.New("send: read response header: too many interim responses or responses to other requests")
 }
 
 // buildRequest returns the request in the form that net/http writes. An empty body has the length
 // 0, which is written too if the method has a body.
 func buildRequest(r Request, base netip.AddrPort) (*http.Request, error) {
 	if r.Target == "" || r.Target[0] != '/' {
-		return nil, errors.Errorf("send: building request: target %q is not an absolute path", r.Target)
+		return nil, errors.Errorf("send: build request: target %q is not an absolute path", r.Target)
 	}
 	q := &http.Request{
 		Method: r.Method,
@@ -232,8 +232,8 @@
 	return k
 }
 
-// release makes a connection idle, and closes idle connections that have expired or exceed the
-// limit.
+// release adds a connection to the idle connections, and closes those that have expired or exceed
+// the maximum number.
 func (c *Client) release(k *conn) {
 	now := time.Now()
 	k.idleSince = now
@@ -270,7 +270,7 @@
 }
 
 // CloseAll closes the idle connections and fails the exchanges in progress as broken. It is used
-// when the upstream is known to have restarted, so that it has no memory of them.
+// when the upstream has restarted and therefore has no memory of the requests.
 func (c *Client) CloseAll() {
 	c.CloseIdleConnections()
 	c.mu.Lock()
--- a/send/send_test.go
+++ b/send/send_test.go
@@ -155,7 +155,8 @@
 	require.ErrorIs(t, err, context.Canceled)
 }
 
-// twoPartServer responds with a body in two parts, the second after second is closed.
+// twoPartServer returns a client of a server that responds with a body in two parts, the second part
+// after the channel second is closed.
 func twoPartServer(t *testing.T) (c *send.Client, second chan struct{}) {
 	second = make(chan struct{})
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
--- a/send/watchdog.go
+++ b/send/watchdog.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// watchdog cancels an exchange if the upstream has sent no data for the timeout.
+// watchdog cancels an exchange if the upstream has sent no data within the timeout.
 //
 // If the host has no processor time left, the timer may fire before a response that arrived in time
 // is read, and a response that was passed on in part would be truncated. When the timer fires, the
@@ -43,7 +43,7 @@
 	w.conn, w.bytesAtReset = k, k.bytesRead.Load()
 }
 
-// reset restarts the timeout.
+// reset restarts the watchdog with the given timeout.
 func (w *watchdog) reset(timeout time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -54,7 +54,7 @@
 	w.timer.Reset(timeout)
 }
 
-// stop ends the watchdog.
+// stop stops the watchdog; the exchange is not canceled after that.
 func (w *watchdog) stop() {
 	w.mu.Lock()
 	w.stopped = true
