--- a/conns/idle.go
+++ b/conns/idle.go
@@ -19,21 +19,21 @@
 )
 
 const (
-	// limitFactor is how many times the stated limit an idle connection is kept.
+	// limitFactor is the multiple of the stated idle timeout for which an idle connection is kept.
 	//
 	// A caller may send a request shortly before the limit. If the host has no processor time left,
 	// the request may lie unread for 100 ms, while the connection is closed as idle, and the caller
 	// gets neither a response nor a refusal. An idle connection costs some KB, a lost request its
 	// caller.
 	limitFactor   = 2
-	sweepInterval = time.Second
+	sweepInterval = time.Second // between two searches for connections to close
 )
 
 // IdleCloser closes caller connections that have been idle for longer than twice the limit. The
 // limit is part of a configuration that may change while connections are open, which IdleTimeout of
 // http.Server does not follow. Set Limit before first use. An IdleCloser must not be copied.
 type IdleCloser struct {
-	// Limit returns the stated idle timeout.
+	// Limit returns the idle timeout that callers are told, as currently configured.
 	Limit func() time.Duration
 
 	mu        sync.Mutex // leaf lock: no other lock is acquired while it is held
