--- a/events/events.go
+++ b/events/events.go
@@ -20,7 +20,7 @@
 // Splitter splits one stream. The zero value starts at the first event. It is not safe for
 // concurrent use.
 type Splitter struct {
-	// LastEventID is the ID of the last event with an ID that Add returned; empty if there is none.
+	// LastEventID is the ID of the last event returned by Add that has an ID; empty if there is none.
 	LastEventID string
 
 	partial []byte
@@ -29,7 +29,7 @@
 // Partial returns the incomplete event at the end of the data added so far.
 func (s *Splitter) Partial() []byte { return s.partial }
 
-// Add appends data read from the stream and returns the events that are complete, without those
+// Add appends data read from the stream and returns the events that it completes, without events
 // that were returned before.
 func (s *Splitter) Add(b []byte) []byte {
 	s.partial = append(s.partial, b...)
@@ -78,8 +78,8 @@
 	return "", false
 }
 
-// isNewer reports whether an event comes after the event with the ID last. IDs are increasing
-// numbers. An event counts as newer if last is empty or one of the IDs is not a number.
+// isNewer reports whether the event with the ID id comes after the event with the ID last. IDs are
+// increasing numbers. An event counts as newer if last is empty or one of the IDs is not a number.
 func isNewer(id, last string) bool {
 	if last == "" {
 		return true
