--- a/meter/meter.go
+++ b/meter/meter.go
@@ -41,15 +41,15 @@
 	return s.set
 }
 
-// Inc adds one to a counter.
+// Inc adds one to the counter with the name and the labels.
 func (s *Registry) Inc(name string, l Labels) { s.Add(name, l, 1) }
 
-// Add adds n to a counter.
+// Add adds n to the counter with the name and the labels.
 func (s *Registry) Add(name string, l Labels, n int) {
 	s.metricSet().GetOrCreateCounter(name + l.String()).Add(n)
 }
 
-// Observe adds a duration to a histogram, in seconds.
+// Observe adds a duration, in seconds, to the histogram with the name and the labels.
 func (s *Registry) Observe(name string, l Labels, elapsed time.Duration) {
 	s.metricSet().GetOrCreatePrometheusHistogramExt(name+l.String(), latencyBuckets).Update(elapsed.Seconds())
 }
@@ -76,14 +76,15 @@
 	return b.String()
 }
 
-// ServeHTTP writes all metrics, and those of the process, as text.
+// ServeHTTP writes all metrics of the registry, and those of the process such as its
+// memory and processor time, as text.
 func (s *Registry) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "text/plain; version=0.0.4")
 	s.metricSet().WritePrometheus(w)
 	metrics.WriteProcessMetrics(w)
 }
 
-// readTimeout bounds the time for reading the headers of a request.
+// readTimeout bounds the time for reading the header of a request for metrics.
 const readTimeout = 5 * time.Second
 
 // Serve serves GET /metrics until ctx is done. It returns an error if it cannot
--- a/meter/names.go
+++ b/meter/names.go
@@ -5,7 +5,8 @@
 	"sync"
 )
 
-// maxNames bounds the number of names that are remembered.
+// maxNames bounds the size of a SeenNames, because the names come from upstreams and may
+// be without end.
 const maxNames = 64
 
 // SeenNames is a bounded set of names, such as those of response header fields. The
@@ -43,5 +44,5 @@
 	return added
 }
 
-// Add adds a name and reports whether it is new, as AddHeader does.
+// Add adds a name and reports whether it is new; once the set is full, no name is new.
 func (n *SeenNames) Add(name string) bool { return len(n.AddHeader(http.Header{name: nil})) > 0 }
