--- a/trace/bench_test.go
+++ b/trace/bench_test.go
@@ -15,7 +15,7 @@
 	var r Recorder
 	b.ReportAllocs()
 	for n := range b.N {
-		entry, _, _ := appraisal(uint64(n))
+		entry, _, _ := appraisalEvents(uint64(n))
 		recordAll(&r, entry)
 		if n%FlushSpans == 0 {
 			r.TakePending()
@@ -27,7 +27,7 @@
 func BenchmarkFixture(b *testing.B) {
 	b.ReportAllocs()
 	for n := range b.N {
-		entry, _, _ := appraisal(uint64(n))
+		entry, _, _ := appraisalEvents(uint64(n))
 		_ = entry
 	}
 }
@@ -38,7 +38,7 @@
 	side := func() domain.Host { return domain.Host(fmt.Sprintf("side-%d", x.IntN(9))) }
 	var batch []*Span
 	for n := range FlushSpans {
-		entry, _, _ := appraisal(uint64(n))
+		entry, _, _ := appraisalEvents(uint64(n))
 		entry[0].Caller = domain.Account(fmt.Sprintf("stud-%d", x.IntN(2100)))
 		entry[4].Tokens = x.IntN(900)
 		for i := range entry { // vary times, upstreams and costs, so that they compress like real ones
--- a/trace/event.go
+++ b/trace/event.go
@@ -9,7 +9,7 @@
 	"jacinthworks/domain"
 )
 
-// EventKind is the kind of an event.
+// EventKind is the step of a request that an event records.
 type EventKind string
 
 // The kinds of events. Answered and Refused are terminal. CallerGone is not: the request
@@ -30,29 +30,30 @@
 )
 
 // MaxDetail is the largest size in bytes of each free text of an event. A sentence fits,
-// but a prompt that is passed in by mistake does not. It also keeps a span smaller than
-// a segment: 256 events with a few such texts stay below 1 MiB even uncompressed.
+// but a prompt that is passed in by mistake does not. The bound also keeps a span smaller
+// than a segment: 256 events with a few such texts stay below 1 MiB even uncompressed.
 const MaxDetail = 400
 
 // MaxCandidates bounds the candidates recorded for one decision. A decision evaluates
-// from two to a handful in full; the others are only counted.
+// from two to a handful of candidates in full; the other candidates are only counted.
 const MaxCandidates = 8
 
 // Candidate is one upstream that a decision evaluated.
 type Candidate struct {
 	Host domain.Host `json:"host"`
-	// Cost is the wait that the policy expected at this upstream.
+	// Cost is the wait that the policy expected at this upstream, in nanoseconds in
+	// JSON.
 	Cost time.Duration `json:"cost_ns"`
 	// Note says in a few words why the upstream was not chosen.
 	Note string `json:"note,omitempty"`
 }
 
-// Evaluation contains the inputs of a decision.
+// Evaluation contains the inputs of a decision to which upstream a request is sent.
 type Evaluation struct {
 	// Policy is the name of the policy that made the decision.
 	Policy string `json:"policy"`
 	// Considered is the number of all candidates; Candidates contains the first
-	// MaxCandidates of those that were evaluated in full.
+	// MaxCandidates of the candidates that were evaluated in full.
 	Considered int         `json:"considered"`
 	Candidates []Candidate `json:"candidates,omitempty"`
 	// TableVersion is the version of the operators' table in force.
@@ -85,7 +86,8 @@
 	// Tokens is the number of prompt tokens on Accepted and PrefillDone, of reserved
 	// tokens on Reserved, and of output tokens on ends.
 	Tokens int `json:"tokens,omitempty"`
-	// Execution is set on AttemptEnded, Answered and Refused.
+	// Execution states whether the request ran at an upstream. It is set on
+	// AttemptEnded, Answered and Refused.
 	Execution domain.Execution `json:"ran,omitempty"`
 	// Reason is set on Refused, and on AttemptEnded if the attempt failed.
 	Reason domain.Reason `json:"reason,omitempty"`
--- a/trace/merge.go
+++ b/trace/merge.go
@@ -15,8 +15,8 @@
 // State is the state of a request as far as its trace shows it.
 type State string
 
-// The states. StateLost says that the end of the entry's span was not found, so that it
-// is unknown whether the caller got a response.
+// The states of a request. StateLost: the end of the entry's span was not found, so that
+// it is unknown whether the caller got a response.
 const (
 	StateAnswered State = "answered"
 	StateRefused  State = "refused"
@@ -28,12 +28,13 @@
 type Trace struct {
 	Request domain.RequestID `json:"request_id"`
 	State   State            `json:"state"`
-	// Execution is what the caller was told or, if the entry's end is missing, what the spans
-	// of the sides prove.
+	// Execution is whether the request ran, as the caller was told or, if the end of the
+	// entry's span is missing, as the spans of the sides prove.
 	Execution domain.Execution `json:"ran"`
 	// Reason is set if the request was refused.
 	Reason domain.Reason `json:"reason,omitempty"`
-	// Events are the events of all spans in causal order: by attempt, then by time.
+	// Events are the events of all spans in causal order: by attempt, then before or
+	// after the decision for it, then by time.
 	Events []Event `json:"events"`
 	// Missing describes, in sentences, which spans and events were not found.
 	Missing []string `json:"missing,omitempty"`
@@ -52,13 +53,14 @@
 			m.add(s)
 		}
 	}
-	m.sort()
+	m.sortEvents()
 	m.setState()
 	m.findMissing()
 	m.findContradictions()
 	return t
 }
 
+// orderedEvent is an event with its sort keys.
 type orderedEvent struct {
 	event Event
 	// attempt and step are the causal order across hosts whose clocks differ: the
@@ -70,6 +72,7 @@
 	time time.Time
 }
 
+// merger collects the spans of one request and builds its trace.
 type merger struct {
 	trace     *Trace
 	events    []orderedEvent
@@ -79,6 +82,7 @@
 	entryOpen bool                 // the entry's span is still open
 }
 
+// The values of orderedEvent.step.
 const (
 	stepBeforeDecision = iota
 	stepAfterDecision
@@ -146,9 +150,9 @@
 	}
 }
 
-// sort orders the events and adds them to one Span, since Span.Add reports a second end
+// sortEvents orders the events and adds them to one Span, since Span.Add reports a second end
 // or a second acceptance as a finding.
-func (m *merger) sort() {
+func (m *merger) sortEvents() {
 	slices.SortStableFunc(m.events, func(a, b orderedEvent) int {
 		return cmp.Or(
 			cmp.Compare(a.attempt, b.attempt),
@@ -182,14 +186,14 @@
 	if m.entryOpen {
 		t.State = StateOpen
 	}
-	if e, ran := t.evidence(); ran {
+	if e, ran := t.evidenceOfRun(); ran {
 		t.Execution = domain.DidRun
 		m.addMissingIf(t.State == StateLost, "the end: %s at %s proves that the request ran", e.Kind, e.Host)
 	}
 }
 
-// evidence returns an event that proves that the request ran.
-func (t *Trace) evidence() (Event, bool) {
+// evidenceOfRun returns an event that proves that the request ran, and false if there is none.
+func (t *Trace) evidenceOfRun() (Event, bool) {
 	for _, e := range t.Events {
 		ranAttempt := e.Kind == AttemptEnded && e.Execution == domain.DidRun
 		if ranAttempt || e.Kind == PrefillDone || e.Kind == FirstToken {
@@ -288,7 +292,7 @@
 func (m *merger) findContradictions() {
 	t := m.trace
 	location := string(t.Request)
-	evidence, ran := t.evidence()
+	evidence, ran := t.evidenceOfRun()
 	if t.State == StateRefused && t.Execution == domain.NotRun && ran {
 		m.addFinding(check.Finding{Location: location, Problem: fmt.Sprintf("refused as not_run, but %s has %s", evidence.Host, evidence)})
 	}
--- a/trace/outbox.go
+++ b/trace/outbox.go
@@ -17,7 +17,7 @@
 	dropped int64
 }
 
-// Add appends segments.
+// Add appends segments, and drops the oldest segments beyond MaxBytes.
 func (o *Outbox) Add(segments ...Segment) {
 	limit := o.MaxBytes
 	if limit <= 0 {
@@ -33,7 +33,8 @@
 	}
 }
 
-// Oldest returns the oldest segment without removing it, and false if there is none.
+// Oldest returns the segment that was added first, without removing it, and false if the
+// outbox is empty.
 func (o *Outbox) Oldest() (Segment, bool) {
 	if len(o.pending) == 0 {
 		return Segment{}, false
@@ -54,7 +55,7 @@
 // Pending returns the number of segments and bytes that are not yet written.
 func (o *Outbox) Pending() (segments, bytes int) { return len(o.pending), o.bytes }
 
-// Dropped returns the number of spans that were dropped because of the bound.
+// Dropped returns the number of spans in the segments that were dropped beyond MaxBytes.
 func (o *Outbox) Dropped() int64 { return o.dropped }
 
 func (o *Outbox) remove(i int) {
--- a/trace/recorder.go
+++ b/trace/recorder.go
@@ -8,7 +8,7 @@
 	"jacinthworks/domain"
 )
 
-// The defaults of a Recorder.
+// The defaults of the bounds and intervals of a Recorder.
 const (
 	// DefaultMaxClosed is the number of closed spans kept in memory: some seconds at
 	// an entry's full rate, at about 3 KB per span.
@@ -16,31 +16,33 @@
 	// DefaultMaxAge is how long a closed span is kept in memory. Its segment is
 	// written long before.
 	DefaultMaxAge = 10 * time.Minute
-	// DefaultMaxPending bounds the closed spans that wait for TakePending: twice the
-	// size of a batch. Beyond it the oldest are dropped and counted. Spans wait for
+	// DefaultMaxPending bounds the closed spans that wait for TakePending: twice
+	// FlushSpans. Beyond the bound the oldest spans are dropped and counted. Spans wait for
 	// the end of an outage of the platform in an Outbox, in far less memory.
 	DefaultMaxPending = 2 * FlushSpans
 	// DefaultFlushInterval is how long a closed span waits until it is due to be
 	// packed into a segment. A host that is killed loses the spans of this time.
 	DefaultFlushInterval = 2 * time.Second
-	// FlushSpans is the number of spans that makes a batch due before that interval. A
-	// span takes about 100 to 200 bytes of a segment, so a batch is far below
+	// FlushSpans is the number of pending spans from which a batch is due before the
+	// flush interval has passed. A span takes about 100 to 200 bytes of a segment, so a batch is far below
 	// MaxSegment.
 	FlushSpans = 2000
-	// typicalEvents is the number of events of a span without failures.
+	// typicalEvents is the number of events of a span without failures, for which a
+	// new span allocates memory.
 	typicalEvents = 8
 )
 
-// Counts contains the counters of a Recorder. At any time, Accepted = Answered + Refused
-// + Open.
+// Counts contains the counters of a Recorder of an entry, in requests except where a field
+// counts spans or events. At any time, Accepted = Answered + Refused + Open.
 type Counts struct {
 	Accepted int64 `json:"accepted"`
 	Answered int64 `json:"answered"`
 	Refused  int64 `json:"refused"`
 	Open     int64 `json:"open"`
-	// SecondEnds counts ends and acceptances that were recorded after the first one.
+	// SecondEnds counts terminal events after the first one of a request, and
+	// acceptances after the first one.
 	SecondEnds int64 `json:"second_ends"`
-	// Late counts events for which no span was open.
+	// Late counts events of requests without an open span.
 	Late int64 `json:"late"`
 	// Dropped counts closed spans that were dropped before they were written.
 	Dropped int64 `json:"dropped"`
@@ -83,6 +85,7 @@
 	counts       Counts
 }
 
+// trackedSpan is a span in memory, with its place in the recorder's lists.
 type trackedSpan struct {
 	span        Span
 	changed     time.Time // last opened or closed
@@ -112,7 +115,7 @@
 	}
 }
 
-// Get returns a copy of the span of a request, if it is in memory.
+// Get returns a copy of the span of a request, and false if it is not in memory.
 func (r *Recorder) Get(id domain.RequestID) (Span, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -150,8 +153,8 @@
 	return c
 }
 
-// Due reports whether a batch should be written: FlushSpans spans are pending, or the
-// oldest has been pending for the flush interval.
+// Due reports whether the pending spans should be packed and written: there are
+// FlushSpans of them, or the oldest has been pending for the flush interval.
 func (r *Recorder) Due(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -179,8 +182,9 @@
 	}
 }
 
-// closedAtEntry guards against a request that is accepted twice under one id: a second
-// Accepted after the end would open a second span with a second end.
+// closedAtEntry reports whether the request's span at an entry is closed. It guards
+// against a request that is accepted twice under one id: a second Accepted after the end
+// would open a second span with a second end.
 func (r *Recorder) closedAtEntry(id domain.RequestID) bool {
 	return r.Kind == EntrySpan && r.closed[id] != nil
 }
@@ -213,7 +217,7 @@
 	}
 	if e := r.closed[i.span.Request]; e != nil {
 		// The side has closed a span of an earlier attempt of the same request:
-		// keep both for Get.
+		// keep the events of both spans for Get.
 		earlier := r.closedByAge.Remove(e).(*trackedSpan)
 		merged := earlier.span.clone()
 		for _, v := range i.span.Events {
@@ -250,8 +254,8 @@
 }
 
 // enqueue adds the span to the pending spans. The pending span shares the memory of its
-// events with the span that stays for Get; this is safe because events are only
-// appended to the latter, beyond the length of the former.
+// events with the span that stays for Get; this is safe because events are only appended
+// to the span for Get, beyond the length of the pending span.
 func (r *Recorder) enqueue(s Span, now time.Time) {
 	if len(r.pending) == 0 {
 		r.pendingSince = now
--- a/trace/segment.go
+++ b/trace/segment.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// MaxSegment is the largest segment in bytes, which is the size limit of a value
-	// of the platform.
+	// MaxSegment is the size limit of a compressed segment in bytes, which is that of
+	// a value in the platform's object API.
 	MaxSegment = 1 << 20
 	// maxUncompressed is the size in bytes at which a new segment is started. The JSON
 	// of spans compresses more than tenfold, so a segment has some 200 KB. A segment
@@ -24,11 +24,13 @@
 	maxUncompressed = 4 << 20
 	// maxDecoded bounds the memory that a reader allocates for a damaged segment.
 	maxDecoded = 2 * maxUncompressed
-	format     = "jacinthworks-stories"
-	version    = 1
+	// segmentFormat and version identify the encoding of a segment in its header.
+	segmentFormat  = "jacinthworks-stories"
+	segmentVersion = 1
 )
 
-// header is the first line of a segment. Spans lets a reader detect missing lines.
+// header is the first line of a segment. Spans, the number of spans, lets a reader detect
+// missing lines.
 type header struct {
 	Format      string             `json:"format"`
 	Version     int                `json:"version"`
@@ -88,13 +90,13 @@
 	return segments, f.Err()
 }
 
-// compress compresses the lines into one segment, or into two with half of the lines
-// each if one would be too large. Both have the same ranges.
+// compress compresses the lines, one span each, into one segment, or into two with half
+// of the lines each if one segment would be too large. Both have the same ranges.
 func (p *Packer) compress(now time.Time, lines [][]byte, ranges []Range, f *check.Findings) []Segment {
 	if len(lines) == 0 {
 		return nil
 	}
-	first, err := json.Marshal(header{format, version, p.Host, p.Incarnation, len(lines)})
+	first, err := json.Marshal(header{segmentFormat, segmentVersion, p.Host, p.Incarnation, len(lines)})
 	if err != nil {
 		f.Add("segment", "%v", err)
 		return nil
@@ -134,9 +136,9 @@
 	return append(ranges, Range{d.Entry, d.Incarnation, d.Number, d.Number}), true
 }
 
-// Unpack returns the spans of a segment, and a finding for each damage. If the
+// Unpack returns the spans of a segment, and a finding for each damaged part. If the
 // compression, the checksum or the header is invalid, it returns no spans; if single
-// lines are not valid spans, it returns the others.
+// lines are not valid spans, it returns the spans of the other lines.
 func Unpack(data []byte) ([]Span, check.Findings) {
 	var f check.Findings
 	if len(data) > MaxSegment {
@@ -174,7 +176,7 @@
 	if err := json.Unmarshal(line, &h); err != nil {
 		return h, errors.Wrap(err, "trace: decode segment header")
 	}
-	if h.Format != format || h.Version != version {
+	if h.Format != segmentFormat || h.Version != segmentVersion {
 		return h, errors.Errorf("trace: segment header of another format: %.40q version %d", h.Format, h.Version)
 	}
 	return h, nil
--- a/trace/trace.go
+++ b/trace/trace.go
@@ -13,7 +13,7 @@
 //	var r trace.Recorder                     // on a side: trace.Recorder{Kind: trace.SideSpan}
 //	r.Record(trace.Event{Kind: trace.Accepted, Time: now, Host: host, Request: id, Caller: caller})
 //	r.Record(trace.Event{Kind: trace.Refused, Time: now, Host: host, Request: id,
-//		Reason: domain.ReasonNoRoom, Ran: domain.NotRun})
+//		Reason: domain.ReasonNoRoom, Execution: domain.NotRun})
 //
 //	p := trace.Packer{Host: host, Incarnation: incarnation}
 //	if r.Due(now) {
@@ -30,7 +30,7 @@
 //	t := trace.Merge(requestID, spans...)
 //	t.WriteText(w)
 //
-// At any time the Counts of a recorder fulfil: accepted = answered + refused + open.
+// At any time the Counts of an entry's recorder fulfil: accepted = answered + refused + open.
 package trace
 
 import (
@@ -56,13 +56,14 @@
 	SideSpan  SpanKind = "side"
 )
 
-// Span contains the events of one request on one host. Build it with Add, which enforces
+// Span contains the events of one request on one host, in order of their recording.
+// Build it with Add, which enforces
 // that the request ends exactly once. The zero value is empty and ready to use.
 type Span struct {
 	Request domain.RequestID `json:"request_id"`
 	Kind    SpanKind         `json:"half,omitempty"`
 	Events  []Event          `json:"events,omitempty"`
-	// Open says that the span was still open on a live host when it was read.
+	// Open reports whether the span was still open on a live host when it was read.
 	Open bool `json:"open,omitempty"`
 	// Dropped counts the events that were dropped beyond MaxEvents.
 	Dropped int `json:"dropped,omitempty"`
@@ -97,7 +98,7 @@
 	s.Events = append(s.Events, e.bounded())
 }
 
-// End returns the terminal event, if there is one.
+// End returns the terminal event of the span, and false if there is none.
 func (s *Span) End() (Event, bool) {
 	for i := len(s.Events) - 1; i >= 0; i-- {
 		if s.Events[i].Terminal() {
@@ -116,8 +117,8 @@
 	return false
 }
 
-// closes reports whether the event closes its span: a terminal event at the entry, the
-// end of the attempt at a side.
+// closes reports whether the event closes a span of the kind: a terminal event at the
+// entry, the end of the attempt at a side.
 func (h SpanKind) closes(e Event) bool {
 	if h == SideSpan {
 		return e.Kind == AttemptEnded
@@ -125,8 +126,8 @@
 	return e.Terminal()
 }
 
-// opens reports whether the event may open a span. At the entry only acceptance does; at
-// a side only events that occupy a resource do. Any other event without an open span is
+// opens reports whether the event may open a span of the kind. At the entry only
+// acceptance does; at a side only events that occupy capacity of the upstream do. Any other event without an open span is
 // a late event of a closed span.
 func (h SpanKind) opens(e Event) bool {
 	if h == SideSpan {
--- a/trace/trace_test.go
+++ b/trace/trace_test.go
@@ -22,9 +22,9 @@
 
 func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
-// appraisal returns the events of one answered model request at the entry, at the
+// appraisalEvents returns the events of one answered model request at the entry, at the
 // prefill side, and at the decode side, whose clock is 3 ms behind.
-func appraisal(n uint64) (entry, prefill, decode []Event) {
+func appraisalEvents(n uint64) (entry, prefill, decode []Event) {
 	id := ID{"entry-1", 3, n}.RequestID()
 	owner := Event{Service: "appraiser-lm", RequestKind: "appraisal", Caller: "stud-farm"}
 	ev := func(k EventKind, ms int, h domain.Host, a domain.Attempt) Event {
@@ -73,7 +73,7 @@
 // lost. The caller has received the answer, so the trace must not end as refused.
 func TestRecordSecondEndAddsFindingAndKeepsFirstEnd(t *testing.T) {
 	var r Recorder
-	entry, _, _ := appraisal(1)
+	entry, _, _ := appraisalEvents(1)
 	recordAll(&r, entry)
 	r.Record(Event{Kind: Refused, Time: at(65), Host: "entry-1", Request: entry[0].Request, Execution: domain.Unknown, Reason: domain.ReasonLost})
 	s, ok := r.Get(entry[0].Request)
@@ -125,7 +125,7 @@
 	for w := range 8 {
 		wg.Go(func() {
 			for n := range 200 {
-				entry, _, _ := appraisal(uint64(w*1000 + n))
+				entry, _, _ := appraisalEvents(uint64(w*1000 + n))
 				recordAll(&r, entry)
 				r.Latest(2)
 			}
@@ -139,9 +139,9 @@
 
 func TestSideRecorderClosesSpanWithoutEndAfterMaxAge(t *testing.T) {
 	r := Recorder{Kind: SideSpan, MaxAge: time.Second}
-	_, prefill, _ := appraisal(1)
+	_, prefill, _ := appraisalEvents(1)
 	recordAll(&r, prefill[:2])
-	_, unrelated, _ := appraisal(2)
+	_, unrelated, _ := appraisalEvents(2)
 	unrelated[0].Time = at(2000)
 	r.Record(unrelated[0])
 	batch := r.TakePending()
@@ -160,7 +160,7 @@
 // from the live side: it has no end yet, and must not be reported as lost.
 func TestMergeDoesNotReportOpenSpanAsLost(t *testing.T) {
 	r := Recorder{Kind: SideSpan}
-	entry, prefill, _ := appraisal(1)
+	entry, prefill, _ := appraisalEvents(1)
 	recordAll(&r, prefill[:3])
 	s, ok := r.Get(entry[0].Request)
 	require.True(t, ok && s.Open)
@@ -181,7 +181,7 @@
 // the sides. The trace must show that the request ran, and that the entry's events are
 // missing, instead of guessing the outcome.
 func TestMergeReportsMissingSpans(t *testing.T) {
-	entry, prefill, decode := appraisal(17)
+	entry, prefill, decode := appraisalEvents(17)
 	id := entry[0].Request
 	complete := Merge(id, newSpan(EntrySpan, entry), newSpan(SideSpan, prefill), newSpan(SideSpan, decode))
 	require.Equal(t, StateAnswered, complete.State)
@@ -213,14 +213,14 @@
 // A refusal says not_run although the span of a side shows that the prefill was done.
 // That violates a guarantee to the callers, so the trace must have a finding.
 func TestMergeFindsContradictionsOfRuns(t *testing.T) {
-	entry, prefill, _ := appraisal(5)
+	entry, prefill, _ := appraisalEvents(5)
 	end := &entry[len(entry)-1]
 	end.Kind, end.Execution, end.Reason = Refused, domain.NotRun, domain.ReasonLost
 	a := Merge(entry[0].Request, newSpan(EntrySpan, entry), newSpan(SideSpan, prefill))
 	require.Len(t, a.Findings, 1)
 	require.Contains(t, a.Findings[0].Problem, "refused as not_run")
 
-	entry, prefill, _ = appraisal(6)
+	entry, prefill, _ = appraisalEvents(6)
 	secondAttempt := append([]Event(nil), prefill...)
 	for i := range secondAttempt {
 		secondAttempt[i].Attempt, secondAttempt[i].Host = 2, "side-5"
@@ -230,7 +230,7 @@
 }
 
 func TestMergeIsIndependentOfOrderAndDuplicates(t *testing.T) {
-	entry, prefill, decode := appraisal(9)
+	entry, prefill, decode := appraisalEvents(9)
 	spans := []Span{newSpan(EntrySpan, entry), newSpan(SideSpan, prefill), newSpan(SideSpan, decode)}
 	want := Merge(entry[0].Request, spans...)
 	for i, e := range want.Events { // causal order, although the clock of side-7 is behind
@@ -248,7 +248,7 @@
 	p := Packer{Host: "side.4", Incarnation: 2}
 	var batch []*Span
 	for n := range 400 {
-		_, prefill, _ := appraisal(uint64(n))
+		_, prefill, _ := appraisalEvents(uint64(n))
 		s := Span{Kind: SideSpan}
 		for _, e := range prefill {
 			e.Request = ID{domain.Host(fmt.Sprintf("entry-%d", n%20)), 1, uint64(n)}.RequestID()
@@ -324,7 +324,7 @@
 // reads like a complete one would make the trace wrong.
 func TestUnpackDetectsDamagedSegment(t *testing.T) {
 	p := Packer{Host: "entry-1", Incarnation: 3}
-	entry, _, _ := appraisal(1)
+	entry, _, _ := appraisalEvents(1)
 	s := newSpan(EntrySpan, entry)
 	segments, err := p.Pack(start, []*Span{&s, &s})
 	require.NoError(t, err)
@@ -361,7 +361,7 @@
 
 func FuzzUnpack(f *testing.F) {
 	p := Packer{Host: "entry-1", Incarnation: 3}
-	entry, prefill, _ := appraisal(1)
+	entry, prefill, _ := appraisalEvents(1)
 	a, b := newSpan(EntrySpan, entry), newSpan(SideSpan, prefill)
 	segments, err := p.Pack(start, []*Span{&a, &b})
 	require.NoError(f, err)
