--- a/table/codec.go
+++ b/table/codec.go
@@ -13,8 +13,8 @@
 	"jacinthworks/check"
 )
 
-// stored is the JSON form of a Table.
-type stored struct {
+// storedTable is the JSON form of a Table.
+type storedTable struct {
 	Version Version       `json:"version,omitempty"`
 	Rows    []Row         `json:"rows"`
 	Edits   []AppliedEdit `json:"edits,omitempty"`
@@ -26,34 +26,34 @@
 	if rows == nil {
 		rows = []Row{}
 	}
-	return json.Marshal(stored{Version: t.version, Rows: rows, Edits: t.edits})
+	return json.Marshal(storedTable{Version: t.version, Rows: rows, Edits: t.edits})
 }
 
 // UnmarshalJSON reads the output of MarshalJSON. It does not check the rows: a
 // host must accept the table that the platform stores even if a later release
 // with wider bounds wrote it.
 func (t *Table) UnmarshalJSON(text []byte) error {
-	var s stored
+	var s storedTable
 	d := json.NewDecoder(bytes.NewReader(text))
 	if err := d.Decode(&s); err != nil {
-		return errors.Wrap(err, "table: reading JSON")
+		return errors.Wrap(err, "table: read JSON")
 	}
 	*t = New(s.Version, s.Rows)
 	t.edits = s.Edits
 	return nil
 }
 
-// Encode returns the stored form.
+// Encode returns the table as JSON, in the form in which the platform stores it.
 func (t Table) Encode() ([]byte, error) {
 	text, err := json.Marshal(t)
-	return text, errors.Wrap(err, "table: encoding")
+	return text, errors.Wrap(err, "table: encode table as JSON")
 }
 
-// Decode reads the stored form without checking the rows.
+// Decode reads the output of Encode without checking the rows.
 func Decode(text []byte) (Table, error) {
 	var t Table
 	err := json.Unmarshal(text, &t)
-	return t, errors.Wrap(err, "table: decoding")
+	return t, errors.Wrap(err, "table: decode stored table")
 }
 
 // DecodeRows reads rows written by an operator as JSON: an array of rows, or an
@@ -73,7 +73,7 @@
 		target = &whole.Rows
 	}
 	if err := d.Decode(target); err != nil {
-		return Table{}, reject(check.Findings{{Location: jsonLocation(trimmed, err), Problem: "not JSON rows: " + err.Error()}})
+		return Table{}, newRejection(check.Findings{{Location: jsonLocation(trimmed, err), Problem: "not JSON rows: " + err.Error()}})
 	}
 	var found check.Findings
 	rows := make([]Row, len(whole.Rows))
@@ -82,12 +82,12 @@
 	}
 	found = append(found, checkRows(rows, func(i int) string { return rowLocation(i, rows[i]) })...)
 	if len(found) > 0 {
-		return Table{}, reject(found)
+		return Table{}, newRejection(found)
 	}
 	return New(whole.Version, rows), nil
 }
 
-// jsonLocation returns the line at which decoding failed.
+// jsonLocation returns the line of text at which JSON decoding failed with err.
 func jsonLocation(text []byte, err error) string {
 	read := len(text)
 	var syntax *json.SyntaxError
@@ -101,7 +101,8 @@
 	return fmt.Sprintf("line %d", 1+bytes.Count(text[:read], []byte("\n")))
 }
 
-// readCells reads a row cell by cell and adds a finding for each invalid cell.
+// readCells reads the row with index i cell by cell and adds a finding for each invalid
+// cell.
 func readCells(i int, cells map[Column]Value, found *check.Findings) Row {
 	var r Row
 	for _, c := range columns {
@@ -121,6 +122,6 @@
 	return r
 }
 
-func reject(found check.Findings) *Rejection {
+func newRejection(found check.Findings) *Rejection {
 	return &Rejection{Cause: CauseFindings, Findings: found}
 }
--- a/table/column.go
+++ b/table/column.go
@@ -22,14 +22,14 @@
 	ColumnTeam Column = "team"
 )
 
-// column formats and parses one cell of a row as text.
+// column formats and parses the cells of one column as text.
 type column struct {
 	name Column
 	get  func(Row) string
 	set  func(*Row, string) error
 }
 
-// columns are in the order of the CSV header.
+// columns are all columns of the table, in the order of the CSV header.
 var columns = []column{
 	text(ColumnService, func(r *Row) *domain.Service { return &r.Service }),
 	text(ColumnZone, func(r *Row) *domain.Zone { return &r.Zone }),
--- a/table/csv.go
+++ b/table/csv.go
@@ -13,7 +13,8 @@
 	"jacinthworks/check"
 )
 
-// EncodeCSV returns a header followed by one record per row.
+// EncodeCSV returns the table as CSV: a header with the column names, followed by one
+// record per row.
 func (t Table) EncodeCSV() ([]byte, error) {
 	var b bytes.Buffer
 	w := csv.NewWriter(&b)
@@ -30,7 +31,7 @@
 		records = append(records, record)
 	}
 	err := w.WriteAll(records)
-	return b.Bytes(), errors.Wrap(err, "table: encoding CSV")
+	return b.Bytes(), errors.Wrap(err, "table: encode table as CSV")
 }
 
 // DecodeCSV reads a whole table: the header must contain every column, in any
@@ -55,7 +56,7 @@
 		return fmt.Sprintf("line %d %s", s.records[i].line, rows[i].Key())
 	})...)
 	if len(found) > 0 {
-		return Table{}, reject(found)
+		return Table{}, newRejection(found)
 	}
 	return New(0, rows), nil
 }
@@ -70,7 +71,7 @@
 		}
 	}
 	if len(found) > 0 {
-		return nil, reject(found)
+		return nil, newRejection(found)
 	}
 	var changes []Change
 	for _, record := range s.records {
@@ -96,6 +97,7 @@
 	records []record
 }
 
+// record is one record of a CSV text, with the line at which it begins.
 type record struct {
 	line   int
 	values []string
@@ -107,8 +109,8 @@
 	return slices.Contains(s.header, name)
 }
 
-// readSheet parses all readable records. It returns no records if the header is
-// invalid.
+// readSheet parses the header and all readable records, and returns a finding for each
+// problem. It returns no records if the header is invalid.
 func readSheet(text []byte) (sheet, check.Findings) {
 	var s sheet
 	var found check.Findings
--- a/table/diff.go
+++ b/table/diff.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Changes is a list of changes that prints one cell per line.
+// Changes is a list of table changes; its String has one line per changed cell.
 type Changes []Change
 
 // Diff returns the changes that turn the rows of a into the rows of b: removals
--- a/table/edit.go
+++ b/table/edit.go
@@ -11,7 +11,8 @@
 	"jacinthworks/check"
 )
 
-// EditID identifies one edit. The sender chooses it and reuses it in retries.
+// EditID identifies one edit. The sender of the edit chooses the id and reuses it in
+// retries.
 type EditID string
 
 // HistoryLimit is the number of applied edits that a stored table lists. The
@@ -20,7 +21,7 @@
 // 1 MiB value.
 const HistoryLimit = 128
 
-// AppliedEdit is an entry of the table's edit history.
+// AppliedEdit is an item of the table's history of applied edits.
 type AppliedEdit struct {
 	ID       EditID `json:"id"`
 	Operator string `json:"operator"`
@@ -33,7 +34,7 @@
 // Op is the operation of a change on its row.
 type Op string
 
-// The operations.
+// The operations of a change on a row.
 const (
 	// OpSet changes cells of an existing row.
 	OpSet Op = "set"
@@ -45,7 +46,7 @@
 	OpRemove Op = "remove"
 )
 
-// Value is a cell as text. In JSON it may be a string, number or boolean.
+// Value is the value of a cell as text. In JSON it may be a string, number or boolean.
 type Value string
 
 // UnmarshalJSON reads a string, number or boolean.
@@ -91,7 +92,7 @@
 // Remove returns a change that removes an existing row.
 func Remove(k Key) Change { return Change{Op: OpRemove, Key: k} }
 
-// Edit is a group of changes that is applied atomically.
+// Edit is a group of changes that is applied to the table atomically.
 type Edit struct {
 	ID      EditID   `json:"id"`
 	Changes []Change `json:"changes"`
@@ -107,7 +108,7 @@
 // Cause is the reason why an edit or a table was rejected.
 type Cause string
 
-// The causes.
+// The causes of a rejection.
 const (
 	// CauseFindings: the edit or table has invalid content.
 	CauseFindings Cause = "findings"
@@ -139,7 +140,8 @@
 	return strconv.FormatUint(h.Sum64(), 16)
 }
 
-// FindEdit returns the edit with the given id from the table's history.
+// FindEdit returns the edit with the given id from the table's history, and false if
+// the history does not list it.
 func (t Table) FindEdit(id EditID) (AppliedEdit, bool) {
 	i := slices.IndexFunc(t.edits, func(a AppliedEdit) bool { return a.ID == id })
 	if i < 0 {
@@ -165,7 +167,7 @@
 	a := applier{rows: t.Rows(), by: by}
 	a.checkEdit(e)
 	for i, c := range e.Changes {
-		a.change(fmt.Sprintf("change %d %s", i+1, c.Key), c)
+		a.applyChange(fmt.Sprintf("change %d %s", i+1, c.Key), c)
 	}
 	next := New(t.version, a.rows)
 	next.edits = append(t.Edits(), AppliedEdit{ID: e.ID, Operator: by.Name, Checksum: e.Checksum(), Base: t.version})
@@ -182,7 +184,8 @@
 	return next, nil
 }
 
-// applier applies changes to a copy of the rows and continues after a finding.
+// applier applies the changes of an edit to a copy of the table's rows. After a finding
+// it continues with the next change.
 type applier struct {
 	rows      []Row
 	by        Operator
@@ -191,7 +194,7 @@
 }
 
 func (a *applier) checkEdit(e Edit) {
-	if !name.MatchString(string(e.ID)) {
+	if !namePattern.MatchString(string(e.ID)) {
 		a.found.Add("id", "must be 1 to 63 of letters, digits, dot, - and _: %q", string(e.ID))
 	}
 	if len(e.Changes) == 0 {
@@ -199,7 +202,7 @@
 	}
 }
 
-func (a *applier) change(at string, c Change) {
+func (a *applier) applyChange(at string, c Change) {
 	i := slices.IndexFunc(a.rows, func(r Row) bool { return r.Key() == c.Key })
 	switch {
 	case !slices.Contains([]Op{OpSet, OpAdd, OpPut, OpRemove}, c.Op):
@@ -207,7 +210,7 @@
 	case c.Op == OpAdd && i >= 0:
 		a.found.Add(at, "there is such a row already")
 	case c.Op == OpAdd, c.Op == OpPut && i < 0:
-		a.add(at, c)
+		a.addRow(at, c)
 	case i < 0 && !knownService(a.rows, c.Service):
 		a.found.Add(at, "there is no service %q in the table", string(c.Service))
 	case i < 0:
@@ -216,22 +219,22 @@
 	case c.Op == OpRemove:
 		a.rows = slices.Delete(a.rows, i, i+1)
 	default:
-		a.set(at, &a.rows[i], c.Cells)
+		a.setCells(at, &a.rows[i], c.Cells)
 	}
 }
 
-func (a *applier) add(at string, c Change) {
+func (a *applier) addRow(at string, c Change) {
 	r := Row{Service: c.Service, Zone: c.Zone, Kind: c.Kind}
-	a.set(at, &r, c.Cells)
+	a.setCells(at, &r, c.Cells)
 	// An empty team has no members; Table.Check adds the finding for it.
 	if r.Team == "" || a.owns(at, r.Team) {
 		a.rows = append(a.rows, r)
 	}
 }
 
-// set writes every parsable cell into the row, so that Table.Check finds the
+// setCells writes every parsable cell into the row, so that Table.Check finds the
 // values that are out of bounds.
-func (a *applier) set(at string, r *Row, cells []Cell) {
+func (a *applier) setCells(at string, r *Row, cells []Cell) {
 	if len(cells) == 0 {
 		a.found.Add(at+" cells", "is empty")
 	}
--- a/table/holder.go
+++ b/table/holder.go
@@ -10,20 +10,21 @@
 // table and is ready to use. It is safe for concurrent use; reads of the table
 // and of its age take no lock.
 type Holder struct {
-	// Clock is the clock used for Since; default time.Now.
+	// Clock returns the current time for Since; default time.Now.
 	Clock func() time.Time
 
 	mu        sync.Mutex // guards changed, and all writes of current and confirmed
 	changed   chan struct{}
-	current   atomic.Pointer[current]
+	current   atomic.Pointer[heldTable]
 	confirmed atomic.Pointer[time.Time]
 
-	// acceptLower disables the version guard. Only the model test sets it, to
-	// show that the test detects the missing guard.
+	// acceptLower makes the holder accept a table with a lower version. Only the model
+	// test sets it, to show that the test detects the missing guard.
 	acceptLower bool
 }
 
-type current struct {
+// heldTable is the table in force and the time at which it came into force.
+type heldTable struct {
 	table Table
 	since time.Time
 }
@@ -53,13 +54,14 @@
 	return h.replace(t)
 }
 
-// replace sets Since to the current time and not to the time of the request: a
-// watch may have been started long before the edit that it returned.
+// replace puts the table into force if it is newer, and reports whether it did. It sets
+// Since to the current time and not to the time of the request: a watch may have been
+// started long before the edit that it returned.
 func (h *Holder) replace(t Table) bool {
 	old := h.current.Load()
 	newer := old == nil || t.version > old.table.version || h.acceptLower && t.version != old.table.version
 	if newer {
-		h.current.Store(&current{table: t, since: h.now()})
+		h.current.Store(&heldTable{table: t, since: h.now()})
 		h.notifyChanged()
 	}
 	return newer
--- a/table/holder_test.go
+++ b/table/holder_test.go
@@ -102,16 +102,16 @@
 	require.Equal(t, second, h.Changed())
 }
 
-// naiveHolder is the reference implementation: it keeps every received message and
+// referenceHolder is the reference implementation of Holder: it keeps every received message and
 // scans all of them.
-type naiveHolder struct{ updates, confirmations []confirmation }
+type referenceHolder struct{ updates, confirmations []confirmation }
 
 type confirmation struct {
 	version   Version
 	requested time.Time
 }
 
-func (n *naiveHolder) version() Version {
+func (n *referenceHolder) version() Version {
 	var top Version
 	for _, o := range n.updates {
 		top = max(top, o.version)
@@ -121,7 +121,7 @@
 
 // fresh scans all confirmations. A message is recorded as a confirmation if its
 // version was not above the highest version received by then.
-func (n *naiveHolder) fresh(now time.Time) bool {
+func (n *referenceHolder) fresh(now time.Time) bool {
 	for _, h := range n.confirmations {
 		if now.Sub(h.requested) < staleAfter {
 			return true
@@ -130,10 +130,10 @@
 	return false
 }
 
-func TestHolderMatchesNaiveHolder(t *testing.T) {
+func TestHolderMatchesReferenceHolder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var h Holder
-		var n naiveHolder
+		var n referenceHolder
 		for range rapid.IntRange(1, 20).Draw(rt, "messages") {
 			m := confirmation{Version(rapid.IntRange(1, 5).Draw(rt, "version")),
 				start.Add(time.Duration(rapid.IntRange(0, 9).Draw(rt, "second")) * time.Second)}
--- a/table/model_test.go
+++ b/table/model_test.go
@@ -21,7 +21,7 @@
 	modelInFlight = 2 // messages to holders in flight at once
 )
 
-// phase is the state of the writer.
+// phase is the writer's progress with its edit.
 type phase string
 
 const (
@@ -55,8 +55,8 @@
 	// edit is the version that first contains the writer's edit.
 	edit Version
 	held [2]Version
-	// base is the version required by the conditional write; late says that the
-	// write is in flight.
+	// base is the version required by the conditional write; late reports whether the
+	// write is still in flight.
 	phase    phase
 	base     Version
 	late     bool
@@ -85,15 +85,15 @@
 	return s
 }
 
-// model computes the transitions. Each field disables one guard.
-type model struct {
+// editModel computes the transitions. Each field disables one guard.
+type editModel struct {
 	acceptLower    bool // a holder accepts any other version
 	trustStaleRead bool // the writer reports an edit as refused after a stale read
 	acceptAlone    bool // the writer reports an edit as accepted without another host
 }
 
 // next returns each state that is reachable by one event.
-func (m model) next(s modelState) []modelState {
+func (m editModel) next(s modelState) []modelState {
 	all := append(m.writes(s), m.settles(s)...)
 	for to := range s.held { // a poll of the platform, a relayed table of the other holder
 		all = append(all, s.send(message{to: to, version: s.platform}))
@@ -108,7 +108,7 @@
 }
 
 // writes returns the transitions of the other operator, the writer and the platform.
-func (m model) writes(s modelState) []modelState {
+func (m editModel) writes(s modelState) []modelState {
 	var all []modelState
 	if s.platform < modelEdits {
 		other := s
@@ -139,8 +139,9 @@
 	return all
 }
 
-// settles returns the writer's transitions on reads and on acceptance.
-func (m model) settles(s modelState) []modelState {
+// settles returns the transitions by which the writer determines the outcome of its
+// edit: reads of the platform, and the message to host 1.
+func (m editModel) settles(s modelState) []modelState {
 	var all []modelState
 	for read := Version(0); s.phase == waiting && read <= s.platform; read++ {
 		switch {
@@ -159,7 +160,7 @@
 	return all
 }
 
-func (m model) deliver(s modelState, msg message) modelState {
+func (m editModel) deliver(s modelState, msg message) modelState {
 	if msg.ack {
 		if s.phase == written && msg.version >= s.edit {
 			s.phase = accepted
@@ -174,7 +175,7 @@
 }
 
 // update returns the version that a real Holder has after an update.
-func (m model) update(held, received Version) Version {
+func (m editModel) update(held, received Version) Version {
 	var h Holder
 	h.acceptLower = m.acceptLower
 	h.Update(Table{}.WithVersion(held), start)
@@ -203,7 +204,7 @@
 
 // explore visits every reachable state, and returns their number and the first
 // violated invariant.
-func (m model) explore() (int, string) {
+func (m editModel) explore() (int, string) {
 	first := modelState{phase: idle}
 	seen := map[modelState]bool{first: true}
 	queue := []modelState{first}
@@ -227,7 +228,7 @@
 // bounds of the model. No order may undo an accepted edit on a host, or bring an
 // edit into force that was reported as refused.
 func TestModelHasNoViolationForAnyMessageOrder(t *testing.T) {
-	states, why := model{}.explore()
+	states, why := editModel{}.explore()
 	require.Empty(t, why)
 	t.Logf("%d states visited, no invariant violated", states)
 	require.Greater(t, states, 10_000, "the model explores too little")
@@ -237,12 +238,12 @@
 // guard prevents.
 func TestModelDetectsEachDisabledGuard(t *testing.T) {
 	for _, c := range []struct {
-		without model
+		without editModel
 		why     string
 	}{
-		{model{acceptLower: true}, "reverts"},
-		{model{trustStaleRead: true}, "an edit reported as refused is in force"},
-		{model{acceptAlone: true}, "an accepted edit is held by no other host"},
+		{editModel{acceptLower: true}, "reverts"},
+		{editModel{trustStaleRead: true}, "an edit reported as refused is in force"},
+		{editModel{acceptAlone: true}, "an accepted edit is held by no other host"},
 	} {
 		states, why := c.without.explore()
 		t.Logf("%d states visited until: %s", states, why)
--- a/table/row.go
+++ b/table/row.go
@@ -16,8 +16,8 @@
 	Kind    domain.Kind    `json:"kind"`
 	// Team owns the row; only operators in that team may edit it.
 	Team string `json:"team"`
-	// Weight is the relative weight of this zone among the zones of the service;
-	// a zone with weight zero receives no requests.
+	// Weight is the relative share of the service's requests that this zone receives,
+	// against the weights of the other zones; a zone with weight zero receives none.
 	Weight int `json:"weight"`
 	// InFlight limits the requests in progress per entry, QueueLimit the queued
 	// requests per entry.
--- a/table/rules.go
+++ b/table/rules.go
@@ -10,13 +10,13 @@
 	"jacinthworks/domain"
 )
 
-// The bounds of cells. They catch typing errors, such as a weight typed into the
+// The largest valid values of cells. They catch typing errors, such as a weight typed into the
 // neighbouring limit, and are above any value that a deployment could need.
 const (
 	maxWeight   = 1000
 	maxInFlight = 100_000
 	maxQueue    = 1_000_000
-	maxRate     = 1_000_000
+	maxRate     = 1_000_000 // requests per second
 	maxDeadline = Duration(24 * time.Hour)
 	maxPriority = 9
 	maxPercent  = 1000
@@ -26,7 +26,8 @@
 // platform's object API.
 const MaxSize = 1 << 20
 
-var name = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
+// namePattern matches the names of services, zones, kinds and teams.
+var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
 
 // Check returns a finding with row and column for everything that is invalid in
 // the table, in the order of its rows.
@@ -41,7 +42,7 @@
 func rowLocation(i int, r Row) string { return fmt.Sprintf("row %d %s", i+1, r.Key()) }
 
 // checkRows checks each row, and consistency between rows. The function place
-// returns the location of a row.
+// returns the location of the row with an index, for findings.
 func checkRows(rows []Row, place func(int) string) check.Findings {
 	var found check.Findings
 	keys := make(map[Key]int)
@@ -80,7 +81,7 @@
 
 func checkNames(found *check.Findings, at string, r Row) {
 	named := func(column Column, value string) {
-		if !name.MatchString(value) {
+		if !namePattern.MatchString(value) {
 			found.Add(at+" "+string(column), "must be 1 to 63 of letters, digits, dot, - and _: %q", value)
 		}
 	}
--- a/table/table.go
+++ b/table/table.go
@@ -32,18 +32,19 @@
 	"jacinthworks/domain"
 )
 
-// Version orders tables. It is the platform's version of the object in which the
-// table is stored. Zero is the empty table before the first edit.
+// Version orders the states of the table; it increases with each edit. It is the
+// platform's version of the object in which the table is stored. Zero is the empty table
+// before the first edit.
 type Version uint64
 
-// Key identifies a row.
+// Key identifies a row of the table.
 type Key struct {
 	Service domain.Service `json:"service"`
 	Zone    domain.Zone    `json:"zone"`
 	Kind    domain.Kind    `json:"kind"`
 }
 
-// String returns the key as it is written on the command line.
+// String returns the key as it is written on the command line: service/zone/kind.
 func (k Key) String() string {
 	return string(k.Service) + "/" + string(k.Zone) + "/" + string(k.Kind)
 }
@@ -87,8 +88,9 @@
 // Len returns the number of rows.
 func (t Table) Len() int { return len(t.rows) }
 
-// Find returns the row for the zone, or else the service's row for AnyZone. Its
-// cost is constant: at most two lookups in a hash map.
+// Find returns the row for the service, zone and kind, or else the row for the service,
+// AnyZone and the kind; false if there is neither. Its cost is constant: at most two
+// lookups in a hash map.
 func (t Table) Find(service domain.Service, zone domain.Zone, kind domain.Kind) (Row, bool) {
 	i, ok := t.index[Key{service, zone, kind}]
 	if !ok {
--- a/table/table_test.go
+++ b/table/table_test.go
@@ -96,8 +96,8 @@
 	require.Less(t, len(text), 1000*320)
 }
 
-// naiveFind scans all rows.
-func naiveFind(rows []Row, s domain.Service, z domain.Zone, k domain.Kind) (Row, bool) {
+// findByScan is a reference for Table.Find that scans all rows.
+func findByScan(rows []Row, s domain.Service, z domain.Zone, k domain.Kind) (Row, bool) {
 	var any Row
 	found := false
 	for _, r := range rows {
@@ -127,13 +127,13 @@
 	return rows
 }
 
-func TestFindMatchesNaiveFind(t *testing.T) {
+func TestFindMatchesScanOfAllRows(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		rows := drawRows(rt)
 		table := New(1, rows)
 		for _, s := range []domain.Service{"a", "b", "c"} {
 			for _, z := range []domain.Zone{"x", "y", "z"} {
-				want, wantOK := naiveFind(rows, s, z, "k")
+				want, wantOK := findByScan(rows, s, z, "k")
 				got, ok := table.Find(s, z, "k")
 				if got != want || ok != wantOK {
 					rt.Fatalf("%s %s: got %v, want %v", s, z, got, want)
