--- a/editor/attempt.go
+++ b/editor/attempt.go
@@ -12,7 +12,7 @@
 	"jacinthworks/table"
 )
 
-// attempt is the state of one submission until its outcome is determined.
+// attempt is the progress of one submission until its outcome is determined.
 type attempt struct {
 	*Editor
 	Submission
@@ -20,7 +20,8 @@
 	minVersion table.Version
 	// lastRead is the version of the latest read that was not below minVersion.
 	lastRead table.Version
-	// writePending says that a write conditional on version base got no response.
+	// writePending reports whether a write conditional on version base got no
+	// response.
 	writePending bool
 	base         table.Version
 	// lastErr is the latest error of the platform.
@@ -46,7 +47,7 @@
 		if applied.Checksum != a.Edit.Checksum() || applied.Operator != a.Operator.Name {
 			return a.refused(ReasonFindings, check.Findings{{Location: "id", Problem: "is that of another edit"}}), true
 		}
-		return a.confirmed(ctx, t, requested), true
+		return a.replicateAccepted(ctx, t, requested), true
 	}
 	if a.writePending && !a.writeFailed(t) {
 		return a.historyLost(t)
@@ -82,7 +83,8 @@
 		"the edit's write got no answer, and the table remembers only the %d edits since: compare the rows", table.HistoryLimit)}, true
 }
 
-// checkMatch refuses an edit that was made for an older version than the table's.
+// checkMatch refuses an edit that was made for an older version than that of the table t
+// at the platform.
 func (a *attempt) checkMatch(t table.Table) (Outcome, bool) {
 	if a.IfMatch == nil || t.Version() <= *a.IfMatch {
 		return Outcome{}, false
@@ -96,13 +98,13 @@
 	return o, true
 }
 
-// behindMatch reports whether the read is older than the version that the edit was
-// made for, and therefore stale.
+// behindMatch reports whether the table that was read is older than the version that the
+// edit was made for, and therefore stale.
 func (a *attempt) behindMatch(t table.Table) bool {
 	return a.IfMatch != nil && t.Version() < *a.IfMatch
 }
 
-// write sends the conditional update and evaluates its response.
+// write sends the table with the edit as a conditional update and evaluates the response.
 func (a *attempt) write(ctx context.Context, t table.Table, requested time.Time) (Outcome, bool) {
 	next, err := t.Apply(a.Edit, a.Operator)
 	var r *table.Rejection
@@ -113,10 +115,10 @@
 	if err != nil {
 		return a.refused(ReasonFindings, check.Findings{{Location: "table", Problem: err.Error()}}), true
 	}
-	v, err := a.Objects.Put(ctx, a.object(), text, infra.Version(t.Version()))
+	v, err := a.Objects.Put(ctx, a.objectName(), text, infra.Version(t.Version()))
 	switch {
 	case err == nil:
-		return a.confirmed(ctx, next.WithVersion(table.Version(v)), requested), true
+		return a.replicateAccepted(ctx, next.WithVersion(table.Version(v)), requested), true
 	case errors.Is(err, infra.ErrConflict):
 		a.minVersion = t.Version() + 1
 	case errors.Is(err, infra.ErrRefused):
--- a/editor/editor.go
+++ b/editor/editor.go
@@ -4,11 +4,11 @@
 // # Usage
 //
 //	ed := editor.Editor{Objects: objects, Holder: &holder, Replicate: relay}
-//	o := ed.Submit(ctx, editor.Submission{Edit: edit, By: operator, IfMatch: &version})
+//	o := ed.Submit(ctx, editor.Submission{Edit: edit, Operator: operator, IfMatch: &version})
 //	switch o.State {
 //	case editor.Accepted: // stored by the platform and on another host, at o.Version
 //	case editor.Refused: // not in force and never will be; o.Reason says why
-//	case editor.Unsettled: // may be or come into force: send it again
+//	case editor.Unsettled: // may be in force or come into force: submit the edit again
 //	}
 //
 // An edit that is sent again under the same id is applied at most once, as long as
@@ -33,18 +33,18 @@
 // the table.
 const DefaultObjectName = "table"
 
-// The defaults of Editor. A read or write takes milliseconds, so the retry interval
-// allows some tens of tries within the timeout. The timeout and the replication
+// The defaults of the timeout and the retry interval of an Editor. A read or write takes
+// milliseconds, so the retry interval allows some tens of tries within the timeout. The timeout and the replication
 // together stay below the 5 seconds promised for an edit.
 const (
-	defaultWithin = 3 * time.Second
-	defaultPause  = 100 * time.Millisecond
+	defaultTimeout       = 3 * time.Second
+	defaultRetryInterval = 100 * time.Millisecond
 )
 
-// State is the result of an edit.
+// State is the state of an edit after its submission.
 type State string
 
-// The states.
+// The states of a submitted edit.
 const (
 	// Accepted: the platform and another host store the edit.
 	Accepted State = "accepted"
@@ -58,7 +58,7 @@
 // Reason is why an edit was refused.
 type Reason string
 
-// The reasons.
+// The reasons for refusing an edit.
 const (
 	// ReasonFindings: the edit is invalid.
 	ReasonFindings Reason = "findings"
@@ -70,15 +70,16 @@
 	ReasonUnavailable Reason = "unavailable"
 )
 
-// Submission is an edit and its sender.
+// Submission is an edit and the operator who sent it.
 type Submission struct {
 	Edit     table.Edit
 	Operator table.Operator
 	// IfMatch is the version that the edit was made for; nil for any. An edit for
 	// any version is applied again, to the new table, after a version conflict.
 	IfMatch *table.Version
-	// SentBefore says that the edit was sent before and its outcome is unknown. It
-	// is then Unsettled, not Refused, unless a read of the table proves otherwise.
+	// SentBefore reports whether the edit was sent before and its outcome is unknown.
+	// The edit is then Unsettled, not Refused, unless a read of the table proves
+	// otherwise.
 	SentBefore bool
 }
 
@@ -95,7 +96,8 @@
 	Detail string `json:"detail,omitempty"`
 }
 
-// Editor writes edits. Objects must be set; all other fields are optional.
+// Editor writes edits into the table at the platform. Objects must be set; all other
+// fields are optional.
 type Editor struct {
 	Objects infra.Objects
 	// ObjectName is the name of the object that stores the table; default
@@ -108,16 +110,18 @@
 	// it, or with an error. An edit is accepted only then, so that it survives the
 	// loss of this host while the platform is down. Nil skips the replication.
 	Replicate func(ctx context.Context, t table.Table) error
-	// Timeout bounds the reads and writes of a submission; default 3s.
+	// Timeout bounds the total time of the reads and writes of a submission; default
+	// 3s.
 	Timeout time.Duration
-	// RetryInterval is the time between two tries; default 100ms.
+	// RetryInterval is the time between two tries to read and write the table; default
+	// 100ms.
 	RetryInterval time.Duration
 }
 
 // Read returns the table that the platform stores, at its version, or the empty
 // table at version zero if there is none.
 func (e *Editor) Read(ctx context.Context) (table.Table, error) {
-	o, err := e.Objects.Get(ctx, e.object())
+	o, err := e.Objects.Get(ctx, e.objectName())
 	if errors.Is(err, infra.ErrNotFound) {
 		return table.Table{}, nil
 	}
@@ -131,7 +135,7 @@
 // Submit applies the edit and returns its outcome. It returns within the timeout,
 // however the platform fails.
 func (e *Editor) Submit(ctx context.Context, s Submission) Outcome {
-	ctx, cancel := context.WithTimeout(ctx, orDefault(e.Timeout, defaultWithin))
+	ctx, cancel := context.WithTimeout(ctx, orDefault(e.Timeout, defaultTimeout))
 	defer cancel()
 	a := attempt{Editor: e, Submission: s}
 	if e.Holder != nil {
@@ -141,27 +145,27 @@
 		if o, done := a.try(ctx); done {
 			return o
 		}
-		if err := sleep(ctx, orDefault(e.RetryInterval, defaultPause)); err != nil {
+		if err := sleep(ctx, orDefault(e.RetryInterval, defaultRetryInterval)); err != nil {
 			return a.timedOut()
 		}
 	}
 }
 
-func (e *Editor) object() string {
+func (e *Editor) objectName() string {
 	if e.ObjectName == "" {
 		return DefaultObjectName
 	}
 	return e.ObjectName
 }
 
-// confirmed updates the table on this host and on another host, and only then
-// reports the edit as accepted.
+// replicateAccepted updates the table on this host and on another host with a table that
+// contains the edit, and only then returns the edit as accepted.
 //
 // If the writer were the only host with the new table and crashed while the platform
 // is down, all other hosts would keep using the old table although the operator was
 // told that the edit is in force. The platform stores the edit already, so it can't
 // be refused any more: without another host its state is Unsettled.
-func (e *Editor) confirmed(ctx context.Context, t table.Table, requested time.Time) Outcome {
+func (e *Editor) replicateAccepted(ctx context.Context, t table.Table, requested time.Time) Outcome {
 	if e.Holder != nil {
 		e.Holder.Update(t, requested)
 	}
--- a/editor/editor_test.go
+++ b/editor/editor_test.go
@@ -47,10 +47,10 @@
 	require.Equal(t, infra.MaxValue, table.MaxSize)
 }
 
-// failures lists sequences of platform faults with the expected outcome of one edit
+// faultCases lists sequences of platform faults with the expected outcome of one edit
 // of the appraisal's weight, how often it is applied, and how many writes are sent.
 // Calls alternate: a read, a write, a read...
-var failures = []struct {
+var faultCases = []struct {
 	name    string
 	faults  []fault
 	ifMatch *table.Version
@@ -84,7 +84,7 @@
 // No second write may follow a write whose outcome is unknown: it would hide whether
 // the first write took effect.
 func TestSubmitOutcomeIsCorrectUnderPlatformFaults(t *testing.T) {
-	for _, c := range failures {
+	for _, c := range faultCases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				p := newPlatform(c.faults...)
--- a/editor/fake_test.go
+++ b/editor/fake_test.go
@@ -18,7 +18,7 @@
 // Property tests use a fixed seed, so that every run draws the same cases.
 func TestMain(m *testing.M) { seeded.Main(m) }
 
-// fault is the fault of one call.
+// fault is the fault of one call to the fake platform.
 type fault int
 
 const (
@@ -32,8 +32,8 @@
 	faultCount         // the number of kinds of faults
 )
 
-// platform is a fake object API with one object. Each call consumes the next of its
-// faults; once there are none left, calls succeed. It keeps every version.
+// platform is a fake object API with one object, the table. Each call consumes the next
+// of its faults; once there are none left, calls succeed. It keeps every version.
 type platform struct {
 	infra.Objects // nil: an editor doesn't make the other calls
 
--- a/editor/race_test.go
+++ b/editor/race_test.go
@@ -39,16 +39,16 @@
 	return s.Objects.Put(ctx, name, value, at)
 }
 
-// script is the behaviour of one operator: sequential edits of one row's weight,
+// operatorScript is the behaviour of one operator: sequential edits of one row's weight,
 // each submitted a second time if its outcome is unsettled.
-type script struct {
+type operatorScript struct {
 	name   string
 	edits  int
 	delays []time.Duration
 }
 
-func drawScript(rt *rapid.T, name string, offset time.Duration) script {
-	s := script{name: name, edits: rapid.IntRange(1, 3).Draw(rt, name+" edits")}
+func drawScript(rt *rapid.T, name string, offset time.Duration) operatorScript {
+	s := operatorScript{name: name, edits: rapid.IntRange(1, 3).Draw(rt, name+" edits")}
 	for range 40 {
 		// Odd and even microseconds keep calls of the two operators from
 		// happening at the same instant, where the scheduler would order them.
@@ -58,17 +58,18 @@
 	return s
 }
 
-type submitted struct {
+// submittedEdit is a submittedEdit edit with its outcome.
+type submittedEdit struct {
 	id      table.EditID
 	weight  int
 	outcome Outcome
 }
 
 // run submits the script's edits and returns their outcomes.
-func (s script) run(p *platform, h *table.Holder) []submitted {
+func (s operatorScript) run(p *platform, h *table.Holder) []submittedEdit {
 	e := Editor{Objects: &delayedObjects{Objects: p, delays: s.delays}, Holder: h}
 	by := table.Operator{Name: s.name, Teams: []string{"appraisal"}}
-	var all []submitted
+	var all []submittedEdit
 	for i := range s.edits {
 		weight := 100*len(s.name) + i
 		id := table.EditID(fmt.Sprintf("%s-%d", s.name, i))
@@ -78,14 +79,14 @@
 			sub.SentBefore = true
 			o = e.Submit(context.Background(), sub)
 		}
-		all = append(all, submitted{id, weight, o})
+		all = append(all, submittedEdit{id, weight, o})
 	}
 	return all
 }
 
 // violation describes the first invariant that the history violates for an edit, or
 // returns "".
-func violation(p *platform, s submitted) string {
+func violation(p *platform, s submittedEdit) string {
 	n := p.timesApplied(s.id)
 	switch {
 	case n > 1:
@@ -125,7 +126,7 @@
 		synctest.Test(t, func(*testing.T) {
 			p := newPlatform(drawn...)
 			var local, remote table.Holder
-			done := make(chan []submitted)
+			done := make(chan []submittedEdit)
 			go func() { done <- one.run(p, &local) }()
 			go func() { done <- two.run(p, &remote) }()
 			all := append(<-done, <-done...)
