--- a/admin/admin.go
+++ b/admin/admin.go
@@ -3,8 +3,8 @@
 //
 // # Usage
 //
-//	s := admin.Server{Operators: settings.Operators, Tables: &holder, Editor: &ed,
-//		Status: entry, Traces: entry, Drainer: entry, Log: log}
+//	s := admin.Server{Operators: settings.Operators, TableSource: &holder, Editor: &ed,
+//		StatusSource: entry, Traces: entry, Drainer: entry, Log: log}
 //	http.Serve(listener, s.Handler())
 //
 //	c := admin.Client{Address: netip.MustParseAddrPort("127.0.0.1:8001"), Token: token}
@@ -57,13 +57,14 @@
 	typeProblem = "application/problem+json"
 )
 
+// headerEditID is the header field with the id of an edit.
 const headerEditID = "Idempotency-Key"
 
 // The errors of TraceSource, Drainer and Orderer.
 var (
-	// ErrNoTrace says that no event of the request was found.
+	// ErrNoTrace is returned if no event of the request was found.
 	ErrNoTrace = errors.New("admin: no story of this request")
-	// ErrUnknownHost says that the entry has no host with this name.
+	// ErrUnknownHost is returned if the entry tracks no host with this name.
 	ErrUnknownHost = errors.New("admin: no such host")
 )
 
@@ -97,7 +98,8 @@
 type Status struct {
 	// Host is the host that responds.
 	Host domain.Host `json:"host"`
-	// Version is the newest version of the table that it has received.
+	// Version is the newest version of the table that the responding host has
+	// received.
 	Version table.Version `json:"table_version"`
 	Hosts   []HostStatus  `json:"hosts"`
 }
@@ -120,7 +122,7 @@
 	LastSeen time.Time `json:"heard,omitzero"`
 }
 
-// HostState says whether a host accepts work.
+// HostState is whether a host accepts new work, as seen by the responding host.
 type HostState string
 
 // The states of a host.
@@ -134,12 +136,13 @@
 	HostUnreachable HostState = "silent"
 )
 
-// Problem is the body of an error (RFC 9457).
+// Problem is the body of an error response (RFC 9457).
 type Problem struct {
 	Title  string `json:"title"`
 	Status int    `json:"status"`
 	Detail string `json:"detail,omitempty"`
-	// State, Reason and Version are set for edits.
+	// State, Reason and Version are the state, the refusal reason and the table
+	// version of an edit that was not accepted; empty for other requests.
 	State    editor.State   `json:"state,omitempty"`
 	Reason   editor.Reason  `json:"reason,omitempty"`
 	Version  table.Version  `json:"table_version,omitempty"`
--- a/admin/client.go
+++ b/admin/client.go
@@ -22,14 +22,15 @@
 	"jacinthworks/trace"
 )
 
-// ErrUnreachable says that no response was received. The request may have arrived.
+// ErrUnreachable is returned if no response was received. The request may have arrived.
 var ErrUnreachable = errors.New("admin: no answer from the administration address")
 
-// clientTimeout is above the 3s in which an editor determines its outcome plus the
-// second in which it replicates the table to another host.
+// clientTimeout bounds a request of a Client. It is above the 3s in which an editor
+// determines the outcome of an edit plus the second in which it replicates the table to
+// another host.
 const clientTimeout = 10 * time.Second
 
-// editTries bounds how often an unsettled edit is sent.
+// editTries is how many times an unsettled edit is sent at most.
 const editTries = 3
 
 // Client sends requests to the administration address of one entry. Address must be
--- a/admin/edits.go
+++ b/admin/edits.go
@@ -106,7 +106,8 @@
 		Reason: o.Reason, Version: o.Version, EditID: id, Findings: o.Findings}
 }
 
-// readSubmission reads an edit from headers, query and body.
+// readSubmission reads an edit and its conditions from the headers, the query and the
+// body of a request.
 func readSubmission(r *http.Request) (editor.Submission, *Problem) {
 	var s editor.Submission
 	var p *Problem
--- a/admin/fake_test.go
+++ b/admin/fake_test.go
@@ -25,8 +25,8 @@
 	callerToken = "a-callers-own-token"
 )
 
-// objects is a fake object API that stores the table and can be down.
-type objects struct {
+// fakeObjects is a fake object API that stores the table and can be down.
+type fakeObjects struct {
 	infra.Objects // nil: the tests don't make the other calls
 
 	mu      sync.Mutex
@@ -35,7 +35,7 @@
 	down    bool
 }
 
-func (o *objects) Get(context.Context, string) (infra.Object, error) {
+func (o *fakeObjects) Get(context.Context, string) (infra.Object, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.down {
@@ -44,7 +44,7 @@
 	return infra.Object{Version: o.version, Value: o.value}, nil
 }
 
-func (o *objects) Put(_ context.Context, _ string, value []byte, at infra.Version) (infra.Version, error) {
+func (o *fakeObjects) Put(_ context.Context, _ string, value []byte, at infra.Version) (infra.Version, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.down {
@@ -57,22 +57,22 @@
 	return o.version, nil
 }
 
-// host is a fake of the other parts of an entry.
-type host struct{ drained domain.Host }
+// fakeHost is a fake of the other parts of an entry.
+type fakeHost struct{ drained domain.Host }
 
-func (h *host) Status(context.Context) (Status, error) {
+func (h *fakeHost) Status(context.Context) (Status, error) {
 	return Status{Host: "entry-1", Version: 1, Hosts: []HostStatus{{Host: "entry-1", Zone: "salt-lake", State: HostServing, Version: 1,
 		Since: time.Date(2026, 12, 2, 9, 0, 0, 0, time.UTC)}, {Host: "side-1", Zone: "salt-lake", Role: domain.RoleDecode, Service: "appraiser-lm", State: HostUnreachable}}}, nil
 }
 
-func (h *host) Trace(_ context.Context, id domain.RequestID) (trace.Trace, error) {
+func (h *fakeHost) Trace(_ context.Context, id domain.RequestID) (trace.Trace, error) {
 	if id != "entry-1.1.7" {
 		return trace.Trace{}, ErrNoTrace
 	}
 	return trace.Trace{Request: id, State: trace.StateAnswered, Execution: domain.DidRun}, nil
 }
 
-func (h *host) Drain(_ context.Context, target domain.Host, _ string) error {
+func (h *fakeHost) Drain(_ context.Context, target domain.Host, _ string) error {
 	if target != "side-1" {
 		return ErrUnknownHost
 	}
@@ -87,8 +87,8 @@
 
 // fixture is a server with its fakes, and a client for it.
 type fixture struct {
-	objects *objects
-	host    *host
+	objects *fakeObjects
+	host    *fakeHost
 	holder  *table.Holder
 	http    *httptest.Server
 	client  Client
@@ -98,7 +98,7 @@
 	first := table.New(1, []table.Row{row("appraisal", "appraisal"), row("enquiry", "listing")})
 	text, err := first.Encode()
 	require.NoError(t, err)
-	b := &fixture{objects: &objects{version: 1, value: text}, host: new(host), holder: new(table.Holder)}
+	b := &fixture{objects: &fakeObjects{version: 1, value: text}, host: new(fakeHost), holder: new(table.Holder)}
 	b.holder.Update(first, time.Now())
 	s := Server{
 		Operators: []conf.Operator{{Name: "asha", Token: ashaToken, Teams: []string{"appraisal"}},
--- a/admin/orders.go
+++ b/admin/orders.go
@@ -12,7 +12,7 @@
 	"jacinthworks/table"
 )
 
-// ErrNotTeamMember says that no row of the service belongs to one of the operator's
+// ErrNotTeamMember is returned if no row of the service belongs to one of the operator's
 // teams.
 var ErrNotTeamMember = errors.New("admin: no row of the service belongs to your teams")
 
@@ -21,7 +21,7 @@
 // longer, so the operator must then repeat the order.
 const DefaultOrderTimeout = 8 * time.Second
 
-// OrderRequest is an order to the engine behind a side.
+// OrderRequest is an operator's order to the engine behind a side.
 type OrderRequest struct {
 	// Host is the side's name.
 	Host domain.Host `json:"host"`
@@ -30,7 +30,7 @@
 	Value string           `json:"value"`
 }
 
-// OrderReply says that the engine accepted the order.
+// OrderReply is the response to an order that the engine accepted.
 type OrderReply struct {
 	OrderRequest
 	// Fence is the fencing token of the order.
--- a/admin/server.go
+++ b/admin/server.go
@@ -16,11 +16,11 @@
 	"jacinthworks/table"
 )
 
-// defaultMaxBody is large enough for an edit of every cell of the largest table: a
+// defaultMaxBody is the default of Server.MaxBody, in bytes. It is large enough for an edit of every cell of the largest table: a
 // cell takes about four times its stored size in an edit.
 const defaultMaxBody = 4 * table.MaxSize
 
-// Server serves operators. All fields except Orderer, MaxBody and Log must be set.
+// Server serves the operators' HTTP interface. All fields except Orderer, MaxBody and Log must be set.
 type Server struct {
 	Operators    []conf.Operator
 	TableSource  TableSource
@@ -39,25 +39,26 @@
 // Handler returns the handler of all paths under /admin/.
 func (s *Server) Handler() http.Handler {
 	m := http.NewServeMux()
-	m.Handle("GET "+pathTable, s.operator(s.getTable))
-	m.Handle("PATCH "+pathTable, s.operator(s.patchTable))
-	m.Handle("GET "+pathStatus, s.operator(s.status))
-	m.Handle("GET "+pathRequests+"{id}", s.operator(s.story))
-	m.Handle("POST "+pathDrain, s.operator(s.drain))
+	m.Handle("GET "+pathTable, s.requireOperator(s.getTable))
+	m.Handle("PATCH "+pathTable, s.requireOperator(s.patchTable))
+	m.Handle("GET "+pathStatus, s.requireOperator(s.status))
+	m.Handle("GET "+pathRequests+"{id}", s.requireOperator(s.trace))
+	m.Handle("POST "+pathDrain, s.requireOperator(s.drain))
 	if s.Orderer != nil {
-		m.Handle("POST "+pathOrders, s.operator(s.order))
+		m.Handle("POST "+pathOrders, s.requireOperator(s.order))
 	}
-	m.Handle("/admin/", s.operator(func(w http.ResponseWriter, r *http.Request, _ table.Operator) {
+	m.Handle("/admin/", s.requireOperator(func(w http.ResponseWriter, r *http.Request, _ table.Operator) {
 		writeProblem(w, problem(http.StatusNotFound, "no "+r.Method+" of this path"))
 	}))
 	return m
 }
 
+// operatorHandler handles a request of an authenticated operator.
 type operatorHandler func(w http.ResponseWriter, r *http.Request, by table.Operator)
 
-// operator authenticates a request by an operator's token, and rejects it without
-// one.
-func (s *Server) operator(h operatorHandler) http.Handler {
+// requireOperator returns a handler that authenticates a request by an requireOperator's token
+// and calls h, or rejects the request if it has no such token.
+func (s *Server) requireOperator(h operatorHandler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		by, ok := s.findOperator(r.Header.Get("Authorization"))
 		if !ok {
@@ -98,7 +99,7 @@
 	writeJSON(w, typeJSON, http.StatusOK, st)
 }
 
-func (s *Server) story(w http.ResponseWriter, r *http.Request, _ table.Operator) {
+func (s *Server) trace(w http.ResponseWriter, r *http.Request, _ table.Operator) {
 	a, err := s.Traces.Trace(r.Context(), domain.RequestID(r.PathValue("id")))
 	switch {
 	case errors.Is(err, ErrNoTrace):
