--- a/infra/http.go
+++ b/infra/http.go
@@ -14,7 +14,7 @@
 type CallError struct {
 	// Call identifies the request: its target, mostly preceded by its method.
 	Call string
-	// Kind is one of the package's errors.
+	// Kind is the error of this package that classifies the failure, such as ErrNoReply.
 	Kind error
 	// Cause is the underlying error.
 	Cause error
@@ -28,13 +28,14 @@
 // Unwrap returns kind and cause.
 func (f *CallError) Unwrap() []error { return []error{f.Kind, f.Cause} }
 
-// maxResponse is the largest response body in bytes. A value is at most a megabyte,
-// but a list of names may be longer: at about 100 bytes each, this bound allows three
+// maxResponse is the largest accepted response body in bytes. A value is at most a
+// megabyte, but a list of names may be longer: at about 100 bytes per name, this bound allows three
 // hundred thousand trace segments. With the bound of a single value, lists of more
 // than 11,400 names were rejected, and no trace could be found any more.
 const maxResponse = 32 << 20
 
-// do sends one request, and returns the response and its whole body.
+// do sends one request to the platform, and returns the response and its whole body. The
+// error is a *CallError.
 func do(ctx context.Context, c *send.Client, r send.Request) (*send.Response, []byte, error) {
 	call := r.Method + " " + r.Target
 	reply, err := c.Do(ctx, r)
@@ -75,10 +76,11 @@
 		http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		kind = ErrRefused
 	}
-	return &CallError{Call: call, Kind: kind, Cause: errors.Errorf("infra: status %d: %.200s", status, value)}
+	return &CallError{Call: call, Kind: kind, Cause: errors.Errorf("infra: response with status %d: %.200s", status, value)}
 }
 
-// read gets a JSON value.
+// read sends a GET request for the target and decodes the JSON body of the response
+// into the value that into points to.
 func read(ctx context.Context, c *send.Client, target string, into any) error {
 	_, value, err := do(ctx, c, send.Request{Method: http.MethodGet, Target: target})
 	if err != nil {
--- a/infra/http_objects.go
+++ b/infra/http_objects.go
@@ -99,7 +99,7 @@
 	return (&url.URL{Path: "/objects/" + name}).EscapedPath()
 }
 
-// ETag returns the version as an entity tag.
+// ETag returns the version as an HTTP entity tag: the number in quotes.
 func (v Version) ETag() string { return strconv.Quote(strconv.FormatUint(uint64(v), 10)) }
 
 // ParseETag parses the output of Version.ETag.
--- a/infra/infra.go
+++ b/infra/infra.go
@@ -36,19 +36,20 @@
 	Value   []byte
 }
 
-// The errors of the object API.
+// The kinds of errors of calls to the platform.
 var (
 	// ErrNotFound: the object does not exist.
 	ErrNotFound = errors.New("infra: no such object")
 	// ErrConflict: the object is not at the given version, and nothing was written.
 	ErrConflict = errors.New("infra: version conflict")
 	// ErrUnchanged: there was no newer version within the wait time of a watch.
-	ErrUnchanged = errors.New("infra: unchanged")
+	ErrUnchanged = errors.New("infra: object unchanged within the wait time")
 	// ErrRefused: the platform did nothing (outage, rate limit, oversized value), or
 	// the request was not sent.
-	ErrRefused = errors.New("infra: refused")
-	// ErrNoReply: there was no complete response; a write may have taken effect.
-	ErrNoReply = errors.New("infra: no reply")
+	ErrRefused = errors.New("infra: platform refused the call")
+	// ErrNoReply: there was no complete or no readable response; a write may have taken
+	// effect.
+	ErrNoReply = errors.New("infra: no complete response from the platform")
 )
 
 // Objects is the platform's object API. Each call counts against its rate limit; a
@@ -69,29 +70,30 @@
 	Watch(ctx context.Context, name string, after Version, wait time.Duration) (Object, error)
 }
 
-// HostState is the state of a host in the host list.
+// HostState is the state of a host in the platform's host list.
 type HostState string
 
-// The states of a host.
+// The states of a host in the host list.
 const (
 	HostLive    HostState = "live"
 	HostLeaving HostState = "leaving"
 )
 
-// ListedHost is an entry of the host list.
+// ListedHost is one host in the platform's host list.
 type ListedHost struct {
 	Host  domain.Host `json:"host"`
 	Zone  domain.Zone `json:"zone"`
 	State HostState   `json:"state"`
 }
 
-// Hosts is the platform's host list. The list lags behind the real state.
+// Hosts reads the platform's host list, which lags behind the real state of the hosts.
 type Hosts interface {
 	// Hosts returns the current host list of the platform.
 	Hosts(ctx context.Context) ([]ListedHost, error)
 }
 
-// WeightStore is the weight store from which engines load models; it is rate-limited.
+// WeightStore describes the rate-limited store from which engines load the weights of
+// models.
 type WeightStore interface {
 	// Info returns the rate limit of the store in bytes per second, and the size of
 	// the model's weights in bytes.
