--- a/conf/conf.go
+++ b/conf/conf.go
@@ -127,7 +127,8 @@
 	CAFile string
 }
 
-// Limits bounds the use of connections. Zero means the default.
+// Limits bounds the connections to the listeners of a process and the requests on them.
+// Zero means the default.
 type Limits struct {
 	// MaxBody is the largest request body in bytes; default 4 MiB, which
 	// holds the text of a pedigree file of several hundred pages.
@@ -161,8 +162,8 @@
 type Timings struct {
 	// Heartbeat is the interval of heartbeats on a connection; default 200ms.
 	Heartbeat time.Duration
-	// HeartbeatTimeout is the time without any message after which a connection is
-	// closed; default 800ms. That is four heartbeats, so that a single lost heartbeat
+	// HeartbeatTimeout is the time without any received message after which a connection
+	// is closed; default 800ms. That is four heartbeats, so that a single lost heartbeat
 	// doesn't close it. The timeout is the first part of the two seconds in which the
 	// memory of an engine is freed.
 	HeartbeatTimeout time.Duration
--- a/conf/direct.go
+++ b/conf/direct.go
@@ -51,7 +51,7 @@
 	// Cores is the processor capacity of the host in cores. The hosts with the most
 	// cores watch the platform for the other hosts. Default 1.
 	Cores float64
-	// RelayMinEntries is the number of entries from which only some entries, the
+	// RelayMinEntries is the smallest number of entries with which only some of them, the
 	// relays, watch the platform for all entries. Zero, which parsing doesn't
 	// replace, means the default of package relay, 12.
 	RelayMinEntries int
@@ -65,23 +65,24 @@
 	// default false.
 	FirstStart  bool
 	RetryBudget RetryBudget
-	// Quotas is how far client accounts may exceed their quotas in any window: by an
-	// overage, which is a fraction of the quota, and by a slack, which is a fixed amount
-	// in the unit of the quota. The default is zero.
+	// Quotas is by how much client accounts may exceed their quotas in any window: by an
+	// overage, which is a fraction of the quota, plus a slack, which is a fixed amount in
+	// the unit of the quota. The default is zero.
 	Quotas quota.Tolerance
 	Log    Log
 	Limits Limits
 }
 
-// RetryBudget bounds the retries of all entries together, in every window: by a
-// fraction of the service's requests plus a fixed number.
+// RetryBudget bounds the number of retries that all entries together send for a service in
+// every window: a fraction of the service's requests in the window, plus a fixed number.
 type RetryBudget struct {
-	// Ratio is the fraction of the requests; default 0.2.
+	// Ratio is the number of retries allowed per request of the service; default 0.2.
 	Ratio float64
-	// Fixed is the fixed number. It need not be an integer, since it is divided among
-	// the entries; default 50.
+	// Fixed is the number of retries allowed in a window in addition. It need not be an
+	// integer, since it is divided among the entries; default 50.
 	Fixed float64
-	// Window is the length of the sliding window; default 10s.
+	// Window is the length of the sliding window in which retries are counted; default
+	// 10s.
 	Window time.Duration
 }
 
@@ -93,7 +94,7 @@
 		return Direct{}, err
 	}
 	d := readDirect(r)
-	r.distinct("listen", "ready_listen", "metrics_listen", "peer_listen")
+	r.distinctAddrs("listen", "ready_listen", "metrics_listen", "peer_listen")
 	r.unknownKeys()
 	return d, r.findings.Err()
 }
--- a/conf/lines.go
+++ b/conf/lines.go
@@ -68,7 +68,8 @@
 
 func at(path string, i int) string { return fmt.Sprintf("%s[%d]", path, i) }
 
-// parent returns the path of the enclosing table or array, or "" at the top.
+// parent returns the path of the table or array that contains the path; "" for a key at
+// the top of the file.
 func parent(path string) string {
 	if i := strings.LastIndexAny(path, ".["); i >= 0 {
 		return path[:i]
@@ -76,7 +77,8 @@
 	return ""
 }
 
-// splitIndex splits caller[2] into name and index; the index is -1 if there is none.
+// splitIndex splits a step of a path, such as caller[2], into name and index; the index
+// is -1 if there is none.
 func splitIndex(step string) (string, int) {
 	name, rest, ok := strings.Cut(step, "[")
 	if !ok {
--- a/conf/parse.go
+++ b/conf/parse.go
@@ -7,11 +7,12 @@
 	"jacinthworks/domain"
 )
 
-// minTokenLength is the minimum length of a token in bytes; shorter tokens can be
-// guessed.
+// minTokenLength is the minimum length of a caller's or operator's token in bytes;
+// shorter tokens can be guessed.
 const minTokenLength = 16
 
-// hostName allows no dots, because dots separate the parts of a request id.
+// hostName matches valid names of hosts. It allows no dots, because dots separate the
+// parts of a request id.
 var hostName = regexp.MustCompile(`^[a-z0-9]([a-z0-9_-]{0,61}[a-z0-9])?$`)
 
 // ParseEntry reads the settings of an entry; file is the file name for findings. The
@@ -37,7 +38,7 @@
 		Callers:       r.callers(),
 		Operators:     r.operators(),
 	}
-	r.distinct("listen", "admin_listen", "peer_listen")
+	r.distinctAddrs("listen", "admin_listen", "peer_listen")
 	r.distinctTokens(e)
 	for _, p := range e.Peers {
 		if p == e.PeerListen {
@@ -74,7 +75,7 @@
 	if s.Role == "" && r.value("role") == nil {
 		r.add("role", "is missing")
 	}
-	r.distinct("listen", "admin_listen")
+	r.distinctAddrs("listen", "admin_listen")
 	r.unknownKeys()
 	return s, r.findings.Err()
 }
@@ -181,9 +182,9 @@
 	}
 }
 
-// distinct adds a finding for each two listeners with the same address, except for port
-// 0, which selects any free port.
-func (r *reader) distinct(keys ...string) {
+// distinctAddrs adds a finding for each two of the listen addresses at the keys that are
+// equal, except for port 0, which selects any free port.
+func (r *reader) distinctAddrs(keys ...string) {
 	seen := make(map[netip.AddrPort]string)
 	for _, k := range keys {
 		text, _ := r.value(k).(string)
--- a/conf/reader.go
+++ b/conf/reader.go
@@ -18,10 +18,10 @@
 // reader returns the values of one TOML document by path, and adds a finding for each
 // invalid value. Decoding into a struct would stop at the first value of a wrong type.
 type reader struct {
-	file     string
-	lines    map[string]int
+	file     string         // name for findings
+	lines    map[string]int // line of each key and table, by path
 	values   map[string]any
-	used     map[string]bool
+	used     map[string]bool // paths that have been read
 	findings check.Findings
 }
 
@@ -117,7 +117,7 @@
 	return s
 }
 
-// required reads a string that must be present and not empty.
+// required reads a string, and adds a finding if it is missing or empty.
 func (r *reader) required(path string) string {
 	s := r.text(path)
 	switch {
@@ -272,7 +272,8 @@
 	return a
 }
 
-// unknownKeys adds a finding for each key that was not read, in the order of the file.
+// unknownKeys adds a finding for each key of the file that no setting was read from, in
+// the order of the file.
 func (r *reader) unknownKeys() {
 	var unknown []string
 	r.walk("", r.values, &unknown)
