--- a/spool/spool.go
+++ b/spool/spool.go
@@ -3,7 +3,7 @@
 //
 // # Usage
 //
-//	w := &spool.Writer{To: os.Stdout}
+//	w := &spool.Writer{Output: os.Stdout}
 //	go w.Run()
 //	defer w.Close() // writes the buffered lines, waits at most closeTimeout
 //	log := hclog.New(&hclog.LoggerOptions{Output: w})
@@ -20,12 +20,13 @@
 )
 
 const (
-	// maxBuffered bounds the buffer in bytes: some seconds of lines at the peak rate.
+	// maxBuffered bounds the buffered lines in bytes: some seconds of log lines at the
+	// peak rate.
 	maxBuffered = 512 << 10
 	// flushDelay is how long lines are collected before they are written together: a
 	// write costs about as much processor time as the processing of ten lines.
 	flushDelay = 100 * time.Millisecond
-	// closeTimeout bounds the wait for the last write in Close.
+	// closeTimeout bounds the time for which Close waits for the last write to Output.
 	closeTimeout = 200 * time.Millisecond
 )
 
