--- a/admin_args.go
+++ b/admin_args.go
@@ -23,7 +23,8 @@
 	CAFile    string         `arg:"--ca-file" help:"connect by TLS and trust this certificate" placeholder:"FILE"`
 }
 
-// client returns a client for the arguments. The token cannot be an argument, because
+// client returns a client for the administration address, the token and the certificate in
+// the arguments. The token cannot be an argument, because
 // other users of the host can see the arguments of a process.
 func (a adminArgs) client() (*admin.Client, error) {
 	c := &admin.Client{Address: a.Admin, Token: conf.Secret(os.Getenv("JACINTHWORKS_TOKEN"))}
@@ -52,9 +53,9 @@
 	return c, nil
 }
 
-// connect parses the arguments of a command into dest and returns a client for them. If
+// connectAdmin parses the arguments of a command into dest and returns a client for them. If
 // done is true, the command must exit with the given code.
-func connect(name string, args []string, dest any, target *adminArgs, out, errs io.Writer) (c *admin.Client, code int, done bool) {
+func connectAdmin(name string, args []string, dest any, target *adminArgs, out, errs io.Writer) (c *admin.Client, code int, done bool) {
 	if code, done := parseArgs(name, args, dest, out, errs); done {
 		return nil, code, true
 	}
@@ -66,8 +67,9 @@
 	return c, exitOK, false
 }
 
-// report prints the error of a command, if there is one, and returns the exit code.
-func report(err error, errs io.Writer) int {
+// reportError prints the error of a command, if there is one, and returns the exit code of
+// the command.
+func reportError(err error, errs io.Writer) int {
 	if err == nil {
 		return exitOK
 	}
--- a/cmd_admin_test.go
+++ b/cmd_admin_test.go
@@ -46,7 +46,7 @@
 	return o.version, nil
 }
 
-// fakeEntry is a fake of the other parts of an entry.
+// fakeEntry is a fake of the parts of an entry that serve status, traces and drains.
 type fakeEntry struct{}
 
 func (fakeEntry) Status(context.Context) (admin.Status, error) {
@@ -107,11 +107,11 @@
 	return path
 }
 
-const header = "service,zone,kind,team,weight,in_flight,queue_limit,caller_rate,deadline,first_token,token_gap,idempotent,priority,may_wait,wasted_prefill_weight\n"
+const tableHeader = "service,zone,kind,team,weight,in_flight,queue_limit,caller_rate,deadline,first_token,token_gap,idempotent,priority,may_wait,wasted_prefill_weight\n"
 
-// calls are commands with their expected exit code and parts of their outputs. They run
-// sequentially on one table.
-var calls = []struct {
+// commandCases are commands with their expected exit code and parts of their outputs. The
+// commands run sequentially on one table.
+var commandCases = []struct {
 	args []string
 	code int
 	out  string
@@ -152,11 +152,11 @@
 func TestOperatorCommands(t *testing.T) {
 	startAdmin(t)
 	files := map[string]string{
-		"new.csv":    writeFile(t, "new.csv", header+"appraiser-lm,*,appraisal,appraisal,7,8,0,0,1m,0s,0s,false,3,false,0\n"),
-		"bad.csv":    writeFile(t, "bad.csv", header+"appraiser-lm,*,appraisal,appraisal,x,8,0,0,1m,0s,0s,false,3,false,0\n"),
+		"new.csv":    writeFile(t, "new.csv", tableHeader+"appraiser-lm,*,appraisal,appraisal,7,8,0,0,1m,0s,0s,false,3,false,0\n"),
+		"bad.csv":    writeFile(t, "bad.csv", tableHeader+"appraiser-lm,*,appraisal,appraisal,x,8,0,0,1m,0s,0s,false,3,false,0\n"),
 		"absent.csv": filepath.Join(t.TempDir(), "absent.csv"),
 	}
-	for _, c := range calls {
+	for _, c := range commandCases {
 		t.Run(strings.Join(c.args, " "), func(t *testing.T) {
 			args := append([]string(nil), c.args...)
 			for i, a := range args {
--- a/cmd_check.go
+++ b/cmd_check.go
@@ -43,7 +43,8 @@
 	return exitOK
 }
 
-// decodeTable decodes the text of a table file as CSV or JSON, by its extension.
+// decodeTable decodes the text of a table file as CSV if the file has the extension .csv,
+// otherwise as JSON.
 func decodeTable(file string, text []byte) (table.Table, error) {
 	if filepath.Ext(file) == ".csv" {
 		return table.DecodeCSV(text)
@@ -51,7 +52,8 @@
 	return table.DecodeRows(text)
 }
 
-// findingsText returns the findings of an error, one per line.
+// findingsText returns the findings of an error, one per line, or the error's text if it
+// has none.
 func findingsText(err error) string {
 	var r *table.Rejection
 	if errors.As(err, &r) {
--- a/cmd_drain.go
+++ b/cmd_drain.go
@@ -17,12 +17,12 @@
 
 func runDrain(ctx context.Context, args []string, out, errs io.Writer) int {
 	var a drainArgs
-	c, code, done := connect("drain", args, &a, &a.adminArgs, out, errs)
+	c, code, done := connectAdmin("drain", args, &a, &a.adminArgs, out, errs)
 	if done {
 		return code
 	}
 	if err := c.Drain(ctx, a.Host); err != nil {
-		return report(err, errs)
+		return reportError(err, errs)
 	}
 	fmt.Fprintf(out, "%s is draining\n", a.Host)
 	return exitOK
--- a/cmd_load.go
+++ b/cmd_load.go
@@ -90,7 +90,8 @@
 	return p, nil
 }
 
-// mix returns the requested classes of requests. A single class has weight 1.
+// mix returns the classes of requests to send, weighted by their shares of the arrivals. A
+// single class has weight 1.
 func (a loadArgs) mix() []load.RequestClass {
 	completions := load.RequestClass{
 		Weight: 1 - a.PlainShare, Service: a.Service, Kind: a.Kind, PromptTokens: a.PromptTokens,
--- a/cmd_order.go
+++ b/cmd_order.go
@@ -21,13 +21,13 @@
 
 func runOrder(ctx context.Context, args []string, out, errs io.Writer) int {
 	var a orderArgs
-	c, code, done := connect("order", args, &a, &a.adminArgs, out, errs)
+	c, code, done := connectAdmin("order", args, &a, &a.adminArgs, out, errs)
 	if done {
 		return code
 	}
 	reply, err := c.SendOrder(ctx, admin.OrderRequest{Host: a.Host, Kind: a.Kind, Value: a.Value})
 	if err != nil {
-		return report(err, errs)
+		return reportError(err, errs)
 	}
 	fmt.Fprintf(out, "%s accepted %s %s under fencing token %d\n", reply.Host, reply.Kind, reply.Value, reply.Fence)
 	return exitOK
--- a/cmd_status.go
+++ b/cmd_status.go
@@ -19,18 +19,18 @@
 
 func runStatus(ctx context.Context, args []string, out, errs io.Writer) int {
 	var a statusArgs
-	c, code, done := connect("status", args, &a, &a.adminArgs, out, errs)
+	c, code, done := connectAdmin("status", args, &a, &a.adminArgs, out, errs)
 	if done {
 		return code
 	}
 	s, err := c.Status(ctx)
 	if err != nil {
-		return report(err, errs)
+		return reportError(err, errs)
 	}
 	if a.JSON {
-		return report(writeIndented(out, s), errs)
+		return reportError(writeIndented(out, s), errs)
 	}
-	return report(writeStatus(out, s), errs)
+	return reportError(writeStatus(out, s), errs)
 }
 
 func writeStatus(out io.Writer, s admin.Status) error {
--- a/cmd_story.go
+++ b/cmd_story.go
@@ -18,18 +18,18 @@
 
 func runStory(ctx context.Context, args []string, out, errs io.Writer) int {
 	var a storyArgs
-	c, code, done := connect("story", args, &a, &a.adminArgs, out, errs)
+	c, code, done := connectAdmin("story", args, &a, &a.adminArgs, out, errs)
 	if done {
 		return code
 	}
 	trace, err := c.Trace(ctx, a.Request)
 	if err != nil {
-		return report(err, errs)
+		return reportError(err, errs)
 	}
 	if a.JSON {
-		return report(writeIndented(out, trace), errs)
+		return reportError(writeIndented(out, trace), errs)
 	}
-	return report(trace.WriteText(out), errs)
+	return reportError(trace.WriteText(out), errs)
 }
 
 func writeIndented(out io.Writer, v any) error {
--- a/cmd_table.go
+++ b/cmd_table.go
@@ -45,7 +45,7 @@
 
 func runTable(ctx context.Context, args []string, out, errs io.Writer) int {
 	var a tableArgs
-	c, code, done := connect("table", args, &a, &a.adminArgs, out, errs)
+	c, code, done := connectAdmin("table", args, &a, &a.adminArgs, out, errs)
 	if done {
 		return code
 	}
@@ -66,18 +66,18 @@
 func (a *tableGetArgs) run(ctx context.Context, c *admin.Client, out, errs io.Writer) int {
 	t, err := c.Table(ctx)
 	if err != nil {
-		return report(err, errs)
+		return reportError(err, errs)
 	}
 	if !a.CSV {
-		return report(writeIndented(out, t), errs)
+		return reportError(writeIndented(out, t), errs)
 	}
 	text, err := t.EncodeCSV()
 	if err != nil {
-		return report(err, errs)
+		return reportError(err, errs)
 	}
 	fmt.Fprintf(errs, "version %d\n", t.Version())
 	_, err = out.Write(text)
-	return report(err, errs)
+	return reportError(err, errs)
 }
 
 func (a *tableSetArgs) run(ctx context.Context, c *admin.Client, out, errs io.Writer) int {
@@ -86,7 +86,7 @@
 		fmt.Fprintln(errs, "jacinthworks:", err)
 		return exitUsage
 	}
-	return submit(ctx, c, admin.EditRequest{Edit: table.Edit{Changes: []table.Change{change}}}, out, errs)
+	return submitEdit(ctx, c, admin.EditRequest{Edit: table.Edit{Changes: []table.Change{change}}}, out, errs)
 }
 
 func (a *tableSetArgs) change() (table.Change, error) {
@@ -109,11 +109,11 @@
 func (a *tableDiffArgs) run(ctx context.Context, c *admin.Client, out, errs io.Writer) int {
 	wanted, err := readTable(a.File)
 	if err != nil {
-		return report(err, errs)
+		return reportError(err, errs)
 	}
 	now, err := c.Table(ctx)
 	if err != nil {
-		return report(err, errs)
+		return reportError(err, errs)
 	}
 	changes := table.Diff(now, wanted)
 	fmt.Fprint(out, changes)
@@ -123,15 +123,15 @@
 	return exitOK
 }
 
-// run submits the difference between the table and the file as one edit, and only if the
-// table is still at the version on which the file is based.
+// run submits the difference between the operators' table and the file as one edit, and
+// only if the table is still at the version on which the file is based.
 //
 // A file also contains the cells of other teams as they were at that version. Applied to
 // a later version, it would undo edits that were accepted since.
 func (a *tableApplyArgs) run(ctx context.Context, c *admin.Client, out, errs io.Writer) int {
 	wanted, err := readTable(a.File)
 	if err != nil {
-		return report(err, errs)
+		return reportError(err, errs)
 	}
 	from := wanted.Version()
 	if a.Version != nil {
@@ -139,10 +139,10 @@
 	}
 	now, err := c.Table(ctx)
 	if err != nil {
-		return report(err, errs)
+		return reportError(err, errs)
 	}
 	if now.Version() != from {
-		return report(errors.Errorf("%s was made from version %d and the table is at %d: get it again, or look at the diff and give --version",
+		return reportError(errors.Errorf("%s was made from version %d and the table is at %d: get it again, or look at the diff and give --version",
 			a.File, from, now.Version()), errs)
 	}
 	changes := table.Diff(now, wanted)
@@ -151,7 +151,7 @@
 		return exitOK
 	}
 	fmt.Fprint(out, changes)
-	return submit(ctx, c, admin.EditRequest{Edit: table.Edit{Changes: changes}, IfMatch: &from}, out, errs)
+	return submitEdit(ctx, c, admin.EditRequest{Edit: table.Edit{Changes: changes}, IfMatch: &from}, out, errs)
 }
 
 func readTable(file string) (table.Table, error) {
@@ -161,17 +161,18 @@
 	}
 	t, err := decodeTable(file, text)
 	if err != nil {
-		return t, errors.Errorf("%s refused\n%s", file, findingsText(err))
+		return t, errors.Errorf("%s is not a valid table\n%s", file, findingsText(err))
 	}
 	return t, nil
 }
 
-// submit sends an edit, prints its outcome and returns the exit code.
-func submit(ctx context.Context, c *admin.Client, e admin.EditRequest, out, errs io.Writer) int {
+// submitEdit sends an edit of the operators' table, prints its outcome and returns the exit
+// code of the command.
+func submitEdit(ctx context.Context, c *admin.Client, e admin.EditRequest, out, errs io.Writer) int {
 	e.Edit.ID = admin.NewEditID()
 	o, err := c.Edit(ctx, e)
 	if err != nil {
-		return report(err, errs)
+		return reportError(err, errs)
 	}
 	switch o.State {
 	case editor.Accepted:
--- a/cmd_version.go
+++ b/cmd_version.go
@@ -6,7 +6,7 @@
 	"io"
 )
 
-// version is set by the release build.
+// version is the version of the program; the release build sets it.
 var version = "0.1.0"
 
 var cmdVersion = command{name: "version", help: "print the version", run: runVersion}
--- a/commands.go
+++ b/commands.go
@@ -5,7 +5,8 @@
 	"io"
 )
 
-// The exit codes of all commands.
+// The exit codes of all commands. exitRefused also stands for other failures and for
+// changes found by `table diff`, exitUnreachable also for an edit of unknown outcome.
 const (
 	exitOK          = 0
 	exitRefused     = 1
@@ -13,7 +14,8 @@
 	exitUnreachable = 3
 )
 
-// command is a subcommand.
+// command is a subcommand of jacinthworks. Its run function parses the arguments, writes to
+// the standard and the error output, and returns the exit code.
 type command struct {
 	name string
 	help string
