--- a/conf/conf_test.go
+++ b/conf/conf_test.go
@@ -80,9 +80,9 @@
 	require.False(t, s.AdminListen.IsValid())
 }
 
-// badInput lists invalid files with the findings that each must produce, verbatim and
+// invalidFiles lists invalid files with the findings that each must produce, verbatim and
 // in order.
-var badInput = []struct {
+var invalidFiles = []struct {
 	name     string
 	side     bool
 	text     string
@@ -146,7 +146,7 @@
 }
 
 func TestParseInvalidFileReturnsEveryFinding(t *testing.T) {
-	for _, c := range badInput {
+	for _, c := range invalidFiles {
 		t.Run(c.name, func(t *testing.T) {
 			var err error
 			if c.side {
--- a/conf/fuzz_test.go
+++ b/conf/fuzz_test.go
@@ -14,7 +14,7 @@
 func FuzzSettings(f *testing.F) {
 	f.Add(goodEntry)
 	f.Add(goodSide)
-	for _, c := range badInput {
+	for _, c := range invalidFiles {
 		f.Add(c.text)
 	}
 	f.Fuzz(func(t *testing.T, text string) {
--- a/editor/race_test.go
+++ b/editor/race_test.go
@@ -58,7 +58,7 @@
 	return s
 }
 
-// submittedEdit is a submittedEdit edit with its outcome.
+// submittedEdit is an edit that was submitted, with its weight and its outcome.
 type submittedEdit struct {
 	id      table.EditID
 	weight  int
--- a/events/events_test.go
+++ b/events/events_test.go
@@ -17,8 +17,8 @@
 	require.Equal(t, ": note\r\n\r\n", string(c.Add([]byte(": note\r\n\r\n"))))
 }
 
-// FuzzSplitterAtAnyCut adds a stream in two parts, cut at any place. The events are the same as
-// those of the whole stream, and the rest is a suffix of the stream.
+// FuzzSplitterAtAnyCut adds a stream in two parts, cut at any place. The returned events must
+// be the same as for the whole stream, and the partial event a suffix of the stream.
 func FuzzSplitterAtAnyCut(f *testing.F) {
 	f.Add("id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3", 7)
 	f.Add("id:1\r\n\r\nid:2\r\n\r\n", 6)
--- a/queue/queue_test.go
+++ b/queue/queue_test.go
@@ -188,7 +188,7 @@
 }
 
 // fillAndDrain enqueues items of 1,000 tokens and dequeues one of them every 100
-// ms. It returns the time of the last one.
+// ms. It returns the time of the last dequeue.
 func fillAndDrain(q *Queue, account domain.Account, items, drained int) (now time.Time) {
 	for n := range items {
 		q.Enqueue(start, item(n, account, 1000), random())
@@ -236,7 +236,7 @@
 }
 
 // drainAll dequeues all waiting items, one every 100 ms, and returns the time of
-// the last one.
+// the last dequeue.
 func drainAll(q *Queue, now time.Time) time.Time {
 	for q.Len() > 0 {
 		now = now.Add(100 * time.Millisecond)
--- a/table/edit_test.go
+++ b/table/edit_test.go
@@ -10,8 +10,8 @@
 
 var appraisal = sample(AnyZone, "appraisal").Key()
 
-// badEdits lists invalid edits with the findings that each must produce.
-var badEdits = []struct {
+// invalidEdits lists invalid edits with the findings that each must produce.
+var invalidEdits = []struct {
 	name     string
 	cause    Cause
 	edit     Edit
@@ -66,7 +66,7 @@
 }
 
 func TestApplyInvalidEditReturnsEveryFinding(t *testing.T) {
-	for _, c := range badEdits {
+	for _, c := range invalidEdits {
 		t.Run(c.name, func(t *testing.T) {
 			before := sampleTable()
 			_, err := before.Apply(c.edit, asha)
@@ -128,9 +128,9 @@
 	require.True(t, ok)
 }
 
-// badSheets lists invalid tables as CSV or JSON with the findings that each must
+// invalidTables lists invalid tables as CSV or JSON with the findings that each must
 // produce.
-var badSheets = []struct {
+var invalidTables = []struct {
 	name     string
 	read     func([]byte) (Table, error)
 	text     string
@@ -158,7 +158,7 @@
 }
 
 func TestDecodeInvalidTableReturnsEveryFinding(t *testing.T) {
-	for _, c := range badSheets {
+	for _, c := range invalidTables {
 		t.Run(c.name, func(t *testing.T) {
 			_, err := c.read([]byte(c.text))
 			require.Equal(t, c.findings, lines(err))
--- a/table/fuzz_test.go
+++ b/table/fuzz_test.go
@@ -10,7 +10,7 @@
 // a decoder accepts although the decoded table fails Check or does not survive a
 // CSV round trip.
 func FuzzDecodeTable(f *testing.F) {
-	for _, c := range badSheets {
+	for _, c := range invalidTables {
 		f.Add(c.text)
 	}
 	csv, err := sampleTable().EncodeCSV()
--- a/table/model_test.go
+++ b/table/model_test.go
@@ -17,7 +17,7 @@
 // a holder, and may be lost, duplicated or reordered; a suspended host is modelled
 // by delayed messages. The holders are real Holders.
 const (
-	modelEdits    = 3 // versions 1 to 3
+	modelEdits    = 3 // writes of the object, as versions 1 to 3
 	modelInFlight = 2 // messages to holders in flight at once
 )
 
@@ -39,7 +39,7 @@
 	version Version
 }
 
-// code returns the sort key of a message.
+// code returns the sort key by which messages in flight are ordered.
 func (m message) code() int {
 	c := 2*int(m.version) + m.to
 	if m.ack {
@@ -64,7 +64,7 @@
 	count    int
 }
 
-func (s modelState) in(p phase) modelState {
+func (s modelState) withPhase(p phase) modelState {
 	s.phase = p
 	return s
 }
@@ -77,30 +77,31 @@
 	return s
 }
 
-// without removes a message.
-func (s modelState) without(i int) modelState {
+// removeMessage returns the state without the message in flight at index i.
+func (s modelState) removeMessage(i int) modelState {
 	copy(s.inFlight[i:], s.inFlight[i+1:s.count])
 	s.count--
 	s.inFlight[s.count] = message{}
 	return s
 }
 
-// editModel computes the transitions. Each field disables one guard.
+// editModel computes the transitions of the model. Each field disables one guard, so that
+// a test can show that the guard is needed.
 type editModel struct {
 	acceptLower    bool // a holder accepts any other version
 	trustStaleRead bool // the writer reports an edit as refused after a stale read
 	acceptAlone    bool // the writer reports an edit as accepted without another host
 }
 
-// next returns each state that is reachable by one event.
+// next returns each state that is reachable from s by one event.
 func (m editModel) next(s modelState) []modelState {
-	all := append(m.writes(s), m.settles(s)...)
+	all := append(m.writes(s), m.outcomes(s)...)
 	for to := range s.held { // a poll of the platform, a relayed table of the other holder
 		all = append(all, s.send(message{to: to, version: s.platform}))
 		all = append(all, s.send(message{to: to, version: s.held[1-to]}))
 	}
 	for i := range s.count {
-		lost := s.without(i)
+		lost := s.removeMessage(i)
 		all = append(all, lost, m.deliver(lost, s.inFlight[i]))
 		all = append(all, m.deliver(s, s.inFlight[i])) // delivered and still in flight: a duplicate
 	}
@@ -117,7 +118,7 @@
 	}
 	if s.phase == idle {
 		for base := Version(0); base <= s.platform; base++ { // a stale read leads to a stale base
-			sent := s.in(waiting)
+			sent := s.withPhase(waiting)
 			sent.base, sent.late = base, true
 			all = append(all, sent)
 		}
@@ -130,31 +131,31 @@
 	all = append(all, arrived) // the write was lost
 	switch {
 	case s.platform != s.base:
-		all = append(all, arrived.in(refused))
+		all = append(all, arrived.withPhase(refused))
 	case s.platform < modelEdits:
 		arrived.platform++
 		arrived.edit = arrived.platform
-		all = append(all, arrived, arrived.in(written)) // without and with a response
+		all = append(all, arrived, arrived.withPhase(written)) // without and with a response
 	}
 	return all
 }
 
-// settles returns the transitions by which the writer determines the outcome of its
+// outcomes returns the transitions by which the writer determines the outcome of its
 // edit: reads of the platform, and the message to host 1.
-func (m editModel) settles(s modelState) []modelState {
+func (m editModel) outcomes(s modelState) []modelState {
 	var all []modelState
 	for read := Version(0); s.phase == waiting && read <= s.platform; read++ {
 		switch {
 		case s.edit != 0 && s.edit <= read:
-			all = append(all, s.in(written))
+			all = append(all, s.withPhase(written))
 		case read > s.base || m.trustStaleRead:
-			all = append(all, s.in(refused))
+			all = append(all, s.withPhase(refused))
 		}
 	}
 	if s.phase == written {
 		all = append(all, s.send(message{to: 1, version: s.edit}))
 		if m.acceptAlone {
-			all = append(all, s.in(accepted))
+			all = append(all, s.withPhase(accepted))
 		}
 	}
 	return all
--- a/trace/bench_test.go
+++ b/trace/bench_test.go
@@ -41,7 +41,7 @@
 		entry, _, _ := appraisalEvents(uint64(n))
 		entry[0].Caller = domain.Account(fmt.Sprintf("stud-%d", x.IntN(2100)))
 		entry[4].Tokens = x.IntN(900)
-		for i := range entry { // vary times, upstreams and costs, so that they compress like real ones
+		for i := range entry { // vary times, upstreams and costs, so that they compress like real spans
 			entry[i].Time = start.Add(time.Duration(n*1000+i*20)*time.Millisecond + time.Duration(x.IntN(15e6)))
 			entry[i].Upstream, entry[i].Decode = side(), side()
 		}
--- a/trace/trace_test.go
+++ b/trace/trace_test.go
@@ -96,19 +96,19 @@
 	rapid.Check(t, func(t *rapid.T) {
 		r := Recorder{MaxClosed: 4, MaxAge: 50 * time.Millisecond}
 		kinds := rapid.SliceOfN(rapid.SampledFrom([]EventKind{Accepted, Queued, Answered, Refused, CallerGone, AttemptEnded}), 1, 80).Draw(t, "kinds")
-		naive := make(map[domain.RequestID]EventKind) // by request: the first end, or Accepted
+		endByRequest := make(map[domain.RequestID]EventKind) // the first end of each request, or Accepted if it is open
 		for i, k := range kinds {
 			id := ID{"e", 1, uint64(rapid.IntRange(0, 5).Draw(t, "id"))}.RequestID()
-			_, known := naive[id]
+			_, known := endByRequest[id]
 			if _, held := r.Get(id); known && !held && k == Accepted {
 				continue // a duplicate id is detected only while its span is in memory
 			}
 			r.Record(Event{Kind: k, Time: at(i * 9), Host: "e", Request: id, Execution: domain.NotRun})
-			if k == Accepted && !known || naive[id] == Accepted && (k == Answered || k == Refused) {
-				naive[id] = k
+			if k == Accepted && !known || endByRequest[id] == Accepted && (k == Answered || k == Refused) {
+				endByRequest[id] = k
 			}
 			want := make(map[EventKind]int64)
-			for _, v := range naive {
+			for _, v := range endByRequest {
 				want[v]++
 			}
 			c := r.Counts()
