--- a/admin/edits.go
+++ b/admin/edits.go
@@ -71,7 +71,7 @@
 	}
 	sub.Operator = by
 	o := s.Editor.Submit(r.Context(), sub)
-	s.log().Info("edit", "operator", by.Name, "edit", sub.Edit.ID, "changes", len(sub.Edit.Changes),
+	s.log().Info("table edit processed", "operator", by.Name, "edit", sub.Edit.ID, "changes", len(sub.Edit.Changes),
 		"state", o.State, "reason", o.Reason, "table_version", o.Version)
 	if o.Version > 0 {
 		w.Header().Set("ETag", etag(o.Version))
--- a/roster/roster.go
+++ b/roster/roster.go
@@ -313,7 +313,7 @@
 	if !r.recoveredAt.IsZero() && now.Before(until) && !r.members[id].Server().Draining {
 		if _, marked := r.unconfirmed[id]; !marked {
 			r.unconfirmed[id] = until
-			r.Log.Info("upstream entry expired", "upstream", id, "until", until.Sub(now))
+			r.Log.Info("registry entry expired, upstream kept", "upstream", id, "until", until.Sub(now))
 		}
 		return
 	}
