--- a/admin/server.go
+++ b/admin/server.go
@@ -16,11 +16,13 @@
 	"jacinthworks/table"
 )
 
-// defaultMaxBody is the default of Server.MaxBody, in bytes. It is large enough for an edit of every cell of the largest table: a
-// cell takes about four times its stored size in an edit.
+// defaultMaxBody is the default of Server.MaxBody, in bytes. It is large enough for an
+// edit of every cell of the largest table: a cell takes about four times its stored size
+// in an edit.
 const defaultMaxBody = 4 * table.MaxSize
 
-// Server serves the operators' HTTP interface. All fields except Orderer, MaxBody and Log must be set.
+// Server serves the operators' HTTP interface. All fields except Orderer, MaxBody and Log
+// must be set.
 type Server struct {
 	Operators    []conf.Operator
 	TableSource  TableSource
@@ -56,8 +58,8 @@
 // operatorHandler handles a request of an authenticated operator.
 type operatorHandler func(w http.ResponseWriter, r *http.Request, by table.Operator)
 
-// requireOperator returns a handler that authenticates a request by an requireOperator's token
-// and calls h, or rejects the request if it has no such token.
+// requireOperator returns a handler that authenticates a request by an operator's
+// token and calls h, or rejects the request if it has no such token.
 func (s *Server) requireOperator(h operatorHandler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		by, ok := s.findOperator(r.Header.Get("Authorization"))
--- a/admin_args.go
+++ b/admin_args.go
@@ -53,8 +53,8 @@
 	return c, nil
 }
 
-// connectAdmin parses the arguments of a command into dest and returns a client for them. If
-// done is true, the command must exit with the given code.
+// connectAdmin parses the arguments of a command into dest and returns a client for them.
+// If done is true, the command must exit with the given code.
 func connectAdmin(name string, args []string, dest any, target *adminArgs, out, errs io.Writer) (c *admin.Client, code int, done bool) {
 	if code, done := parseArgs(name, args, dest, out, errs); done {
 		return nil, code, true
--- a/conf/lines.go
+++ b/conf/lines.go
@@ -31,7 +31,7 @@
 			if _, ok := lines[path]; !ok {
 				lines[path] = line
 			}
-			table = at(path, elements[path])
+			table = elementPath(path, elements[path])
 			elements[path]++
 			lines[table] = line
 		case unstable.KeyValue:
@@ -61,12 +61,13 @@
 func inLatestElement(names []string, elements map[string]int) string {
 	first := names[0]
 	if n := elements[first]; n > 0 {
-		first = at(first, n-1)
+		first = elementPath(first, n-1)
 	}
 	return strings.Join(append([]string{first}, names[1:]...), ".")
 }
 
-func at(path string, i int) string { return fmt.Sprintf("%s[%d]", path, i) }
+// elementPath returns the path of the element with index i of the array at the path.
+func elementPath(path string, i int) string { return fmt.Sprintf("%s[%d]", path, i) }
 
 // parent returns the path of the table or array that contains the path; "" for a key at
 // the top of the file.
--- a/conf/parse.go
+++ b/conf/parse.go
@@ -175,10 +175,10 @@
 		places[token] = place
 	}
 	for i, c := range e.Callers {
-		see(at("caller", i)+".token", c.Token)
+		see(elementPath("caller", i)+".token", c.Token)
 	}
 	for i, o := range e.Operators {
-		see(at("operator", i)+".token", o.Token)
+		see(elementPath("operator", i)+".token", o.Token)
 	}
 }
 
--- a/conf/reader.go
+++ b/conf/reader.go
@@ -99,11 +99,11 @@
 	var paths []string
 	for i, element := range list {
 		if _, ok := element.(map[string]any); !ok {
-			r.add(at(path, i), "must be a table")
+			r.add(elementPath(path, i), "must be a table")
 			continue
 		}
-		r.used[at(path, i)] = true
-		paths = append(paths, at(path, i))
+		r.used[elementPath(path, i)] = true
+		paths = append(paths, elementPath(path, i))
 	}
 	return paths
 }
@@ -155,7 +155,7 @@
 	for i, element := range list {
 		s, ok := element.(string)
 		if !ok || s == "" {
-			r.add(at(path, i), "must be a text in quotes, and not empty")
+			r.add(elementPath(path, i), "must be a text in quotes, and not empty")
 			continue
 		}
 		texts = append(texts, s)
@@ -249,12 +249,12 @@
 func (r *reader) addrPorts(path string) []netip.AddrPort {
 	var addrs []netip.AddrPort
 	for i, s := range r.texts(path) {
-		a := r.addrPort(at(path, i), s)
+		a := r.addrPort(elementPath(path, i), s)
 		if !a.IsValid() {
 			continue
 		}
 		if a.Port() == 0 {
-			r.add(at(path, i), "needs a port: %s", a)
+			r.add(elementPath(path, i), "needs a port: %s", a)
 		}
 		addrs = append(addrs, a)
 	}
@@ -296,7 +296,7 @@
 	case []any:
 		for i, element := range v {
 			if m, ok := element.(map[string]any); ok {
-				r.walk(at(path, i), m, unknown)
+				r.walk(elementPath(path, i), m, unknown)
 			}
 		}
 	}
--- a/conns/writer.go
+++ b/conns/writer.go
@@ -35,6 +35,6 @@
 	return w.ResponseWriter.Write(b)
 }
 
-// extendDeadline sets the write deadline to the timeout from now. The error of a connection that supports no deadlines, as
-// in tests, is ignored.
+// extendDeadline sets the write deadline to the timeout from now. The error of a connection that
+// supports no deadlines, as in tests, is ignored.
 func (w *DeadlineWriter) extendDeadline() { _ = w.control.SetWriteDeadline(time.Now().Add(w.timeout)) }
--- a/editor/editor.go
+++ b/editor/editor.go
@@ -34,8 +34,8 @@
 const DefaultObjectName = "table"
 
 // The defaults of the timeout and the retry interval of an Editor. A read or write takes
-// milliseconds, so the retry interval allows some tens of tries within the timeout. The timeout and the replication
-// together stay below the 5 seconds promised for an edit.
+// milliseconds, so the retry interval allows some tens of tries within the timeout. The
+// timeout and the replication together stay below the 5 seconds promised for an edit.
 const (
 	defaultTimeout       = 3 * time.Second
 	defaultRetryInterval = 100 * time.Millisecond
--- a/infra/http.go
+++ b/infra/http.go
@@ -29,9 +29,9 @@
 func (f *CallError) Unwrap() []error { return []error{f.Kind, f.Cause} }
 
 // maxResponse is the largest accepted response body in bytes. A value is at most a
-// megabyte, but a list of names may be longer: at about 100 bytes per name, this bound allows three
-// hundred thousand trace segments. With the bound of a single value, lists of more
-// than 11,400 names were rejected, and no trace could be found any more.
+// megabyte, but a list of names may be longer: at about 100 bytes per name, this bound
+// allows three hundred thousand trace segments. With the bound of a single value, lists
+// of more than 11,400 names were rejected, and no trace could be found any more.
 const maxResponse = 32 << 20
 
 // do sends one request to the platform, and returns the response and its whole body. The
--- a/queue/drain.go
+++ b/queue/drain.go
@@ -39,8 +39,8 @@
 	d.dequeuedCost *= decay
 }
 
-// recordDequeued counts the cost of an item that was dequeued after it had waited. A negative cost
-// undoes an earlier call.
+// recordDequeued counts the cost of an item that was dequeued after it had waited. A
+// negative cost undoes an earlier call.
 func (d *drainMeter) recordDequeued(now time.Time, cost int) {
 	d.advance(now, true)
 	d.dequeuedCost = max(0, d.dequeuedCost+float64(cost))
--- a/queue/latency.go
+++ b/queue/latency.go
@@ -10,8 +10,8 @@
 // second of work at the present load.
 const retainedWeight = 0.92
 
-// deviationFactor is the number of mean absolute deviations that a latency estimate
-// adds to the mean. With none, half of the requests that are dequeued at the last moment miss
+// deviationFactor is the number of mean absolute deviations that a latency estimate adds
+// to the mean. With none, half of the requests that are dequeued at the last moment miss
 // their target, and their prefill is wasted; with two, about nine in ten meet it.
 const deviationFactor = 2
 
--- a/queue/queue.go
+++ b/queue/queue.go
@@ -108,8 +108,8 @@
 	// caller over its share, or a deferred class until deferredUntil.
 	class         int
 	deferredUntil time.Time
-	// chargedTo is the caller whose service Dequeue charged with the item's cost. countedInDrain
-	// reports whether the item was counted in the drain rate.
+	// chargedTo is the caller whose service Dequeue charged with the item's cost.
+	// countedInDrain reports whether the item was counted in the drain rate.
 	chargedTo      caller
 	countedInDrain bool
 }
--- a/roster/announcement.go
+++ b/roster/announcement.go
@@ -3,8 +3,8 @@
 import "time"
 
 // Announcement holds the shutdown and the backoff that one instance of an upstream announced in its
-// responses. It applies to that instance only, and no registry entry revokes it. The zero value means that
-// the instance has announced neither.
+// responses. It applies to that instance only, and no registry entry revokes it. The zero value
+// means that the instance has announced neither.
 type Announcement struct {
 	// LeavingSince is when a response first announced the shutdown; zero if none has.
 	LeavingSince time.Time
--- a/roster/stats.go
+++ b/roster/stats.go
@@ -30,9 +30,9 @@
 	failureRatePrior = 1.5
 )
 
-// Stats holds this process's observations of one upstream's load, failures and announcements. The zero value holds no
-// observations. It is safe for concurrent use; its lock is a leaf lock: no other lock is acquired
-// while it is held.
+// Stats holds this process's observations of one upstream's load, failures and announcements. The
+// zero value holds no observations. It is safe for concurrent use; its lock is a leaf lock: no
+// other lock is acquired while it is held.
 type Stats struct {
 	mu sync.Mutex
 	// inFlight counts the requests that this process has in flight at the upstream. memoryTokens is
--- a/route/pool.go
+++ b/route/pool.go
@@ -15,8 +15,8 @@
 const MaxReportAge = 2 * time.Second
 
 // probesPerCandidate is how many pool members at most are examined for each candidate
-// wanted. It makes a choice cost the same in a pool of nine and of a thousand. With three in four
-// candidates full, 16 probes for four candidates all fail in one choice of 100.
+// wanted. It makes a choice cost the same in a pool of nine and of a thousand. With three
+// in four candidates full, 16 probes for four candidates all fail in one choice of 100.
 const probesPerCandidate = 4
 
 // Pool holds the candidates of one role and their last reports. The zero value is
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -51,8 +51,8 @@
 
 func noLoad(int) int { return 0 }
 
-// sortedScoresOfAllPairs returns the scores of all pairs for the job, lowest first; a pair that
-// cannot take the job scores infinity.
+// sortedScoresOfAllPairs returns the scores of all pairs for the job, lowest first; a
+// pair that cannot take the job scores infinity.
 func sortedScoresOfAllPairs(j Job, queued, batch []int) []float64 {
 	var scores []float64
 	for p, q := range queued {
--- a/table/holder_test.go
+++ b/table/holder_test.go
@@ -102,8 +102,8 @@
 	require.Equal(t, second, h.Changed())
 }
 
-// referenceHolder is the reference implementation of Holder: it keeps every received message and
-// scans all of them.
+// referenceHolder is the reference implementation of Holder: it keeps every received
+// message and scans all of them.
 type referenceHolder struct{ updates, confirmations []confirmation }
 
 type confirmation struct {
--- a/table/rules.go
+++ b/table/rules.go
@@ -10,8 +10,8 @@
 	"jacinthworks/domain"
 )
 
-// The largest valid values of cells. They catch typing errors, such as a weight typed into the
-// neighbouring limit, and are above any value that a deployment could need.
+// The largest valid values of cells. They catch typing errors, such as a weight typed
+// into the neighbouring limit, and are above any value that a deployment could need.
 const (
 	maxWeight   = 1000
 	maxInFlight = 100_000
--- a/trace/merge.go
+++ b/trace/merge.go
@@ -150,8 +150,8 @@
 	}
 }
 
-// sortEvents orders the events and adds them to one Span, since Span.Add reports a second end
-// or a second acceptance as a finding.
+// sortEvents orders the events and adds them to one Span, since Span.Add reports a second
+// end or a second acceptance as a finding.
 func (m *merger) sortEvents() {
 	slices.SortStableFunc(m.events, func(a, b orderedEvent) int {
 		return cmp.Or(
@@ -192,7 +192,8 @@
 	}
 }
 
-// evidenceOfRun returns an event that proves that the request ran, and false if there is none.
+// evidenceOfRun returns an event that proves that the request ran, and false if there is
+// none.
 func (t *Trace) evidenceOfRun() (Event, bool) {
 	for _, e := range t.Events {
 		ranAttempt := e.Kind == AttemptEnded && e.Execution == domain.DidRun
--- a/trace/recorder.go
+++ b/trace/recorder.go
@@ -24,8 +24,8 @@
 	// packed into a segment. A host that is killed loses the spans of this time.
 	DefaultFlushInterval = 2 * time.Second
 	// FlushSpans is the number of pending spans from which a batch is due before the
-	// flush interval has passed. A span takes about 100 to 200 bytes of a segment, so a batch is far below
-	// MaxSegment.
+	// flush interval has passed. A span takes about 100 to 200 bytes of a segment, so a
+	// batch is far below MaxSegment.
 	FlushSpans = 2000
 	// typicalEvents is the number of events of a span without failures, for which a
 	// new span allocates memory.
--- a/trace/trace.go
+++ b/trace/trace.go
@@ -30,7 +30,8 @@
 //	t := trace.Merge(requestID, spans...)
 //	t.WriteText(w)
 //
-// At any time the Counts of an entry's recorder fulfil: accepted = answered + refused + open.
+// At any time the Counts of an entry's recorder fulfil: accepted = answered + refused +
+// open.
 package trace
 
 import (
@@ -127,8 +128,8 @@
 }
 
 // opens reports whether the event may open a span of the kind. At the entry only
-// acceptance does; at a side only events that occupy capacity of the upstream do. Any other event without an open span is
-// a late event of a closed span.
+// acceptance does; at a side only events that occupy capacity of the upstream do. Any
+// other event without an open span is a late event of a closed span.
 func (h SpanKind) opens(e Event) bool {
 	if h == SideSpan {
 		return e.Kind == Claimed || e.Kind == Reserved || e.Kind == AttemptStarted
