--- a/admin/edits.go
+++ b/admin/edits.go
@@ -71,7 +71,7 @@
 	}
 	sub.Operator = by
 	o := s.Editor.Submit(r.Context(), sub)
-	s.log().Info("edit", "operator", by.Name, "edit", sub.Edit.ID, "changes", len(sub.Edit.Changes),
+	s.log().Info("table edit processed", "operator", by.Name, "edit", sub.Edit.ID, "changes", len(sub.Edit.Changes),
 		"state", o.State, "reason", o.Reason, "table_version", o.Version)
 	if o.Version > 0 {
 		w.Header().Set("ETag", etag(o.Version))
@@ -106,7 +106,8 @@
 		Reason: o.Reason, Version: o.Version, EditID: id, Findings: o.Findings}
 }
 
-// readSubmission reads an edit from headers, query and body.
+// readSubmission reads an edit and its conditions from the headers, the query and the
+// body of a request.
 func readSubmission(r *http.Request) (editor.Submission, *Problem) {
 	var s editor.Submission
 	var p *Problem
--- a/conf/reader.go
+++ b/conf/reader.go
@@ -18,10 +18,10 @@
 // reader returns the values of one TOML document by path, and adds a finding for each
 // invalid value. Decoding into a struct would stop at the first value of a wrong type.
 type reader struct {
-	file     string
-	lines    map[string]int
+	file     string         // name for findings
+	lines    map[string]int // line of each key and table, by path
 	values   map[string]any
-	used     map[string]bool
+	used     map[string]bool // paths that have been read
 	findings check.Findings
 }
 
@@ -99,11 +99,11 @@
 	var paths []string
 	for i, element := range list {
 		if _, ok := element.(map[string]any); !ok {
-			r.add(at(path, i), "must be a table")
+			r.add(elementPath(path, i), "must be a table")
 			continue
 		}
-		r.used[at(path, i)] = true
-		paths = append(paths, at(path, i))
+		r.used[elementPath(path, i)] = true
+		paths = append(paths, elementPath(path, i))
 	}
 	return paths
 }
@@ -117,7 +117,7 @@
 	return s
 }
 
-// required reads a string that must be present and not empty.
+// required reads a string, and adds a finding if it is missing or empty.
 func (r *reader) required(path string) string {
 	s := r.text(path)
 	switch {
@@ -155,7 +155,7 @@
 	for i, element := range list {
 		s, ok := element.(string)
 		if !ok || s == "" {
-			r.add(at(path, i), "must be a text in quotes, and not empty")
+			r.add(elementPath(path, i), "must be a text in quotes, and not empty")
 			continue
 		}
 		texts = append(texts, s)
@@ -249,12 +249,12 @@
 func (r *reader) addrPorts(path string) []netip.AddrPort {
 	var addrs []netip.AddrPort
 	for i, s := range r.texts(path) {
-		a := r.addrPort(at(path, i), s)
+		a := r.addrPort(elementPath(path, i), s)
 		if !a.IsValid() {
 			continue
 		}
 		if a.Port() == 0 {
-			r.add(at(path, i), "needs a port: %s", a)
+			r.add(elementPath(path, i), "needs a port: %s", a)
 		}
 		addrs = append(addrs, a)
 	}
@@ -272,7 +272,8 @@
 	return a
 }
 
-// unknownKeys adds a finding for each key that was not read, in the order of the file.
+// unknownKeys adds a finding for each key of the file that no setting was read from, in
+// the order of the file.
 func (r *reader) unknownKeys() {
 	var unknown []string
 	r.walk("", r.values, &unknown)
@@ -295,7 +296,7 @@
 	case []any:
 		for i, element := range v {
 			if m, ok := element.(map[string]any); ok {
-				r.walk(at(path, i), m, unknown)
+				r.walk(elementPath(path, i), m, unknown)
 			}
 		}
 	}
--- a/table/model_test.go
+++ b/table/model_test.go
@@ -17,11 +17,11 @@
 // a holder, and may be lost, duplicated or reordered; a suspended host is modelled
 // by delayed messages. The holders are real Holders.
 const (
-	modelEdits    = 3 // versions 1 to 3
+	modelEdits    = 3 // writes of the object, as versions 1 to 3
 	modelInFlight = 2 // messages to holders in flight at once
 )
 
-// phase is the state of the writer.
+// phase is the writer's progress with its edit.
 type phase string
 
 const (
@@ -39,7 +39,7 @@
 	version Version
 }
 
-// code returns the sort key of a message.
+// code returns the sort key by which messages in flight are ordered.
 func (m message) code() int {
 	c := 2*int(m.version) + m.to
 	if m.ack {
@@ -55,8 +55,8 @@
 	// edit is the version that first contains the writer's edit.
 	edit Version
 	held [2]Version
-	// base is the version required by the conditional write; late says that the
-	// write is in flight.
+	// base is the version required by the conditional write; late reports whether the
+	// write is still in flight.
 	phase    phase
 	base     Version
 	late     bool
@@ -64,7 +64,7 @@
 	count    int
 }
 
-func (s modelState) in(p phase) modelState {
+func (s modelState) withPhase(p phase) modelState {
 	s.phase = p
 	return s
 }
@@ -77,30 +77,31 @@
 	return s
 }
 
-// without removes a message.
-func (s modelState) without(i int) modelState {
+// removeMessage returns the state without the message in flight at index i.
+func (s modelState) removeMessage(i int) modelState {
 	copy(s.inFlight[i:], s.inFlight[i+1:s.count])
 	s.count--
 	s.inFlight[s.count] = message{}
 	return s
 }
 
-// model computes the transitions. Each field disables one guard.
-type model struct {
+// editModel computes the transitions of the model. Each field disables one guard, so that
+// a test can show that the guard is needed.
+type editModel struct {
 	acceptLower    bool // a holder accepts any other version
 	trustStaleRead bool // the writer reports an edit as refused after a stale read
 	acceptAlone    bool // the writer reports an edit as accepted without another host
 }
 
-// next returns each state that is reachable by one event.
-func (m model) next(s modelState) []modelState {
-	all := append(m.writes(s), m.settles(s)...)
+// next returns each state that is reachable from s by one event.
+func (m editModel) next(s modelState) []modelState {
+	all := append(m.writes(s), m.outcomes(s)...)
 	for to := range s.held { // a poll of the platform, a relayed table of the other holder
 		all = append(all, s.send(message{to: to, version: s.platform}))
 		all = append(all, s.send(message{to: to, version: s.held[1-to]}))
 	}
 	for i := range s.count {
-		lost := s.without(i)
+		lost := s.removeMessage(i)
 		all = append(all, lost, m.deliver(lost, s.inFlight[i]))
 		all = append(all, m.deliver(s, s.inFlight[i])) // delivered and still in flight: a duplicate
 	}
@@ -108,7 +109,7 @@
 }
 
 // writes returns the transitions of the other operator, the writer and the platform.
-func (m model) writes(s modelState) []modelState {
+func (m editModel) writes(s modelState) []modelState {
 	var all []modelState
 	if s.platform < modelEdits {
 		other := s
@@ -117,7 +118,7 @@
 	}
 	if s.phase == idle {
 		for base := Version(0); base <= s.platform; base++ { // a stale read leads to a stale base
-			sent := s.in(waiting)
+			sent := s.withPhase(waiting)
 			sent.base, sent.late = base, true
 			all = append(all, sent)
 		}
@@ -130,36 +131,37 @@
 	all = append(all, arrived) // the write was lost
 	switch {
 	case s.platform != s.base:
-		all = append(all, arrived.in(refused))
+		all = append(all, arrived.withPhase(refused))
 	case s.platform < modelEdits:
 		arrived.platform++
 		arrived.edit = arrived.platform
-		all = append(all, arrived, arrived.in(written)) // without and with a response
+		all = append(all, arrived, arrived.withPhase(written)) // without and with a response
 	}
 	return all
 }
 
-// settles returns the writer's transitions on reads and on acceptance.
-func (m model) settles(s modelState) []modelState {
+// outcomes returns the transitions by which the writer determines the outcome of its
+// edit: reads of the platform, and the message to host 1.
+func (m editModel) outcomes(s modelState) []modelState {
 	var all []modelState
 	for read := Version(0); s.phase == waiting && read <= s.platform; read++ {
 		switch {
 		case s.edit != 0 && s.edit <= read:
-			all = append(all, s.in(written))
+			all = append(all, s.withPhase(written))
 		case read > s.base || m.trustStaleRead:
-			all = append(all, s.in(refused))
+			all = append(all, s.withPhase(refused))
 		}
 	}
 	if s.phase == written {
 		all = append(all, s.send(message{to: 1, version: s.edit}))
 		if m.acceptAlone {
-			all = append(all, s.in(accepted))
+			all = append(all, s.withPhase(accepted))
 		}
 	}
 	return all
 }
 
-func (m model) deliver(s modelState, msg message) modelState {
+func (m editModel) deliver(s modelState, msg message) modelState {
 	if msg.ack {
 		if s.phase == written && msg.version >= s.edit {
 			s.phase = accepted
@@ -174,7 +176,7 @@
 }
 
 // update returns the version that a real Holder has after an update.
-func (m model) update(held, received Version) Version {
+func (m editModel) update(held, received Version) Version {
 	var h Holder
 	h.acceptLower = m.acceptLower
 	h.Update(Table{}.WithVersion(held), start)
@@ -203,7 +205,7 @@
 
 // explore visits every reachable state, and returns their number and the first
 // violated invariant.
-func (m model) explore() (int, string) {
+func (m editModel) explore() (int, string) {
 	first := modelState{phase: idle}
 	seen := map[modelState]bool{first: true}
 	queue := []modelState{first}
@@ -227,7 +229,7 @@
 // bounds of the model. No order may undo an accepted edit on a host, or bring an
 // edit into force that was reported as refused.
 func TestModelHasNoViolationForAnyMessageOrder(t *testing.T) {
-	states, why := model{}.explore()
+	states, why := editModel{}.explore()
 	require.Empty(t, why)
 	t.Logf("%d states visited, no invariant violated", states)
 	require.Greater(t, states, 10_000, "the model explores too little")
@@ -237,12 +239,12 @@
 // guard prevents.
 func TestModelDetectsEachDisabledGuard(t *testing.T) {
 	for _, c := range []struct {
-		without model
+		without editModel
 		why     string
 	}{
-		{model{acceptLower: true}, "reverts"},
-		{model{trustStaleRead: true}, "an edit reported as refused is in force"},
-		{model{acceptAlone: true}, "an accepted edit is held by no other host"},
+		{editModel{acceptLower: true}, "reverts"},
+		{editModel{trustStaleRead: true}, "an edit reported as refused is in force"},
+		{editModel{acceptAlone: true}, "an accepted edit is held by no other host"},
 	} {
 		states, why := c.without.explore()
 		t.Logf("%d states visited until: %s", states, why)
