--- a/admit/admit.go
+++ b/admit/admit.go
@@ -52,9 +52,9 @@
 // entries' fair queues, where other requests can still be served before them.
 const MaxPrefillQueueTime = 500 * time.Millisecond
 
-// ErrUnknown is returned where the key has no reservation: the reservation was never made,
+// ErrNoReservation is returned where the key has no reservation: the reservation was never made,
 // has expired, or was released.
-var ErrUnknown = errors.New("admit: no such reservation")
+var ErrNoReservation = errors.New("admit: no such reservation")
 
 // ErrDemandMismatch is returned where the key already has a reservation of another size.
 var ErrDemandMismatch = errors.New("admit: the key has a reservation of another size")
@@ -167,13 +167,13 @@
 	return nil
 }
 
-// Renew extends a reservation to a later time. It returns ErrUnknown if the reservation has
+// Renew extends a reservation to a later time. It returns ErrNoReservation if the reservation has
 // ended; its capacity may then belong to another request.
 func (l *Ledger) Renew(now time.Time, k Key, until time.Time) error {
 	l.removeExpired(now)
 	r, ok := l.reservations[k]
 	if !ok {
-		return ErrUnknown
+		return ErrNoReservation
 	}
 	r.extendTo(until)
 	return nil
@@ -181,12 +181,12 @@
 
 // Confirm records that the work is being sent to the engine and is overdue after the given
 // time. It must be called before the work is sent: memory in use at the engine must never
-// count as free. It is idempotent and returns ErrUnknown as Renew does.
+// count as free. It is idempotent and returns ErrNoReservation as Renew does.
 func (l *Ledger) Confirm(now time.Time, k Key, until time.Time) error {
 	l.removeExpired(now)
 	r, ok := l.reservations[k]
 	if !ok {
-		return ErrUnknown
+		return ErrNoReservation
 	}
 	r.confirmed = true
 	r.until = until
@@ -203,9 +203,9 @@
 	return true
 }
 
-// Overdue returns the keys of the confirmed reservations whose time has passed, sorted. Their
+// OverdueReservations returns the keys of the confirmed reservations whose time has passed, sorted. Their
 // memory is still in use at the engine: cancel the work there, then call Release.
-func (l *Ledger) Overdue(now time.Time) []Key {
+func (l *Ledger) OverdueReservations(now time.Time) []Key {
 	var keys []Key
 	for k, r := range l.reservations {
 		if r.confirmed && !now.Before(r.until) {
--- a/admit/admit_test.go
+++ b/admit/admit_test.go
@@ -108,7 +108,7 @@
 	require.ErrorAs(t, err, &refusal)
 	require.Equal(t, ShortageRequests, refusal.Shortage)
 	require.NoError(t, l.Reserve(start.Add(ReservationTTL), Key{Request: "live", Attempt: 1}, one, start.Add(2*ReservationTTL)))
-	require.ErrorIs(t, l.Confirm(start.Add(ReservationTTL), Key{Request: "dead", Attempt: 1}, start.Add(time.Hour)), ErrUnknown)
+	require.ErrorIs(t, l.Confirm(start.Add(ReservationTTL), Key{Request: "dead", Attempt: 1}, start.Add(time.Hour)), ErrNoReservation)
 }
 
 // Guards against an engine that runs out of memory during an answer: the time of a confirmed
@@ -120,7 +120,7 @@
 	require.NoError(t, l.Reserve(start, k, Demand{Requests: 1, Tokens: 80}, start.Add(ReservationTTL)))
 	require.NoError(t, l.Confirm(start, k, start.Add(time.Second)))
 	late := start.Add(time.Minute)
-	require.Equal(t, []Key{k}, l.Overdue(late))
+	require.Equal(t, []Key{k}, l.OverdueReservations(late))
 	var refusal *Refusal
 	require.ErrorAs(t, l.Reserve(late, Key{Request: "next", Attempt: 1}, Demand{Requests: 1, Tokens: 80}, late), &refusal)
 	require.Equal(t, ShortageTokens, refusal.Shortage)
--- a/claim/apply_record.go
+++ b/claim/apply_record.go
@@ -25,7 +25,7 @@
 		o.Retire(first, Epoch{Version: record.Version}, now)
 		return nil
 	}
-	if member && (o.owns() || record.First && first == o.Self) {
+	if member && (o.owns() || record.CreatedObject && first == o.Self) {
 		return o.Start(record, now)
 	}
 	return nil
@@ -36,7 +36,7 @@
 func endedProcesses(record Record) []Process {
 	var list []Process
 	newer := record.Generation
-	for _, g := range record.Past {
+	for _, g := range record.PastGenerations {
 		for _, m := range g.Members {
 			ended := slices.ContainsFunc(newer.Members, func(n Member) bool {
 				return n.Host == m.Host && n.Incarnation != m.Incarnation
--- a/claim/bench_test.go
+++ b/claim/bench_test.go
@@ -118,10 +118,10 @@
 	runners := f.record.Eligible(0)
 	var replies []FenceReply
 	for i, p := range runners {
-		r := FenceReply{Epoch: Epoch{1, 1}, Runner: p, Before: Epoch{1, 0}, RestoredVersion: 1}
+		r := FenceReply{Epoch: Epoch{1, 1}, Runner: p, PreviousFence: Epoch{1, 0}, RestoredVersion: 1}
 		for j := range 341 {
 			request := benchRequest(i*341+j, p)
-			r.Entries = append(r.Entries, Entry{Key: request.Key, Try: request.Attempt, Runner: p, State: StateRan})
+			r.Entries = append(r.Entries, ListedKey{Key: request.Key, Attempt: request.Attempt, Runner: p, State: StateRan})
 		}
 		replies = append(replies, r)
 	}
@@ -131,7 +131,7 @@
 		o := Owner{Self: f.record.Ranked(0)[1].Process()}
 		require.NoError(b, o.Start(f.record, modelNow))
 		for _, r := range replies {
-			o.Fenced(r, modelNow)
+			o.HandleFenceReply(r, modelNow)
 		}
 		if _, complete := o.Epoch(); !complete {
 			b.Fatal("view is not complete")
@@ -165,6 +165,6 @@
 		_, err := ledger.Apply(f.record, modelNow)
 		require.NoError(b, err)
 	}
-	b.ReportMetric(float64(len(ledger.Owned())), "shards")
+	b.ReportMetric(float64(len(ledger.OwnedShards())), "shards")
 	b.ReportMetric(float64(len(text)), "record_B")
 }
--- a/claim/claim.go
+++ b/claim/claim.go
@@ -83,9 +83,9 @@
 // Limits bounds how many keys a shard remembers, and how long. A zero field stands for its
 // default.
 type Limits struct {
-	// Retention is how long a key is remembered after it was settled. No message may be
+	// KeyRetention is how long a key is remembered after it was settled. No message may be
 	// delayed longer than this. Default: DefaultRetention.
-	Retention time.Duration
+	KeyRetention time.Duration
 	// MaxKeys bounds the keys of one shard, counted separately for the owner and the
 	// runner. A full shard refuses new keys. Default: DefaultMaxKeys.
 	MaxKeys int
@@ -99,10 +99,10 @@
 )
 
 func (l Limits) retention() time.Duration {
-	if l.Retention <= 0 {
+	if l.KeyRetention <= 0 {
 		return DefaultRetention
 	}
-	return l.Retention
+	return l.KeyRetention
 }
 
 func (l Limits) maxKeys() int {
--- a/claim/failures_test.go
+++ b/claim/failures_test.go
@@ -26,7 +26,7 @@
 	requireCode(t, CodeOtherBody, errorOf(f.send(testKey, testAttempt(3), 8, 1)))
 	f.settle(g, StateRan)
 	r = requireCode(t, CodeAlreadyRan, errorOf(f.send(testKey, testAttempt(4), 7, 1)))
-	require.Equal(t, domain.DidRun, r.Ran)
+	require.Equal(t, domain.DidRun, r.KeyRan)
 	require.Equal(t, domain.ReasonAlreadyRan, r.Reason())
 }
 
@@ -59,10 +59,10 @@
 	g, err := f.send(testKey, testAttempt(1), 7, 0)
 	require.NoError(t, err)
 	f.settle(g, StateNotRun)
-	again := AttemptID{Request: g.Try.Request, Attempt: 2}
+	again := AttemptID{Request: g.Attempt.Request, Attempt: 2}
 	_, err = f.send(testKey, again, 7, 1)
 	require.NoError(t, err)
-	late := Resolution{Key: testKey, Attempt: g.Try, State: StateNotRun}
+	late := Resolution{Key: testKey, Attempt: g.Attempt, State: StateNotRun}
 	require.NoError(t, f.owner(testKey.Shard()).Resolve(late, f.now))
 	requireCode(t, CodeInProgress, errorOf(f.send(testKey, testAttempt(3), 7, 0)))
 }
@@ -152,8 +152,8 @@
 	require.NoError(t, o.Start(f.record, f.now))
 	epoch, _ := o.Epoch()
 	for i, p := range runners {
-		o.Fenced(FenceReply{Epoch: epoch, Runner: p, RestoredVersion: 1,
-			Entries: []Entry{{Key: testKey, Try: testAttempt(i), Runner: p, State: StateGranted}}}, f.now)
+		o.HandleFenceReply(FenceReply{Epoch: epoch, Runner: p, RestoredVersion: 1,
+			Entries: []ListedKey{{Key: testKey, Attempt: testAttempt(i), Runner: p, State: StateGranted}}}, f.now)
 	}
 	for i := range runners {
 		o.Resolve(Resolution{Key: testKey, Attempt: testAttempt(i), State: StateNotRun}, f.now)
@@ -215,7 +215,7 @@
 	_, err := f.send(testKey, testAttempt(1), 7, 0)
 	require.NoError(t, err)
 	for _, m := range f.record.Members {
-		for _, o := range f.ledgers[m.Host].Owned() {
+		for _, o := range f.ledgers[m.Host].OwnedShards() {
 			ranked := f.record.Ranked(o.Shard)
 			out, err := f.ledgers[m.Host].Retire(o.Shard, ranked[o.Epoch.Turn+1].Process(), f.now)
 			require.NoError(t, err)
@@ -286,13 +286,13 @@
 	f := newFleet(t, 9)
 	g, err := f.send(testKey, testAttempt(1), 7, 0)
 	require.NoError(t, err)
-	_, err = f.ledgers[g.Runner.Host].Settle(testKey, g.Try, StateRan, f.now)
+	_, err = f.ledgers[g.Runner.Host].Settle(testKey, g.Attempt, StateRan, f.now)
 	require.NoError(t, err)
 	owner := f.owner(testKey.Shard())
-	require.Empty(t, owner.Overdue(time.Minute, f.now))
+	require.Empty(t, owner.OverdueGrants(time.Minute, f.now))
 	f.advance(2 * time.Minute)
-	questions := owner.Overdue(time.Minute, f.now)
-	require.Equal(t, []StatusRequest{{Key: testKey, Attempt: g.Try, To: g.Runner}}, questions)
+	questions := owner.OverdueGrants(time.Minute, f.now)
+	require.Equal(t, []StatusRequest{{Key: testKey, Attempt: g.Attempt, To: g.Runner}}, questions)
 	resolution, err := f.ledgers[g.Runner.Host].Status(questions[0], f.now)
 	require.NoError(t, err)
 	require.NoError(t, owner.Resolve(resolution, f.now))
--- a/claim/fleet_test.go
+++ b/claim/fleet_test.go
@@ -35,7 +35,7 @@
 // newFleet returns n members distributed over three zones under the first record.
 func newFleet(t require.TestingT, n int) *fleet {
 	f := &fleet{t: t, now: modelNow, ledgers: map[domain.Host]*Ledger{}, unreachable: map[domain.Host]bool{}}
-	f.record = Record{Generation: Generation{Version: 1, First: true}}
+	f.record = Record{Generation: Generation{Version: 1, CreatedObject: true}}
 	zones := []domain.Zone{"salt-lake", "new-town", "howrah"}
 	for i := range n {
 		m := Member{Host: domain.Host(fmt.Sprintf("side-%d", i)), Zone: zones[i%3], Incarnation: 1}
@@ -48,7 +48,7 @@
 
 // ledger returns an empty ledger for a member.
 func (f *fleet) ledger(m Member) *Ledger {
-	return &Ledger{Self: m.Process(), Live: func(p Process) bool { return !f.unreachable[p.Host] }}
+	return &Ledger{Self: m.Process(), Reachable: func(p Process) bool { return !f.unreachable[p.Host] }}
 }
 
 // publish applies a record on all reachable members and delivers their messages.
@@ -85,24 +85,24 @@
 
 // deliver passes messages to their receivers, and so on the messages that these send in reply.
 func (f *fleet) deliver(out Outbox) {
-	for _, o := range out.Fences {
+	for _, o := range out.FenceRequests {
 		l := f.ledgers[o.To.Host]
 		if f.unreachable[o.To.Host] || f.unreachable[o.Owner.Host] {
 			continue
 		}
 		if reply, err := l.Fence(o, f.now); err == nil {
-			next, err := f.ledgers[o.Owner.Host].Fenced(reply, f.now)
+			next, err := f.ledgers[o.Owner.Host].HandleFenceReply(reply, f.now)
 			require.NoError(f.t, err)
 			f.deliver(next)
 		}
 	}
-	for _, o := range out.Restores {
+	for _, o := range out.RestoreRequests {
 		if f.unreachable[o.To.Host] {
 			continue
 		}
 		if reply, err := f.ledgers[o.To.Host].Restore(o, f.now); err == nil {
 			for _, l := range f.ledgers {
-				require.NoError(f.t, l.Restored(reply))
+				require.NoError(f.t, l.HandleRestoreReply(reply))
 			}
 		}
 	}
@@ -111,7 +111,7 @@
 		require.NoError(f.t, err)
 		for _, l := range f.ledgers {
 			if accepted && l.Self != h.Heir {
-				require.NoError(f.t, l.Delivered(h.Shard))
+				require.NoError(f.t, l.HandoverDelivered(h.Shard))
 			}
 		}
 		f.deliver(next)
@@ -123,7 +123,7 @@
 	var best *Ledger
 	var newest Epoch
 	for host, l := range f.ledgers {
-		for _, o := range l.Owned() {
+		for _, o := range l.OwnedShards() {
 			if o.Shard == s && !f.unreachable[host] && newest.Less(o.Epoch) {
 				best, newest = l, o.Epoch
 			}
@@ -151,13 +151,13 @@
 
 // accept dispatches a granted request to its runner.
 func (f *fleet) accept(g Grant, body BodyHash) error {
-	d := Dispatch{Token: g.Token, Attempt: g.Try, Body: body, To: g.Runner}
+	d := Dispatch{Token: g.Token, Attempt: g.Attempt, Body: body, To: g.Runner}
 	return f.ledgers[g.Runner.Host].Accept(d, f.now)
 }
 
 // settle ends an attempt on its runner and sends the resolution to the owner.
 func (f *fleet) settle(g Grant, state State) {
-	resolution, err := f.ledgers[g.Runner.Host].Settle(g.Token.Key, g.Try, state, f.now)
+	resolution, err := f.ledgers[g.Runner.Host].Settle(g.Token.Key, g.Attempt, state, f.now)
 	require.NoError(f.t, err)
 	require.NoError(f.t, f.owner(g.Token.Shard).Resolve(resolution, f.now))
 }
--- a/claim/key_table.go
+++ b/claim/key_table.go
@@ -17,8 +17,8 @@
 }
 
 // toEntry returns the key in the form in which messages carry it.
-func (k storedKey) toEntry(key Key, now time.Time) Entry {
-	return Entry{Key: key, Try: k.attempt, Body: k.body, Runner: k.runner, State: k.state,
+func (k storedKey) toEntry(key Key, now time.Time) ListedKey {
+	return ListedKey{Key: key, Attempt: k.attempt, Body: k.body, Runner: k.runner, State: k.state,
 		Age: max(0, now.Sub(k.changedAt))}
 }
 
@@ -48,18 +48,18 @@
 // "not run" of attempt 1 and grants attempt 2 while its successor collects the lists: the
 // successor finds attempt 1 in an older list, then attempt 2. If the key were stored with
 // attempt 1, the delayed "not run" of attempt 1 would free the key while attempt 2 runs.
-func (t keyTable) mergeEntry(e Entry, now time.Time) {
+func (t keyTable) mergeEntry(e ListedKey, now time.Time) {
 	existing, listed := t[e.Key]
-	sameAttempt := existing.attempt == e.Try
+	sameAttempt := existing.attempt == e.Attempt
 	switch {
 	case listed && existing.state == StateRan:
 		return
 	case listed && sameAttempt && severity(existing.state) >= severity(e.State):
 		return
 	case listed && !sameAttempt && e.State != StateRan:
-		e.Try, e.Runner, e.State, e.Age = AttemptID{}, Process{}, StateUnknown, 0
+		e.Attempt, e.Runner, e.State, e.Age = AttemptID{}, Process{}, StateUnknown, 0
 	}
-	t[e.Key] = storedKey{attempt: e.Try, body: e.Body, runner: e.Runner, state: e.State,
+	t[e.Key] = storedKey{attempt: e.Attempt, body: e.Body, runner: e.Runner, state: e.State,
 		changedAt: now.Add(-max(0, e.Age))}
 }
 
@@ -100,8 +100,8 @@
 }
 
 // entries lists the keys for which keep returns true; a nil keep lists all.
-func (t keyTable) entries(now time.Time, keep func(storedKey) bool) []Entry {
-	var list []Entry
+func (t keyTable) entries(now time.Time, keep func(storedKey) bool) []ListedKey {
+	var list []ListedKey
 	for k, r := range t {
 		if keep == nil || keep(r) {
 			list = append(list, r.toEntry(k, now))
--- a/claim/ledger.go
+++ b/claim/ledger.go
@@ -18,10 +18,10 @@
 	Self Process
 	// Limits bounds how many keys each shard remembers, and how long.
 	Limits Limits
-	// Live reports whether a process is believed to be reachable. When the record changes,
+	// Reachable reports whether a process is believed to be reachable. When the record changes,
 	// an owner hands its shard to the rank 0 process if Live reports true for it. May be
 	// nil.
-	Live func(Process) bool
+	Reachable func(Process) bool
 
 	mu     sync.Mutex
 	record Record
@@ -85,7 +85,7 @@
 			return out, err
 		}
 		s.runner.Apply(record)
-		err = s.owner.Apply(record, l.Live, now)
+		err = s.owner.Apply(record, l.Reachable, now)
 		out.appendMessages(s.owner.Pending(now))
 		s.mu.Unlock()
 		if err != nil {
@@ -132,14 +132,14 @@
 	return Outbox{Handovers: []Handover{handover}}, nil
 }
 
-// Delivered records that the heir accepted the handover or no longer needs it.
-func (l *Ledger) Delivered(number Shard) error {
+// HandoverDelivered records that the heir accepted the handover or no longer needs it.
+func (l *Ledger) HandoverDelivered(number Shard) error {
 	s, err := l.lockShard(number)
 	if err != nil {
 		return err
 	}
 	defer s.mu.Unlock()
-	s.owner.Delivered()
+	s.owner.HandoverDelivered()
 	return nil
 }
 
@@ -181,16 +181,16 @@
 	})
 }
 
-// Overdue returns the status requests for keys that were granted longer than age ago; see
-// Owner.Overdue. Pass the replies to Resolve.
-func (l *Ledger) Overdue(age time.Duration, now time.Time) []StatusRequest {
+// OverdueGrants returns the status requests for keys that were granted longer than age ago; see
+// Owner.OverdueGrants. Pass the replies to Resolve.
+func (l *Ledger) OverdueGrants(age time.Duration, now time.Time) []StatusRequest {
 	var list []StatusRequest
-	l.forEach(func(s *shard) { list = append(list, s.owner.Overdue(age, now)...) })
+	l.forEach(func(s *shard) { list = append(list, s.owner.OverdueGrants(age, now)...) })
 	return list
 }
 
-// Owned returns the shards that this process owns or is taking over.
-func (l *Ledger) Owned() []Ownership {
+// OwnedShards returns the shards that this process owns or is taking over.
+func (l *Ledger) OwnedShards() []Ownership {
 	var list []Ownership
 	l.forEach(func(s *shard) {
 		if s.owner.owns() {
@@ -201,8 +201,8 @@
 	return list
 }
 
-// Keys returns the number of keys that this process remembers as owner and as runner.
-func (l *Ledger) Keys() (owned, run int) {
+// CountKeys returns the number of keys that this process remembers as owner and as runner.
+func (l *Ledger) CountKeys() (owned, run int) {
 	l.forEach(func(s *shard) {
 		owned += len(s.owner.keys) + len(s.owner.inherited)
 		run += s.runner.rememberedCount()
@@ -224,7 +224,7 @@
 
 // appendMessages appends the messages of another outbox.
 func (o *Outbox) appendMessages(other Outbox) {
-	o.Fences = append(o.Fences, other.Fences...)
-	o.Restores = append(o.Restores, other.Restores...)
+	o.FenceRequests = append(o.FenceRequests, other.FenceRequests...)
+	o.RestoreRequests = append(o.RestoreRequests, other.RestoreRequests...)
 	o.Handovers = append(o.Handovers, other.Handovers...)
 }
--- a/claim/ledger_messages.go
+++ b/claim/ledger_messages.go
@@ -31,15 +31,15 @@
 	return nil
 }
 
-// Superseded notifies this process, as the owner, that a runner refused its message because
+// RecordNewerEpoch notifies this process, as the owner, that a runner refused its message because
 // of a newer epoch.
-func (l *Ledger) Superseded(number Shard, epoch Epoch) error {
+func (l *Ledger) RecordNewerEpoch(number Shard, epoch Epoch) error {
 	s, err := l.lockShard(number)
 	if err != nil {
 		return err
 	}
 	defer s.mu.Unlock()
-	s.owner.Superseded(epoch)
+	s.owner.RecordNewerEpoch(epoch)
 	return nil
 }
 
@@ -89,16 +89,16 @@
 	return s.runner.Fence(request, now)
 }
 
-// Fenced processes a runner's reply to a FenceRequest. When the reply completes the table,
+// HandleFenceReply processes a runner's reply to a FenceRequest. When the reply completes the table,
 // the Outbox holds the RestoreRequests to send.
-func (l *Ledger) Fenced(reply FenceReply, now time.Time) (Outbox, error) {
+func (l *Ledger) HandleFenceReply(reply FenceReply, now time.Time) (Outbox, error) {
 	s, err := l.lockShard(reply.Shard)
 	if err != nil {
 		return Outbox{}, err
 	}
 	defer s.mu.Unlock()
 	_, before := s.owner.Epoch()
-	s.owner.Fenced(reply, now)
+	s.owner.HandleFenceReply(reply, now)
 	if _, complete := s.owner.Epoch(); before || !complete {
 		return Outbox{}, nil // the pending messages were returned before
 	}
@@ -115,13 +115,13 @@
 	return s.runner.Restore(request, now)
 }
 
-// Restored processes a runner's reply to a RestoreRequest.
-func (l *Ledger) Restored(reply RestoreReply) error {
+// HandleRestoreReply processes a runner's reply to a RestoreRequest.
+func (l *Ledger) HandleRestoreReply(reply RestoreReply) error {
 	s, err := l.lockShard(reply.Shard)
 	if err != nil {
 		return err
 	}
 	defer s.mu.Unlock()
-	s.owner.Restored(reply)
+	s.owner.HandleRestoreReply(reply)
 	return nil
 }
--- a/claim/message.go
+++ b/claim/message.go
@@ -65,9 +65,9 @@
 
 // Grant is the owner's permission to dispatch an attempt, to this runner only.
 type Grant struct {
-	Token  Token     `json:"stamp"`
-	Try    AttemptID `json:"try"`
-	Runner Process   `json:"runner"`
+	Token   Token     `json:"stamp"`
+	Attempt AttemptID `json:"try"`
+	Runner  Process   `json:"runner"`
 }
 
 // Dispatch is what the runner checks before it hands a request to its upstream.
@@ -80,13 +80,13 @@
 	To Process `json:"to"`
 }
 
-// Entry is a remembered key as processes send it to each other.
-type Entry struct {
-	Key    Key       `json:"key"`
-	Try    AttemptID `json:"try"`
-	Body   BodyHash  `json:"body"`
-	Runner Process   `json:"runner"`
-	State  State     `json:"state"`
+// ListedKey is a remembered key as processes send it to each other.
+type ListedKey struct {
+	Key     Key       `json:"key"`
+	Attempt AttemptID `json:"try"`
+	Body    BodyHash  `json:"body"`
+	Runner  Process   `json:"runner"`
+	State   State     `json:"state"`
 	// Age is the time since the key was granted, handed to the upstream or settled.
 	// Messages carry ages instead of times because the clocks of hosts differ.
 	Age time.Duration `json:"age"`
@@ -105,24 +105,24 @@
 	Shard  Shard   `json:"shard"`
 	Epoch  Epoch   `json:"epoch"`
 	Runner Process `json:"runner"`
-	// Before is the epoch at which the fence stood before it was raised to Epoch; it is the
+	// PreviousFence is the epoch at which the fence stood before it was raised to Epoch; it is the
 	// same in each reply for one Epoch.
-	Before Epoch `json:"before"`
+	PreviousFence Epoch `json:"before"`
 	// RestoredVersion is the record's version up to which this incarnation's list of keys
 	// that may have run counts as complete; zero for a restarted runner that has not been
 	// restored.
-	RestoredVersion uint64  `json:"vouched"`
-	Entries         []Entry `json:"entries,omitempty"`
+	RestoredVersion uint64      `json:"vouched"`
+	Entries         []ListedKey `json:"entries,omitempty"`
 }
 
 // RestoreRequest sends a runner the keys of the shard whose own runner is no longer
 // eligible. Once the runner has stored them, its list counts as complete up to
 // Epoch.Version.
 type RestoreRequest struct {
-	Shard   Shard   `json:"shard"`
-	Epoch   Epoch   `json:"epoch"`
-	To      Process `json:"to"`
-	Entries []Entry `json:"entries,omitempty"`
+	Shard   Shard       `json:"shard"`
+	Epoch   Epoch       `json:"epoch"`
+	To      Process     `json:"to"`
+	Entries []ListedKey `json:"entries,omitempty"`
 }
 
 // RestoreReply acknowledges a RestoreRequest.
@@ -135,12 +135,12 @@
 
 // Handover carries an owner's table to its successor at a planned stop.
 type Handover struct {
-	Shard Shard `json:"shard"`
-	From  Epoch `json:"from"`
+	Shard     Shard `json:"shard"`
+	FromEpoch Epoch `json:"from"`
 	// Epoch is the only epoch at which the table may be used.
-	Epoch   Epoch   `json:"epoch"`
-	Heir    Process `json:"to"`
-	Entries []Entry `json:"entries,omitempty"`
+	Epoch   Epoch       `json:"epoch"`
+	Heir    Process     `json:"to"`
+	Entries []ListedKey `json:"entries,omitempty"`
 }
 
 // StatusRequest asks a runner for the state of an attempt that was granted to that runner.
@@ -160,7 +160,7 @@
 // Outbox holds messages to send; each names its receiver, in To or in Heir. Messages may be lost,
 // repeated and reordered.
 type Outbox struct {
-	Fences    []FenceRequest
-	Restores  []RestoreRequest
-	Handovers []Handover
+	FenceRequests   []FenceRequest
+	RestoreRequests []RestoreRequest
+	Handovers       []Handover
 }
--- a/claim/model_steps_test.go
+++ b/claim/model_steps_test.go
@@ -100,7 +100,7 @@
 			continue
 		}
 		e := effect{claim: true, what: fmt.Sprintf("%c grants %s to %s at %s", 'a'+host, attempt, m.Host, g.Token.Epoch)}
-		c.send(&e, hostIndex(g.Runner), Dispatch{Token: g.Token, Attempt: g.Try, To: g.Runner})
+		c.send(&e, hostIndex(g.Runner), Dispatch{Token: g.Token, Attempt: g.Attempt, To: g.Runner})
 		list = append(list, c.finishEffect(&e, n))
 	}
 	return list
@@ -186,11 +186,11 @@
 		owner, _ := c.records[m.Epoch.Version-1].Holder(c.shard, m.Epoch)
 		c.send(&e, hostIndex(owner), reply)
 	case FenceReply:
-		n.owner.Fenced(m, modelNow)
+		n.owner.HandleFenceReply(m, modelNow)
 	case RestoreReply:
-		n.owner.Restored(m)
+		n.owner.HandleRestoreReply(m)
 	case superseded:
-		n.owner.Superseded(m.epoch)
+		n.owner.RecordNewerEpoch(m.epoch)
 	case Resolution:
 		n.owner.Resolve(m, modelNow)
 	case Handover:
--- a/claim/model_test.go
+++ b/claim/model_test.go
@@ -128,7 +128,7 @@
 
 // recordsOf returns successive records with these members.
 func recordsOf(generations ...[]Member) []Record {
-	list := []Record{{Generation: Generation{Version: 1, First: true, Members: generations[0]}}}
+	list := []Record{{Generation: Generation{Version: 1, CreatedObject: true, Members: generations[0]}}}
 	for i, g := range generations[1:] {
 		next := list[i].Next(g)
 		next.Version = uint64(i + 2)
@@ -174,12 +174,12 @@
 			panic("apply the first record")
 		}
 	}
-	for _, o := range nodes[0].owner.Pending(modelNow).Fences {
+	for _, o := range nodes[0].owner.Pending(modelNow).FenceRequests {
 		reply, err := nodes[hostIndex(o.To)].runner.Fence(o, modelNow)
 		if err != nil {
 			panic(err)
 		}
-		nodes[0].owner.Fenced(reply, modelNow)
+		nodes[0].owner.HandleFenceReply(reply, modelNow)
 	}
 }
 
@@ -204,10 +204,10 @@
 // to send.
 func (c *checker) finishEffect(e *effect, n node) effect {
 	outbox := n.owner.Pending(modelNow)
-	for _, m := range outbox.Fences {
+	for _, m := range outbox.FenceRequests {
 		c.send(e, hostIndex(m.To), m)
 	}
-	for _, m := range outbox.Restores {
+	for _, m := range outbox.RestoreRequests {
 		c.send(e, hostIndex(m.To), m)
 	}
 	for _, m := range outbox.Handovers {
--- a/claim/owner.go
+++ b/claim/owner.go
@@ -80,17 +80,17 @@
 	o.keys[request.Key] = storedKey{attempt: request.Attempt, body: request.Body, runner: request.Runner,
 		state: StateGranted, changedAt: now}
 	token := Token{Shard: o.Shard, Key: request.Key, Epoch: o.epoch, Owner: o.Self}
-	return Grant{Token: token, Try: request.Attempt, Runner: request.Runner}, nil
+	return Grant{Token: token, Attempt: request.Attempt, Runner: request.Runner}, nil
 }
 
 // refuseListed returns the refusal of a key that the table lists.
 func (o *Owner) refuseListed(request Request, stored storedKey) *Refusal {
 	refusal := o.newRefusal(CodeInProgress)
-	refusal.Attempt, refusal.Runner, refusal.Ran = stored.attempt, stored.runner, stored.knownExecution()
+	refusal.Attempt, refusal.Runner, refusal.KeyRan = stored.attempt, stored.runner, stored.knownExecution()
 	refusal.AttemptNotRun = stored.attempt != request.Attempt
 	switch {
 	case stored.body != request.Body:
-		refusal.Code, refusal.Ran = CodeOtherBody, domain.Unknown
+		refusal.Code, refusal.KeyRan = CodeOtherBody, domain.Unknown
 	case stored.state == StateRan:
 		refusal.Code = CodeAlreadyRan
 	case stored.state == StateUnknown:
@@ -102,7 +102,7 @@
 // newRefusal returns the refusal of a claim. No owner has granted the attempt, so it has not run.
 // About the key itself an owner that may have been superseded can make no statement.
 func (o *Owner) newRefusal(c Code) *Refusal {
-	return &Refusal{Code: c, Ran: domain.Unknown, AttemptNotRun: true, Epoch: o.epoch}
+	return &Refusal{Code: c, KeyRan: domain.Unknown, AttemptNotRun: true, Epoch: o.epoch}
 }
 
 // Resolve records how an attempt ended. StateNotRun frees the key; it must come from the
@@ -132,10 +132,10 @@
 	o.inherited.markEnded(p, now)
 }
 
-// Superseded records that a runner reported a newer epoch. It saves callers a round trip;
+// RecordNewerEpoch records that a runner reported a newer epoch. It saves callers a round trip;
 // safety does not depend on it, as the fences hold without it. A table that was assigned to
 // an heir is kept for the heir.
-func (o *Owner) Superseded(e Epoch) {
+func (o *Owner) RecordNewerEpoch(e Epoch) {
 	if o.newestObserved.Less(e) {
 		o.newestObserved = e
 	}
@@ -144,13 +144,13 @@
 	}
 }
 
-// Overdue returns the status requests for keys that were granted longer than age ago.
+// OverdueGrants returns the status requests for keys that were granted longer than age ago.
 // Choose an age above the longest deadline: a runner that is asked about an attempt before
 // the dispatch arrives refuses the dispatch.
 //
 // Without these requests, a lost Resolution would leave its key "in progress" forever, as
 // granted keys are never forgotten; such keys would finally fill the shard.
-func (o *Owner) Overdue(age time.Duration, now time.Time) []StatusRequest {
+func (o *Owner) OverdueGrants(age time.Duration, now time.Time) []StatusRequest {
 	var list []StatusRequest
 	if !o.owns() {
 		return nil
--- a/claim/record.go
+++ b/claim/record.go
@@ -37,10 +37,10 @@
 type Generation struct {
 	// Version is the platform's version of the object.
 	Version uint64 `json:"version"`
-	// First reports that this generation was written by creating the object. No request can
+	// CreatedObject reports that this generation was written by creating the object. No request can
 	// have run before it. The object must never be deleted.
-	First   bool     `json:"first,omitempty"`
-	Members []Member `json:"members"`
+	CreatedObject bool     `json:"first,omitempty"`
+	Members       []Member `json:"members"`
 }
 
 // Record is the platform's object for one service. It is changed only by conditional
@@ -48,18 +48,18 @@
 // Next).
 type Record struct {
 	Generation
-	// Past holds earlier generations without gaps, newest first.
-	Past []Generation `json:"past,omitempty"`
+	// PastGenerations holds earlier generations without gaps, newest first.
+	PastGenerations []Generation `json:"past,omitempty"`
 }
 
 // Next returns the record to write in place of r. The caller writes it on condition that
 // the object is still at r.Version, and sets Version from the platform's response.
 func (r Record) Next(members []Member) Record {
-	past := append([]Generation{r.Generation}, r.Past...)
+	past := append([]Generation{r.Generation}, r.PastGenerations...)
 	if len(past) > MaxPast {
 		past = past[:MaxPast]
 	}
-	return Record{Generation: Generation{Members: members}, Past: past}
+	return Record{Generation: Generation{Members: members}, PastGenerations: past}
 }
 
 // Check returns an error that lists every fault that makes the record invalid, or nil.
@@ -80,7 +80,7 @@
 		seen[m.Host] = true
 	}
 	newer := r.Version
-	for i, g := range r.Past {
+	for i, g := range r.PastGenerations {
 		if g.Version >= newer {
 			findings.Add(fmt.Sprintf("past[%d]", i), "version %d does not precede %d", g.Version, newer)
 		}
@@ -164,7 +164,7 @@
 // runnerSets returns the eligible runners at each version of the record, newest first.
 func (r Record) runnerSets(s Shard) []runnerSet {
 	list := []runnerSet{{version: r.Version, eligible: r.Eligible(s)}}
-	for _, g := range r.Past {
+	for _, g := range r.PastGenerations {
 		list = append(list, runnerSet{version: g.Version, eligible: g.Eligible(s)})
 	}
 	return list
@@ -174,8 +174,8 @@
 // this incarnation, and zero otherwise. A process of the first generation needs no
 // restoring; a restarted process has another incarnation and so starts with zero.
 func (r Record) firstGenerationVersion(p Process) uint64 {
-	for _, g := range append([]Generation{r.Generation}, r.Past...) {
-		if !g.First {
+	for _, g := range append([]Generation{r.Generation}, r.PastGenerations...) {
+		if !g.CreatedObject {
 			continue
 		}
 		for _, m := range g.Members {
--- a/claim/record_test.go
+++ b/claim/record_test.go
@@ -36,7 +36,7 @@
 
 func TestRecordCheckReportsAllFindings(t *testing.T) {
 	record := Record{Generation: Generation{Members: []Member{{"a", "", 1}, {"a", "z", 1}}},
-		Past: []Generation{{Version: 3}}}
+		PastGenerations: []Generation{{Version: 3}}}
 	err := record.Check()
 	for _, place := range []string{"version:", "members[0]:", "members[1]:", "past[0]:"} {
 		require.ErrorContains(t, err, place)
@@ -54,8 +54,8 @@
 }
 
 func TestHandoverJSONRoundTrip(t *testing.T) {
-	in := Handover{Shard: 3, From: Epoch{4, 0}, Epoch: Epoch{4, 1}, Heir: Process{"b", 2},
-		Entries: []Entry{{Key: testKey, Try: testAttempt(1), Body: 1 << 63, Runner: Process{"c", 1}, State: StateRan, Age: 5}}}
+	in := Handover{Shard: 3, FromEpoch: Epoch{4, 0}, Epoch: Epoch{4, 1}, Heir: Process{"b", 2},
+		Entries: []ListedKey{{Key: testKey, Attempt: testAttempt(1), Body: 1 << 63, Runner: Process{"c", 1}, State: StateRan, Age: 5}}}
 	text, err := json.Marshal(in)
 	require.NoError(t, err)
 	require.Contains(t, string(text), `"state":"ran"`)
--- a/claim/refusal.go
+++ b/claim/refusal.go
@@ -42,8 +42,8 @@
 // Refusal is the error of a Ledger, an Owner or a Runner that refuses a message.
 type Refusal struct {
 	Code Code `json:"code"`
-	// Ran states whether any attempt of the key ran, as a caller may be told.
-	Ran domain.Execution `json:"ran"`
+	// KeyRan states whether any attempt of the key ran, as a caller may be told.
+	KeyRan domain.Execution `json:"ran"`
 	// AttemptNotRun reports that this attempt did not run and never will: the entry may resolve
 	// it as StateNotRun. If false, the refusal does not say whether the attempt ran.
 	AttemptNotRun bool `json:"try_not_run"`
@@ -58,7 +58,7 @@
 
 // Error returns the code, whether the key ran, and the epoch, in one line.
 func (r *Refusal) Error() string {
-	return fmt.Sprintf("claim: %s (%s) at epoch %s", r.Code, r.Ran, r.Epoch)
+	return fmt.Sprintf("claim: %s (%s) at epoch %s", r.Code, r.KeyRan, r.Epoch)
 }
 
 // Reason returns the reason that callers receive for a refusal with this code.
--- a/claim/runner.go
+++ b/claim/runner.go
@@ -60,17 +60,17 @@
 	// accepted, the request would run twice. Status recorded the attempt in blocked, so it
 	// is refused.
 	if _, blocked := r.blockedAt[keyAttempt{dispatch.Token.Key, dispatch.Attempt}]; blocked {
-		return &Refusal{Code: CodeBlocked, Ran: domain.Unknown, AttemptNotRun: true, Epoch: r.fence}
+		return &Refusal{Code: CodeBlocked, KeyRan: domain.Unknown, AttemptNotRun: true, Epoch: r.fence}
 	}
 	// While an owner is paused, its successor may list all keys and grant this key to
 	// another runner. If the old owner's dispatch arrived afterwards and were accepted, the
 	// request would run twice. The successor's table was complete only after this runner
 	// had raised its fence, and the fence is never lowered.
 	if dispatch.Token.Epoch.Less(r.fence) && !r.disabled.fence {
-		return &Refusal{Code: CodeFenced, Ran: domain.Unknown, AttemptNotRun: true, Epoch: r.fence}
+		return &Refusal{Code: CodeFenced, KeyRan: domain.Unknown, AttemptNotRun: true, Epoch: r.fence}
 	}
 	if r.isFull() {
-		return &Refusal{Code: CodeFull, Ran: domain.Unknown, Epoch: r.fence}
+		return &Refusal{Code: CodeFull, KeyRan: domain.Unknown, Epoch: r.fence}
 	}
 	r.raiseFence(dispatch.Token.Epoch)
 	if r.keys == nil {
@@ -85,7 +85,7 @@
 // nothing new about the listed attempt. Another attempt of the key is blocked, so that a
 // repeated dispatch of it is not accepted after the refusal reported "not run".
 func (r *Runner) refuseListed(dispatch Dispatch, stored storedKey, now time.Time) error {
-	refusal := &Refusal{Code: CodeKeyTaken, Ran: stored.knownExecution(), Epoch: r.fence, Attempt: stored.attempt, Runner: stored.runner}
+	refusal := &Refusal{Code: CodeKeyTaken, KeyRan: stored.knownExecution(), Epoch: r.fence, Attempt: stored.attempt, Runner: stored.runner}
 	if stored.attempt != dispatch.Attempt {
 		refusal.AttemptNotRun = r.blockAttempt(dispatch.Token.Key, dispatch.Attempt, now)
 	}
@@ -101,7 +101,7 @@
 	if to == r.Self || (r.disabled.incarnation && to.Host == r.Self.Host) {
 		return nil
 	}
-	return &Refusal{Code: CodeOtherRunner, Ran: domain.Unknown, Runner: r.Self}
+	return &Refusal{Code: CodeOtherRunner, KeyRan: domain.Unknown, Runner: r.Self}
 }
 
 // Fence raises the fence and lists all keys of the shard. A request older than the fence is
@@ -111,10 +111,10 @@
 		return FenceReply{}, err
 	}
 	if request.Epoch.Less(r.fence) {
-		return FenceReply{}, &Refusal{Code: CodeFenced, Ran: domain.Unknown, Epoch: r.fence}
+		return FenceReply{}, &Refusal{Code: CodeFenced, KeyRan: domain.Unknown, Epoch: r.fence}
 	}
 	r.raiseFence(request.Epoch)
-	return FenceReply{Shard: r.Shard, Epoch: request.Epoch, Runner: request.To, Before: r.previousFence,
+	return FenceReply{Shard: r.Shard, Epoch: request.Epoch, Runner: request.To, PreviousFence: r.previousFence,
 		RestoredVersion: r.restoredVersion, Entries: append(r.keys.entries(now, nil), r.restored.entries(now, nil)...)}, nil
 }
 
@@ -131,7 +131,7 @@
 func (r *Runner) Settle(key Key, attempt AttemptID, state State, now time.Time) (Resolution, error) {
 	stored, listed := r.keys[key]
 	if !listed || stored.attempt != attempt {
-		return Resolution{}, &Refusal{Code: CodeOtherRunner, Ran: domain.Unknown, Epoch: r.fence}
+		return Resolution{}, &Refusal{Code: CodeOtherRunner, KeyRan: domain.Unknown, Epoch: r.fence}
 	}
 	if stored.state == StateRan || state == StateGranted {
 		return Resolution{Key: key, Attempt: attempt, State: stored.state}, nil
@@ -190,7 +190,7 @@
 		return RestoreReply{}, err
 	}
 	if request.Epoch.Less(r.fence) {
-		return RestoreReply{}, &Refusal{Code: CodeFenced, Ran: domain.Unknown, Epoch: r.fence}
+		return RestoreReply{}, &Refusal{Code: CodeFenced, KeyRan: domain.Unknown, Epoch: r.fence}
 	}
 	r.raiseFence(request.Epoch)
 	if r.restored == nil {
--- a/claim/view.go
+++ b/claim/view.go
@@ -62,13 +62,13 @@
 	o.completeTable(now)
 }
 
-// Fenced processes a runner's reply to this epoch's fence request.
-func (o *Owner) Fenced(reply FenceReply, now time.Time) {
+// HandleFenceReply processes a runner's reply to this epoch's fence request.
+func (o *Owner) HandleFenceReply(reply FenceReply, now time.Time) {
 	if reply.Epoch != o.epoch || !o.owns() {
 		return
 	}
 	state := o.replies[reply.Runner]
-	state.previousFence, state.restoredVersion = reply.Before, max(state.restoredVersion, reply.RestoredVersion)
+	state.previousFence, state.restoredVersion = reply.PreviousFence, max(state.restoredVersion, reply.RestoredVersion)
 	o.replies[reply.Runner] = state
 	if o.phase == phaseComplete {
 		return // the list cannot contain new keys, but may contain freed ones
@@ -175,7 +175,7 @@
 	mayAssign := o.phase == phaseComplete || o.disabled.singleHandover && o.phase == phaseRetired
 	if mayAssign && o.epoch.Less(at) && to != o.Self {
 		o.phase = phaseRetired
-		o.handover = Handover{Shard: o.Shard, From: o.epoch, Heir: to, Epoch: at}
+		o.handover = Handover{Shard: o.Shard, FromEpoch: o.epoch, Heir: to, Epoch: at}
 	}
 	if o.phase != phaseRetired {
 		return Handover{}, false
@@ -185,8 +185,8 @@
 	return handover, true
 }
 
-// Delivered records that the handover arrived and need not be sent again.
-func (o *Owner) Delivered() {
+// HandoverDelivered records that the handover arrived and need not be sent again.
+func (o *Owner) HandoverDelivered() {
 	if o.phase == phaseRetired {
 		o.phase, o.keys, o.handover = phaseNone, nil, Handover{}
 	}
@@ -199,10 +199,10 @@
 	if handover.Heir != o.Self || handover.Epoch != o.epoch {
 		return o.phase != phaseNone && handover.Epoch.Less(o.epoch)
 	}
-	if o.phase != phaseFencing || !o.inheritedFrom.Less(handover.From) {
+	if o.phase != phaseFencing || !o.inheritedFrom.Less(handover.FromEpoch) {
 		return true
 	}
-	o.inheritedFrom, o.inherited = handover.From, keyTable{}
+	o.inheritedFrom, o.inherited = handover.FromEpoch, keyTable{}
 	for _, e := range handover.Entries {
 		o.inherited.mergeEntry(e, now)
 	}
@@ -219,10 +219,10 @@
 	switch o.phase {
 	case phaseFencing:
 		for _, p := range o.unacknowledged() {
-			out.Fences = append(out.Fences, FenceRequest{Shard: o.Shard, Epoch: o.epoch, Owner: o.Self, To: p})
+			out.FenceRequests = append(out.FenceRequests, FenceRequest{Shard: o.Shard, Epoch: o.epoch, Owner: o.Self, To: p})
 		}
 	case phaseComplete:
-		out.Restores = o.restoreRequests(now)
+		out.RestoreRequests = o.restoreRequests(now)
 	case phaseRetired:
 		if handover, ok := o.Retire(Process{}, Epoch{}, now); ok {
 			out.Handovers = append(out.Handovers, handover)
@@ -254,7 +254,7 @@
 // keys.
 func (o *Owner) restoreRequests(now time.Time) []RestoreRequest {
 	eligible := o.runnerSets[0].eligible
-	var orphans []Entry
+	var orphans []ListedKey
 	var list []RestoreRequest
 	for _, p := range eligible {
 		if o.replies[p].restoredVersion >= o.epoch.Version {
@@ -270,8 +270,8 @@
 	return list
 }
 
-// Restored processes a runner's reply to a RestoreRequest.
-func (o *Owner) Restored(reply RestoreReply) {
+// HandleRestoreReply processes a runner's reply to a RestoreRequest.
+func (o *Owner) HandleRestoreReply(reply RestoreReply) {
 	if reply.Epoch != o.epoch || o.phase != phaseComplete {
 		return
 	}
--- a/cmd_side.go
+++ b/cmd_side.go
@@ -28,9 +28,9 @@
 		OnListen:  func(a netip.AddrPort) { fmt.Fprintf(out, "listening %s\n", a) },
 	}
 	if s.Role == domain.RoleApp {
-		b.App = &engine.HTTPAppServer{Base: s.Upstream}
+		b.AppServer = &engine.HTTPAppServer{Addr: s.Upstream}
 	} else {
-		b.Model = &engine.HTTPModel{Base: s.Upstream}
+		b.Model = &engine.HTTPModel{Addr: s.Upstream}
 	}
 	if err := b.Run(ctx); err != nil {
 		fmt.Fprintln(errs, "jacinthworks:", err)
--- a/delay/retry_estimator.go
+++ b/delay/retry_estimator.go
@@ -13,8 +13,8 @@
 	// maxRefusalGap is the longest time between two refusals of one overload. A refusal
 	// after a longer time starts a new overload.
 	maxRefusalGap = 2 * time.Second
-	// Jitter is the largest random extension of a delay, as a fraction of the delay.
-	Jitter = 0.5
+	// MaxJitterFraction is the largest random extension of a delay, as a fraction of the delay.
+	MaxJitterFraction = 0.5
 )
 
 // RetryEstimator computes the delay after which refused requests should be retried. How
@@ -41,5 +41,5 @@
 	}
 	t.lastRefusal = now
 	delay := max(MinDelay, now.Sub(t.overloadStart))
-	return delay + time.Duration(Jitter*rand.Float64()*float64(delay))
+	return delay + time.Duration(MaxJitterFraction*rand.Float64()*float64(delay))
 }
--- a/delay/retry_estimator_test.go
+++ b/delay/retry_estimator_test.go
@@ -17,8 +17,8 @@
 	for _, elapsed := range []time.Duration{0, time.Second, 2 * time.Second, 3500 * time.Millisecond, 5 * time.Second} {
 		got := r.Delay(start.Add(elapsed))
 		require.GreaterOrEqual(t, got, max(MinDelay, elapsed))
-		require.LessOrEqual(t, got, time.Duration((1+Jitter)*float64(max(MinDelay, elapsed))))
+		require.LessOrEqual(t, got, time.Duration((1+MaxJitterFraction)*float64(max(MinDelay, elapsed))))
 	}
 	next := r.Delay(start.Add(time.Minute))
-	require.LessOrEqual(t, next, time.Duration((1+Jitter)*float64(MinDelay)), "a minute without refusals ends the outage")
+	require.LessOrEqual(t, next, time.Duration((1+MaxJitterFraction)*float64(MinDelay)), "a minute without refusals ends the outage")
 }
--- a/direct/allocation.go
+++ b/direct/allocation.go
@@ -78,11 +78,11 @@
 		case !anyEngine:
 			return nil, s.noUpstreamFailure(r, role)
 		case !time.Now().Before(until):
-			return nil, s.queueFailure(ctx, r, l.Expire(i))
+			return nil, s.queueFailure(ctx, r, l.RefuseExpired(i))
 		}
 		t := time.NewTimer(reserveRetryInterval)
 		select {
-		case <-l.Freed():
+		case <-l.FreedSignal():
 		case <-t.C:
 		case <-ctx.Done():
 		}
--- a/direct/attempt.go
+++ b/direct/attempt.go
@@ -53,7 +53,7 @@
 	if !a.loadCounted {
 		a.upstream.Stats.RequestStarted(a.cost)
 	}
-	s.crashes.Begin(a.start.Key(), r, r.identity)
+	s.crashes.RequestStarted(a.start.Key(), r, r.identity)
 	reply, info, err := s.exchange(ctx, r.id, a.upstream, send.Request{
 		Method: r.method, Target: r.target, Host: r.host, Header: header, Body: r.body, ReadTimeout: a.headerTimeout,
 		// A reused connection can break just as the request is written, which leaves open
@@ -156,7 +156,7 @@
 // releaseLoad removes the attempt from the load of its upstream.
 func (s *Server) releaseLoad(r *request, a *attempt) {
 	a.upstream.Stats.RequestEnded(a.cost)
-	s.crashes.End(a.start.Key(), r)
+	s.crashes.RequestEnded(a.start.Key(), r)
 	if a.loadCounted {
 		s.queues.For(r.service.Name).SignalFree()
 	}
@@ -196,6 +196,6 @@
 	if decision == retry.Allowed {
 		return true
 	}
-	s.Log.Info("not retried", "request", r.id, "why", decision, "sends", r.attempts.Sends(), "runs", r.attempts.Runs(), "left", r.timeLeft())
+	s.Log.Info("not retried", "request", r.id, "why", decision, "sends", r.attempts.Sends(), "runs", r.attempts.PossibleRuns(), "left", r.timeLeft())
 	return false
 }
--- a/direct/end.go
+++ b/direct/end.go
@@ -76,7 +76,7 @@
 	}
 	s.Log.Info(outcome, append([]any{
 		"request", r.id, "route", route, "kind", routeKind, "version", r.version,
-		"sends", r.attempts.Sends(), "runs", r.attempts.Runs(), "took", took,
+		"sends", r.attempts.Sends(), "runs", r.attempts.PossibleRuns(), "took", took,
 	}, fields...)...)
 	s.Meter.Inc("jacinthworks_requests_total", meter.Labels{"route", route, "kind", routeKind, "outcome", outcome})
 	s.Meter.Observe("jacinthworks_request_seconds", meter.Labels{"kind", routeKind, "outcome", outcome}, took)
--- a/direct/engines.go
+++ b/direct/engines.go
@@ -19,7 +19,7 @@
 type engineState struct {
 	upstream *roster.Upstream
 	server   roster.Server
-	state    State
+	state    EngineState
 }
 
 // maxPolledEngines is how many engines the holder of the roles lease polls in a round.
@@ -62,7 +62,7 @@
 }
 
 // lastStates holds the state that each engine last reported. It is used by one goroutine.
-type lastStates map[roster.InstanceKey]State
+type lastStates map[roster.InstanceKey]EngineState
 
 // pollEngines fetches the states of all given engines at once. For an engine that has
 // requested a backoff, the last reported state is used.
@@ -108,13 +108,13 @@
 	return all
 }
 
-func (s *Server) fetchState(ctx context.Context, u *roster.Upstream) (State, error) {
+func (s *Server) fetchState(ctx context.Context, u *roster.Upstream) (EngineState, error) {
 	body, status, err := s.callUpstream(ctx, u, s.Protocol.StateRequest(), stateTimeout)
 	if err != nil {
-		return State{}, err
+		return EngineState{}, err
 	}
 	if status != 200 {
-		return State{}, errors.Errorf("direct: fetching engine state: status %d", status)
+		return EngineState{}, errors.Errorf("direct: fetching engine state: status %d", status)
 	}
 	return s.Protocol.ParseState(body)
 }
@@ -130,7 +130,7 @@
 	for _, e := range states {
 		pool := roles.Pool{Model: v.Name, Role: e.state.Role}
 		result.Engines = append(result.Engines, roles.Engine{
-			Host: domain.Host(e.server.ID), Zone: e.server.Zone, Pool: pool, Changing: e.state.RoleChanging, Since: time.Now(),
+			Host: domain.Host(e.server.ID), Zone: e.server.Zone, Pool: pool, Changing: e.state.RoleChanging, ChangingSince: time.Now(),
 		})
 		engines[pool]++
 		if pool == decodePool && e.state.KVCapacity > 0 {
--- a/direct/engines_test.go
+++ b/direct/engines_test.go
@@ -76,7 +76,7 @@
 	state := func(id string, r domain.Role, used int) engineState {
 		return engineState{
 			server: roster.Server{Start: roster.Start{ID: roster.ID(id)}},
-			state:  State{Role: r, KVCapacity: 100, KVUsed: used},
+			state:  EngineState{Role: r, KVCapacity: 100, KVUsed: used},
 		}
 	}
 	prefillPool, decodePool := roles.Pool{Model: "m", Role: domain.RolePrefill}, roles.Pool{Model: "m", Role: domain.RoleDecode}
@@ -109,7 +109,7 @@
 	require.Greater(t, ratio, 1.0)
 	var states []engineState
 	for n := range 45 {
-		e := engineState{server: roster.Server{Start: roster.Start{ID: roster.ID(strconv.Itoa(n))}}, state: State{Role: domain.RoleDecode, KVCapacity: 100, KVUsed: 30}}
+		e := engineState{server: roster.Server{Start: roster.Start{ID: roster.ID(strconv.Itoa(n))}}, state: EngineState{Role: domain.RoleDecode, KVCapacity: 100, KVUsed: 30}}
 		if n < 17 {
 			e.state.Role, e.state.KVUsed = domain.RolePrefill, 0
 		}
--- a/direct/limit.go
+++ b/direct/limit.go
@@ -227,8 +227,8 @@
 func (s *Server) broadcastLimit(n limitUpdate) {
 	started := time.Now()
 	s.background("broadcast rate limit", limitBroadcastTimeout, func(ctx context.Context) error {
-		for _, p := range s.peers.fleet.Others(s.peers.fleet.MemberCount()) {
-			if allowed, _ := s.unresponsive.Check(time.Now(), p); !allowed {
+		for _, p := range s.peers.fleet.OtherPeers(s.peers.fleet.MemberCount()) {
+			if allowed, _ := s.unresponsive.MayAsk(time.Now(), p); !allowed {
 				continue
 			}
 			update := n
--- a/direct/members.go
+++ b/direct/members.go
@@ -126,7 +126,7 @@
 	s.members.update(time.Now(), all)
 	s.setPeers(all, true)
 	if n := s.members.count(time.Now()); n != before {
-		s.Log.Info("entries", "count", n, "before", before, "repeats", s.retryTerms().Fixed)
+		s.Log.Info("entries", "count", n, "before", before, "repeats", s.retryTerms().FixedRetries)
 	}
 	return nil
 }
--- a/direct/members_test.go
+++ b/direct/members_test.go
@@ -18,7 +18,7 @@
 func TestRetryTermsShareTheFixedNumberAmongAllEntries(t *testing.T) {
 	var s Server
 	s.liveSettings.Store(&conf.Direct{RetryBudget: conf.RetryBudget{Ratio: 0.2, Fixed: 88, Window: 10 * time.Second}})
-	require.LessOrEqual(t, s.retryTerms().Fixed, 88.0/minMembersAssumed, "before the records are read")
+	require.LessOrEqual(t, s.retryTerms().FixedRetries, 88.0/minMembersAssumed, "before the records are read")
 	now := time.Now()
 	var all []feed.Item[Member]
 	for n := range 24 {
@@ -26,7 +26,7 @@
 	}
 	s.members.update(now, all)
 	require.Equal(t, 24, s.members.count(now))
-	require.LessOrEqual(t, 24*s.retryTerms().Fixed, 88.0)
+	require.LessOrEqual(t, 24*s.retryTerms().FixedRetries, 88.0)
 	all[0].Value.Beat++
 	expiry := Member{}.expiry()
 	s.members.update(now.Add(expiry), all)
--- a/direct/mix.go
+++ b/direct/mix.go
@@ -51,7 +51,7 @@
 func (s *Server) fleetMix(ctx context.Context) (sum map[domain.Service]roles.Sample, answered int) {
 	ctx, cancel := context.WithTimeout(ctx, mixTimeout)
 	defer cancel()
-	others := s.peers.fleet.Others(maxMixPeers)
+	others := s.peers.fleet.OtherPeers(maxMixPeers)
 	answers := make(chan map[domain.Service]roles.Sample, len(others))
 	for _, p := range others {
 		go func() { // ends with a value in answers, all of which are read below
--- a/direct/owner.go
+++ b/direct/owner.go
@@ -69,7 +69,7 @@
 		if o.Peer == nil {
 			return local(n == 0), owner{}, true
 		}
-		allowed, probe := s.unresponsive.Check(time.Now(), o.Peer)
+		allowed, probe := s.unresponsive.MayAsk(time.Now(), o.Peer)
 		if probe {
 			s.probeOwner(o.Peer)
 		}
--- a/direct/peer_config.go
+++ b/direct/peer_config.go
@@ -51,7 +51,7 @@
 	if !slices.ContainsFunc(known, func(i feed.Item[Member]) bool { return i.Revision.MayBeRestored() }) {
 		return
 	}
-	others := randomSample(s.peers.fleet.Others(len(known)), maxConfigPeers)
+	others := randomSample(s.peers.fleet.OtherPeers(len(known)), maxConfigPeers)
 	var calls group.Group
 	for _, p := range others {
 		calls.Go(ctx, "configuration of "+string(p.Name), func(ctx context.Context) error {
--- a/direct/peers.go
+++ b/direct/peers.go
@@ -53,9 +53,9 @@
 	s.Settings.PeerListen = l.Addr().(*net.TCPAddr).AddrPort()
 	s.peers.fleet.SelfAddr, s.peers.fleet.Seeds = s.Settings.PeerListen, s.Settings.Seeds
 	m := http.NewServeMux()
-	m.Handle("GET "+relay.Path+feedConfigs, relay.Handler(&s.peers.configs))
-	m.Handle("GET "+relay.Path+feedUpstreams, relay.Handler(&s.peers.upstreams))
-	m.Handle("GET "+relay.Path+feedNotices, relay.Handler(&s.peers.notices))
+	m.Handle("GET "+relay.URLPrefix+feedConfigs, relay.Handler(&s.peers.configs))
+	m.Handle("GET "+relay.URLPrefix+feedUpstreams, relay.Handler(&s.peers.upstreams))
+	m.Handle("GET "+relay.URLPrefix+feedNotices, relay.Handler(&s.peers.notices))
 	m.HandleFunc("GET "+entryRecordsPath, s.serveEntryRecords)
 	m.HandleFunc("GET "+mixPath, s.serveMix)
 	m.HandleFunc("GET "+configPath, s.serveConfig)
@@ -101,7 +101,7 @@
 	var members []relay.Member
 	for _, m := range all {
 		if now.Sub(m.Written).Abs() <= m.expiry() {
-			members = append(members, relay.Member{Name: m.Name, Zone: m.Zone, Addr: m.Peer, Cores: m.Cores, Since: m.Since.UTC()})
+			members = append(members, relay.Member{Name: m.Name, Zone: m.Zone, Addr: m.Peer, Cores: m.Cores, RegisteredAt: m.Since.UTC()})
 		}
 	}
 	return members
--- a/direct/protocol.go
+++ b/direct/protocol.go
@@ -42,7 +42,7 @@
 	// StateRequest returns the call for an engine's state, and ParseState parses its
 	// response.
 	StateRequest() send.Request
-	ParseState(body []byte) (State, error)
+	ParseState(body []byte) (EngineState, error)
 	// RoleChangeRequest returns the call that orders an engine to change its role, provided
 	// that it has accepted exactly as many orders before as after says. ParseOrderOutcome
 	// reads the outcome from the status of the response.
@@ -137,8 +137,8 @@
 // Reservation names memory that an engine reserves for one request.
 type Reservation string
 
-// State is what an engine reports of itself.
-type State struct {
+// EngineState is what an engine reports of itself.
+type EngineState struct {
 	// StartedAt is when the engine started; zero if it does not say.
 	StartedAt time.Time
 	Role      domain.Role
--- a/direct/quota.go
+++ b/direct/quota.go
@@ -70,10 +70,10 @@
 	}
 	if decision.Granted {
 		r.cost, r.overQuota = cost, decision.OverQuota
-		s.Log.Debug("quota", "request", r.id, "account", r.account, "cost", cost, "over", decision.OverQuota, "left", decision.Level, "by", decidedBy, "took", time.Since(now))
+		s.Log.Debug("quota", "request", r.id, "account", r.account, "cost", cost, "over", decision.OverQuota, "left", decision.BucketLevel, "by", decidedBy, "took", time.Since(now))
 		return nil
 	}
-	s.Log.Info("over quota", "request", r.id, "account", r.account, "cost", cost, "left", decision.Level, "wait", decision.Wait, "by", decidedBy,
+	s.Log.Info("over quota", "request", r.id, "account", r.account, "cost", cost, "left", decision.BucketLevel, "wait", decision.Wait, "by", decidedBy,
 		"rate", r.client.Quota.Rate, "burst", r.client.Quota.Burst, "version", r.version)
 	return &failure{ran: domain.NotRun, reason: domain.ReasonQuota, detail: "the account is over its quota", retryAfter: decision.Wait}
 }
--- a/direct/reach.go
+++ b/direct/reach.go
@@ -71,7 +71,7 @@
 			unreachable = append(unreachable, name)
 		}
 	}
-	sample := randomSample(s.peers.fleet.Others(s.peers.fleet.MemberCount()), maxReachSample)
+	sample := randomSample(s.peers.fleet.OtherPeers(s.peers.fleet.MemberCount()), maxReachSample)
 	for _, a := range callReach(ctx, sample, reachRequest{Entries: unreachable}) {
 		switch peerStateOf(a.err) {
 		case pacer.Alive:
@@ -165,7 +165,7 @@
 func (s *Server) handleReach(c reachRequest) (a reachResponse, ok bool) {
 	var calls group.Group
 	var mu sync.Mutex
-	for _, p := range s.peers.fleet.Others(s.peers.fleet.MemberCount()) {
+	for _, p := range s.peers.fleet.OtherPeers(s.peers.fleet.MemberCount()) {
 		if !slices.Contains(c.Entries, p.Name) {
 			continue
 		}
--- a/direct/relays.go
+++ b/direct/relays.go
@@ -49,7 +49,7 @@
 			return false
 		}
 	}
-	s.peers.fleet.Seed(recorded)
+	s.peers.fleet.SetSeedPeers(recorded)
 	s.Log.Info("entries asked at the start", "recorded", recorded, "seeds", s.Settings.Seeds)
 	return len(recorded) > 0 || len(s.Settings.Seeds) > 0
 }
--- a/direct/request.go
+++ b/direct/request.go
@@ -150,7 +150,7 @@
 	if f := s.charge(h.Context(), r); f != nil {
 		return f
 	}
-	s.retryBudgets.window(name).Accepted(r.accepted, s.retryTerms())
+	s.retryBudgets.window(name).RequestAccepted(r.accepted, s.retryTerms())
 	s.Log.Info("accepted", "request", r.id, "route", route.Name, "service", name, "version", c.Version, "prompt", r.info.PromptTokens, "tokens", r.expectedTokens(), "left", r.timeLeft())
 	return nil
 }
--- a/direct/roles.go
+++ b/direct/roles.go
@@ -40,7 +40,7 @@
 	}
 	k := &lease.Keeper{
 		Records: s.Records, Name: rolesLease,
-		Guard: fence.Guard{Holder: s.Settings.Name, Incarnation: domain.NewIncarnation(), Fresh: s.Settings.FirstStart},
+		Guard: fence.Guard{Holder: s.Settings.Name, Incarnation: domain.NewIncarnation(), FreshStore: s.Settings.FirstStart},
 	}
 	planners, last := make(map[domain.Service]*roles.Planner), make(map[domain.Service]lastStates)
 	holding := false
--- a/eject/eject.go
+++ b/eject/eject.go
@@ -39,12 +39,12 @@
 )
 
 const (
-	// Ratio is the multiple of the peers' median latency per token above which an upstream is
+	// SlowRatio is the multiple of the peers' median latency per token above which an upstream is
 	// slow. Different batch sizes alone make healthy upstreams differ about twofold.
-	Ratio = 3.0
-	// MinGap is the minimum difference from the median above which an upstream is slow. Smaller
+	SlowRatio = 3.0
+	// MinSlowGap is the minimum difference from the median above which an upstream is slow. Smaller
 	// differences are scheduling noise, which no caller notices.
-	MinGap = 2 * time.Millisecond
+	MinSlowGap = 2 * time.Millisecond
 	// MinAnswers is the number of answers per measurement of an upstream's latency per
 	// token; a mean of eight evens out a single stall.
 	MinAnswers = 8
@@ -252,7 +252,7 @@
 		middle++
 	}
 	median := sorted[middle]
-	return float64(d) > Ratio*float64(median) && d-median > MinGap
+	return float64(d) > SlowRatio*float64(median) && d-median > MinSlowGap
 }
 
 // ejectWorst ejects the worst of the members that are slow or failing: failing members
@@ -276,7 +276,7 @@
 		return Change{}, false
 	}
 	m := p.members[worst]
-	reason := fmt.Sprintf("%s per token, over %.0f times the peers' median, in %d consecutive measurements", m.perToken, Ratio, m.slowCount)
+	reason := fmt.Sprintf("%s per token, over %.0f times the peers' median, in %d consecutive measurements", m.perToken, SlowRatio, m.slowCount)
 	if m.failureCount >= ConsecutiveFailures {
 		reason = fmt.Sprintf("%d consecutive failures of new dials or calls", m.failureCount)
 	}
--- a/eject/eject_test.go
+++ b/eject/eject_test.go
@@ -220,7 +220,7 @@
 	}
 	slices.Sort(peers)
 	median := peers[(len(peers)-1)/2]
-	return float64(values[own]) > Ratio*float64(median) && values[own]-median > MinGap
+	return float64(values[own]) > SlowRatio*float64(median) && values[own]-median > MinSlowGap
 }
 
 func TestIsSlowMatchesDefinition(t *testing.T) {
--- a/engine/http.go
+++ b/engine/http.go
@@ -18,14 +18,14 @@
 // its interface. The upstream may have run the work.
 var ErrUnexpectedResponse = errors.New("engine: unexpected answer")
 
-// Code is the reason that an engine reports for refusing a request.
-type Code string
+// RefusalCode is the reason that an engine reports for refusing a request.
+type RefusalCode string
 
 // Codes of refusals, each with the HTTP status that accompanies it.
 const (
-	CodeNotStarted Code = "not_taken" // 503
-	CodeEvicted    Code = "evicted"   // 410
-	CodeFenced     Code = "fenced"    // 409
+	CodeNotStarted RefusalCode = "not_taken" // 503
+	CodeEvicted    RefusalCode = "evicted"   // 410
+	CodeFenced     RefusalCode = "fenced"    // 409
 )
 
 // NotStartedHeader is the header by which a plain application server reports,
@@ -35,8 +35,8 @@
 
 // Problem is the body of an engine's response with a status other than 200.
 type Problem struct {
-	Code   Code   `json:"code"`
-	Detail string `json:"detail"`
+	Code   RefusalCode `json:"code"`
+	Detail string      `json:"detail"`
 }
 
 // CancelRequest is the body of POST /cancel, by which an engine releases
--- a/engine/http_app.go
+++ b/engine/http_app.go
@@ -13,20 +13,20 @@
 	"jacinthworks/send"
 )
 
-// DefaultMaxAnswer limits the response body of an application server, in bytes.
-const DefaultMaxAnswer = 8 << 20
+// DefaultMaxResponseBytes limits the response body of an application server, in bytes.
+const DefaultMaxResponseBytes = 8 << 20
 
 // HTTPAppServer is the client of a plain application server over HTTP. It sends
 // each call at most once. The zero value with a Base is ready to use; it must
 // not be copied after its first use.
 type HTTPAppServer struct {
-	// Base is the server's address.
-	Base netip.AddrPort
+	// Addr is the server's address.
+	Addr netip.AddrPort
 	// ReadTimeout limits the time without a byte from the server; zero is
 	// send.DefaultReadTimeout.
 	ReadTimeout time.Duration
-	// MaxAnswer limits a response body in bytes; zero is DefaultMaxAnswer.
-	MaxAnswer int64
+	// MaxResponseBytes limits a response body in bytes; zero is DefaultMaxResponseBytes.
+	MaxResponseBytes int64
 
 	once   sync.Once
 	client send.Client
@@ -38,7 +38,7 @@
 // status is returned without an error, except that a 503 with NotStartedHeader
 // is ErrNotStarted.
 func (h *HTTPAppServer) Do(ctx context.Context, c Call) (Response, error) {
-	h.once.Do(func() { h.client.Base, h.client.ReadTimeout = h.Base, h.ReadTimeout })
+	h.once.Do(func() { h.client.Base, h.client.ReadTimeout = h.Addr, h.ReadTimeout })
 	call := c.Method + " call"
 	if !strings.HasPrefix(c.Path, "/") {
 		return Response{}, &Failure{Call: call, Kind: ErrNotStarted, Cause: errors.New("engine: path does not start with /")}
@@ -47,9 +47,9 @@
 	if err != nil {
 		return Response{}, transportFailure(call, err)
 	}
-	limit := h.MaxAnswer
+	limit := h.MaxResponseBytes
 	if limit <= 0 {
-		limit = DefaultMaxAnswer
+		limit = DefaultMaxResponseBytes
 	}
 	body, err := response.ReadAll(limit)
 	switch {
--- a/engine/http_model.go
+++ b/engine/http_model.go
@@ -32,8 +32,8 @@
 // a decode has one Token per line. The zero value with a Base is ready to use;
 // it must not be copied after its first use.
 type HTTPModel struct {
-	// Base is the engine's address.
-	Base netip.AddrPort
+	// Addr is the engine's address.
+	Addr netip.AddrPort
 	// PrefillTimeout limits the time without a byte of the response to a
 	// prefill; zero is DefaultPrefillTimeout.
 	PrefillTimeout time.Duration
@@ -173,7 +173,7 @@
 // httpClient returns the HTTP client, which the first call configures.
 func (h *HTTPModel) httpClient() *send.Client {
 	h.once.Do(func() {
-		h.client.Base, h.client.ReadTimeout = h.Base, h.TokenTimeout
+		h.client.Base, h.client.ReadTimeout = h.Addr, h.TokenTimeout
 		if h.client.ReadTimeout <= 0 {
 			h.client.ReadTimeout = DefaultTokenTimeout
 		}
--- a/engine/http_test.go
+++ b/engine/http_test.go
@@ -37,7 +37,7 @@
 	t.Helper()
 	server := serveHTTP(t, e)
 	e.OnCrash = server.Crash
-	return &engine.HTTPModel{Base: server.Addr(), PrefillTimeout: 10 * time.Second, TokenTimeout: 10 * time.Second}
+	return &engine.HTTPModel{Addr: server.Addr(), PrefillTimeout: 10 * time.Second, TokenTimeout: 10 * time.Second}
 }
 
 func prefillRequest(prompt string) engine.PrefillRequest {
@@ -54,7 +54,7 @@
 	decodeClient := startEngine(t, decodeEngine)
 	kv, err := prefillClient.Prefill(t.Context(), prefillRequest("pedigree"))
 	require.NoError(t, err)
-	require.Equal(t, prefillClient.Base, kv.Engine)
+	require.Equal(t, prefillClient.Addr, kv.Engine)
 	require.Equal(t, time.Minute, kv.TTL)
 	var text strings.Builder
 	nextOffset := 0
@@ -69,7 +69,7 @@
 	state, err := decodeClient.State(t.Context())
 	require.NoError(t, err)
 	require.Zero(t, state.UsedTokens)
-	require.Equal(t, model.Done, decodeEngine.Runs()[0].Outcome)
+	require.Equal(t, model.OutcomeDone, decodeEngine.Runs()[0].Outcome)
 }
 
 func TestHTTPModelReturnsEachErrorKind(t *testing.T) {
@@ -83,7 +83,7 @@
 	require.ErrorIs(t, err, engine.ErrNotStarted, "the engine reported so")
 	fake.SetFault(model.Fault{})
 
-	err = client.Decode(ctx, decodeRequest(engine.KV{Engine: client.Base, Handle: "none", Tokens: 400}), discard)
+	err = client.Decode(ctx, decodeRequest(engine.KV{Engine: client.Addr, Handle: "none", Tokens: 400}), discard)
 	require.ErrorIs(t, err, engine.ErrEvicted)
 
 	require.NoError(t, client.SendOrder(ctx, engine.Order{Kind: engine.OrderLoad, Value: "logwriter", Fence: 2}))
@@ -104,11 +104,11 @@
 	require.Eventually(t, func() bool {
 		runs := fake.Runs()
 		last := runs[len(runs)-1]
-		return last.Outcome == model.Done && last.Tokens == 6
+		return last.Outcome == model.OutcomeDone && last.Tokens == 6
 	}, 10*time.Second, time.Millisecond, "an error of emit cancels nothing at the engine")
 
 	fake.SetFault(model.Fault{Frozen: true})
-	frozen := &engine.HTTPModel{Base: client.Base, PrefillTimeout: shortTimeout, TokenTimeout: shortTimeout}
+	frozen := &engine.HTTPModel{Addr: client.Addr, PrefillTimeout: shortTimeout, TokenTimeout: shortTimeout}
 	_, err = frozen.Prefill(ctx, prefillRequest("x"))
 	require.ErrorIs(t, err, engine.ErrTimeout, "the engine may still run it")
 	require.NotErrorIs(t, err, engine.ErrCrashed)
@@ -131,7 +131,7 @@
 			fake.DownTime = time.Hour // until the test starts the engine again
 			server := serveHTTP(t, fake)
 			fake.OnCrash = server.Crash
-			client := &engine.HTTPModel{Base: server.Addr()}
+			client := &engine.HTTPModel{Addr: server.Addr()}
 			before := fake.CurrentState().Incarnation
 			tokens := 0
 			kv, err := client.Prefill(t.Context(), prefillRequest(marker))
@@ -150,7 +150,7 @@
 			require.Greater(t, state.Incarnation, before)
 			require.Zero(t, state.UsedTokens)
 			runs := fake.Runs()
-			require.Equal(t, model.Crashed, runs[len(runs)-1].Outcome, "the record of runs survives a crash")
+			require.Equal(t, model.OutcomeCrashed, runs[len(runs)-1].Outcome, "the record of runs survives a crash")
 		})
 	}
 }
@@ -167,7 +167,7 @@
 		t.Run(name, func(t *testing.T) {
 			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, body) }))
 			defer server.Close()
-			client := &engine.HTTPModel{Base: netip.MustParseAddrPort(server.Listener.Addr().String())}
+			client := &engine.HTTPModel{Addr: netip.MustParseAddrPort(server.Listener.Addr().String())}
 			err := client.Decode(t.Context(), decodeRequest(engine.KV{Tokens: 1}), func(engine.Token) error { return nil })
 			require.ErrorIs(t, err, engine.ErrCrashed)
 		})
@@ -178,7 +178,7 @@
 	fake := &apps.App{DownTime: time.Hour}
 	server := serveHTTP(t, fake)
 	fake.OnCrash = server.Crash
-	client := &engine.HTTPAppServer{Base: server.Addr(), ReadTimeout: 10 * time.Second}
+	client := &engine.HTTPAppServer{Addr: server.Addr(), ReadTimeout: 10 * time.Second}
 	call := func(key, body string) (engine.Response, error) {
 		return client.Do(t.Context(), engine.Call{
 			Method: http.MethodPost, Path: "/enquiries?lot=17", Body: []byte(body),
@@ -207,7 +207,7 @@
 	require.Equal(t, http.StatusInternalServerError, response.Status)
 
 	fake.SetFault(apps.Fault{Frozen: true})
-	frozen := &engine.HTTPAppServer{Base: server.Addr(), ReadTimeout: shortTimeout}
+	frozen := &engine.HTTPAppServer{Addr: server.Addr(), ReadTimeout: shortTimeout}
 	_, err = frozen.Do(t.Context(), engine.Call{Method: http.MethodGet, Path: "/cards/1"})
 	require.ErrorIs(t, err, engine.ErrTimeout)
 
--- a/entry/admin.go
+++ b/entry/admin.go
@@ -73,17 +73,17 @@
 }
 
 // state returns the state that this entry reports of itself.
-func (e *Entry) state() wire.State {
-	return wire.State{
-		Host: e.Settings.Name, Zone: e.Settings.Zone, Version: uint64(e.tables.Version()), Since: e.tables.Since(),
+func (e *Entry) state() wire.EntryState {
+	return wire.EntryState{
+		Host: e.Settings.Name, Zone: e.Settings.Zone, TableVersion: uint64(e.tables.Version()), InForceSince: e.tables.Since(),
 		Draining: e.draining.Load() || e.leaving.Load(), Stale: !e.tableFresh(time.Now()), InFlight: int(e.recorder.Counts().Open),
 	}
 }
 
-func hostStatus(s wire.State, lastSeen time.Time) admin.HostStatus {
+func hostStatus(s wire.EntryState, lastSeen time.Time) admin.HostStatus {
 	h := admin.HostStatus{
 		Host: s.Host, Zone: s.Zone, Role: "entry", State: admin.HostServing,
-		Version: table.Version(s.Version), Since: s.Since, InFlight: s.InFlight, LastSeen: lastSeen,
+		Version: table.Version(s.TableVersion), Since: s.InForceSince, InFlight: s.InFlight, LastSeen: lastSeen,
 	}
 	switch {
 	case s.Draining:
@@ -102,7 +102,7 @@
 	answers := make(chan admin.HostStatus, len(entries))
 	for _, l := range entries {
 		e.background.Go(ctx, "status", func(ctx context.Context) error {
-			var s wire.State
+			var s wire.EntryState
 			if err := l.Call(ctx, wire.MethodState, struct{}{}, &s); err != nil {
 				answers <- admin.HostStatus{Host: l.Member.Host, Zone: l.Member.Zone, Role: "entry", State: admin.HostUnreachable}
 				return err
@@ -131,7 +131,7 @@
 		return h
 	}
 	h.State, h.LastSeen = admin.HostServing, b.NotBefore
-	if b.Draining || l.Leaving.Load() {
+	if b.Draining || l.HostLeaving.Load() {
 		h.State = admin.HostDraining
 	}
 	if b.Load != nil {
@@ -171,7 +171,7 @@
 		return admin.OrderReply{}, admin.ErrNotTeamMember
 	}
 	var reply wire.OrderReply
-	err := l.Call(ctx, wire.MethodOrder, wire.Order{Kind: o.Kind, Value: o.Value, By: by.Name, Within: admin.DefaultOrderTimeout}, &reply)
+	err := l.Call(ctx, wire.MethodOrder, wire.Order{Kind: o.Kind, Value: o.Value, Operator: by.Name, Timeout: admin.DefaultOrderTimeout}, &reply)
 	return admin.OrderReply{OrderRequest: o, Fence: reply.Fence}, errors.Wrapf(err, "entry: order to %s", o.Host)
 }
 
--- a/entry/call.go
+++ b/entry/call.go
@@ -35,7 +35,7 @@
 	began := time.Now()
 	out := e.runStage(ctx, s, wire.RunRequest{
 		AttemptRef: wire.AttemptRef{Request: r.id, Attempt: r.attempt, Stage: wire.StageCall}, Account: r.account, Kind: r.kind, Identity: r.identity,
-		Within: e.timeLeft(r), Call: r.call, Dispatch: d, Idempotent: r.row.Idempotent,
+		Timeout: e.timeLeft(r), Call: r.call, Dispatch: d, Idempotent: r.row.Idempotent,
 	}, nil)
 	if out.Reason == "" && out.Answer != nil {
 		f = nil
--- a/entry/crashes.go
+++ b/entry/crashes.go
@@ -16,7 +16,7 @@
 		return false
 	}
 	v := e.retries.Decide(time.Now(), retry.Failure{
-		Attempt: r.attempt - r.unsentAttempts, Ran: f.ran, Idempotent: r.row.Idempotent, Deadline: r.acceptedAt.Add(time.Duration(r.row.Deadline)),
+		Attempt: r.attempt - r.unsentAttempts, Execution: f.ran, Idempotent: r.row.Idempotent, Deadline: r.acceptedAt.Add(time.Duration(r.row.Deadline)),
 	})
 	e.Log.Info("decision", "request", r.id, "attempt", r.attempt, "retry", v, "ran", f.ran, "reason", f.reason)
 	return v == retry.Allowed
--- a/entry/health.go
+++ b/entry/health.go
@@ -51,7 +51,7 @@
 	for _, service := range e.services() {
 		s := e.schedulers.get(service)
 		for _, role := range []domain.Role{domain.RolePrefill, domain.RoleDecode, domain.RoleApp} {
-			hosts := e.sides.Members(service, role)
+			hosts := e.sides.HostsWithRole(service, role)
 			p := s.health.pool(role)
 			changes := append(p.SetMembers(now, hosts), p.Evaluate(now)...)
 			for _, c := range changes {
--- a/entry/hosts.go
+++ b/entry/hosts.go
@@ -33,7 +33,7 @@
 			leaving[h.Host] = h.State == infra.HostLeaving
 		}
 		for _, l := range e.sides.All() {
-			if was := l.Leaving.Swap(leaving[l.Member.Host]); was != leaving[l.Member.Host] {
+			if was := l.HostLeaving.Swap(leaving[l.Member.Host]); was != leaving[l.Member.Host] {
 				e.Log.Info("host list", "host", l.Member.Host, "leaving", !was)
 			}
 			if leaving[l.Member.Host] {
--- a/entry/keys.go
+++ b/entry/keys.go
@@ -68,7 +68,7 @@
 			// lost claim blocks it, settleEarlier resolves the lost one.
 		case got.Grant != nil:
 			e.recordEvent(r, trace.Event{Kind: trace.Claimed, Upstream: runner.Member.Host, Detail: "granted at epoch " + got.Grant.Token.Epoch.String()})
-			return &claim.Dispatch{Token: got.Grant.Token, Attempt: got.Grant.Try, Body: claim.BodyHash(r.bodyHash), To: got.Grant.Runner}, nil
+			return &claim.Dispatch{Token: got.Grant.Token, Attempt: got.Grant.Attempt, Body: claim.BodyHash(r.bodyHash), To: got.Grant.Runner}, nil
 		case got.Refusal != nil:
 			f, retryClaim := e.handleClaimRefusal(ctx, r, got.Refusal)
 			if !retryClaim {
@@ -101,7 +101,7 @@
 // handleClaimRefusal returns the failure that a refused claim means for the request, and
 // reports whether to retry the claim.
 func (e *Entry) handleClaimRefusal(ctx context.Context, r *request, refusal *claim.Refusal) (*failure, bool) {
-	f := &failure{ran: refusal.Ran, reason: refusal.Reason(), detail: refusal.Error(), final: true, retryAfter: time.Second}
+	f := &failure{ran: refusal.KeyRan, reason: refusal.Reason(), detail: refusal.Error(), final: true, retryAfter: time.Second}
 	switch refusal.Code {
 	case claim.CodeNotOwner, claim.CodeNotRestored:
 		return f, true
--- a/entry/keys_test.go
+++ b/entry/keys_test.go
@@ -18,8 +18,8 @@
 // superseded.
 func fencedOutcome(epoch claim.Epoch) wire.Outcome {
 	return wire.Outcome{
-		Ran: domain.NotRun, Reason: domain.ReasonNoClaim,
-		Claim: &claim.Refusal{Code: claim.CodeFenced, Ran: domain.Unknown, AttemptNotRun: true, Epoch: epoch},
+		Execution: domain.NotRun, Reason: domain.ReasonNoClaim,
+		Claim: &claim.Refusal{Code: claim.CodeFenced, KeyRan: domain.Unknown, AttemptNotRun: true, Epoch: epoch},
 	}
 }
 
--- a/entry/members.go
+++ b/entry/members.go
@@ -59,7 +59,7 @@
 	for _, l := range e.entries.Connected() {
 		var got member.Record
 		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
-		err := l.Call(callCtx, wire.MethodMembers, wire.MembersRequest{Service: s, Have: uint64(at.Version)}, &got)
+		err := l.Call(callCtx, wire.MethodMembers, wire.MembersRequest{Service: s, HaveVersion: uint64(at.Version)}, &got)
 		cancel()
 		if err == nil && got.Version > at.Version && apply(got) {
 			e.Log.Info("members", "service", s, "version", got.Version, "count", len(got.Members), "from", l.Member.Host)
--- a/entry/model.go
+++ b/entry/model.go
@@ -101,13 +101,13 @@
 	e.background.Go(renewCtx, "renew reservation", func(ctx context.Context) error { return e.renewReservation(ctx, r, p.decode) })
 	out := e.runStage(ctx, p.prefill, wire.RunRequest{
 		AttemptRef: wire.AttemptRef{Request: r.id, Attempt: r.attempt, Stage: wire.StagePrefill}, Account: r.account, Kind: r.kind, Identity: r.identity,
-		Within: e.timeLeft(r),
+		Timeout: e.timeLeft(r),
 		Prefill: &engine.PrefillRequest{
 			Request: r.id, Attempt: r.attempt, Prompt: r.prompt, PromptTokens: r.promptTokens,
 			Prefix: prefixOf(r.prompt), Priority: r.row.Priority,
 		},
 	}, nil)
-	r.prefilled = r.prefilled || out.Ran != domain.NotRun
+	r.prefilled = r.prefilled || out.Execution != domain.NotRun
 	if out.Reason != "" || out.KV == nil {
 		return engine.KV{}, failureOf(out)
 	}
@@ -136,7 +136,7 @@
 	ended := make(chan wire.Outcome, 1)
 	e.background.Go(ctx, "decode", func(ctx context.Context) error {
 		ended <- e.runStage(ctx, p.decode, wire.RunRequest{
-			AttemptRef: ref, Account: r.account, Kind: r.kind, Identity: r.identity, Within: e.timeLeft(r), Tokens: r.promptTokens + r.maxTokens,
+			AttemptRef: ref, Account: r.account, Kind: r.kind, Identity: r.identity, Timeout: e.timeLeft(r), Tokens: r.promptTokens + r.maxTokens,
 			Decode: &engine.DecodeRequest{
 				Request: r.id, Attempt: r.attempt, KV: kv, MaxTokens: r.maxTokens, Priority: r.row.Priority,
 			},
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -30,7 +30,7 @@
 	switch method {
 	case wire.MethodTable:
 		return wire.Decode(params, e.handleTableRequest)
-	case wire.MethodOffer:
+	case wire.MethodPushTable:
 		return wire.Decode(params, func(t wire.Table) (any, error) { return e.handleTableOffer(t, p.RemoteHello().Host) })
 	case wire.MethodMembers:
 		return wire.Decode(params, func(a wire.MembersRequest) (any, error) {
@@ -49,14 +49,14 @@
 	case wire.MethodRate:
 		return wire.Decode(params, e.handleRateRequest)
 	}
-	return nil, &wire.RefusalError{Reason: domain.ReasonBadInput, Ran: domain.NotRun, Detail: "no method " + method}
+	return nil, &wire.RefusalError{Reason: domain.ReasonBadInput, Execution: domain.NotRun, Detail: "no method " + method}
 }
 
 // handleTraceRequest returns the span of a request that this entry holds in memory.
 func (e *Entry) handleTraceRequest(a wire.TraceRequest) (any, error) {
 	s, found := e.recorder.Get(a.Request)
 	if !found {
-		return nil, &wire.RefusalError{Reason: domain.ReasonBadInput, Ran: domain.Unknown, Detail: "nothing is known here of the request"}
+		return nil, &wire.RefusalError{Reason: domain.ReasonBadInput, Execution: domain.Unknown, Detail: "nothing is known here of the request"}
 	}
 	return s, nil
 }
--- a/entry/rates.go
+++ b/entry/rates.go
@@ -139,7 +139,7 @@
 // handleRateRequest handles another entry's request for a token of a caller's rate.
 func (e *Entry) handleRateRequest(a wire.RateRequest) (any, error) {
 	if a.Rate <= 0 || a.Key.Account == "" {
-		return nil, &wire.RefusalError{Reason: domain.ReasonBadInput, Ran: domain.NotRun, Detail: "no rate of an account"}
+		return nil, &wire.RefusalError{Reason: domain.ReasonBadInput, Execution: domain.NotRun, Detail: "no rate of an account"}
 	}
 	return e.rates.take(time.Now(), a), nil
 }
--- a/entry/report.go
+++ b/entry/report.go
@@ -19,7 +19,7 @@
 	draining := b.Draining || b.Load.Down || leaving
 	switch domain.Role(m.Role) {
 	case domain.RolePrefill:
-		s.model.Prefills.Update(m.Host, m.Zone, b.NotBefore, route.PrefillReport{QueuedTokens: b.Load.QueuedTokens, Rate: b.Load.Rate})
+		s.model.Prefills.Update(m.Host, m.Zone, b.NotBefore, route.PrefillReport{QueuedTokens: b.Load.QueuedTokens, Rate: b.Load.PrefillRate})
 		s.model.Prefills.SetDraining(m.Host, draining)
 		if s.prefillZones == nil {
 			s.prefillZones = make(map[domain.Zone]bool)
@@ -33,7 +33,7 @@
 		s.model.Decodes.SetDraining(m.Host, draining)
 		// The side measures its KV imports from all zones together.
 		for from := range s.prefillZones {
-			s.model.UpdateLink(route.ZonePair{From: from, To: m.Zone}, b.NotBefore, route.LinkReport{Rate: b.Load.LinkRate * bytesPerKV})
+			s.model.UpdateLink(route.ZonePair{From: from, To: m.Zone}, b.NotBefore, route.LinkReport{Rate: b.Load.KVImportRate * bytesPerKV})
 		}
 	case domain.RoleApp:
 		s.apps.Pool.Update(m.Host, m.Zone, b.NotBefore, route.AppReport{InFlight: b.Load.Running})
--- a/entry/request.go
+++ b/entry/request.go
@@ -90,7 +90,7 @@
 // recordAccepted adds the first event to the request's trace, and adds to the retry
 // budget.
 func (e *Entry) recordAccepted(r *request) {
-	e.retries.Budget.Accepted()
+	e.retries.Budget.RequestAccepted()
 	e.recorder.Record(trace.Event{
 		Kind: trace.Accepted, Time: r.acceptedAt, Host: e.Settings.Name, Request: r.id,
 		Service: r.service, RequestKind: r.kind, Caller: r.account, Idempotent: r.row.Idempotent, Tokens: r.promptTokens,
@@ -123,11 +123,11 @@
 
 // failureOf converts the outcome of a failed stage to a failure.
 func failureOf(out wire.Outcome) *failure {
-	f := &failure{ran: out.Ran, reason: out.Reason, detail: out.Detail, death: out.Death}
+	f := &failure{ran: out.Execution, reason: out.Reason, detail: out.Detail, death: out.Death}
 	if c := out.Claim; c != nil && (c.Code == claim.CodeKeyTaken || !c.AttemptNotRun) {
 		// This attempt did not run, but another attempt with the same key may have: a
 		// side that was suspended resumes and runs work that was abandoned meanwhile.
-		f.ran, f.final = c.Ran.Merge(domain.Unknown), true
+		f.ran, f.final = c.KeyRan.Merge(domain.Unknown), true
 	} else if c != nil {
 		f.fenced = c.Code == claim.CodeFenced
 	}
--- a/entry/scheduler_test.go
+++ b/entry/scheduler_test.go
@@ -80,7 +80,7 @@
 
 func (x *schedulerTest) report(h domain.Host) {
 	hello := wire.Hello{Host: h, Role: string(domain.RoleApp), Service: "wallapp"}
-	x.s.update(hello, wire.ReceivedHeartbeat{Heartbeat: wire.Heartbeat{Draining: x.draining[h], Load: &wire.Load{}}, NotBefore: time.Now()}, false)
+	x.s.update(hello, wire.ReceivedHeartbeat{Heartbeat: wire.Heartbeat{Draining: x.draining[h], Load: &wire.UpstreamLoad{}}, NotBefore: time.Now()}, false)
 	x.settle()
 }
 
--- a/entry/stage.go
+++ b/entry/stage.go
@@ -43,9 +43,9 @@
 		if refused.Reason == domain.ReasonDraining {
 			e.schedulers.get(s.Member.Service).setDraining(s.Member.Host) // until its next heartbeat, which reports it too
 		}
-		return wire.Outcome{AttemptRef: r.AttemptRef, Ran: refused.Ran, Reason: refused.Reason, Detail: refused.Detail}
+		return wire.Outcome{AttemptRef: r.AttemptRef, Execution: refused.Execution, Reason: refused.Reason, Detail: refused.Detail}
 	case errors.Is(err, wire.ErrNotSent):
-		return wire.Outcome{AttemptRef: r.AttemptRef, Ran: domain.NotRun, Reason: domain.ReasonNoUpstream, Detail: "no connection to the side"}
+		return wire.Outcome{AttemptRef: r.AttemptRef, Execution: domain.NotRun, Reason: domain.ReasonNoUpstream, Detail: "no connection to the side"}
 	case ctx.Err() != nil:
 		return e.abandon(ctx, s, r)
 	}
@@ -67,7 +67,7 @@
 	for time.Now().Before(until) && ctx.Err() == nil {
 		a := wire.AttachRequest{AttemptRef: r.AttemptRef}
 		if st != nil {
-			a.From = st.nextOffset()
+			a.FromOffset = st.nextOffset()
 		}
 		var out wire.Outcome
 		err := s.Call(ctx, wire.MethodAttach, a, &out)
@@ -84,7 +84,7 @@
 		return e.abandon(ctx, s, r)
 	}
 	return wire.Outcome{
-		AttemptRef: r.AttemptRef, Ran: domain.Unknown, Reason: domain.ReasonLost,
+		AttemptRef: r.AttemptRef, Execution: domain.Unknown, Reason: domain.ReasonLost,
 		Detail: "the side was lost while it had the work",
 	}
 }
@@ -93,14 +93,14 @@
 // execution that the side reports, if the side replies, and unknown otherwise. It cancels
 // completion work that may have run.
 func (e *Entry) abandon(ctx context.Context, s *peers.Link, r wire.RunRequest) wire.Outcome {
-	out := wire.Outcome{AttemptRef: r.AttemptRef, Ran: domain.Unknown, Reason: domain.ReasonOf(ctx)}
+	out := wire.Outcome{AttemptRef: r.AttemptRef, Execution: domain.Unknown, Reason: domain.ReasonOf(ctx)}
 	settleCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout)
 	defer cancel()
 	var reported wire.Outcome
 	if s.Call(settleCtx, wire.MethodSettle, r.AttemptRef, &reported) == nil {
-		out.Ran = reported.Ran
+		out.Execution = reported.Execution
 	}
-	if r.Stage != wire.StageCall && out.Ran != domain.NotRun {
+	if r.Stage != wire.StageCall && out.Execution != domain.NotRun {
 		e.cancel(s, r.AttemptRef)
 	}
 	return out
--- a/entry/stream.go
+++ b/entry/stream.go
@@ -93,10 +93,10 @@
 	case wire.MethodEvidence:
 		e.mergeEvidence(params)
 		return
-	case wire.MethodOwned:
+	case wire.MethodOwnedShards:
 		e.handleOwned(p.RemoteHello().Host, params)
 		return
-	case wire.MethodCache:
+	case wire.MethodCacheEvents:
 		e.handleCacheEvents(p.RemoteHello(), params)
 		return
 	case wire.MethodFrame:
@@ -123,7 +123,7 @@
 	if side == nil || side.Peer() != p {
 		return
 	}
-	e.schedulers.get(p.RemoteHello().Service).update(p.RemoteHello(), b, side.Leaving.Load())
+	e.schedulers.get(p.RemoteHello().Service).update(p.RemoteHello(), b, side.HostLeaving.Load())
 }
 
 // handleCacheEvents passes an engine's cache events to the scheduler of its service.
--- a/entry/tables.go
+++ b/entry/tables.go
@@ -106,7 +106,7 @@
 	defer cancel()
 	asked := time.Now()
 	var got wire.Table
-	err := s.Call(ctx, wire.MethodTable, wire.TableRequest{Have: uint64(e.tables.Version())}, &got)
+	err := s.Call(ctx, wire.MethodTable, wire.TableRequest{HaveVersion: uint64(e.tables.Version())}, &got)
 	if err != nil {
 		return false
 	}
@@ -141,7 +141,7 @@
 func (e *Entry) handleTableRequest(a wire.TableRequest) (any, error) {
 	t := e.tables.Table()
 	got := wire.Table{Version: uint64(t.Version())}
-	if got.Version <= a.Have {
+	if got.Version <= a.HaveVersion {
 		return got, nil
 	}
 	text, err := t.Encode()
@@ -156,7 +156,7 @@
 func (e *Entry) handleTableOffer(got wire.Table, from domain.Host) (any, error) {
 	t, err := table.Decode(got.Value)
 	if err != nil {
-		return nil, &wire.RefusalError{Reason: domain.ReasonBadInput, Ran: domain.NotRun, Detail: err.Error()}
+		return nil, &wire.RefusalError{Reason: domain.ReasonBadInput, Execution: domain.NotRun, Detail: err.Error()}
 	}
 	if e.tables.UpdatePushed(t.WithVersion(table.Version(got.Version))) {
 		e.Log.Info("table in force", "version", got.Version, "rows", t.Len(), "from", from)
@@ -182,7 +182,7 @@
 	results := make(chan error, len(others))
 	for _, o := range others {
 		e.background.Go(ctx, "spread", func(ctx context.Context) error {
-			results <- o.Call(ctx, wire.MethodOffer, wire.Table{Version: uint64(t.Version()), Value: text}, nil)
+			results <- o.Call(ctx, wire.MethodPushTable, wire.Table{Version: uint64(t.Version()), Value: text}, nil)
 			return nil
 		})
 	}
--- a/entry/turn.go
+++ b/entry/turn.go
@@ -45,8 +45,8 @@
 	}
 	t.job = route.Job{
 		Weights:    e.zoneWeights(r),
-		MayPrefill: r.preferUntried(e.sides.Members(r.service, domain.RolePrefill), nil),
-		MayDecode:  r.preferUntried(e.sides.Members(r.service, runRole), t.mayRunKey),
+		MayPrefill: r.preferUntried(e.sides.HostsWithRole(r.service, domain.RolePrefill), nil),
+		MayDecode:  r.preferUntried(e.sides.HostsWithRole(r.service, runRole), t.mayRunKey),
 	}
 	if t.plain {
 		t.item.TotalLatency = first
@@ -180,7 +180,7 @@
 	defer cancel()
 	return s.Call(ctx, wire.MethodReserve, wire.ReserveRequest{
 		AttemptRef: wire.AttemptRef{Request: r.id, Attempt: r.attempt, Stage: wire.StageDecode},
-		Tokens:     r.promptTokens + r.maxTokens, Hold: admit.ReservationTTL, Identity: r.identity,
+		Tokens:     r.promptTokens + r.maxTokens, TTL: admit.ReservationTTL, Identity: r.identity,
 	}, new(wire.ReserveReply))
 }
 
--- a/entry/unserved.go
+++ b/entry/unserved.go
@@ -28,7 +28,7 @@
 				Reason: domain.ReasonNoUpstream, Detail: "no upstream of the service takes work", RetryAfter: 2 * time.Second,
 			})
 		}
-		s.refuseUnserved(now, e.sides.Usable(name))
+		s.refuseUnserved(now, e.sides.UsableHosts(name))
 		s.mu.Unlock()
 	}
 }
--- a/fakes/apps/calls.go
+++ b/fakes/apps/calls.go
@@ -42,9 +42,9 @@
 type Reply struct {
 	Request domain.RequestID `json:"request"`
 	Key     string           `json:"key"`
-	// Run is the number of executions with the key so far, including this one.
-	Run  int    `json:"run"`
-	Echo string `json:"echo"`
+	// RunCount is the number of executions with the key so far, including this one.
+	RunCount int    `json:"run"`
+	Echo     string `json:"echo"`
 }
 
 // Echo returns the value of Reply.Echo for a call with this method, path with query,
@@ -95,7 +95,7 @@
 		return
 	}
 	serve.WriteJSON(w, http.StatusOK, Reply{
-		Request: run.Request, Key: run.Key, Run: count, Echo: Echo(r.Method, r.RequestURI, body),
+		Request: run.Request, Key: run.Key, RunCount: count, Echo: Echo(r.Method, r.RequestURI, body),
 	})
 }
 
--- a/fakes/model/cache.go
+++ b/fakes/model/cache.go
@@ -27,7 +27,7 @@
 	if run.Outcome != "" {
 		return engine.KV{}, false
 	}
-	run.setOutcome(Done)
+	run.setOutcome(OutcomeDone)
 	m.running[run](nil)
 	delete(m.running, run)
 	e.lastHandle++
--- a/fakes/model/decode.go
+++ b/fakes/model/decode.go
@@ -39,19 +39,19 @@
 	}
 	t, err := e.importKV(ctx, o.KV)
 	if cause := context.Cause(ctx); cause != nil {
-		e.finishRun(m, run, Cancelled)
+		e.finishRun(m, run, OutcomeCancelled)
 		writeCancelled(w, cause)
 		return
 	}
 	if err != nil {
-		e.finishRun(m, run, Evicted)
+		e.finishRun(m, run, OutcomeEvicted)
 		writeEvicted(w, err.Error())
 		return
 	}
 	s := stream{w: w, controller: http.NewResponseController(w)}
 	s.flush()
 	if err := e.decodeTokens(ctx, m, run, t, o.MaxTokens, &s); err != nil {
-		e.finishRun(m, run, Cancelled)
+		e.finishRun(m, run, OutcomeCancelled)
 		serve.AbortConn()
 	}
 }
@@ -69,7 +69,7 @@
 		}
 		e.addTokens(run, 1)
 		last := i == count-1
-		if last && !e.finishRun(m, run, Done) {
+		if last && !e.finishRun(m, run, OutcomeDone) {
 			return errCancelled
 		}
 		s.write(engine.Token{Offset: i, Text: TokenAt(t.Seed, i), Last: last})
--- a/fakes/model/model.go
+++ b/fakes/model/model.go
@@ -160,7 +160,7 @@
 	e.mu.Lock()
 	old := e.volatile
 	for r := range old.running {
-		r.setOutcome(Crashed)
+		r.setOutcome(OutcomeCrashed)
 	}
 	e.resetState()
 	e.mu.Unlock()
--- a/fakes/model/model_test.go
+++ b/fakes/model/model_test.go
@@ -79,7 +79,7 @@
 		kv, _ = prefill(t, e, engine.PrefillRequest{Request: "slow", Prompt: "p", PromptTokens: 1000})
 		w = call(t, e, http.MethodPost, "/decode", engine.DecodeRequest{Request: "slow", KV: kv, MaxTokens: 2})
 		require.Equal(t, http.StatusGone, w.Code, "the transfer takes 1 s, the cache is evicted after 0.8 s")
-		require.Equal(t, Evicted, e.Runs()[3].Outcome)
+		require.Equal(t, OutcomeEvicted, e.Runs()[3].Outcome)
 	})
 }
 
@@ -140,7 +140,7 @@
 		require.Zero(t, e.CurrentState().UsedTokens)
 		<-ended
 		run := e.Runs()[1]
-		require.Equal(t, Cancelled, run.Outcome)
+		require.Equal(t, OutcomeCancelled, run.Outcome)
 		require.Less(t, run.Tokens, 200)
 	})
 }
--- a/fakes/model/orders.go
+++ b/fakes/model/orders.go
@@ -81,7 +81,7 @@
 	m := e.volatile
 	for run, stop := range m.running {
 		if run.Request == o.Request {
-			run.setOutcome(Cancelled)
+			run.setOutcome(OutcomeCancelled)
 			stop(errCancelled)
 			delete(m.running, run)
 		}
--- a/fakes/model/prefill.go
+++ b/fakes/model/prefill.go
@@ -33,7 +33,7 @@
 		return
 	}
 	if err := e.fillCache(ctx, m, run, o); err != nil {
-		e.finishRun(m, run, Cancelled)
+		e.finishRun(m, run, OutcomeCancelled)
 		writeCancelled(w, err)
 		return
 	}
--- a/fakes/model/runs.go
+++ b/fakes/model/runs.go
@@ -13,10 +13,10 @@
 // Outcomes of a run. Evicted is the outcome of a decode that could not import its KV
 // cache, which the prefill engine may have evicted.
 const (
-	Done      Outcome = "done"
-	Cancelled Outcome = "cancelled"
-	Crashed   Outcome = "crashed"
-	Evicted   Outcome = "evicted"
+	OutcomeDone      Outcome = "done"
+	OutcomeCancelled Outcome = "cancelled"
+	OutcomeCrashed   Outcome = "crashed"
+	OutcomeEvicted   Outcome = "evicted"
 )
 
 // Run is a prefill or decode that the engine started. Runs are kept across crashes, so
--- a/fakes/store/store.go
+++ b/fakes/store/store.go
@@ -29,8 +29,8 @@
 type Fault struct {
 	// Down answers each call with 503 and does not execute it.
 	Down bool `json:"down,omitempty"`
-	// Cut closes the connection of each call and does not execute it.
-	Cut bool `json:"cut,omitempty"`
+	// CloseConns closes the connection of each call and does not execute it.
+	CloseConns bool `json:"cut,omitempty"`
 	// Frozen blocks each call until the fault is cleared. The call is then
 	// executed, even if its caller has disconnected.
 	Frozen bool `json:"frozen,omitempty"`
@@ -48,9 +48,9 @@
 	HostLag time.Duration `json:"host_lag,omitempty"`
 }
 
-// Counts holds the number of calls to the platform by kind of call; a watch counts as
+// CallCounts holds the number of calls to the platform by kind of call; a watch counts as
 // one call, however long it waits.
-type Counts struct {
+type CallCounts struct {
 	Get     int `json:"get"`
 	List    int `json:"list"`
 	Watch   int `json:"watch"`
@@ -81,7 +81,7 @@
 
 	mu            sync.Mutex
 	fault         Fault
-	counts        Counts
+	counts        CallCounts
 	writes, reads callCounter
 	lastVersion   infra.Version
 	objects       map[string]object
@@ -129,7 +129,7 @@
 }
 
 // Counts returns the number of calls so far.
-func (p *Platform) Counts() Counts {
+func (p *Platform) Counts() CallCounts {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.counts
@@ -153,7 +153,7 @@
 		}
 		f := p.Fault()
 		switch {
-		case f.Cut:
+		case f.CloseConns:
 			serve.AbortConn()
 		case f.Down:
 			http.Error(w, "the platform is down", http.StatusServiceUnavailable)
--- a/feed/feed.go
+++ b/feed/feed.go
@@ -238,9 +238,9 @@
 // maxUndecodable bounds the number of items in Feed.undecodable.
 const maxUndecodable = 1000
 
-// Age returns the time since the source last answered, and false if it never did. It may
+// AnswerAge returns the time since the source last answered, and false if it never did. It may
 // be called from any goroutine.
-func (f *Feed[T]) Age(now time.Time) (time.Duration, bool) {
+func (f *Feed[T]) AnswerAge(now time.Time) (time.Duration, bool) {
 	lastAnswer := f.lastAnswer.Load()
 	if lastAnswer == nil {
 		return 0, false
--- a/feed/feed_test.go
+++ b/feed/feed_test.go
@@ -169,7 +169,7 @@
 	s := &source{revision: 5, changed: make(chan struct{}, 1)}
 	f, h := startFeed(t, s)
 	<-h.listed
-	age, known := f.Age(time.Now())
+	age, known := f.AnswerAge(time.Now())
 	require.True(t, known)
 	require.Less(t, age, 5*time.Second)
 	s.update(func() {
--- a/fence/fence.go
+++ b/fence/fence.go
@@ -23,11 +23,11 @@
 //
 //	g := fence.Guard{Holder: host, Incarnation: incarnation}
 //	switch a := g.Next(now); a.Kind {
-//	case fence.Read:  // read the record
+//	case fence.ReadRecord:  // read the record
 //		g.Observe(now, record, version)
-//	case fence.Write: // sent := now; write a.Record if at version a.Version
+//	case fence.WriteRecord: // sent := now; write a.Record if at version a.Version
 //		g.WriteSucceeded(sent, version) // or g.WriteConflicted() or g.RequestFailed(now)
-//	case fence.Wait:  // call Next again at a.Until
+//	case fence.WaitUntil:  // call Next again at a.Until
 //	}
 //	token, err := g.Issue(now)         // before an order, which carries the token
 //	err = g.Complete(now, token)       // after it
@@ -108,9 +108,9 @@
 
 // The kinds of actions: read the lease's record, write it, or wait.
 const (
-	Read  ActionKind = "read"
-	Write ActionKind = "write"
-	Wait  ActionKind = "wait"
+	ReadRecord  ActionKind = "read"
+	WriteRecord ActionKind = "write"
+	WaitUntil   ActionKind = "wait"
 )
 
 // Action is the action that the caller of Next must perform. Record and Version are set for
@@ -138,9 +138,9 @@
 type Guard struct {
 	Holder      domain.Host
 	Incarnation domain.Incarnation
-	// Fresh reports that the platform's store was just set up, so that no process can have
+	// FreshStore reports that the platform's store was just set up, so that no process can have
 	// held the lease before in the era that is read first.
-	Fresh bool
+	FreshStore bool
 
 	state         leaseState
 	version       epoch.Position // of the record as last read or written
@@ -168,19 +168,19 @@
 	}
 	switch {
 	case now.Before(g.retryAt):
-		return Action{Kind: Wait, Until: g.retryAt}
+		return Action{Kind: WaitUntil, Until: g.retryAt}
 	case g.state == stateUnread:
-		return Action{Kind: Read}
+		return Action{Kind: ReadRecord}
 	case g.state == stateWaiting:
 		// The last holder may be alive and not have noticed yet that its lease has expired.
 		// Its TTL, measured from this process's first read of its renewal and lengthened by
 		// the clock drift, ends after the holder's own measurement.
 		if end := g.firstReadAt.Add(g.waitFor); now.Before(end) {
-			return Action{Kind: Wait, Until: end}
+			return Action{Kind: WaitUntil, Until: end}
 		}
-		return Action{Kind: Read}
+		return Action{Kind: ReadRecord}
 	case g.state == stateHolding && now.Before(g.renewalSentAt.Add(RenewInterval)):
-		return Action{Kind: Wait, Until: g.renewalSentAt.Add(RenewInterval)}
+		return Action{Kind: WaitUntil, Until: g.renewalSentAt.Add(RenewInterval)}
 	}
 	return g.newWrite(now)
 }
@@ -192,7 +192,7 @@
 		g.unconfirmed = make(map[uint64]time.Time)
 	}
 	g.unconfirmed[g.nonce] = now
-	return Action{Kind: Write, Version: g.version, Record: Record{Holder: g.Holder, Incarnation: g.Incarnation, Nonce: g.nonce}}
+	return Action{Kind: WriteRecord, Version: g.version, Record: Record{Holder: g.Holder, Incarnation: g.Incarnation, Nonce: g.nonce}}
 }
 
 // Observe processes a read of the record; answered is when the reply arrived. A version
@@ -230,7 +230,7 @@
 // neverRestored reports whether the store cannot have been restored from an older snapshot
 // before that version.
 func (g *Guard) neverRestored(version epoch.Position) bool {
-	freshStore := g.Fresh && version.Era() <= setUpEra && (!g.hasRead || version.Era() == g.firstEra)
+	freshStore := g.FreshStore && version.Era() <= setUpEra && (!g.hasRead || version.Era() == g.firstEra)
 	return freshStore || !version.MayBeRestored()
 }
 
--- a/fence/fence_test.go
+++ b/fence/fence_test.go
@@ -153,7 +153,7 @@
 // sendNext sends the guard's next request to the platform, with random delay and loss.
 func (s *simulation) sendNext(h *host, now time.Time) {
 	action := h.guard.Next(now)
-	if action.Kind == Wait {
+	if action.Kind == WaitUntil {
 		return
 	}
 	maxDelay := tick / 2
@@ -172,7 +172,7 @@
 		return
 	}
 	c.done = true
-	if c.action.Kind == Read {
+	if c.action.Kind == ReadRecord {
 		c.record, c.version = s.record, s.position()
 		return
 	}
@@ -200,7 +200,7 @@
 		h.guard = Guard{Holder: h.guard.Holder, Incarnation: h.guard.Incarnation + 1}
 	case c.replyLost:
 		h.guard.RequestFailed(now)
-	case c.action.Kind == Read:
+	case c.action.Kind == ReadRecord:
 		h.guard.Observe(now, c.record, c.version)
 	case c.conflict:
 		h.guard.WriteConflicted()
@@ -232,7 +232,7 @@
 	s.restoreInterval = restoreInterval
 	for i, rate := range []float64{1, 0.996, 1.004} {
 		h := &host{rate: rate, unguarded: unguarded}
-		h.guard.Fresh = true
+		h.guard.FreshStore = true
 		h.guard.Holder, h.guard.Incarnation = domain.Host([]string{"a", "b", "c"}[i]), 1
 		s.hosts = append(s.hosts, h)
 	}
@@ -288,10 +288,10 @@
 func TestGuardStopsIssuingBeforeSuccessorHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := Guard{Holder: "a", Incarnation: 1}, Guard{Holder: "b", Incarnation: 1}
-		require.Equal(t, Read, a.Next(start).Kind)
+		require.Equal(t, ReadRecord, a.Next(start).Kind)
 		a.Observe(start, Record{}, 0)
 		w := a.Next(start)
-		require.Equal(t, Write, w.Kind)
+		require.Equal(t, WriteRecord, w.Kind)
 		a.WriteSucceeded(start, 1)
 		first, err := a.Issue(start)
 		require.NoError(t, err)
@@ -299,7 +299,7 @@
 		seen := start.Add(time.Duration(rapid.IntRange(0, 5000).Draw(t, "seen")) * time.Millisecond)
 		b.Observe(seen, w.Record, 1)
 		wait := b.Next(seen)
-		require.Equal(t, Wait, wait.Kind)
+		require.Equal(t, WaitUntil, wait.Kind)
 		lastOrder := start
 		for now := start; now.Before(wait.Until); now = now.Add(tick) {
 			require.False(t, b.Holds(now))
@@ -308,9 +308,9 @@
 			}
 		}
 		require.LessOrEqual(t, OrderTimeout, wait.Until.Sub(lastOrder))
-		require.Equal(t, Read, b.Next(wait.Until).Kind, "re-reads before it starts")
+		require.Equal(t, ReadRecord, b.Next(wait.Until).Kind, "re-reads before it starts")
 		b.Observe(wait.Until, w.Record, 1)
-		require.Equal(t, Action{Write, Record{Holder: "b", Incarnation: 1, Nonce: 1}, 1, time.Time{}}, b.Next(wait.Until))
+		require.Equal(t, Action{WriteRecord, Record{Holder: "b", Incarnation: 1, Nonce: 1}, 1, time.Time{}}, b.Next(wait.Until))
 		b.WriteSucceeded(wait.Until, 2)
 		second, err := b.Issue(wait.Until)
 		require.NoError(t, err)
@@ -330,9 +330,9 @@
 	w := g.Next(start)
 	g.RequestFailed(start.Add(time.Second))
 	require.False(t, g.Holds(start.Add(time.Second)))
-	require.Equal(t, Wait, g.Next(start.Add(time.Second)).Kind)
+	require.Equal(t, WaitUntil, g.Next(start.Add(time.Second)).Kind)
 	now := start.Add(2 * time.Second)
-	require.Equal(t, Read, g.Next(now).Kind)
+	require.Equal(t, ReadRecord, g.Next(now).Kind)
 	g.Observe(now, w.Record, 1)
 	require.True(t, g.Holds(now))
 	require.False(t, g.Holds(start.Add(TTL-OrderTimeout)), "counted from the write, not from the reading")
@@ -340,9 +340,9 @@
 	// Paused beyond its lease, with no other holder since: the process does not wait for
 	// itself.
 	now = start.Add(time.Minute)
-	require.Equal(t, Read, g.Next(now).Kind)
+	require.Equal(t, ReadRecord, g.Next(now).Kind)
 	g.Observe(now, w.Record, 1)
-	require.Equal(t, Write, g.Next(now).Kind)
+	require.Equal(t, WriteRecord, g.Next(now).Kind)
 	g.WriteSucceeded(now, 2)
 	n, err := g.Issue(now)
 	require.NoError(t, err)
@@ -368,16 +368,16 @@
 	_, again := a.Release(now)
 	require.False(t, again)
 
-	require.Equal(t, Wait, b.Next(now).Kind)
+	require.Equal(t, WaitUntil, b.Next(now).Kind)
 	b.Invalidate()
-	require.Equal(t, Read, b.Next(now).Kind)
+	require.Equal(t, ReadRecord, b.Next(now).Kind)
 	b.Observe(now, w.Record, 2)
 	wait := b.Next(now)
-	require.Equal(t, Wait, wait.Kind)
+	require.Equal(t, WaitUntil, wait.Kind)
 	require.GreaterOrEqual(t, wait.Until.Sub(now), OrderTimeout)
 	require.Less(t, wait.Until.Sub(now), TTL)
 	b.Observe(wait.Until, w.Record, 2)
-	require.Equal(t, Write, b.Next(wait.Until).Kind)
+	require.Equal(t, WriteRecord, b.Next(wait.Until).Kind)
 	b.WriteSucceeded(wait.Until, 3)
 	require.True(t, b.Holds(wait.Until))
 }
--- a/fence/restore_test.go
+++ b/fence/restore_test.go
@@ -37,7 +37,7 @@
 				w := newSimulation(uint64(stopped))
 				for _, name := range []domain.Host{"a", "b"} {
 					h := &host{rate: 1}
-					h.guard.Fresh = true
+					h.guard.FreshStore = true
 					h.guard.Holder, h.guard.Incarnation = name, 1
 					w.hosts = append(w.hosts, h)
 				}
@@ -68,9 +68,9 @@
 	c = Guard{Holder: "c", Incarnation: 1}
 	c.Observe(start, released, epoch.New(0, 40))
 	require.Less(t, c.Next(start).Until.Sub(start), TTL, "no eras are counted")
-	c = Guard{Holder: "c", Incarnation: 1, Fresh: true}
+	c = Guard{Holder: "c", Incarnation: 1, FreshStore: true}
 	c.Observe(start, Record{}, epoch.New(1, 0))
-	require.Equal(t, Write, c.Next(start).Kind, "the store was just set up")
+	require.Equal(t, WriteRecord, c.Next(start).Kind, "the store was just set up")
 	c = Guard{Holder: "c", Incarnation: 1}
 	c.Observe(start, Record{}, epoch.New(1, 0))
 	require.GreaterOrEqual(t, c.Next(start).Until.Sub(start), TTL, "the snapshot may lack the record")
--- a/infra/http_test.go
+++ b/infra/http_test.go
@@ -102,7 +102,7 @@
 		want  error
 	}{
 		"down": {store.Fault{Down: true}, infra.ErrRefused},
-		"cut":  {store.Fault{Cut: true}, infra.ErrNoReply},
+		"cut":  {store.Fault{CloseConns: true}, infra.ErrNoReply},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var p store.Platform
--- a/inject/inject.go
+++ b/inject/inject.go
@@ -5,7 +5,7 @@
 //
 // # Usage
 //
-//	e := entry.Entry{FaultHook: inject.Fault{Point: inject.EntryReserved, Action: inject.Exit}.Hook()}
+//	e := entry.Entry{FaultHook: inject.Fault{Point: inject.EntryReserved, Action: inject.ExitProcess}.Hook()}
 //
 // A nil hook does nothing.
 package inject
@@ -75,10 +75,10 @@
 
 // The actions of a Fault.
 const (
-	// Exit ends the process at once, like SIGKILL.
-	Exit Action = "exit"
-	// Pause stops the process until it receives SIGCONT.
-	Pause Action = "pause"
+	// ExitProcess ends the process at once, like SIGKILL.
+	ExitProcess Action = "exit"
+	// PauseProcess stops the process until it receives SIGCONT.
+	PauseProcess Action = "pause"
 )
 
 // exitCode is the exit status of a process that was killed by SIGKILL.
@@ -93,7 +93,7 @@
 // UnmarshalText parses ACTION:STEP, where STEP is a Point, as in exit:side_handed.
 func (f *Fault) UnmarshalText(text []byte) error {
 	action, point, found := strings.Cut(string(text), ":")
-	if !found || Action(action) != Exit && Action(action) != Pause {
+	if !found || Action(action) != ExitProcess && Action(action) != PauseProcess {
 		return errors.Errorf("inject: fault is not exit:STEP or pause:STEP: %q", text)
 	}
 	for _, s := range append(EntryPoints(), SidePoints()...) {
@@ -115,7 +115,7 @@
 		if s != f.Point || triggered.Swap(true) {
 			return
 		}
-		if f.Action == Exit {
+		if f.Action == ExitProcess {
 			os.Exit(exitCode)
 		}
 		_ = syscall.Kill(os.Getpid(), syscall.SIGSTOP)
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -95,11 +95,11 @@
 // Step performs one action of the guard and returns the delay until the next Step.
 func (k *Keeper) Step(ctx context.Context) time.Duration {
 	switch action := k.Guard.Next(k.now()); action.Kind {
-	case fence.Read:
+	case fence.ReadRecord:
 		k.readRecord(ctx)
-	case fence.Write:
+	case fence.WriteRecord:
 		k.writeRecord(ctx, action)
-	case fence.Wait:
+	case fence.WaitUntil:
 		return action.Until.Sub(k.now())
 	}
 	return 0
--- a/member/member.go
+++ b/member/member.go
@@ -63,8 +63,8 @@
 	Claims claim.Record `json:"claims"`
 }
 
-// Name returns the name of a service's record in the object API.
-func Name(s domain.Service) string { return "members/" + string(s) }
+// RecordName returns the name of a service's record in the object API.
+func RecordName(s domain.Service) string { return "members/" + string(s) }
 
 // With returns the record with m in place of an earlier incarnation of its host, and
 // reports whether that changes the record.
@@ -97,12 +97,12 @@
 		return
 	}
 	if previous.Version == 0 {
-		r.Claims = claim.Record{Generation: claim.Generation{Version: 1, First: true, Members: list}}
+		r.Claims = claim.Record{Generation: claim.Generation{Version: 1, CreatedObject: true, Members: list}}
 		return
 	}
 	r.Claims = previous.Next(list)
 	r.Claims.Version = previous.Version + 1
-	r.Claims.Past = dropOldGenerations(r.Claims.Past)
+	r.Claims.PastGenerations = dropOldGenerations(r.Claims.PastGenerations)
 }
 
 // maxPastMembers bounds the members in all past generations together; at about 60 bytes
@@ -121,12 +121,12 @@
 	return past
 }
 
-// ExecutesWork reports whether work takes effect or is answered at the member's upstream,
+// RunsRequests reports whether work takes effect or is answered at the member's upstream,
 // so that the member must remember what it ran.
-func (m Member) ExecutesWork() bool { return m.Role == domain.RoleDecode || m.Role == domain.RoleApp }
+func (m Member) RunsRequests() bool { return m.Role == domain.RoleDecode || m.Role == domain.RoleApp }
 
 // OwnsShards reports whether the member owns shards and runs claimed requests.
-func (m Member) OwnsShards() bool { return m.ExecutesWork() && !m.Draining }
+func (m Member) OwnsShards() bool { return m.RunsRequests() && !m.Draining }
 
 // SameProcess reports whether m and o are the same incarnation of a process at the same
 // address.
@@ -164,7 +164,7 @@
 
 // Read returns a service's record; it is empty if the service has none yet.
 func Read(ctx context.Context, objects infra.Objects, s domain.Service) (Record, error) {
-	object, err := objects.Get(ctx, Name(s))
+	object, err := objects.Get(ctx, RecordName(s))
 	if errors.Is(err, infra.ErrNotFound) {
 		return Record{Service: s}, nil
 	}
@@ -202,7 +202,7 @@
 		if err != nil {
 			return Record{}, errors.Wrap(err, "member: encode record")
 		}
-		version, err := objects.Put(ctx, Name(s), value, current.Version)
+		version, err := objects.Put(ctx, RecordName(s), value, current.Version)
 		if err == nil {
 			next.Version = version
 			return next, nil
@@ -247,7 +247,7 @@
 func Watch(ctx context.Context, objects infra.Objects, s domain.Service, apply func(Record) bool, fallback func(context.Context, Record) Record) error {
 	var applied Record
 	for ctx.Err() == nil {
-		object, err := objects.Watch(ctx, Name(s), applied.Version, WatchWait)
+		object, err := objects.Watch(ctx, RecordName(s), applied.Version, WatchWait)
 		if err == nil {
 			next, err := Parse(object)
 			if err == nil && apply(next) {
--- a/pacer/observation.go
+++ b/pacer/observation.go
@@ -9,8 +9,8 @@
 	// Sent is when the request was sent, and Received when its answer was received. The
 	// upstream stated the limit between the two.
 	Sent, Received time.Time
-	// Since is when a limit of any rate was first observed; zero means Received.
-	Since time.Time
+	// LimitedSince is when a limit of any rate was first observed; zero means Received.
+	LimitedSince time.Time
 }
 
 // ObservationAge is an Observation as sent to another process: ages in place of times, since
@@ -37,7 +37,7 @@
 // was. Negative ages count as zero, so that Received is not after now.
 func (a ObservationAge) At(now time.Time) Observation {
 	ago := func(age time.Duration) time.Time { return now.Add(-max(age, 0)) }
-	return Observation{Rate: a.Rate, Sent: ago(a.Sent).Add(-maxTransitTime), Received: ago(a.Received), Since: ago(a.Since)}
+	return Observation{Rate: a.Rate, Sent: ago(a.Sent).Add(-maxTransitTime), Received: ago(a.Received), LimitedSince: ago(a.Since)}
 }
 
 // Add returns the observation with all ages increased by d.
@@ -46,10 +46,10 @@
 }
 
 func (s Observation) since() time.Time {
-	if s.Since.IsZero() {
+	if s.LimitedSince.IsZero() {
 		return s.Received
 	}
-	return s.Since
+	return s.LimitedSince
 }
 
 // LimitState holds the observation of an upstream's rate limit that is in force; see Observe. The
@@ -73,9 +73,9 @@
 	case overlaps && s.Rate == previous.Rate && s.Received.Before(previous.Received):
 		return false
 	}
-	s.Since = s.since()
-	if s.Rate.Limited() && previous.Rate.Limited() && previous.Since.Before(s.Since) {
-		s.Since = previous.Since
+	s.LimitedSince = s.since()
+	if s.Rate.Limited() && previous.Rate.Limited() && previous.LimitedSince.Before(s.LimitedSince) {
+		s.LimitedSince = previous.LimitedSince
 	}
 	b.current = s
 	return s.Rate != previous.Rate
--- a/paths/holder.go
+++ b/paths/holder.go
@@ -38,9 +38,9 @@
 // Current returns the configuration in force, or nil before the first Update.
 func (h *Holder) Current() *Config { return h.current.Load() }
 
-// Since returns when this process put the present configuration in force, or the zero time
+// InForceSince returns when this process put the present configuration in force, or the zero time
 // before the first Update.
-func (h *Holder) Since() time.Time {
+func (h *Holder) InForceSince() time.Time {
 	if at := h.inForceSince.Load(); at != nil {
 		return *at
 	}
--- a/peers/peers.go
+++ b/peers/peers.go
@@ -30,9 +30,9 @@
 	Member member.Member
 	wire.Link
 	stopRun context.CancelFunc
-	// Leaving reports that the host list marks the member's host as leaving. The host list
+	// HostLeaving reports that the host list marks the member's host as leaving. The host list
 	// lags behind the hosts' state.
-	Leaving atomic.Bool
+	HostLeaving atomic.Bool
 	// removed reports that the service's record does not list the member any more.
 	removed atomic.Bool
 }
@@ -42,7 +42,7 @@
 // upstream.
 func (l *Link) Usable() bool {
 	peer := l.Peer()
-	if peer == nil || l.Leaving.Load() || l.removed.Load() {
+	if peer == nil || l.HostLeaving.Load() || l.removed.Load() {
 		return false
 	}
 	heartbeat, received := peer.LastHeartbeat()
@@ -251,8 +251,8 @@
 	return usable[domain.RoleApp] || usable[domain.RolePrefill] && usable[domain.RoleDecode]
 }
 
-// Usable returns the hosts of a service's members that may receive new work.
-func (d *Directory) Usable(s domain.Service) []domain.Host {
+// UsableHosts returns the hosts of a service's members that may receive new work.
+func (d *Directory) UsableHosts(s domain.Service) []domain.Host {
 	var hosts []domain.Host
 	for _, l := range d.ForService(s) {
 		if l.Usable() {
@@ -269,8 +269,8 @@
 	return d.byHost[h]
 }
 
-// Members returns the hosts in a service's record that have the role.
-func (d *Directory) Members(s domain.Service, r domain.Role) []domain.Host {
+// HostsWithRole returns the hosts in a service's record that have the role.
+func (d *Directory) HostsWithRole(s domain.Service, r domain.Role) []domain.Host {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var hosts []domain.Host
--- a/peers/peers_test.go
+++ b/peers/peers_test.go
@@ -37,7 +37,7 @@
 		Hello:             wire.Hello{Host: h, Role: string(r), Service: "logwriter", Incarnation: i},
 		HeartbeatInterval: 10 * time.Millisecond, HeartbeatTimeout: waitLimit,
 		Heartbeat: func() wire.Heartbeat {
-			return wire.Heartbeat{Draining: p.draining.Load(), Load: &wire.Load{Down: p.down.Load()}}
+			return wire.Heartbeat{Draining: p.draining.Load(), Load: &wire.UpstreamLoad{Down: p.down.Load()}}
 		},
 	}
 	go func() { served <- wire.Serve(ctx, listener, local) }()
@@ -136,7 +136,7 @@
 	serves := func() bool { return d.HasEveryRole("logwriter") && d.CanServe("logwriter") }
 	neither := func() bool { return !d.HasEveryRole("logwriter") && !d.CanServe("logwriter") }
 	eventually(t, serves)
-	for _, flag := range []*atomic.Bool{&prefill.draining, &decode.down, &d.Find("side-2").Leaving} {
+	for _, flag := range []*atomic.Bool{&prefill.draining, &decode.down, &d.Find("side-2").HostLeaving} {
 		flag.Store(true)
 		eventually(t, neither)
 		flag.Store(false)
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -85,8 +85,8 @@
 	OverQuota bool `json:"over,omitempty"`
 	// Wait is the time until the account can be granted a request, if it was not granted.
 	Wait time.Duration `json:"wait"`
-	// Level is the level of the bucket after the Take, in cost; a debt is negative.
-	Level float64 `json:"level"`
+	// BucketLevel is the level of the bucket after the Take, in cost; a debt is negative.
+	BucketLevel float64 `json:"level"`
 }
 
 // Bucket is a token bucket. The zero value is empty, and starts to refill on first use.
@@ -107,10 +107,10 @@
 	b.refill(now, l)
 	if b.level <= 0 {
 		wait := time.Duration((1 - b.level) / l.Rate * float64(time.Second))
-		return Decision{Wait: wait, Level: b.level}
+		return Decision{Wait: wait, BucketLevel: b.level}
 	}
 	b.level -= cost
-	return Decision{Granted: true, Level: b.level}
+	return Decision{Granted: true, BucketLevel: b.level}
 }
 
 // Refund returns the cost of a request that was not executed.
--- a/relay/fleet.go
+++ b/relay/fleet.go
@@ -47,8 +47,8 @@
 	Addr netip.AddrPort
 	// Cores is the number of processor cores of its host, which may be a fraction of a core.
 	Cores float64
-	// Since is when the process was first put on record.
-	Since time.Time
+	// RegisteredAt is when the process was first put on record.
+	RegisteredAt time.Time
 }
 
 // SelectRelays returns the members that watch the source for the whole fleet: those on the
@@ -324,9 +324,9 @@
 	slices.SortFunc(peers, func(a, b *Peer) int { return cmp.Compare(weight(a), weight(b)) })
 }
 
-// Seed sets the processes that act as relays until the members are known: first those at the
+// SetSeedPeers sets the processes that act as relays until the members are known: first those at the
 // recorded addresses of relays, then those at Seeds.
-func (f *Fleet) Seed(recorded []netip.AddrPort) {
+func (f *Fleet) SetSeedPeers(recorded []netip.AddrPort) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.isSeed, f.seedPeers = slices.Contains(recorded, f.SelfAddr), nil
@@ -367,8 +367,8 @@
 	return f.selected
 }
 
-// Others returns at most the given number of other processes, the largest hosts first.
-func (f *Fleet) Others(limit int) []*Peer {
+// OtherPeers returns at most the given number of other processes, the largest hosts first.
+func (f *Fleet) OtherPeers(limit int) []*Peer {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.others[:min(len(f.others), limit)]
--- a/relay/fleet_test.go
+++ b/relay/fleet_test.go
@@ -16,7 +16,7 @@
 	for i := range n {
 		m := Member{
 			Name: domain.Host(fmt.Sprintf("front-%d", i)), Zone: domain.Zone(fmt.Sprint("zone-", i%5)), Cores: 0.144,
-			Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), 7380), Since: testStart,
+			Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), 7380), RegisteredAt: testStart,
 		}
 		if i%7 == 0 {
 			m.Cores = 0.8
@@ -73,9 +73,9 @@
 	at := netip.MustParseAddrPort
 	f := &Fleet{Self: "front-1", SelfAddr: at("10.0.0.1:7"), Seeds: []netip.AddrPort{at("10.0.0.1:7"), at("10.0.0.9:7")}, Bootstrap: true}
 	require.True(t, f.plan(testStart).noRelays)
-	f.Seed(nil)
+	f.SetSeedPeers(nil)
 	require.True(t, f.plan(testStart).isRelay, "this process is a seed")
-	f.Seed([]netip.AddrPort{at("10.0.0.5:7")})
+	f.SetSeedPeers([]netip.AddrPort{at("10.0.0.5:7")})
 	require.False(t, f.plan(testStart).isRelay, "the recorded relays are other processes")
 	require.Len(t, f.RelayPeers(testStart), 2, "the recorded relays, then the seeds")
 	require.Equal(t, at("10.0.0.5:7"), f.RelayPeers(testStart)[0].Addr)
@@ -84,7 +84,7 @@
 	f.SetMembers(zonedMembers(5), true)
 	require.True(t, f.plan(testStart).noRelays, "a few processes watch the source themselves")
 	later := &Fleet{Self: "front-1", Seeds: f.Seeds}
-	later.Seed(nil)
+	later.SetSeedPeers(nil)
 	later.SetMembers(zonedMembers(5), false)
 	require.True(t, later.plan(testStart).noRelays, "without Bootstrap the members on record are complete")
 }
--- a/relay/owners.go
+++ b/relay/owners.go
@@ -42,7 +42,7 @@
 	defer f.mu.Unlock()
 	eligible := make([]*candidate, 0, len(f.candidates))
 	for _, k := range f.candidates {
-		if k.Since.Sub(f.firstSince) <= startWindow || now.Sub(k.Since) >= ownerDelay {
+		if k.RegisteredAt.Sub(f.firstSince) <= startWindow || now.Sub(k.RegisteredAt) >= ownerDelay {
 			eligible = append(eligible, k)
 		}
 	}
@@ -59,8 +59,8 @@
 func (f *Fleet) setCandidates(all []candidate) {
 	f.candidates, f.firstSince = nil, time.Time{}
 	for n, k := range all {
-		if n == 0 || k.Since.Before(f.firstSince) {
-			f.firstSince = k.Since
+		if n == 0 || k.RegisteredAt.Before(f.firstSince) {
+			f.firstSince = k.RegisteredAt
 		}
 		if k.Cores >= minCoresRatio*all[0].Cores {
 			f.candidates = append(f.candidates, &k)
--- a/relay/owners_test.go
+++ b/relay/owners_test.go
@@ -28,7 +28,7 @@
 // fifthsLarge returns n members, every fifth of them on a large host.
 func fifthsLarge(n int) (all []Member) {
 	for i := range n {
-		m := Member{Name: domain.Host(fmt.Sprintf("h%d", i)), Addr: netip.MustParseAddrPort(fmt.Sprintf("10.0.0.%d:7", i+1)), Cores: 0.144, Since: testStart}
+		m := Member{Name: domain.Host(fmt.Sprintf("h%d", i)), Addr: netip.MustParseAddrPort(fmt.Sprintf("10.0.0.%d:7", i+1)), Cores: 0.144, RegisteredAt: testStart}
 		if i%5 == 0 {
 			m.Cores = 0.8
 		}
@@ -85,7 +85,7 @@
 // wait before they treat it as an owner.
 func TestOwnersExcludeNewHostUntilOwnerDelay(t *testing.T) {
 	all := fifthsLarge(25)
-	added := Member{Name: "new", Addr: netip.MustParseAddrPort("10.0.1.1:7"), Cores: 0.8, Since: testStart.Add(time.Minute)}
+	added := Member{Name: "new", Addr: netip.MustParseAddrPort("10.0.1.1:7"), Cores: 0.8, RegisteredAt: testStart.Add(time.Minute)}
 	unaware := &Fleet{Self: "h1"}
 	unaware.SetMembers(all, true)
 	aware := newFleets([]domain.Host{"new", "h2"}, append(all, added))
@@ -93,9 +93,9 @@
 	for k := range 200 {
 		key := fmt.Sprintf("account-%d", k)
 		for _, f := range aware {
-			require.Equal(t, firstOwner(unaware, testStart, key), firstOwner(f, added.Since.Add(30*time.Second), key))
+			require.Equal(t, firstOwner(unaware, testStart, key), firstOwner(f, added.RegisteredAt.Add(30*time.Second), key))
 		}
-		if firstOwner(aware[0], added.Since.Add(time.Minute), key) == "new" {
+		if firstOwner(aware[0], added.RegisteredAt.Add(time.Minute), key) == "new" {
 			moved++
 		}
 	}
--- a/relay/poll.go
+++ b/relay/poll.go
@@ -12,8 +12,8 @@
 	"jacinthworks/send"
 )
 
-// Path is the URL path at which relays answer, followed by the collection's name.
-const Path = "/v1/feeds/"
+// URLPrefix is the URL path at which relays answer, followed by the collection's name.
+const URLPrefix = "/v1/feeds/"
 
 const (
 	// peerDialTimeout bounds the dial of a relay, which normally takes under 2 ms.
@@ -169,7 +169,7 @@
 func call[T any](ctx context.Context, p *Peer, name, query string, wait time.Duration) (relayAnswer[T], error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+pollGrace)
 	defer cancel()
-	target := Path + name + "?" + query + "&" + queryWait + "=" + strconv.FormatInt(wait.Milliseconds(), 10)
+	target := URLPrefix + name + "?" + query + "&" + queryWait + "=" + strconv.FormatInt(wait.Milliseconds(), 10)
 	called := boottime()
 	reply, err := p.get(ctx, send.Request{Method: http.MethodGet, Target: target, ReadTimeout: wait + pollGrace})
 	if err != nil {
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -21,7 +21,7 @@
 //	fleet.Seed(recorded) // the relays on record, asked until the members are known
 //	replica := &relay.Replica[roster.Server]{}
 //	source := relay.Source[roster.Server]{Name: "upstreams", Origin: store, Replica: replica, Fleet: &fleet, Log: log}
-//	mux.Handle("GET "+relay.Path+"upstreams", relay.Handler(replica)) // serves other processes
+//	mux.Handle("GET "+relay.URLPrefix+"upstreams", relay.Handler(replica)) // serves other processes
 //	fleet.SetMembers(members, true)                                   // after each reading of the members
 //	f := feed.Feed[roster.Server]{Source: source, ...}
 package relay
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -337,7 +337,7 @@
 		o := newOrigin()
 		o.put("there")
 		f := &Fleet{Self: "self"}
-		f.Seed([]netip.AddrPort{netip.MustParseAddrPort(server.Listener.Addr().String())})
+		f.SetSeedPeers([]netip.AddrPort{netip.MustParseAddrPort(server.Listener.Addr().String())})
 		s := Source[int]{Name: "numbers", Origin: o, Replica: &Replica[int]{}, Fleet: f, Log: hclog.NewNullLogger()}
 		p, err := s.List(t.Context(), "", true)
 		require.NoError(t, err, name)
@@ -421,7 +421,7 @@
 	h.ApplyListPage(start, true, false, emptyPage(1))
 	for _, query := range []string{"", "?after=x&wait_ms=1", "?after=-1&wait_ms=1", "?after=1&wait_ms=-5", "?after=1"} {
 		w := httptest.NewRecorder()
-		Handler(&h).ServeHTTP(w, httptest.NewRequest("GET", Path+"numbers"+query, nil))
+		Handler(&h).ServeHTTP(w, httptest.NewRequest("GET", URLPrefix+"numbers"+query, nil))
 		require.Equal(t, http.StatusBadRequest, w.Code, query)
 	}
 }
--- a/relay/silent.go
+++ b/relay/silent.go
@@ -26,9 +26,9 @@
 	nextProbe map[*Peer]time.Time // when the next probe is due
 }
 
-// Check reports whether a request may ask the process, and if not, whether the caller is to probe
+// MayAsk reports whether a request may ask the process, and if not, whether the caller is to probe
 // it now. It schedules the next probe.
-func (s *Unresponsive) Check(now time.Time, p *Peer) (ask, probe bool) {
+func (s *Unresponsive) MayAsk(now time.Time, p *Peer) (ask, probe bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	next, unresponsive := s.nextProbe[p]
--- a/relay/silent_test.go
+++ b/relay/silent_test.go
@@ -15,23 +15,23 @@
 	var tracker Unresponsive
 	peer, other := &Peer{}, &Peer{}
 	now := time.Now()
-	ask, probe := tracker.Check(now, peer)
+	ask, probe := tracker.MayAsk(now, peer)
 	require.True(t, ask)
 	require.False(t, probe)
 	tracker.MarkDown(now, peer)
 	probes := 0
 	for at := time.Duration(0); at < 20*time.Second; at += 50 * time.Millisecond {
-		ask, probe := tracker.Check(now.Add(at), peer)
+		ask, probe := tracker.MayAsk(now.Add(at), peer)
 		require.False(t, ask)
 		if probe {
 			probes++
 		}
 	}
 	require.InDelta(t, 19, probes, 1)
-	ask, _ = tracker.Check(now, other)
+	ask, _ = tracker.MayAsk(now, other)
 	require.True(t, ask, "other processes are asked")
 	tracker.MarkUp(peer)
-	ask, _ = tracker.Check(now.Add(21*time.Second), peer)
+	ask, _ = tracker.MayAsk(now.Add(21*time.Second), peer)
 	require.True(t, ask)
 	tracker.MarkDown(now, peer)
 	tracker.MarkDown(now.Add(2*unusedRetention), other)
--- a/retry/attempts.go
+++ b/retry/attempts.go
@@ -49,8 +49,8 @@
 // Sends returns the number of all sends.
 func (a *Attempts) Sends() int { return a.sends }
 
-// Runs returns the number of sends that ran or may have run.
-func (a *Attempts) Runs() int { return a.runs }
+// PossibleRuns returns the number of sends that ran or may have run.
+func (a *Attempts) PossibleRuns() int { return a.runs }
 
 // CanRepeat reports whether another send may follow the send that is running now. If so, the running
 // send does not have to be waited for until the request's deadline.
--- a/retry/crashes.go
+++ b/retry/crashes.go
@@ -50,8 +50,8 @@
 	return len(c.local.Deaths) > 0
 }
 
-// Begin records that an upstream has a request of this process, until End.
-func (c *Crashes[U, R]) Begin(id U, r R, identity Identity) {
+// RequestStarted records that an upstream has a request of this process, until End.
+func (c *Crashes[U, R]) RequestStarted(id U, r R, identity Identity) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.running == nil {
@@ -63,8 +63,8 @@
 	c.running[id][r] = identity
 }
 
-// End records that an upstream no longer has a request of this process.
-func (c *Crashes[U, R]) End(id U, r R) {
+// RequestEnded records that an upstream no longer has a request of this process.
+func (c *Crashes[U, R]) RequestEnded(id U, r R) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.running[id], r)
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -70,8 +70,8 @@
 type Failure struct {
 	// Attempt is the number of the failed attempt.
 	Attempt domain.Attempt
-	// Ran is whether the failed attempt ran, as far as known.
-	Ran domain.Execution
+	// Execution is whether the failed attempt ran, as far as known.
+	Execution domain.Execution
 	// Idempotent means that the operators' table states that this kind of request may run twice.
 	Idempotent bool
 	// Deadline is when the caller must have the complete answer to the request.
@@ -85,7 +85,7 @@
 // worse than a refusal that leaves open whether it ran.
 func Allow(now time.Time, f Failure) Decision {
 	switch {
-	case f.Ran != domain.NotRun && !f.Idempotent:
+	case f.Execution != domain.NotRun && !f.Idempotent:
 		return MayHaveRun
 	case f.Attempt >= MaxAttempts:
 		return Exhausted
@@ -121,8 +121,8 @@
 	spent float64 // BudgetBurst minus the tokens left, so that the zero value is full
 }
 
-// Accepted counts an accepted request.
-func (b *Budget) Accepted() {
+// RequestAccepted counts an accepted request.
+func (b *Budget) RequestAccepted() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.spent = max(0, b.spent-BudgetRatio)
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -25,14 +25,14 @@
 		failure Failure
 		want    Decision
 	}{
-		{Failure{Attempt: 1, Ran: domain.NotRun, Deadline: later}, Allowed},
-		{Failure{Attempt: 1, Ran: domain.Unknown, Deadline: later}, MayHaveRun},
-		{Failure{Attempt: 1, Ran: domain.DidRun, Deadline: later}, MayHaveRun},
+		{Failure{Attempt: 1, Execution: domain.NotRun, Deadline: later}, Allowed},
+		{Failure{Attempt: 1, Execution: domain.Unknown, Deadline: later}, MayHaveRun},
+		{Failure{Attempt: 1, Execution: domain.DidRun, Deadline: later}, MayHaveRun},
 		{Failure{Attempt: 1, Deadline: later}, MayHaveRun},
-		{Failure{Attempt: 1, Ran: domain.Unknown, Idempotent: true, Deadline: later}, Allowed},
-		{Failure{Attempt: 3, Ran: domain.NotRun, Deadline: later}, Exhausted},
-		{Failure{Attempt: 1, Ran: domain.NotRun, Deadline: start}, TooLate},
-		{Failure{Attempt: 1, Ran: domain.NotRun, Deadline: later, MinDuration: time.Second}, TooLate},
+		{Failure{Attempt: 1, Execution: domain.Unknown, Idempotent: true, Deadline: later}, Allowed},
+		{Failure{Attempt: 3, Execution: domain.NotRun, Deadline: later}, Exhausted},
+		{Failure{Attempt: 1, Execution: domain.NotRun, Deadline: start}, TooLate},
+		{Failure{Attempt: 1, Execution: domain.NotRun, Deadline: later, MinDuration: time.Second}, TooLate},
 	} {
 		require.Equal(t, c.want, Allow(start, c.failure), "%+v", c.failure)
 	}
@@ -45,10 +45,10 @@
 		var p Policy
 		n := 0
 		for range 10000 {
-			p.Budget.Accepted()
+			p.Budget.RequestAccepted()
 			for a := domain.Attempt(1); ; a++ {
 				n++
-				f := Failure{Attempt: a, Ran: domain.NotRun, Deadline: start.Add(time.Second)}
+				f := Failure{Attempt: a, Execution: domain.NotRun, Deadline: start.Add(time.Second)}
 				if budget && p.Decide(start, f) != Allowed || !budget && Allow(start, f) != Allowed {
 					break
 				}
@@ -68,7 +68,7 @@
 		tenths := int(BudgetBurst * 10) // the reference counts in tenths
 		for _, take := range rapid.SliceOfN(rapid.Bool(), 1, 300).Draw(t, "take") {
 			if !take {
-				b.Accepted()
+				b.RequestAccepted()
 				tenths = min(int(BudgetBurst*10), tenths+1)
 				continue
 			}
--- a/retry/window.go
+++ b/retry/window.go
@@ -25,12 +25,12 @@
 
 // WindowConfig is the configuration of a Window.
 type WindowConfig struct {
-	// Ratio is the number of retries allowed for each request in the window, Fixed this
+	// RetryRatio is the number of retries allowed for each request in the window, Fixed this
 	// process's share of the fixed number of retries allowed in addition, and Span the length of
 	// the window.
-	Ratio float64
-	Fixed float64
-	Span  time.Duration
+	RetryRatio   float64
+	FixedRetries float64
+	Span         time.Duration
 }
 
 // slotsPerSpan is the number of slots that a span is divided into. One more slot is kept, so that
@@ -77,7 +77,7 @@
 }
 
 func (w *Window) available(slot int64, config WindowConfig) bool {
-	return float64(w.retries.sum(slot)+1) <= config.Ratio*float64(w.requests.sum(slot))+config.Fixed
+	return float64(w.retries.sum(slot)+1) <= config.RetryRatio*float64(w.requests.sum(slot))+config.FixedRetries
 }
 
 // RecordRetry counts a retry that has already been sent, even if none was left; fewer retries are
@@ -96,8 +96,8 @@
 // numbers independent of steps of the wall clock.
 var slotOrigin = time.Now().Add(-time.Hour)
 
-// Accepted counts an accepted request.
-func (w *Window) Accepted(now time.Time, config WindowConfig) {
+// RequestAccepted counts an accepted request.
+func (w *Window) RequestAccepted(now time.Time, config WindowConfig) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.requests.add(config.slot(now))
--- a/retry/window_test.go
+++ b/retry/window_test.go
@@ -10,7 +10,7 @@
 	"jacinthworks/retry"
 )
 
-var config = retry.WindowConfig{Ratio: 0.2, Fixed: 3, Span: 10 * time.Second}
+var config = retry.WindowConfig{RetryRatio: 0.2, FixedRetries: 3, Span: 10 * time.Second}
 
 // Guards against more retries in any span than the fraction of the requests and the fixed number
 // allow, while a pool fails every request.
@@ -23,7 +23,7 @@
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			at += time.Duration(rapid.IntRange(0, 800).Draw(t, "ms")) * time.Millisecond
 			if rapid.Bool().Draw(t, "request") {
-				w.Accepted(start.Add(at), config)
+				w.RequestAccepted(start.Add(at), config)
 				requests = append(requests, at)
 				continue
 			}
@@ -43,7 +43,7 @@
 		for _, end := range retries {
 			// Requests are counted in whole slots, so that the fraction applies to up to one slot more
 			// than the span.
-			allowed := config.Ratio*float64(within(requests, end, config.Span*11/10)) + config.Fixed
+			allowed := config.RetryRatio*float64(within(requests, end, config.Span*11/10)) + config.FixedRetries
 			if n := within(retries, end, config.Span); float64(n) > allowed+1e-9 {
 				t.Fatalf("%d retries, %v allowed", n, allowed)
 			}
--- a/roles/profile.go
+++ b/roles/profile.go
@@ -112,7 +112,7 @@
 func (m *Profile) Sample(now time.Time) Sample {
 	m.decay(now)
 	return Sample{
-		Requests: m.requests, Prompts: m.promptTokens, MemoryTokens: m.memoryTokens, AnswerTokens: m.answers.tokens, AnswerSeconds: m.answers.seconds,
+		Requests: m.requests, PromptTokens: m.promptTokens, MemoryTokens: m.memoryTokens, AnswerTokens: m.answers.tokens, AnswerSeconds: m.answers.seconds,
 		PromptTokenSeconds: m.promptTokenSeconds, PrefillCount: float64(min(m.prefills, maxPrefillWeight)),
 	}
 }
@@ -141,7 +141,7 @@
 	// MemoryTokens the sum of their answer tokens, each weighted by the fraction of an
 	// engine's memory that the request takes. All are sums that decay with age.
 	Requests     float64 `json:"requests"`
-	Prompts      float64 `json:"prompts"`
+	PromptTokens float64 `json:"prompts"`
 	MemoryTokens float64 `json:"held"`
 	// AnswerTokens is the number of answer tokens received, and AnswerSeconds the time in which
 	// they were received; both are summed over the answers and decay with age.
@@ -157,7 +157,7 @@
 // figures, from a faulty process or a stepped clock, would move all engines of a pool to the
 // other role; it is ignored.
 func (s Sample) valid() bool {
-	for _, v := range []float64{s.Requests, s.Prompts, s.MemoryTokens, s.AnswerTokens, s.AnswerSeconds, s.PromptTokenSeconds, s.PrefillCount} {
+	for _, v := range []float64{s.Requests, s.PromptTokens, s.MemoryTokens, s.AnswerTokens, s.AnswerSeconds, s.PromptTokenSeconds, s.PrefillCount} {
 		if !(v >= 0) || v > maxSampleValue { // also true for NaN
 			return false
 		}
@@ -174,7 +174,7 @@
 		return s
 	}
 	sum := Sample{
-		Requests: s.Requests + o.Requests, Prompts: s.Prompts + o.Prompts, MemoryTokens: s.MemoryTokens + o.MemoryTokens,
+		Requests: s.Requests + o.Requests, PromptTokens: s.PromptTokens + o.PromptTokens, MemoryTokens: s.MemoryTokens + o.MemoryTokens,
 		AnswerTokens: s.AnswerTokens + o.AnswerTokens, AnswerSeconds: s.AnswerSeconds + o.AnswerSeconds,
 		PrefillCount: s.PrefillCount + o.PrefillCount,
 	}
@@ -193,7 +193,7 @@
 	if s.Requests < minRequests || s.AnswerTokens < minAnswerTokens || s.PromptTokenSeconds == 0 || decodeSeconds <= 0 {
 		return 0, false
 	}
-	return s.Prompts * s.PromptTokenSeconds / decodeSeconds * (1 + smallSampleMargin/math.Sqrt(s.Requests)), true
+	return s.PromptTokens * s.PromptTokenSeconds / decodeSeconds * (1 + smallSampleMargin/math.Sqrt(s.Requests)), true
 }
 
 // Sufficient reports whether there are enough requests to take engines from decode by the
--- a/roles/profile_test.go
+++ b/roles/profile_test.go
@@ -91,7 +91,7 @@
 	recordRequests(&m, now, 100, constantLength)
 	good := m.Sample(now)
 	for _, bad := range []roles.Sample{
-		{Requests: -5}, {Prompts: math.NaN()}, {MemoryTokens: math.Inf(1)}, {AnswerSeconds: -1e9}, {PromptTokenSeconds: 1e300}, {PrefillCount: 1e6, PromptTokenSeconds: 1},
+		{Requests: -5}, {PromptTokens: math.NaN()}, {MemoryTokens: math.Inf(1)}, {AnswerSeconds: -1e9}, {PromptTokenSeconds: 1e300}, {PrefillCount: 1e6, PromptTokenSeconds: 1},
 	} {
 		require.Equal(t, good, good.Add(bad), "%+v", bad)
 	}
@@ -186,7 +186,7 @@
 		serving := 0
 		for n, r := range engineRoles {
 			v.Engines = append(v.Engines, roles.Engine{
-				Host: domain.Host(rune('a' + n)), Pool: roles.Pool{Model: "m", Role: r}, Changing: second < backAt[n], Since: now,
+				Host: domain.Host(rune('a' + n)), Pool: roles.Pool{Model: "m", Role: r}, Changing: second < backAt[n], ChangingSince: now,
 			})
 			if r == domain.RoleDecode && second >= backAt[n] {
 				serving++
--- a/roles/roles.go
+++ b/roles/roles.go
@@ -66,15 +66,15 @@
 	Cooldown       = 2 * time.Minute
 	CooldownMax    = 32 * time.Minute
 	ReversalFactor = 5
-	// MaxStep is the fraction of the donor's engines that may move at once to a pool above
+	// MaxStepFraction is the fraction of the donor's engines that may move at once to a pool above
 	// HighWatermark; at least one engine.
-	MaxStep = 0.1
+	MaxStepFraction = 0.1
 	// MinReplicas is the number of engines that a donor pool keeps at least.
 	MinReplicas = 1
-	// MaxLoads is the number of equal shares into which the weight store's rate is divided,
+	// MaxWeightLoads is the number of equal shares into which the weight store's rate is divided,
 	// and so the most loads of weights at once. With fixed shares a load takes as long as
 	// its order states, and two failed long loads leave room for a third engine.
-	MaxLoads = 2
+	MaxWeightLoads = 2
 	// ChangeTimeout is the time after which an engine that is still changing no longer
 	// blocks changes in its pool. It counts as lost until it reports that its change is done.
 	ChangeTimeout = 10 * time.Minute
@@ -98,9 +98,9 @@
 	Pool Pool
 	// Changing means that an order has been under way since the given time, and Loading
 	// that the engine loads weights for it.
-	Changing bool
-	Loading  bool
-	Since    time.Time
+	Changing      bool
+	Loading       bool
+	ChangingSince time.Time
 }
 
 // View is the input of a plan.
@@ -186,7 +186,7 @@
 		o := Order{Host: e.Host, From: from.pool, To: to.pool, Fence: token}
 		o.Reason = fmt.Sprintf("%s at %.2f, %s would be at %.2f", to.pool, to.pressure(0), from.pool, from.pressureWithout(1))
 		if from.pool.Model != to.pool.Model && v.BytesPerSecond > 0 {
-			o.BytesPerSecond = v.BytesPerSecond / MaxLoads
+			o.BytesPerSecond = v.BytesPerSecond / MaxWeightLoads
 			seconds := float64(v.Sizes[to.pool.Model]) / float64(max(1, o.BytesPerSecond))
 			o.LoadTime = time.Duration(seconds * float64(time.Second))
 		}
@@ -233,7 +233,7 @@
 	for _, s := range states {
 		canDonate := s.pool != receiver.pool && s.pool.Role != domain.RoleApp && s.changing == 0 &&
 			len(s.engines) > MinReplicas && s.pressureWithout(1) < LowWatermark && p.cooledDown(now, s.pool)
-		if !canDonate || s.pool.Model != receiver.pool.Model && countLoading(v) >= MaxLoads {
+		if !canDonate || s.pool.Model != receiver.pool.Model && countLoading(v) >= MaxWeightLoads {
 			continue
 		}
 		if !found || betterDonor(s, best, receiver) {
@@ -266,13 +266,13 @@
 }
 
 // pickEngines returns the engines to move: as many as bring the receiver under
-// HighWatermark, within MaxStep, while the donor stays under LowWatermark and the weight
+// HighWatermark, within MaxStepFraction, while the donor stays under LowWatermark and the weight
 // store has free shares. They come from the zone in which the donor has most engines, so that
 // both pools stay spread over the zones.
 func (p *Planner) pickEngines(v View, to, from poolState) []Engine {
-	limit := max(1, int(MaxStep*float64(len(from.engines))))
+	limit := max(1, int(MaxStepFraction*float64(len(from.engines))))
 	if from.pool.Model != to.pool.Model {
-		limit = min(limit, MaxLoads-countLoading(v))
+		limit = min(limit, MaxWeightLoads-countLoading(v))
 	}
 	remaining := slices.Clone(from.engines)
 	var picked []Engine
--- a/roles/roles_test.go
+++ b/roles/roles_test.go
@@ -83,7 +83,7 @@
 		now := start.Add(at)
 		serving := make(map[Pool]float64)
 		for i, e := range engines {
-			if e.Changing && now.Sub(e.Since) >= changeTime {
+			if e.Changing && now.Sub(e.ChangingSince) >= changeTime {
 				engines[i].Changing = false
 			}
 			if !engines[i].Changing {
@@ -99,7 +99,7 @@
 			r.lastChange = at
 			for i := range engines {
 				if engines[i].Host == o.Host {
-					engines[i].Pool, engines[i].Changing, engines[i].Since = o.To, true, now
+					engines[i].Pool, engines[i].Changing, engines[i].ChangingSince = o.To, true, now
 				}
 			}
 		}
@@ -218,7 +218,7 @@
 	}
 	var p Planner
 	orders := p.Plan(start, v, tokens())
-	require.Len(t, orders, MaxLoads, "a pool without engines does not wait for Hold")
+	require.Len(t, orders, MaxWeightLoads, "a pool without engines does not wait for Hold")
 	for _, o := range orders {
 		require.Equal(t, int64(1<<29), o.BytesPerSecond)
 		require.Equal(t, time.Minute, o.LoadTime)
@@ -226,7 +226,7 @@
 	require.NotEqual(t, orders[0].Host, orders[1].Host)
 	require.Greater(t, orders[1].Fence, orders[0].Fence)
 	for i := range v.Engines[:2] {
-		v.Engines[i].Pool, v.Engines[i].Changing, v.Engines[i].Loading, v.Engines[i].Since = other, true, true, start
+		v.Engines[i].Pool, v.Engines[i].Changing, v.Engines[i].Loading, v.Engines[i].ChangingSince = other, true, true, start
 	}
 	third := Pool{"third-lm", domain.RoleDecode}
 	v.Demand[third] = 1
@@ -288,7 +288,7 @@
 		for _, from := range []Pool{prefill, decode, other} {
 			needsEngine := v.Demand[to] > HighWatermark*count[to] && v.Demand[to] > 0
 			canDonate := count[from] > MinReplicas && v.Demand[from] < LowWatermark*(count[from]-1)
-			loadsAvailable := to.Model == from.Model || loads < MaxLoads
+			loadsAvailable := to.Model == from.Model || loads < MaxWeightLoads
 			if to != from && !changing[to] && !changing[from] && needsEngine && canDonate && loadsAvailable {
 				allowed[[2]Pool{from, to}] = true
 			}
@@ -306,7 +306,7 @@
 		}
 		for i := range rapid.IntRange(0, 2).Draw(t, "changing") {
 			if i < len(v.Engines) {
-				v.Engines[i].Changing, v.Engines[i].Loading, v.Engines[i].Since = true, rapid.Bool().Draw(t, "loading"), start
+				v.Engines[i].Changing, v.Engines[i].Loading, v.Engines[i].ChangingSince = true, rapid.Bool().Draw(t, "loading"), start
 			}
 		}
 		var p Planner
--- a/roles/state.go
+++ b/roles/state.go
@@ -88,7 +88,7 @@
 		switch {
 		case !e.Changing:
 			s.engines = append(s.engines, e)
-		case now.Sub(e.Since) < ChangeTimeout:
+		case now.Sub(e.ChangingSince) < ChangeTimeout:
 			s.changing++
 		}
 	}
--- a/search/queue.go
+++ b/search/queue.go
@@ -204,10 +204,10 @@
 	q.grantNext(now)
 }
 
-// Expire returns the refusal of the request that holds the turn and found no capacity in
+// RefuseExpired returns the refusal of the request that holds the turn and found no capacity in
 // time. Other requests that have expired meanwhile are refused as well. Release must still
 // be called.
-func (q *Queue) Expire(i queue.Item) *queue.Refusal {
+func (q *Queue) RefuseExpired(i queue.Item) *queue.Refusal {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := time.Now()
@@ -253,8 +253,8 @@
 	}
 }
 
-// Freed returns the channel that receives a signal when capacity may have been freed.
-func (q *Queue) Freed() <-chan struct{} { return q.freed }
+// FreedSignal returns the channel that receives a signal when capacity may have been freed.
+func (q *Queue) FreedSignal() <-chan struct{} { return q.freed }
 
 // FirstEventLatency returns the average time from the reservation of capacity to the first
 // event of an answer's stream.
--- a/search/queue_test.go
+++ b/search/queue_test.go
@@ -38,7 +38,7 @@
 	for time.Now().Before(until) {
 		time.Sleep(time.Until(until)) // until the requests expire
 	}
-	require.NotNil(t, q.Expire(first))
+	require.NotNil(t, q.RefuseExpired(first))
 	for range 2 {
 		select {
 		case refusal := <-refusals:
@@ -88,6 +88,6 @@
 		q.RetryAfter.Delay(now.Add(at))
 	}
 	require.GreaterOrEqual(t, q.RetryAfter.Delay(now.Add(10*time.Second)), 10*time.Second)
-	spread := 1 + delay.Jitter
+	spread := 1 + delay.MaxJitterFraction
 	require.LessOrEqual(t, q.RetryAfter.Delay(now.Add(20*time.Second)), time.Duration(spread*float64(delay.MinDelay)), "ten seconds without refusals end the overload")
 }
--- a/side/cache.go
+++ b/side/cache.go
@@ -33,6 +33,6 @@
 			continue
 		}
 		lastSeq = events[len(events)-1].Seq
-		s.claims.notifyAll(wire.MethodCache, wire.CacheEvents{Events: events})
+		s.claims.notifyAll(wire.MethodCacheEvents, wire.CacheEvents{Events: events})
 	}
 }
--- a/side/claims.go
+++ b/side/claims.go
@@ -86,8 +86,8 @@
 func (s *Side) initClaims() {
 	state := &s.claims
 	state.ledger.Self = claim.Process{Host: s.Settings.Name, Incarnation: s.incarnation}
-	state.ledger.Limits = claim.Limits{Retention: retention}
-	state.ledger.Live = state.mayOwn
+	state.ledger.Limits = claim.Limits{KeyRetention: retention}
+	state.ledger.Reachable = state.mayOwn
 	state.inboundPeers = make(map[*wire.Peer]bool)
 	state.owners = make(map[claim.Shard]observedOwner)
 	state.unownedSince = make(map[claim.Shard]time.Time)
@@ -95,7 +95,7 @@
 	handlers.OnOpen, handlers.OnClose = nil, nil
 	handlers.HandleNotification = func(peer *wire.Peer, method string, params json.RawMessage) {
 		var owned wire.OwnedShards
-		if method == wire.MethodOwned && json.Unmarshal(params, &owned) == nil {
+		if method == wire.MethodOwnedShards && json.Unmarshal(params, &owned) == nil {
 			state.observeOwned(peer.RemoteHello().Host, owned.Shards)
 		}
 	}
@@ -116,7 +116,7 @@
 	c.mu.Lock()
 	c.inboundPeers[peer] = true
 	c.mu.Unlock()
-	_ = peer.Notify(wire.MethodOwned, wire.OwnedShards{Service: service, Shards: c.ledger.Owned()})
+	_ = peer.Notify(wire.MethodOwnedShards, wire.OwnedShards{Service: service, Shards: c.ledger.OwnedShards()})
 }
 
 // removeInbound removes a closed connection that another process had opened.
@@ -135,7 +135,7 @@
 	announced := make(map[claim.Shard]bool, len(shards))
 	for _, o := range shards {
 		announced[o.Shard] = true
-		_ = c.ledger.Superseded(o.Shard, o.Epoch) // fails only for a shard number that does not exist
+		_ = c.ledger.RecordNewerEpoch(o.Shard, o.Epoch) // fails only for a shard number that does not exist
 		if previous := c.owners[o.Shard]; !o.Epoch.Less(previous.epoch) {
 			c.owners[o.Shard] = observedOwner{host: from, epoch: o.Epoch}
 		}
@@ -154,8 +154,8 @@
 // with an unknown outcome.
 func (s *Side) announceOwned(pending claim.Outbox) {
 	state := &s.claims
-	owned := state.ledger.Owned()
-	for _, r := range pending.Restores {
+	owned := state.ledger.OwnedShards()
+	for _, r := range pending.RestoreRequests {
 		for i := range owned {
 			if owned[i].Shard == r.Shard {
 				owned[i].Complete = false
@@ -169,7 +169,7 @@
 	}
 	state.announcedShards = owned
 	state.mu.Unlock()
-	state.notifyAll(wire.MethodOwned, wire.OwnedShards{Service: s.Settings.Service, Shards: owned})
+	state.notifyAll(wire.MethodOwnedShards, wire.OwnedShards{Service: s.Settings.Service, Shards: owned})
 }
 
 // notifyAll sends a notification to every process that has connected to this
--- a/side/deliver.go
+++ b/side/deliver.go
@@ -18,10 +18,10 @@
 // later round.
 func (s *Side) deliver(ctx context.Context, outbox claim.Outbox) {
 	sendsByHost := make(map[domain.Host][]func(context.Context) error)
-	for _, m := range outbox.Fences {
+	for _, m := range outbox.FenceRequests {
 		sendsByHost[m.To.Host] = append(sendsByHost[m.To.Host], func(ctx context.Context) error { return s.sendFence(ctx, m) })
 	}
-	for _, m := range outbox.Restores {
+	for _, m := range outbox.RestoreRequests {
 		sendsByHost[m.To.Host] = append(sendsByHost[m.To.Host], func(ctx context.Context) error { return s.sendRestore(ctx, m) })
 	}
 	for _, m := range outbox.Handovers {
@@ -91,13 +91,13 @@
 		return err
 	}
 	if reply.Refusal != nil {
-		return s.claims.ledger.Superseded(request.Shard, reply.Refusal.Epoch)
+		return s.claims.ledger.RecordNewerEpoch(request.Shard, reply.Refusal.Epoch)
 	}
 	if reply.Reply == nil {
 		return errors.New("side: reply to a fence request has neither a result nor a refusal")
 	}
-	outbox, err := s.claims.ledger.Fenced(*reply.Reply, time.Now())
-	for _, r := range outbox.Restores {
+	outbox, err := s.claims.ledger.HandleFenceReply(*reply.Reply, time.Now())
+	for _, r := range outbox.RestoreRequests {
 		if err := s.sendRestore(ctx, r); err != nil {
 			return err
 		}
@@ -111,7 +111,7 @@
 	if err := s.callMember(ctx, request.To.Host, wire.MethodRestore, request, &reply); err != nil {
 		return err
 	}
-	return s.claims.ledger.Restored(reply)
+	return s.claims.ledger.HandleRestoreReply(reply)
 }
 
 // sendHandover hands a shard to its new owner. If the new owner does not accept
@@ -125,5 +125,5 @@
 		return nil
 	}
 	s.Log.Info("shard handed over", "shard", handover.Shard, "to", handover.Heir.Host, "epoch", handover.Epoch.String(), "keys", len(handover.Entries))
-	return s.claims.ledger.Delivered(handover.Shard)
+	return s.claims.ledger.HandoverDelivered(handover.Shard)
 }
--- a/side/handover.go
+++ b/side/handover.go
@@ -43,7 +43,7 @@
 func (s *Side) handOverShards(ctx context.Context) {
 	ledger := &s.claims.ledger
 	for ctx.Err() == nil {
-		owned := ledger.Owned()
+		owned := ledger.OwnedShards()
 		if len(owned) == 0 {
 			return
 		}
--- a/side/membership_record.go
+++ b/side/membership_record.go
@@ -16,7 +16,7 @@
 		others := r
 		others.Members = nil
 		for _, m := range r.Members {
-			if m.ExecutesWork() && m.Host != s.Settings.Name {
+			if m.RunsRequests() && m.Host != s.Settings.Name {
 				others.Members = append(others.Members, m)
 			}
 		}
--- a/side/operator_orders.go
+++ b/side/operator_orders.go
@@ -39,21 +39,21 @@
 // of the order lease, and waits for the result up to the order's timeout.
 func (s *Side) submitOrder(ctx context.Context, o wire.Order) (any, error) {
 	if s.Model == nil || s.Objects == nil || o.Kind == engine.OrderRole {
-		return nil, &wire.RefusalError{Reason: domain.ReasonBadInput, Ran: domain.NotRun, Detail: "this side gives no such order; a role is changed in its settings"}
+		return nil, &wire.RefusalError{Reason: domain.ReasonBadInput, Execution: domain.NotRun, Detail: "this side gives no such order; a role is changed in its settings"}
 	}
-	ctx, cancel := context.WithTimeout(ctx, o.Within)
+	ctx, cancel := context.WithTimeout(ctx, o.Timeout)
 	defer cancel()
 	submitted := operatorOrder{ctx: ctx, order: o, result: make(chan operatorOrderResult, 1)}
 	select {
 	case s.operatorOrders <- submitted:
 	case <-ctx.Done():
-		return nil, &wire.RefusalError{Reason: domain.ReasonNoRoom, Ran: domain.NotRun, Detail: "another order is being given"}
+		return nil, &wire.RefusalError{Reason: domain.ReasonNoRoom, Execution: domain.NotRun, Detail: "another order is being given"}
 	}
 	select {
 	case result := <-submitted.result:
 		return result.reply, result.err
 	case <-ctx.Done():
-		return nil, &wire.RefusalError{Reason: domain.ReasonDeadline, Ran: domain.Unknown, Detail: "the order may still be given"}
+		return nil, &wire.RefusalError{Reason: domain.ReasonDeadline, Execution: domain.Unknown, Detail: "the order may still be given"}
 	}
 }
 
@@ -74,7 +74,7 @@
 			return nil
 		case submitted := <-s.operatorOrders:
 			reply, err := s.executeOrder(submitted.ctx, keeper, submitted.order)
-			s.Log.Info("order", "kind", submitted.order.Kind, "value", submitted.order.Value, "by", submitted.order.By, "fence", reply.Fence, "err", err)
+			s.Log.Info("order", "kind", submitted.order.Kind, "value", submitted.order.Value, "by", submitted.order.Operator, "fence", reply.Fence, "err", err)
 			submitted.result <- operatorOrderResult{reply: reply, err: err}
 		}
 	}
@@ -85,7 +85,7 @@
 func (s *Side) executeOrder(ctx context.Context, keeper *lease.Keeper, o wire.Order) (wire.OrderReply, error) {
 	token, err := keeper.Acquire(ctx)
 	if err != nil {
-		return wire.OrderReply{}, &wire.RefusalError{Reason: domain.ReasonStale, Ran: domain.NotRun, Detail: err.Error()}
+		return wire.OrderReply{}, &wire.RefusalError{Reason: domain.ReasonStale, Execution: domain.NotRun, Detail: err.Error()}
 	}
 	callCtx, cancel := context.WithTimeout(ctx, engineOrderTimeout)
 	defer cancel()
@@ -93,11 +93,11 @@
 	overrun := keeper.Complete(token)
 	switch {
 	case errors.Is(err, engine.ErrFenced), errors.Is(err, engine.ErrNotStarted):
-		return wire.OrderReply{}, &wire.RefusalError{Reason: domain.ReasonUpstream, Ran: domain.NotRun, Detail: err.Error()}
+		return wire.OrderReply{}, &wire.RefusalError{Reason: domain.ReasonUpstream, Execution: domain.NotRun, Detail: err.Error()}
 	case err != nil:
-		return wire.OrderReply{}, &wire.RefusalError{Reason: domain.ReasonUpstream, Ran: domain.Unknown, Detail: err.Error()}
+		return wire.OrderReply{}, &wire.RefusalError{Reason: domain.ReasonUpstream, Execution: domain.Unknown, Detail: err.Error()}
 	case overrun != nil:
-		return wire.OrderReply{}, &wire.RefusalError{Reason: domain.ReasonUpstream, Ran: domain.Unknown, Detail: overrun.Error()}
+		return wire.OrderReply{}, &wire.RefusalError{Reason: domain.ReasonUpstream, Execution: domain.Unknown, Detail: overrun.Error()}
 	}
 	return wire.OrderReply{Fence: uint64(token)}, nil
 }
--- a/side/order_table.go
+++ b/side/order_table.go
@@ -90,10 +90,10 @@
 	// that refusal. An order arrives at most once, so that an attempt that is
 	// in refused when its order arrives never runs.
 	if _, refusedBefore := l.refusedAttempts[run.AttemptRef]; refusedBefore {
-		return nil, &wire.RefusalError{Reason: domain.ReasonLost, Ran: domain.NotRun, Detail: "the attempt was given up before it arrived"}
+		return nil, &wire.RefusalError{Reason: domain.ReasonLost, Execution: domain.NotRun, Detail: "the attempt was given up before it arrived"}
 	}
 	if o := l.orders[run.AttemptRef]; o != nil {
-		return nil, &wire.RefusalError{Reason: domain.ReasonInProgress, Ran: domain.Unknown, Detail: "the attempt is here already"}
+		return nil, &wire.RefusalError{Reason: domain.ReasonInProgress, Execution: domain.Unknown, Detail: "the attempt is here already"}
 	}
 	o := &order{run: run, entry: entry, cancel: cancel, attached: 1, changed: make(chan struct{})}
 	l.orders[run.AttemptRef] = o
@@ -136,7 +136,7 @@
 		return
 	}
 	if o.state == orderWaiting {
-		outcome.Ran = domain.NotRun
+		outcome.Execution = domain.NotRun
 	}
 	outcome.AttemptRef, outcome.Tokens = o.run.AttemptRef, len(o.tokens)
 	o.state, o.outcome, o.endedAt = orderEnded, outcome, now
@@ -158,15 +158,15 @@
 	o := l.orders[ref]
 	if o == nil {
 		l.refusedAttempts[ref] = now
-		return wire.Outcome{AttemptRef: ref, Ran: l.unknownAttemptRan(ref), Reason: domain.ReasonLost}
+		return wire.Outcome{AttemptRef: ref, Execution: l.unknownAttemptRan(ref), Reason: domain.ReasonLost}
 	}
 	switch o.state {
 	case orderWaiting:
 		o.abandoned = true
 		o.cancel()
-		return wire.Outcome{AttemptRef: ref, Ran: domain.NotRun, Reason: domain.ReasonLost}
+		return wire.Outcome{AttemptRef: ref, Execution: domain.NotRun, Reason: domain.ReasonLost}
 	case orderSent:
-		return wire.Outcome{AttemptRef: ref, Ran: domain.Unknown, Reason: domain.ReasonInProgress}
+		return wire.Outcome{AttemptRef: ref, Execution: domain.Unknown, Reason: domain.ReasonInProgress}
 	}
 	return o.outcome
 }
--- a/side/order_table_model_test.go
+++ b/side/order_table_model_test.go
@@ -103,7 +103,7 @@
 		return
 	}
 	if refusedBefore {
-		require.Equal(t, domain.NotRun, refused.Ran)
+		require.Equal(t, domain.NotRun, refused.Execution)
 	}
 }
 
@@ -118,7 +118,7 @@
 }
 
 func (x *tableTest) end(r wire.AttemptRef, ran domain.Execution) {
-	x.table.end(x.orders[r], wire.Outcome{Ran: ran}, x.now)
+	x.table.end(x.orders[r], wire.Outcome{Execution: ran}, x.now)
 	if !x.model[r].has("hand") {
 		ran = domain.NotRun
 	}
@@ -136,9 +136,9 @@
 func (x *tableTest) settle(t *rapid.T, r wire.AttemptRef) {
 	n := x.model[r]
 	got := x.table.settle(r, x.now)
-	require.Equal(t, n.ran(), got.Ran)
-	require.False(t, x.notRun[r] && got.Ran != domain.NotRun, "not_run was reported earlier and is reported no more")
-	x.notRun[r] = got.Ran == domain.NotRun
+	require.Equal(t, n.ran(), got.Execution)
+	require.False(t, x.notRun[r] && got.Execution != domain.NotRun, "not_run was reported earlier and is reported no more")
+	x.notRun[r] = got.Execution == domain.NotRun
 	if !n.has("hand") && !n.has("end") {
 		x.abandon(r)
 	}
@@ -246,8 +246,8 @@
 		o, refused := table.begin(orderOf(n+1, wire.StageCall), "entry-1", func() {})
 		require.Nil(t, refused)
 		require.True(t, table.markSent(o))
-		table.end(o, wire.Outcome{Ran: domain.DidRun}, now)
+		table.end(o, wire.Outcome{Execution: domain.DidRun}, now)
 	}
-	require.Equal(t, domain.Unknown, table.settle(orderOf(1, wire.StageCall).AttemptRef, now).Ran)
-	require.Equal(t, domain.NotRun, table.settle(orderOf(maxEnded+3, wire.StageCall).AttemptRef, now).Ran)
+	require.Equal(t, domain.Unknown, table.settle(orderOf(1, wire.StageCall).AttemptRef, now).Execution)
+	require.Equal(t, domain.NotRun, table.settle(orderOf(maxEnded+3, wire.StageCall).AttemptRef, now).Execution)
 }
--- a/side/order_table_test.go
+++ b/side/order_table_test.go
@@ -32,12 +32,12 @@
 		require.True(t, table.markSent(o))
 		orders = append(orders, o)
 	}
-	table.end(orders[1], wire.Outcome{Ran: domain.DidRun}, now)
-	table.end(orders[1], wire.Outcome{Ran: domain.Unknown}, now) // has no effect: the order has ended
+	table.end(orders[1], wire.Outcome{Execution: domain.DidRun}, now)
+	table.end(orders[1], wire.Outcome{Execution: domain.Unknown}, now) // has no effect: the order has ended
 	require.Equal(t, 2, table.runningCount())
 	require.Equal(t, 200, table.queuedPromptTokens())
 	require.ElementsMatch(t, []retry.Identity{"identity-0", "identity-2"}, table.runningIdentities())
-	require.Equal(t, domain.DidRun, table.settle(orders[1].run.AttemptRef, now).Ran)
+	require.Equal(t, domain.DidRun, table.settle(orders[1].run.AttemptRef, now).Execution)
 
 	table.detach(orders[0], now)
 	require.Equal(t, []wire.AttemptRef{orders[0].run.AttemptRef}, table.abandonOrphans(now.Add(time.Second), time.Second))
@@ -52,13 +52,13 @@
 	var table OrderTable
 	now := time.Date(2026, 12, 2, 20, 0, 0, 0, time.UTC)
 	delivered, _ := table.begin(orderOf(1, wire.StageCall), "entry-1", func() {})
-	table.end(delivered, wire.Outcome{Ran: domain.DidRun}, now)
+	table.end(delivered, wire.Outcome{Execution: domain.DidRun}, now)
 	table.detach(delivered, now) // after the entry has received the outcome
 	require.False(t, table.endedDetached(delivered))
 
 	undelivered, _ := table.begin(orderOf(2, wire.StageCall), "entry-1", func() {})
 	table.detach(undelivered, now) // the entry crashed before the end
-	table.end(undelivered, wire.Outcome{Ran: domain.DidRun}, now)
+	table.end(undelivered, wire.Outcome{Execution: domain.DidRun}, now)
 	require.True(t, table.endedDetached(undelivered))
 }
 
@@ -70,7 +70,7 @@
 	now := time.Now()
 	for n := range maxEnded {
 		o, _ := table.begin(orderOf(n, wire.StageCall), "entry-1", func() {})
-		table.end(o, wire.Outcome{Ran: domain.DidRun}, now)
+		table.end(o, wire.Outcome{Execution: domain.DidRun}, now)
 	}
 	for n := range 8 {
 		o, _ := table.begin(orderOf(maxEnded+n, wire.StageCall), "entry-1", func() {})
--- a/side/run.go
+++ b/side/run.go
@@ -15,7 +15,7 @@
 // that runs or holds a reservation on this side, because of the evidence that
 // one of them crashes upstreams.
 var errSuspectConflict = &wire.RefusalError{
-	Reason: domain.ReasonNoRoom, Ran: domain.NotRun,
+	Reason: domain.ReasonNoRoom, Execution: domain.NotRun,
 	Detail: "suspected of crashing upstreams, beside another that is",
 }
 
@@ -28,7 +28,7 @@
 	if refused := s.refuseIfDraining(r); refused != nil {
 		return nil, refused
 	}
-	workCtx, cancel := context.WithTimeout(s.workCtx, r.Within)
+	workCtx, cancel := context.WithTimeout(s.workCtx, r.Timeout)
 	o, refused := s.orderTable.begin(r, peer.RemoteHello().Host, cancel)
 	if refused != nil {
 		cancel()
@@ -71,10 +71,10 @@
 		s.undeliveredRequests.add(r.Request)
 	}
 	s.recordEvent(o, trace.Event{
-		Kind: trace.AttemptEnded, Tokens: o.outcome.Tokens, Execution: o.outcome.Ran, Reason: outcome.Reason, Detail: outcome.Detail,
+		Kind: trace.AttemptEnded, Tokens: o.outcome.Tokens, Execution: o.outcome.Execution, Reason: outcome.Reason, Detail: outcome.Detail,
 	})
 	s.Log.Info("ended", "request", r.Request, "attempt", r.Attempt, "stage", r.Stage,
-		"ran", o.outcome.Ran, "reason", outcome.Reason, "tokens", o.outcome.Tokens)
+		"ran", o.outcome.Execution, "reason", outcome.Reason, "tokens", o.outcome.Tokens)
 }
 
 // acquireCapacity reserves the capacity that the order's stage needs at the
@@ -86,13 +86,13 @@
 	case r.Stage == wire.StageCall && !s.mayRunAlongside(now, r.Identity):
 		return errSuspectConflict
 	case r.Stage == wire.StageDecode:
-		err = s.reservations.confirm(now, reservationKey(r.AttemptRef), r.Tokens, now.Add(r.Within))
+		err = s.reservations.confirm(now, reservationKey(r.AttemptRef), r.Tokens, now.Add(r.Timeout))
 	case r.Stage == wire.StagePrefill && r.Prefill != nil:
 		rate, _, _, _ := s.speed.estimates()
-		err = s.reservations.queuePrefill(now, reservationKey(r.AttemptRef), r.Prefill.PromptTokens, rate, now.Add(r.Within))
+		err = s.reservations.queuePrefill(now, reservationKey(r.AttemptRef), r.Prefill.PromptTokens, rate, now.Add(r.Timeout))
 	}
 	if err != nil {
-		return &wire.RefusalError{Reason: domain.ReasonNoRoom, Ran: domain.NotRun, Detail: err.Error()}
+		return &wire.RefusalError{Reason: domain.ReasonNoRoom, Execution: domain.NotRun, Detail: err.Error()}
 	}
 	return nil
 }
@@ -118,7 +118,7 @@
 	if r.Stage == wire.StageDecode && s.reservations.renew(time.Now(), reservationKey(r.AttemptRef), admit.ReservationTTL) == nil {
 		return nil
 	}
-	return &wire.RefusalError{Reason: domain.ReasonDraining, Ran: domain.NotRun, Detail: "the side is draining"}
+	return &wire.RefusalError{Reason: domain.ReasonDraining, Execution: domain.NotRun, Detail: "the side is draining"}
 }
 
 // attach sends the tokens and the outcome of an order to an entry that follows
@@ -131,7 +131,7 @@
 		return s.orderTable.settle(a.AttemptRef, time.Now()), nil
 	}
 	defer func() { s.orderTable.detach(o, time.Now()) }()
-	return s.follow(ctx, peer, o, a.From)
+	return s.follow(ctx, peer, o, a.FromOffset)
 }
 
 // follow sends the order's tokens from an offset on to the peer as they arrive,
@@ -161,19 +161,19 @@
 // capacity that remains.
 func (s *Side) reserve(r wire.ReserveRequest) (any, error) {
 	if s.draining.Load() {
-		return nil, &wire.RefusalError{Reason: domain.ReasonDraining, Ran: domain.NotRun, Detail: "the side is draining"}
+		return nil, &wire.RefusalError{Reason: domain.ReasonDraining, Execution: domain.NotRun, Detail: "the side is draining"}
 	}
 	now := time.Now()
 	if !s.mayRunAlongside(now, r.Identity) {
 		return nil, errSuspectConflict
 	}
 	if s.upstreamDown.Load() {
-		return nil, &wire.RefusalError{Reason: domain.ReasonNoUpstream, Ran: domain.NotRun, Detail: "the upstream does not answer"}
+		return nil, &wire.RefusalError{Reason: domain.ReasonNoUpstream, Execution: domain.NotRun, Detail: "the upstream does not answer"}
 	}
-	if err := s.reservations.reserve(now, reservationKey(r.AttemptRef), r.Tokens, r.Hold); err != nil {
-		return nil, &wire.RefusalError{Reason: domain.ReasonNoRoom, Ran: domain.NotRun, Detail: err.Error()}
+	if err := s.reservations.reserve(now, reservationKey(r.AttemptRef), r.Tokens, r.TTL); err != nil {
+		return nil, &wire.RefusalError{Reason: domain.ReasonNoRoom, Execution: domain.NotRun, Detail: err.Error()}
 	}
-	s.crashState.addReservation(reservationKey(r.AttemptRef), reservedRequest{identity: r.Identity, expires: now.Add(r.Hold)})
+	s.crashState.addReservation(reservationKey(r.AttemptRef), reservedRequest{identity: r.Identity, expires: now.Add(r.TTL)})
 	free := s.reservations.capacity(now)
 	return wire.ReserveReply{FreeSlots: free.FreeRequests, FreeTokens: free.FreeTokens}, nil
 }
@@ -204,7 +204,7 @@
 func (s *Side) span(id domain.RequestID) (any, error) {
 	span, found := s.recorder.Get(id)
 	if !found {
-		return nil, &wire.RefusalError{Reason: domain.ReasonBadInput, Ran: domain.Unknown, Detail: "nothing is known here of the request"}
+		return nil, &wire.RefusalError{Reason: domain.ReasonBadInput, Execution: domain.Unknown, Detail: "nothing is known here of the request"}
 	}
 	return span, nil
 }
--- a/side/shards.go
+++ b/side/shards.go
@@ -46,10 +46,10 @@
 // ran there.
 func (s *Side) logSettled(outbox claim.Outbox) {
 	record := s.claims.ledger.Record()
-	if len(outbox.Fences)+len(outbox.Restores)+len(outbox.Handovers) > 0 || record.Version == s.claims.settledVersion {
+	if len(outbox.FenceRequests)+len(outbox.RestoreRequests)+len(outbox.Handovers) > 0 || record.Version == s.claims.settledVersion {
 		return
 	}
-	owned := s.claims.ledger.Owned()
+	owned := s.claims.ledger.OwnedShards()
 	for n := range claim.Shards {
 		rank, member := record.Rank(claim.Shard(n), s.claims.ledger.Self)
 		complete := slices.ContainsFunc(owned, func(o claim.Ownership) bool { return o.Shard == claim.Shard(n) && o.Complete })
@@ -68,7 +68,7 @@
 func (s *Side) resolveOverdue(ctx context.Context, now time.Time) {
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
-	for _, o := range s.claims.ledger.Overdue(overdueAfter, now) {
+	for _, o := range s.claims.ledger.OverdueGrants(overdueAfter, now) {
 		var resolution claim.Resolution
 		if s.callMember(ctx, o.To.Host, wire.MethodStatus, o, &resolution) == nil {
 			_ = s.claims.ledger.Resolve(resolution, now) // fails only for a shard number that does not exist
@@ -85,7 +85,7 @@
 	}
 	record := s.claims.ledger.Record()
 	owned := make(map[claim.Shard]bool)
-	for _, o := range s.claims.ledger.Owned() {
+	for _, o := range s.claims.ledger.OwnedShards() {
 		owned[o.Shard] = true
 	}
 	for n := range claim.Shards {
@@ -120,12 +120,12 @@
 // availability zone of the shard's runners, so the loss of that one host would
 // leave keys with an unknown outcome.
 func (s *Side) returnShards(ctx context.Context, now time.Time, pending claim.Outbox) {
-	if now.Sub(s.claims.lastReturnCheck) < returnInterval || len(pending.Fences)+len(pending.Restores)+len(pending.Handovers) > 0 {
+	if now.Sub(s.claims.lastReturnCheck) < returnInterval || len(pending.FenceRequests)+len(pending.RestoreRequests)+len(pending.Handovers) > 0 {
 		return
 	}
 	s.claims.lastReturnCheck = now
 	record := s.claims.ledger.Record()
-	for _, o := range s.claims.ledger.Owned() {
+	for _, o := range s.claims.ledger.OwnedShards() {
 		first := record.Ranked(o.Shard)[0].Process()
 		link := s.claims.members.Find(first.Host)
 		if first == s.claims.ledger.Self || link == nil || link.Member.Process() != first || !link.Usable() {
--- a/side/side.go
+++ b/side/side.go
@@ -49,11 +49,11 @@
 // must be set before Run, with exactly one of Model and App according to the
 // role in Settings.
 type Side struct {
-	Settings conf.Side
-	Log      hclog.Logger
-	Objects  infra.Objects
-	Model    engine.Model
-	App      engine.AppServer
+	Settings  conf.Side
+	Log       hclog.Logger
+	Objects   infra.Objects
+	Model     engine.Model
+	AppServer engine.AppServer
 	// FaultHook, if set, is called at each step of an order, so that tests and
 	// drills can inject a fault there.
 	FaultHook inject.Hook
@@ -172,13 +172,13 @@
 // heartbeat returns the heartbeat with the load of this side and its upstream.
 func (s *Side) heartbeat() wire.Heartbeat {
 	free := s.reservations.capacity(time.Now())
-	load := &wire.Load{
+	load := &wire.UpstreamLoad{
 		Running: s.orderTable.runningCount(), Slots: s.reservations.slots(), FreeSlots: free.FreeRequests,
 		FreeTokens: free.FreeTokens, QueuedTokens: s.orderTable.queuedPromptTokens(), Down: s.upstreamDown.Load(),
 	}
-	load.Rate, load.LinkRate, load.GapBase, load.GapStep = s.speed.estimates()
+	load.PrefillRate, load.KVImportRate, load.GapBase, load.GapStep = s.speed.estimates()
 	if state := s.engineState.Load(); state != nil {
-		load.Upstream = state.Incarnation
+		load.UpstreamIncarnation = state.Incarnation
 	}
 	return wire.Heartbeat{Draining: s.draining.Load(), Load: load}
 }
@@ -223,7 +223,7 @@
 		s.startDraining()
 		return struct{}{}, nil
 	}
-	return nil, &wire.RefusalError{Reason: domain.ReasonBadInput, Ran: domain.NotRun, Detail: "no method " + method}
+	return nil, &wire.RefusalError{Reason: domain.ReasonBadInput, Execution: domain.NotRun, Detail: "no method " + method}
 }
 
 // logWorkExits logs background work that ended with an error.
--- a/side/upstream_work.go
+++ b/side/upstream_work.go
@@ -24,10 +24,10 @@
 	err := s.claims.ledger.Accept(*dispatch, time.Now())
 	var refusal *claim.Refusal
 	if errors.As(err, &refusal) {
-		return wire.Outcome{Ran: refusal.Ran, Reason: refusal.Reason(), Detail: refusal.Error(), Claim: refusal}
+		return wire.Outcome{Execution: refusal.KeyRan, Reason: refusal.Reason(), Detail: refusal.Error(), Claim: refusal}
 	}
 	if err != nil {
-		return wire.Outcome{Ran: domain.NotRun, Reason: domain.ReasonNoClaim, Detail: err.Error()}
+		return wire.Outcome{Execution: domain.NotRun, Reason: domain.ReasonNoClaim, Detail: err.Error()}
 	}
 	outcome := s.runOnUpstream(ctx, o)
 	if _, err := s.claims.ledger.Settle(dispatch.Token.Key, dispatch.Attempt, claimState(o.run, outcome), time.Now()); err != nil {
@@ -41,9 +41,9 @@
 // has no further effect, so its caller may retry.
 func claimState(run wire.RunRequest, outcome wire.Outcome) claim.State {
 	switch {
-	case outcome.Ran == domain.NotRun, run.Idempotent && outcome.Reason != "":
+	case outcome.Execution == domain.NotRun, run.Idempotent && outcome.Reason != "":
 		return claim.StateNotRun
-	case outcome.Ran == domain.DidRun:
+	case outcome.Execution == domain.DidRun:
 		return claim.StateRan
 	}
 	return claim.StateUnknown
@@ -53,7 +53,7 @@
 // not send an order that was abandoned before.
 func (s *Side) runOnUpstream(ctx context.Context, o *order) wire.Outcome {
 	if !s.orderTable.markSent(o) {
-		return wire.Outcome{Ran: domain.NotRun, Reason: domain.ReasonCallerGone}
+		return wire.Outcome{Execution: domain.NotRun, Reason: domain.ReasonCallerGone}
 	}
 	s.FaultHook.Reach(inject.SideHanded)
 	r := o.run
@@ -65,7 +65,7 @@
 			return s.failureOutcome(ctx, o, err)
 		}
 		s.speed.recordPrefill(r.Prefill.PromptTokens, time.Since(start))
-		return wire.Outcome{Ran: domain.DidRun, KV: &kv}
+		return wire.Outcome{Execution: domain.DidRun, KV: &kv}
 	case r.Stage == wire.StageDecode && s.Model != nil && r.Decode != nil:
 		last := time.Now()
 		err := s.Model.Decode(ctx, *r.Decode, func(token engine.Token) error {
@@ -82,39 +82,39 @@
 		if err != nil {
 			return s.failureOutcome(ctx, o, err)
 		}
-		return wire.Outcome{Ran: domain.DidRun}
-	case r.Stage == wire.StageCall && s.App != nil && r.Call != nil:
-		response, err := s.App.Do(ctx, *r.Call)
+		return wire.Outcome{Execution: domain.DidRun}
+	case r.Stage == wire.StageCall && s.AppServer != nil && r.Call != nil:
+		response, err := s.AppServer.Do(ctx, *r.Call)
 		if err != nil {
 			return s.failureOutcome(ctx, o, err)
 		}
-		return wire.Outcome{Ran: domain.DidRun, Answer: &response}
+		return wire.Outcome{Execution: domain.DidRun, Answer: &response}
 	}
-	return wire.Outcome{Ran: domain.NotRun, Reason: domain.ReasonBadInput, Detail: "the upstream does not do this stage"}
+	return wire.Outcome{Execution: domain.NotRun, Reason: domain.ReasonBadInput, Detail: "the upstream does not do this stage"}
 }
 
 // failureOutcome returns the outcome of an order whose upstream call failed. The
 // order counts as not run only if the upstream reported so or refused the
 // connection.
 func (s *Side) failureOutcome(ctx context.Context, o *order, err error) wire.Outcome {
-	outcome := wire.Outcome{Ran: domain.Unknown, Reason: domain.ReasonUpstream, Detail: err.Error()}
+	outcome := wire.Outcome{Execution: domain.Unknown, Reason: domain.ReasonUpstream, Detail: err.Error()}
 	switch {
 	case errors.Is(err, engine.ErrNotStarted):
-		outcome.Ran = domain.NotRun
+		outcome.Execution = domain.NotRun
 	case errors.Is(err, engine.ErrEvicted):
-		outcome.Ran, outcome.Detail = domain.NotRun, "the prompt's KV cache was gone"
+		outcome.Execution, outcome.Detail = domain.NotRun, "the prompt's KV cache was gone"
 	case errors.Is(err, engine.ErrCrashed) && ctx.Err() == nil:
 		if death := s.detectCrash(ctx, o); death != nil {
 			outcome.Reason, outcome.Death = domain.ReasonLost, death
 			s.crashEvidence.RecordDeath(*death)
 		}
 	}
-	if s.Model == nil || outcome.Ran == domain.NotRun {
+	if s.Model == nil || outcome.Execution == domain.NotRun {
 		return outcome
 	}
 	// Model work has no effect other than its answer, so it counts as run once
 	// the engine has accepted it, which is the case here.
-	outcome.Ran = domain.DidRun
+	outcome.Execution = domain.DidRun
 	s.cancelAtEngine(o.run.Request)
 	return outcome
 }
--- a/test/drive/caller.go
+++ b/test/drive/caller.go
@@ -16,11 +16,11 @@
 // Services and request kinds in the policy tables Table and PlainTable, which the measuring
 // programs use.
 const (
-	App        = "marketplace-app"
-	Model      = "appraiser-lm"
-	PlainKind  = "card"
-	KeyedKind  = "enquiry"
-	StreamKind = "appraisal"
+	AppService   = "marketplace-app"
+	ModelService = "appraiser-lm"
+	PlainKind    = "card"
+	KeyedKind    = "enquiry"
+	StreamKind   = "appraisal"
 )
 
 // maxIdleConns is high enough to keep the idle connections of all workers open, so
@@ -55,7 +55,7 @@
 func (c *Caller) Plain(ctx context.Context) error {
 	path := c.Path
 	if path == "" {
-		path = "/services/" + App + "/card"
+		path = "/services/" + AppService + "/card"
 	}
 	q, err := http.NewRequestWithContext(ctx, http.MethodGet, c.Base+path, nil)
 	if err != nil {
@@ -68,7 +68,7 @@
 // Keyed sends one call that is not idempotent, with the given Idempotency-Key. A status
 // other than 200 is an error.
 func (c *Caller) Keyed(ctx context.Context, key string) error {
-	q, err := http.NewRequestWithContext(ctx, http.MethodPost, c.Base+"/services/"+App+"/enquiry", strings.NewReader(key))
+	q, err := http.NewRequestWithContext(ctx, http.MethodPost, c.Base+"/services/"+AppService+"/enquiry", strings.NewReader(key))
 	if err != nil {
 		return err
 	}
@@ -95,7 +95,7 @@
 // the request's id and the number of tokens in the event; an error of onText ends the
 // stream and is returned.
 func (c *Caller) Stream(ctx context.Context, prompt string, tokens int, onText func(request string, count int) error) error {
-	body, err := json.Marshal(map[string]any{"model": Model, "prompt": prompt, "max_tokens": tokens, "stream": true})
+	body, err := json.Marshal(map[string]any{"model": ModelService, "prompt": prompt, "max_tokens": tokens, "stream": true})
 	if err != nil {
 		return err
 	}
--- a/test/fault_points_test.go
+++ b/test/fault_points_test.go
@@ -27,7 +27,7 @@
 func faultCases() []faultCase {
 	onlyModel := map[inject.Point]bool{inject.EntryReserved: true, inject.EntryPrefilled: true}
 	var all []faultCase
-	for _, do := range []inject.Action{inject.Exit, inject.Pause} {
+	for _, do := range []inject.Action{inject.ExitProcess, inject.PauseProcess} {
 		for _, s := range inject.EntryPoints() {
 			if !onlyModel[s] {
 				all = append(all, faultCase{s, do, "enquiry", []string{"entry-1"}})
@@ -67,7 +67,7 @@
 }
 
 // faultCasePromises are the promises that each fault case tests.
-var faultCasePromises = []Promise{MemoryFree, AnsweredOnce, NotRunIsTrue, AtMostOnce}
+var faultCasePromises = []Promise{MemoryFree, AnsweredOnce, RefusedNeverRan, AtMostOnce}
 
 func runFaultCase(t *testing.T, w *world, c faultCase) {
 	require.NoError(t, cmdWorld(w, []string{"prefill=1", "decode=2", "app=3", "entry=2", "engine_args=--token-gap,10ms"}))
@@ -87,7 +87,7 @@
 	for _, v := range c.processes {
 		p, err := w.findProcess(v)
 		require.NoError(t, err)
-		if c.action == inject.Pause {
+		if c.action == inject.PauseProcess {
 			require.NoError(t, p.command.Process.Signal(syscall.SIGCONT))
 			continue
 		}
--- a/test/fleet_announcements.go
+++ b/test/fleet_announcements.go
@@ -80,7 +80,7 @@
 	announcedAt := make(map[[2]int]time.Time) // when an incarnation (host, number) first forwarded the announcement
 	for _, c := range f.calls {
 		incarnationID := [2]int{c.entry, c.incarnation}
-		if first, known := announcedAt[incarnationID]; c.response.Leaving == s.Entry.ID && (!known || c.endedAt.Before(first)) {
+		if first, known := announcedAt[incarnationID]; c.response.LeavingServerID == s.Entry.ID && (!known || c.endedAt.Before(first)) {
 			announcedAt[incarnationID] = c.endedAt
 		}
 	}
--- a/test/fleet_calls.go
+++ b/test/fleet_calls.go
@@ -61,7 +61,7 @@
 				continue
 			}
 			l = h.current()
-			c = &fake.Caller{To: l.listen}
+			c = &fake.Caller{EntryAddr: l.listen}
 		}
 		kind, givesUp := pick(r, fleetKinds), r.IntN(fleetAbandonEvery) == 0
 		if givesUp && r.IntN(2) == 0 {
@@ -144,7 +144,7 @@
 		l := h.current()
 		request := newFleetCall("p"+strconv.Itoa(h.index)+"-"+strconv.Itoa(n), "probe")
 		request.entry, request.incarnation = h.index, l.number
-		c := &fake.Caller{To: l.listen}
+		c := &fake.Caller{EntryAddr: l.listen}
 		f.sendCall(c, request, false, nil)
 		c.Close()
 		group.Sleep(ctx, fleetProbeInterval)
--- a/test/fleet_judge.go
+++ b/test/fleet_judge.go
@@ -109,7 +109,7 @@
 				request := newFleetCall(fmt.Sprintf("recovery-%d-%s-%d", h.index, kind, n), kind)
 				l := h.current()
 				request.entry, request.incarnation = h.index, l.number
-				c := &fake.Caller{To: l.listen}
+				c := &fake.Caller{EntryAddr: l.listen}
 				request = f.sendCall(c, request, false, nil)
 				c.Close()
 				if request.response.Status == http.StatusOK {
@@ -197,7 +197,7 @@
 		return strings.HasPrefix(c.response.Body, "answer of ") && strings.HasSuffix(c.response.Body, " to "+c.method+" "+c.target+" "+c.body)
 	}
 	var b strings.Builder
-	for n := 1; n <= fake.Events; n++ {
+	for n := 1; n <= fake.EventCount; n++ {
 		b.WriteString(fake.Event(c.target, n))
 	}
 	return c.response.Body == b.String()
--- a/test/fleet_plan.go
+++ b/test/fleet_plan.go
@@ -219,7 +219,7 @@
 			return false
 		}
 		if drawn > answerLossRatio/2 && s.Entry.Stage != "" {
-			s.Stream(w, r, fake.Events/2)
+			s.Stream(w, r, fake.EventCount/2)
 			_, _ = io.WriteString(w, "id: 4\ndata: pie")
 			_ = http.NewResponseController(w).Flush()
 		} else {
--- a/test/judge.go
+++ b/test/judge.go
@@ -100,8 +100,8 @@
 		return err
 	}
 	var found check.Findings
-	w.countViolations(OwnWhole, &found, w.judgeAnswers)
-	w.countViolations(NotRunIsTrue, &found, func(f *check.Findings) { w.judgeRefusals(u, f) })
+	w.countViolations(OwnAnswerComplete, &found, w.judgeAnswers)
+	w.countViolations(RefusedNeverRan, &found, func(f *check.Findings) { w.judgeRefusals(u, f) })
 	w.countViolations(AtMostOnce, &found, func(f *check.Findings) { w.judgeRuns(u, f) })
 	w.countViolations(AnsweredOnce, &found, w.judgeSecondAnswers)
 	w.countViolations(AnsweredOnce, &found, w.judgeCounts)
--- a/test/path/plain.go
+++ b/test/path/plain.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		return err
 	}
-	if _, err := w.Side("app-1", "salt-lake", "app", drive.App, "server"); err != nil {
+	if _, err := w.Side("app-1", "salt-lake", "app", drive.AppService, "server"); err != nil {
 		return err
 	}
 	e, err := w.Entry("entry-1", "salt-lake")
--- a/test/path/tokens.go
+++ b/test/path/tokens.go
@@ -32,7 +32,7 @@
 
 func (e *engines) start(ctx context.Context) error {
 	settings := model.Settings{
-		Model: drive.Model, PrefillRate: 1_000_000, Slots: 256, MemoryTokens: 10_000_000,
+		Model: drive.ModelService, PrefillRate: 1_000_000, Slots: 256, MemoryTokens: 10_000_000,
 		TokenGap: tokenGap, BatchCost: 0.0001, LinkRate: 100_000_000, KVLifetime: 10 * time.Second,
 	}
 	settings.Role = domain.RolePrefill
@@ -74,7 +74,7 @@
 	defer w.Close()
 	for i, role := range []string{"prefill", "decode"} {
 		w.Upstream("engine-"+role, e.addresses[i])
-		if _, err := w.Side(role+"-1", "salt-lake", role, drive.Model, "engine-"+role); err != nil {
+		if _, err := w.Side(role+"-1", "salt-lake", role, drive.ModelService, "engine-"+role); err != nil {
 			return err
 		}
 	}
@@ -93,7 +93,7 @@
 
 // measureDirect measures streams requested from the engines directly, as a side does.
 func (e *engines) measureDirect(ctx context.Context, a arguments) (*hdrhistogram.Histogram, error) {
-	prefill, decode := &engine.HTTPModel{Base: e.addresses[0]}, &engine.HTTPModel{Base: e.addresses[1]}
+	prefill, decode := &engine.HTTPModel{Addr: e.addresses[0]}, &engine.HTTPModel{Addr: e.addresses[1]}
 	results := newLatencies()
 	numbers := make(chan int, a.Streams)
 	for n := range a.Streams {
--- a/test/promises.go
+++ b/test/promises.go
@@ -20,16 +20,16 @@
 
 // The promises, with what each requires.
 const (
-	MemoryFree    Promise = iota + 1 // no engine holds memory for a disconnected caller
-	AnsweredOnce                     // no request is answered twice
-	OwnWhole                         // a complete answer is the whole answer to this request
-	NotRunIsTrue                     // a request refused as not_run did not run
-	AtMostOnce                       // a request that must not be repeated runs at most once
-	LeavingIdle                      // a leaving host receives no new requests
-	StopCutsNone                     // a planned stop breaks off no request
-	EditsPersist                     // an accepted edit comes into force at every entry and never reverts
-	lastPromise   = EditsPersist
-	promisePrefix = "# promises:"
+	MemoryFree            Promise = iota + 1 // no engine holds memory for a disconnected caller
+	AnsweredOnce                             // no request is answered twice
+	OwnAnswerComplete                        // a complete answer is the whole answer to this request
+	RefusedNeverRan                          // a request refused as not_run did not run
+	AtMostOnce                               // a request that must not be repeated runs at most once
+	LeavingGetsNoRequests                    // a leaving host receives no new requests
+	StopCompletesRequests                    // a planned stop breaks off no request
+	EditsPersist                             // an accepted edit comes into force at every entry and never reverts
+	lastPromise           = EditsPersist
+	promisePrefix         = "# promises:"
 )
 
 // PromisesOf parses the line of a script that lists the promises it tests, such as
--- a/test/promises_test.go
+++ b/test/promises_test.go
@@ -41,9 +41,9 @@
 		change(w)
 		r.add(promises, w, failed)
 	}
-	scenario(false, func(w *world) { w.longestTimes[MemoryFree] = 900 * time.Millisecond }, MemoryFree, OwnWhole)
+	scenario(false, func(w *world) { w.longestTimes[MemoryFree] = 900 * time.Millisecond }, MemoryFree, OwnAnswerComplete)
 	scenario(true, func(w *world) { w.longestTimes[MemoryFree] = 1200 * time.Millisecond }, MemoryFree)
-	scenario(true, func(w *world) { w.violations[AtMostOnce] = 3 }, OwnWhole)
+	scenario(true, func(w *world) { w.violations[AtMostOnce] = 3 }, OwnAnswerComplete)
 	var out strings.Builder
 	require.NoError(t, r.Write(&out))
 	lines := strings.Split(out.String(), "\n")
--- a/test/slopes/calls.go
+++ b/test/slopes/calls.go
@@ -42,7 +42,7 @@
 	if _, err := w.Fake("server", "app"); err != nil {
 		return err
 	}
-	if _, err := w.Side("app-1", "salt-lake", "app", drive.App, "server"); err != nil {
+	if _, err := w.Side("app-1", "salt-lake", "app", drive.AppService, "server"); err != nil {
 		return err
 	}
 	var callers []*drive.Caller
@@ -57,7 +57,7 @@
 	if err != nil {
 		return err
 	}
-	var before, after store.Counts
+	var before, after store.CallCounts
 	sleep(ctx, 2*time.Second) // until the entries have joined
 	counts := "http://" + p.Address.String() + "/counts"
 	if err := getJSON(ctx, counts, &before); err != nil {
--- a/test/slopes/claims.go
+++ b/test/slopes/claims.go
@@ -41,7 +41,7 @@
 			return err
 		}
 		name := fmt.Sprintf("app-%d", n)
-		if processes[name], err = w.Side(name, zone, "app", drive.App, server); err != nil {
+		if processes[name], err = w.Side(name, zone, "app", drive.AppService, server); err != nil {
 			return err
 		}
 	}
@@ -148,10 +148,10 @@
 // ownerLedger returns the ledger of owner in a service with the members owner and
 // runner, after runner has replied to the owner's fence requests.
 func ownerLedger(owner, runner claim.Member, now time.Time) (*claim.Ledger, error) {
-	record := claim.Record{Generation: claim.Generation{Version: 1, First: true, Members: []claim.Member{owner, runner}}}
+	record := claim.Record{Generation: claim.Generation{Version: 1, CreatedObject: true, Members: []claim.Member{owner, runner}}}
 	ledgers := map[claim.Process]*claim.Ledger{}
 	for _, m := range record.Members {
-		ledgers[m.Process()] = &claim.Ledger{Self: m.Process(), Limits: claim.Limits{Retention: time.Hour}}
+		ledgers[m.Process()] = &claim.Ledger{Self: m.Process(), Limits: claim.Limits{KeyRetention: time.Hour}}
 	}
 	if _, err := ledgers[runner.Process()].Apply(record, now); err != nil {
 		return nil, err
@@ -161,12 +161,12 @@
 	if err != nil {
 		return nil, err
 	}
-	for _, f := range out.Fences {
+	for _, f := range out.FenceRequests {
 		reply, err := ledgers[f.To].Fence(f, now)
 		if err != nil {
 			return nil, err
 		}
-		if _, err := ledger.Fenced(reply, now); err != nil {
+		if _, err := ledger.HandleFenceReply(reply, now); err != nil {
 			return nil, err
 		}
 	}
--- a/test/slopes/links.go
+++ b/test/slopes/links.go
@@ -148,10 +148,10 @@
 	if err != nil {
 		return test.Process{}, err
 	}
-	if _, err := w.Fake("engine", "engine", "--role", "decode", "--model", drive.Model); err != nil {
+	if _, err := w.Fake("engine", "engine", "--role", "decode", "--model", drive.ModelService); err != nil {
 		return test.Process{}, err
 	}
-	s, err := w.Side("decode-1", "salt-lake", "decode", drive.Model, "engine")
+	s, err := w.Side("decode-1", "salt-lake", "decode", drive.ModelService, "engine")
 	if err != nil {
 		return test.Process{}, err
 	}
@@ -188,7 +188,7 @@
 	}
 	var first test.Process
 	for i := range others + 1 {
-		s, err := w.Side(fmt.Sprintf("app-%d", i), "salt-lake", "app", drive.App, "server")
+		s, err := w.Side(fmt.Sprintf("app-%d", i), "salt-lake", "app", drive.AppService, "server")
 		if err != nil {
 			return s, err
 		}
@@ -225,7 +225,7 @@
 // startFakeSides starts sides in this process that only send heartbeats, and writes their
 // member record.
 func startFakeSides(ctx context.Context, w *test.Cluster, remotes *group.Group, count int) error {
-	r := member.Record{Service: drive.App}
+	r := member.Record{Service: drive.AppService}
 	for i := range count {
 		host := domain.Host(fmt.Sprintf("app-%03d", i))
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -233,14 +233,14 @@
 			return err
 		}
 		local := &wire.Handlers{
-			Hello: wire.Hello{Host: host, Zone: "salt-lake", Role: string(domain.RoleApp), Service: drive.App},
+			Hello: wire.Hello{Host: host, Zone: "salt-lake", Role: string(domain.RoleApp), Service: drive.AppService},
 			Heartbeat: func() wire.Heartbeat {
-				return wire.Heartbeat{Load: &wire.Load{Running: 3, Slots: 8, FreeSlots: 5, FreeTokens: 90000}}
+				return wire.Heartbeat{Load: &wire.UpstreamLoad{Running: 3, Slots: 8, FreeSlots: 5, FreeTokens: 90000}}
 			},
 		}
 		remotes.Go(ctx, "side", func(ctx context.Context) error { return wire.Serve(ctx, ln, local) })
 		r.Members = append(r.Members, member.Member{
-			Host: host, Zone: "salt-lake", Role: domain.RoleApp, Service: drive.App,
+			Host: host, Zone: "salt-lake", Role: domain.RoleApp, Service: drive.AppService,
 			Address: netip.MustParseAddrPort(ln.Addr().String()), Incarnation: domain.NewIncarnation(),
 		})
 	}
@@ -258,6 +258,6 @@
 		return err
 	}
 	objects := infra.HTTPObjects{Base: p.Address}
-	_, err = objects.Put(ctx, member.Name(r.Service), text, 0)
+	_, err = objects.Put(ctx, member.RecordName(r.Service), text, 0)
 	return errors.Wrap(err, "slopes: write the member record")
 }
--- a/test/slopes/orders.go
+++ b/test/slopes/orders.go
@@ -28,10 +28,10 @@
 		return err
 	}
 	defer w.Close()
-	if _, err := w.Fake("engine", "engine", "--role", "decode", "--model", drive.Model); err != nil {
+	if _, err := w.Fake("engine", "engine", "--role", "decode", "--model", drive.ModelService); err != nil {
 		return err
 	}
-	s, err := w.Side("side-1", "salt-lake", "decode", drive.Model, "engine")
+	s, err := w.Side("side-1", "salt-lake", "decode", drive.ModelService, "engine")
 	if err != nil {
 		return err
 	}
@@ -54,7 +54,7 @@
 	if err := callWhenConnected(ctx, toEntry, wire.MethodTable, wire.TableRequest{}, &latest); err != nil {
 		return err
 	}
-	request := wire.TableRequest{Have: latest.Version}
+	request := wire.TableRequest{HaveVersion: latest.Version}
 	err = reportOrders(ctx, "table_confirm", "entry", e.PID, func(int) error {
 		return toEntry.Call(ctx, wire.MethodTable, request, &latest)
 	})
--- a/test/slopes/request_path.go
+++ b/test/slopes/request_path.go
@@ -10,7 +10,7 @@
 // engineArgs configure the engines for requests and streams: fast prefill and capacity
 // for all streams. The token gap differs between the sections.
 var engineArgs = []string{
-	"--model", drive.Model, "--prefill-rate", "1000000", "--slots", "2000", "--memory-tokens", "100000000",
+	"--model", drive.ModelService, "--prefill-rate", "1000000", "--slots", "2000", "--memory-tokens", "100000000",
 	"--batch-cost", "0.0001", "--link-rate", "100000000", "--life", "10s",
 }
 
@@ -48,13 +48,13 @@
 		return err
 	}
 	var err error
-	if p.app, err = p.cluster.Side("app-1", "salt-lake", "app", drive.App, "server"); err != nil {
+	if p.app, err = p.cluster.Side("app-1", "salt-lake", "app", drive.AppService, "server"); err != nil {
 		return err
 	}
-	if p.prefill, err = p.cluster.Side("prefill-1", "salt-lake", "prefill", drive.Model, "engine-prefill"); err != nil {
+	if p.prefill, err = p.cluster.Side("prefill-1", "salt-lake", "prefill", drive.ModelService, "engine-prefill"); err != nil {
 		return err
 	}
-	if p.decode, err = p.cluster.Side("decode-1", "salt-lake", "decode", drive.Model, "engine-decode"); err != nil {
+	if p.decode, err = p.cluster.Side("decode-1", "salt-lake", "decode", drive.ModelService, "engine-decode"); err != nil {
 		return err
 	}
 	p.entry, err = p.cluster.Entry("entry-1", "salt-lake")
--- a/wire/messages.go
+++ b/wire/messages.go
@@ -66,8 +66,8 @@
 	// Tokens is the length of prompt and answer together, which is the KV memory needed at the
 	// end.
 	Tokens int `json:"tokens"`
-	// Hold is how long the reservation lasts; it then expires by itself.
-	Hold     time.Duration  `json:"hold"`
+	// TTL is how long the reservation lasts; it then expires by itself.
+	TTL      time.Duration  `json:"hold"`
 	Identity retry.Identity `json:"identity"`
 }
 
@@ -86,9 +86,9 @@
 	Kind    domain.Kind    `json:"kind"`
 	// Identity identifies the caller's request independently of its request ID.
 	Identity retry.Identity `json:"identity"`
-	// Within is the time left until the request's deadline, at which the side cancels the
+	// Timeout is the time left until the request's deadline, at which the side cancels the
 	// stage.
-	Within time.Duration `json:"within"`
+	Timeout time.Duration `json:"within"`
 	// Tokens is the KV memory, in tokens, needed when the answer is complete.
 	Tokens  int                    `json:"tokens,omitempty"`
 	Prefill *engine.PrefillRequest `json:"prefill,omitempty"`
@@ -104,15 +104,15 @@
 // AttachRequest resumes an attempt after its connection was lost.
 type AttachRequest struct {
 	AttemptRef
-	// From is the offset of the next token that the entry needs.
-	From int `json:"from"`
+	// FromOffset is the offset of the next token that the entry needs.
+	FromOffset int `json:"from"`
 }
 
 // Outcome is the result of a stage.
 type Outcome struct {
 	AttemptRef
-	// Ran reports whether the upstream started to execute the stage.
-	Ran domain.Execution `json:"ran"`
+	// Execution reports whether the upstream started to execute the stage.
+	Execution domain.Execution `json:"ran"`
 	// Reason is why the stage failed; empty if it succeeded.
 	Reason domain.Reason `json:"reason,omitempty"`
 	Detail string        `json:"detail,omitempty"`
@@ -147,14 +147,14 @@
 const (
 	// MethodTable requests the operators' table. It takes a TableRequest and returns a Table.
 	MethodTable = "table"
-	// MethodOffer pushes a newly written table. It takes a Table, and returns a Table with
+	// MethodPushTable pushes a newly written table. It takes a Table, and returns a Table with
 	// only the version that the receiver then has in force.
-	MethodOffer = "offer"
+	MethodPushTable = "offer"
 )
 
 // TableRequest asks for the table if it is newer than version Have.
 type TableRequest struct {
-	Have uint64 `json:"have"`
+	HaveVersion uint64 `json:"have"`
 }
 
 // Table is a version of the operators' table. Value is its stored form, empty if the requester
@@ -171,7 +171,7 @@
 // RateRequest asks to admit one request of a caller under the rate limit of a row of the table.
 type RateRequest struct {
 	Key limit.Key `json:"of"`
-	// Rate is the limit of that row, in requests per second.
+	// PrefillRate is the limit of that row, in requests per second.
 	Rate float64 `json:"rate"`
 	// Standby reports that the addressed entry does not own the caller's rate limit and
 	// replaces an unreachable owner.
@@ -188,15 +188,15 @@
 // MethodState requests an entry's state. It takes nothing and returns a State.
 const MethodState = "state"
 
-// State is an entry's report of its own state.
-type State struct {
+// EntryState is an entry's report of its own state.
+type EntryState struct {
 	Host domain.Host `json:"host"`
 	Zone domain.Zone `json:"zone"`
-	// Version is the version of the operators' table that the entry has in force, and Since
+	// TableVersion is the version of the operators' table that the entry has in force, and Since
 	// the time from which it has been in force.
-	Version  uint64    `json:"table_version"`
-	Since    time.Time `json:"in_force_since"`
-	Draining bool      `json:"draining,omitempty"`
+	TableVersion uint64    `json:"table_version"`
+	InForceSince time.Time `json:"in_force_since"`
+	Draining     bool      `json:"draining,omitempty"`
 	// Stale reports that the entry receives table confirmations from no source and therefore
 	// accepts no new work.
 	Stale bool `json:"stale,omitempty"`
@@ -211,8 +211,8 @@
 // MembersRequest asks for a service's membership record; Have is the version that the requester
 // already has.
 type MembersRequest struct {
-	Service domain.Service `json:"service"`
-	Have    uint64         `json:"have"`
+	Service     domain.Service `json:"service"`
+	HaveVersion uint64         `json:"have"`
 }
 
 // Methods of the calls, and of the notification, that claim requests with an idempotency key.
@@ -234,8 +234,8 @@
 	MethodFence    = "fence"
 	MethodRestore  = "restore"
 	MethodHandover = "handover"
-	// MethodOwned is a side's notification of the shards that it owns, as OwnedShards.
-	MethodOwned = "owned"
+	// MethodOwnedShards is a side's notification of the shards that it owns, as OwnedShards.
+	MethodOwnedShards = "owned"
 )
 
 // ClaimReply is the owner's decision on a claim of an idempotency key; exactly one of its fields is
@@ -257,8 +257,8 @@
 	Shards  []claim.Ownership `json:"shards"`
 }
 
-// MethodCache is a side's notification of its engine's cache events, as CacheEvents.
-const MethodCache = "cache"
+// MethodCacheEvents is a side's notification of its engine's cache events, as CacheEvents.
+const MethodCacheEvents = "cache"
 
 // CacheEvents carries the cache events of one engine in the order of their sequence numbers.
 type CacheEvents struct {
@@ -273,10 +273,10 @@
 type Order struct {
 	Kind  engine.OrderKind `json:"kind"`
 	Value string           `json:"value"`
-	// By is the name of the operator, for the log.
-	By string `json:"by"`
-	// Within bounds the time that the order may wait for its lease.
-	Within time.Duration `json:"within"`
+	// Operator is the name of the operator, for the log.
+	Operator string `json:"by"`
+	// Timeout bounds the time that the order may wait for its lease.
+	Timeout time.Duration `json:"within"`
 }
 
 // OrderReply reports that the engine accepted the order, with the fencing token used.
--- a/wire/peer.go
+++ b/wire/peer.go
@@ -215,7 +215,7 @@
 			if ctx.Err() != nil {
 				return errors.WithStack(err)
 			}
-			r = &RefusalError{Reason: domain.ReasonUpstream, Ran: domain.Unknown, Detail: err.Error()}
+			r = &RefusalError{Reason: domain.ReasonUpstream, Execution: domain.Unknown, Detail: err.Error()}
 		}
 		e := &jsonrpc2.Error{Code: refusalCode, Message: string(r.Reason)}
 		e.SetError(r)
@@ -284,7 +284,7 @@
 func Decode[T any](params json.RawMessage, next func(T) (any, error)) (any, error) {
 	var v T
 	if err := json.Unmarshal(params, &v); err != nil {
-		return nil, &RefusalError{Reason: domain.ReasonBadInput, Ran: domain.NotRun, Detail: err.Error()}
+		return nil, &RefusalError{Reason: domain.ReasonBadInput, Execution: domain.NotRun, Detail: err.Error()}
 	}
 	return next(v)
 }
--- a/wire/peer_test.go
+++ b/wire/peer_test.go
@@ -191,7 +191,7 @@
 // that was never sent.
 func TestCallErrorDistinguishesRefusalLossAndNotSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		refusal := &RefusalError{Reason: domain.ReasonDraining, Ran: domain.NotRun, Detail: "stopping"}
+		refusal := &RefusalError{Reason: domain.ReasonDraining, Execution: domain.NotRun, Detail: "stopping"}
 		var p pipe
 		left, right := openPeers(t, &p, &Handlers{}, &Handlers{
 			Handle: func(ctx context.Context, p *Peer, method string, params json.RawMessage) (any, error) {
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -43,14 +43,14 @@
 // RefusalError is the remote process's refusal of a call.
 type RefusalError struct {
 	Reason domain.Reason `json:"reason"`
-	// Ran reports whether the work ran, as far as the refusing process can tell.
-	Ran    domain.Execution `json:"ran"`
-	Detail string           `json:"detail,omitempty"`
+	// Execution reports whether the work ran, as far as the refusing process can tell.
+	Execution domain.Execution `json:"ran"`
+	Detail    string           `json:"detail,omitempty"`
 }
 
 // Error returns the reason, whether the work ran, and the detail.
 func (r *RefusalError) Error() string {
-	return "wire: refused: " + string(r.Reason) + " (" + string(r.Ran) + ") " + r.Detail
+	return "wire: refused: " + string(r.Reason) + " (" + string(r.Execution) + ") " + r.Detail
 }
 
 // Hello is the first message in each direction on a connection.
@@ -71,13 +71,13 @@
 	Echo   uint64 `json:"echo"`
 	// Draining reports that the sender accepts no new work.
 	Draining bool `json:"draining,omitempty"`
-	// Load is the load of a side's upstream, as the side measured it; nil from other
+	// UpstreamLoad is the load of a side's upstream, as the side measured it; nil from other
 	// processes.
-	Load *Load `json:"load,omitempty"`
+	Load *UpstreamLoad `json:"load,omitempty"`
 }
 
-// Load is the state of a side's upstream at the time of a heartbeat.
-type Load struct {
+// UpstreamLoad is the state of a side's upstream at the time of a heartbeat.
+type UpstreamLoad struct {
 	// Running is the number of attempts in progress, Slots the number of decodes that fit.
 	Running int `json:"running"`
 	Slots   int `json:"slots"`
@@ -87,15 +87,15 @@
 	// QueuedTokens is the number of prompt tokens accepted and not yet prefilled. Rate is the
 	// measured prefill speed in tokens per second.
 	QueuedTokens int     `json:"queued_tokens"`
-	Rate         float64 `json:"rate,omitempty"`
+	PrefillRate  float64 `json:"rate,omitempty"`
 	// GapBase and GapStep describe the measured time between tokens of one decode: GapBase plus
 	// GapStep for each order in the batch.
 	GapBase time.Duration `json:"gap_base,omitempty"`
 	GapStep time.Duration `json:"gap_step,omitempty"`
-	// LinkRate is the measured speed of KV imports in tokens per second.
-	LinkRate float64 `json:"link_rate,omitempty"`
+	// KVImportRate is the measured speed of KV imports in tokens per second.
+	KVImportRate float64 `json:"link_rate,omitempty"`
 	// Down reports that the upstream does not answer its side.
 	Down bool `json:"down,omitempty"`
-	// Upstream identifies the instance of the upstream.
-	Upstream domain.Incarnation `json:"upstream,omitempty"`
+	// UpstreamIncarnation identifies the instance of the upstream.
+	UpstreamIncarnation domain.Incarnation `json:"upstream,omitempty"`
 }
