--- a/infra/http.go
+++ b/infra/http.go
@@ -76,7 +76,7 @@
 		http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		kind = ErrRefused
 	}
-	return &CallError{Call: call, Kind: kind, Cause: errors.Errorf("infra: response with status %d: %.200s", status, value)}
+	return &CallError{Call: call, Kind: kind, Cause: errors.Errorf("infra: status %d: %.200s", status, value)}
 }
 
 // read sends a GET request for the target and decodes the JSON body of the response
--- a/infra/infra.go
+++ b/infra/infra.go
@@ -43,13 +43,13 @@
 	// ErrConflict: the object is not at the given version, and nothing was written.
 	ErrConflict = errors.New("infra: version conflict")
 	// ErrUnchanged: there was no newer version within the wait time of a watch.
-	ErrUnchanged = errors.New("infra: object unchanged within the wait time")
+	ErrUnchanged = errors.New("infra: unchanged")
 	// ErrRefused: the platform did nothing (outage, rate limit, oversized value), or
 	// the request was not sent.
-	ErrRefused = errors.New("infra: platform refused the call")
+	ErrRefused = errors.New("infra: refused")
 	// ErrNoReply: there was no complete or no readable response; a write may have taken
 	// effect.
-	ErrNoReply = errors.New("infra: no complete response from the platform")
+	ErrNoReply = errors.New("infra: no reply")
 )
 
 // Objects is the platform's object API. Each call counts against its rate limit; a
--- a/send/conn.go
+++ b/send/conn.go
@@ -51,7 +51,7 @@
 	}
 	c, err := d.DialContext(ctx, "tcp", addr.String())
 	if err != nil {
-		return nil, errors.Wrap(err, "send: dial the upstream")
+		return nil, errors.Wrap(err, "send: dial")
 	}
 	k := &conn{Conn: c}
 	k.reader = bufio.NewReaderSize(k, 8<<10)
@@ -94,9 +94,9 @@
 func (k *conn) write(q *http.Request) error {
 	out := bufio.NewWriterSize(k, 8<<10)
 	if err := q.Write(out); err != nil {
-		return errors.Wrap(err, "send: write request")
+		return errors.Wrap(err, "send: writing request")
 	}
-	return errors.Wrap(out.Flush(), "send: write request")
+	return errors.Wrap(out.Flush(), "send: writing request")
 }
 
 func (k *conn) expired(now time.Time) bool { return now.Sub(k.idleSince) > k.idleTimeout }
--- a/send/send.go
+++ b/send/send.go
@@ -158,7 +158,7 @@
 	for n := 0; n <= maxSkippedResponses; n++ {
 		response, err := http.ReadResponse(p.conn.reader, q)
 		if err != nil {
-			return nil, errors.Wrap(err, "send: read response header")
+			return nil, errors.Wrap(err, "send: reading response header")
 		}
 		interim := response.StatusCode < http.StatusOK
 		if !interim && (r.Match == nil || r.Match(response.Header)) {
@@ -168,17 +168,17 @@
 		// passed on as the response to this request, to another caller. Reading on finds the right
 		// response because the upstream answers the requests of a connection in order.
 		if _, err := io.Copy(io.Discard, response.Body); err != nil || response.Close {
-			return nil, errors.New("send: skip a response to another request: the connection ended")
+			return nil, errors.New("send: connection ended after a response to another request")
 		}
 	}
-	return nil, errors.New("send: read response header: too many interim responses or responses to other requests")
+	return nil, errors.New("send: too many responses to other requests")
 }
 
 // buildRequest returns the request in the form that net/http writes. An empty body has the length
 // 0, which is written too if the method has a body.
 func buildRequest(r Request, base netip.AddrPort) (*http.Request, error) {
 	if r.Target == "" || r.Target[0] != '/' {
-		return nil, errors.Errorf("send: build request: target %q is not an absolute path", r.Target)
+		return nil, errors.Errorf("send: building request: target %q is not an absolute path", r.Target)
 	}
 	q := &http.Request{
 		Method: r.Method,
--- a/table/codec.go
+++ b/table/codec.go
@@ -36,7 +36,7 @@
 	var s storedTable
 	d := json.NewDecoder(bytes.NewReader(text))
 	if err := d.Decode(&s); err != nil {
-		return errors.Wrap(err, "table: read JSON")
+		return errors.Wrap(err, "table: reading JSON")
 	}
 	*t = New(s.Version, s.Rows)
 	t.edits = s.Edits
@@ -46,14 +46,14 @@
 // Encode returns the table as JSON, in the form in which the platform stores it.
 func (t Table) Encode() ([]byte, error) {
 	text, err := json.Marshal(t)
-	return text, errors.Wrap(err, "table: encode table as JSON")
+	return text, errors.Wrap(err, "table: encoding")
 }
 
 // Decode reads the output of Encode without checking the rows.
 func Decode(text []byte) (Table, error) {
 	var t Table
 	err := json.Unmarshal(text, &t)
-	return t, errors.Wrap(err, "table: decode stored table")
+	return t, errors.Wrap(err, "table: decoding")
 }
 
 // DecodeRows reads rows written by an operator as JSON: an array of rows, or an
--- a/table/csv.go
+++ b/table/csv.go
@@ -31,7 +31,7 @@
 		records = append(records, record)
 	}
 	err := w.WriteAll(records)
-	return b.Bytes(), errors.Wrap(err, "table: encode table as CSV")
+	return b.Bytes(), errors.Wrap(err, "table: encoding CSV")
 }
 
 // DecodeCSV reads a whole table: the header must contain every column, in any
--- a/trace/id.go
+++ b/trace/id.go
@@ -40,7 +40,7 @@
 func splitLast(s string) (domain.Host, domain.Incarnation, string, error) {
 	last := strings.LastIndexByte(s, '.')
 	if last < 0 {
-		return "", 0, "", errors.Errorf("trace: parse id or range: not <host>.<incarnation>.<number>: %.80q", s)
+		return "", 0, "", errors.Errorf("trace: not <host>.<incarnation>.<number>: %.80q", s)
 	}
 	host, incarnation, err := splitHost(s[:last])
 	return host, incarnation, s[last+1:], err
@@ -50,7 +50,7 @@
 func splitHost(s string) (domain.Host, domain.Incarnation, error) {
 	dot := strings.LastIndexByte(s, '.')
 	if dot < 0 || !validHost(s[:dot]) {
-		return "", 0, errors.Errorf("trace: parse host and incarnation: not <host>.<incarnation>: %.80q", s)
+		return "", 0, errors.Errorf("trace: not <host>.<incarnation>: %.80q", s)
 	}
 	n, err := parseNumber(s[dot+1:])
 	return domain.Host(s[:dot]), domain.Incarnation(n), err
@@ -63,7 +63,7 @@
 func parseNumber(s string) (uint64, error) {
 	n, err := strconv.ParseUint(s, 10, 64)
 	if err != nil || strconv.FormatUint(n, 10) != s {
-		return 0, errors.Errorf("trace: parse number: not a canonical decimal number: %.40q", s)
+		return 0, errors.Errorf("trace: not a canonical decimal number: %.40q", s)
 	}
 	return n, nil
 }
--- a/trace/segment_name.go
+++ b/trace/segment_name.go
@@ -63,7 +63,7 @@
 	owner, file, found := strings.Cut(rest, "/")
 	parts := strings.Split(file, "~")
 	if !ok || !found || len(parts) < 3 || len(parts) > 2+MaxRanges {
-		return SegmentName{}, errors.Errorf("trace: parse segment name: not of the form of SegmentName.String: %.80q", s)
+		return SegmentName{}, errors.Errorf("trace: not a segment name: %.80q", s)
 	}
 	var n SegmentName
 	var err error
@@ -75,7 +75,7 @@
 	}
 	written, err := parseNumber(parts[1])
 	if err != nil || written > 1<<40 {
-		return SegmentName{}, errors.Errorf("trace: parse segment name: not a time in Unix seconds: %.40q", parts[1])
+		return SegmentName{}, errors.Errorf("trace: not a time in Unix seconds: %.40q", parts[1])
 	}
 	n.Written = time.Unix(int64(written), 0).UTC()
 	for _, p := range parts[2:] {
@@ -102,7 +102,7 @@
 		return Range{}, err
 	}
 	if g.First > g.Last {
-		return Range{}, errors.Errorf("trace: parse range of request numbers: first is above last: %.80q", s)
+		return Range{}, errors.Errorf("trace: range with first above last: %.80q", s)
 	}
 	return g, nil
 }
