--- a/admin/edits.go
+++ b/admin/edits.go
@@ -111,7 +111,7 @@
 func readSubmission(r *http.Request) (editor.Submission, *Problem) {
 	var s editor.Submission
 	var p *Problem
-	if s.IfMatch, p = readIfMatch(r.Header.Values("If-Match")); p != nil {
+	if s.BaseVersion, p = readIfMatch(r.Header.Values("If-Match")); p != nil {
 		return s, p
 	}
 	switch r.URL.Query().Get("sent_before") {
--- a/bench/app.go
+++ b/bench/app.go
@@ -79,7 +79,7 @@
 	}
 	r.app, r.dequeuedAt = e.sim.findApp(h), e.sim.now
 	if e.disabled != "own_counts" {
-		e.apps.Started(e.sim.now, h)
+		e.apps.CallStarted(e.sim.now, h)
 	}
 	r.app.add(r)
 	return true
@@ -89,7 +89,7 @@
 // ended.
 func (e *entry) releaseApp(r *request) {
 	if e.disabled != "own_counts" {
-		e.apps.Ended(e.sim.now, r.app.host)
+		e.apps.CallEnded(e.sim.now, r.app.host)
 	}
 	if r.outcome == outcomeAnswered {
 		e.latency.Observe(0, 0, r.endedAt.Sub(r.dequeuedAt), r.endedAt.Sub(r.dequeuedAt))
--- a/bench/entry.go
+++ b/bench/entry.go
@@ -111,8 +111,8 @@
 	if v.Refusal != nil {
 		e.refuse(r.id, v.Refusal)
 	}
-	for n := range v.Shed {
-		e.refuse(v.Shed[n].Item.ID, &v.Shed[n].Refusal)
+	for n := range v.ShedItems {
+		e.refuse(v.ShedItems[n].Item.ID, &v.ShedItems[n].Refusal)
 	}
 	e.dispatchQueued()
 }
@@ -188,7 +188,7 @@
 		}
 		r.pair, r.dequeuedAt, r.promptToFill = pair, e.sim.now, j.PromptTokens
 		if e.disabled != "own_counts" {
-			e.model.Started(e.sim.now, pair, j)
+			e.model.JobStarted(e.sim.now, pair, j)
 		}
 		r.prefill.add(r)
 		return true
@@ -249,7 +249,7 @@
 	key := admit.Key{Request: r.id, Attempt: r.attempt}
 	r.prefill.ledger.Release(key)
 	if r.decode.ledger.Release(key) && e.disabled != "own_counts" {
-		e.model.Ended(e.sim.now, r.pair, e.job(r))
+		e.model.JobEnded(e.sim.now, r.pair, e.job(r))
 	}
 	if r.outcome == outcomeAnswered {
 		e.latency.Observe(r.promptToFill, r.output, r.firstTokenAt.Sub(r.dequeuedAt), r.endedAt.Sub(r.dequeuedAt))
--- a/cmd_direct.go
+++ b/cmd_direct.go
@@ -25,7 +25,7 @@
 	lines := &spool.Writer{Output: out}
 	go lines.Run()
 	defer lines.Close()
-	store := &platform.Store{Base: d.Platform}
+	store := &platform.Store{Addr: d.Platform}
 	reloads := make(chan os.Signal, 1)
 	signal.Notify(reloads, syscall.SIGHUP)
 	defer signal.Stop(reloads)
--- a/cmd_entry.go
+++ b/cmd_entry.go
@@ -21,8 +21,8 @@
 	e := &entry.Entry{
 		Settings:  s,
 		Log:       newLog(s.Log, "entry", s.Name, errs),
-		Objects:   &infra.HTTPObjects{Base: s.Platform},
-		Hosts:     &infra.HTTPHosts{Base: s.Platform},
+		Objects:   &infra.HTTPObjects{Addr: s.Platform},
+		Hosts:     &infra.HTTPHosts{Addr: s.Platform},
 		FaultHook: a.Drill.Hook(),
 		OnListen: func(callers, admin, peers netip.AddrPort) {
 			fmt.Fprintf(out, "listening %s admin %s peers %s\n", callers, admin, peers)
--- a/cmd_side.go
+++ b/cmd_side.go
@@ -23,7 +23,7 @@
 	b := &side.Side{
 		Settings:  s,
 		Log:       newLog(s.Log, "side", s.Name, errs),
-		Objects:   &infra.HTTPObjects{Base: s.Platform},
+		Objects:   &infra.HTTPObjects{Addr: s.Platform},
 		FaultHook: a.Drill.Hook(),
 		OnListen:  func(a netip.AddrPort) { fmt.Fprintf(out, "listening %s\n", a) },
 	}
--- a/conf/direct.go
+++ b/conf/direct.go
@@ -48,9 +48,9 @@
 	// Seeds are PeerListen addresses of some entries, to which this entry sends
 	// requests when it starts; optional, and possibly out of date.
 	Seeds []netip.AddrPort
-	// Cores is the processor capacity of the host in cores. The hosts with the most
+	// HostCores is the processor capacity of the host in cores. The hosts with the most
 	// cores watch the platform for the other hosts. Default 1.
-	Cores float64
+	HostCores float64
 	// RelayMinEntries is the smallest number of entries with which only some of them, the
 	// relays, watch the platform for all entries. Zero, which parsing doesn't
 	// replace, means the default of package relay, 12.
@@ -65,22 +65,22 @@
 	// default false.
 	FirstStart  bool
 	RetryBudget RetryBudget
-	// Quotas is by how much client accounts may exceed their quotas in any window: by an
+	// QuotaTolerance is by how much client accounts may exceed their quotas in any window: by an
 	// overage, which is a fraction of the quota, plus a slack, which is a fixed amount in
 	// the unit of the quota. The default is zero.
-	Quotas quota.Tolerance
-	Log    Log
-	Limits Limits
+	QuotaTolerance quota.Tolerance
+	Log            Log
+	Limits         Limits
 }
 
 // RetryBudget bounds the number of retries that all entries together send for a service in
 // every window: a fraction of the service's requests in the window, plus a fixed number.
 type RetryBudget struct {
-	// Ratio is the number of retries allowed per request of the service; default 0.2.
-	Ratio float64
-	// Fixed is the number of retries allowed in a window in addition. It need not be an
+	// RetryRatio is the number of retries allowed per request of the service; default 0.2.
+	RetryRatio float64
+	// FixedRetries is the number of retries allowed in a window in addition. It need not be an
 	// integer, since it is divided among the entries; default 50.
-	Fixed float64
+	FixedRetries float64
 	// Window is the length of the sliding window in which retries are counted; default
 	// 10s.
 	Window time.Duration
@@ -110,18 +110,18 @@
 		MetricsListen:   r.listenAddr("metrics_listen", false),
 		PeerListen:      r.listenAddr("peer_listen", false),
 		Seeds:           r.addrPorts("seeds"),
-		Cores:           r.number("cores"),
+		HostCores:       r.number("cores"),
 		RelayMinEntries: int(r.integer("relay_from")),
 		Platform:        r.dialAddr("platform"),
 		StopTimeout:     r.duration("stop_within"),
 		WatchTimeout:    r.duration("watch_wait"),
 		FirstStart:      r.boolean("first_start"),
 		RetryBudget:     r.retryBudget(),
-		Quotas:          r.quotas(),
+		QuotaTolerance:  r.quotas(),
 		Log:             r.log(),
 		Limits:          r.limits(),
 	}
-	orDefault(&d.Cores, 1)
+	orDefault(&d.HostCores, 1)
 	orDefault(&d.StopTimeout, 8*time.Second)
 	orDefault(&d.WatchTimeout, 10*time.Second)
 	return d
@@ -129,9 +129,9 @@
 
 func (r *reader) retryBudget() RetryBudget {
 	r.table("repeats")
-	p := RetryBudget{Ratio: r.number("repeats.ratio"), Fixed: r.number("repeats.fixed"), Window: r.duration("repeats.span")}
-	orDefault(&p.Ratio, 0.2)
-	orDefault(&p.Fixed, 50)
+	p := RetryBudget{RetryRatio: r.number("repeats.ratio"), FixedRetries: r.number("repeats.fixed"), Window: r.duration("repeats.span")}
+	orDefault(&p.RetryRatio, 0.2)
+	orDefault(&p.FixedRetries, 50)
 	orDefault(&p.Window, 10*time.Second)
 	return p
 }
--- a/conf/direct_test.go
+++ b/conf/direct_test.go
@@ -26,7 +26,7 @@
 func TestParseDirect(t *testing.T) {
 	d, err := conf.ParseDirect("direct.toml", []byte(directFile))
 	require.NoError(t, err)
-	require.Equal(t, conf.RetryBudget{Ratio: 0.2, Fixed: 54, Window: 10 * time.Second}, d.RetryBudget)
+	require.Equal(t, conf.RetryBudget{RetryRatio: 0.2, FixedRetries: 54, Window: 10 * time.Second}, d.RetryBudget)
 	require.Equal(t, 8*time.Second, d.StopTimeout)
 	require.Equal(t, 10*time.Second, d.WatchTimeout)
 	require.False(t, d.FirstStart)
@@ -44,7 +44,7 @@
 	for text, want := range map[string]float64{"38.26": 38.26, "54.0": 54, "54": 54, "0.4": 0.4, "1e3": 1000} {
 		d, err := conf.ParseDirect("direct.toml", []byte(strings.Replace(directFile, "fixed = 54", "fixed = "+text, 1)))
 		require.NoError(t, err, text)
-		require.InDelta(t, want, d.RetryBudget.Fixed, 1e-9, text)
+		require.InDelta(t, want, d.RetryBudget.FixedRetries, 1e-9, text)
 	}
 	for _, text := range []string{"-1.5", "nan", "inf", "-inf", `"many"`} {
 		_, err := conf.ParseDirect("direct.toml", []byte(strings.Replace(directFile, "fixed = 54", "fixed = "+text, 1)))
--- a/direct/allocation.go
+++ b/direct/allocation.go
@@ -114,7 +114,7 @@
 		f.reason = domain.ReasonOf(ctx)
 	}
 	s.Log.Info("no room", "request", r.id, "service", r.service.Name, "reason", f.reason, "detail", f.detail,
-		"asked", r.enginesAsked, "retry_after", f.retryAfter, "waited", time.Since(r.accepted), "wait_expected", q.Inputs.Wait, "waiting", q.Inputs.Items)
+		"asked", r.enginesAsked, "retry_after", f.retryAfter, "waited", time.Since(r.accepted), "wait_expected", q.Inputs.Wait, "waiting", q.Inputs.WaitingItems)
 	return f
 }
 
--- a/direct/assign.go
+++ b/direct/assign.go
@@ -84,7 +84,7 @@
 		}
 		total++
 		c := u.Stats.Candidate(now)
-		if r.excluded[m.Key()] || !u.Eligibility(now).Eligible() || c.Excluded || c.FailureRate > assignMaxFailureRate || l.OnlyResponsive && !c.Responsive {
+		if r.excluded[m.Key()] || !u.Eligibility(now).Eligible() || c.CoolingDown || c.FailureRate > assignMaxFailureRate || l.OnlyResponsive && !c.Responsive {
 			skip = append(skip, m.ID)
 		}
 	}
@@ -102,7 +102,7 @@
 	for _, u := range s.roster.Upstreams(call.Shard.Service) {
 		m := u.Server()
 		c := u.Stats.Candidate(now)
-		if m.Role != domain.RolePrefill || !u.Eligibility(now).Eligible() || skip[m.ID] || c.Excluded || !call.Shard.Contains(string(m.ID)) {
+		if m.Role != domain.RolePrefill || !u.Eligibility(now).Eligible() || skip[m.ID] || c.CoolingDown || !call.Shard.Contains(string(m.ID)) {
 			continue
 		}
 		e := assign.Engine{ID: string(m.ID), ExtraLatency: time.Duration(c.FailureRate * float64(call.Timeout))}
--- a/direct/budget.go
+++ b/direct/budget.go
@@ -30,7 +30,7 @@
 // requests and its time span, and this entry's share of the fixed number of retries.
 func (s *Server) retryTerms() retry.WindowConfig {
 	p := s.liveSettings.Load().RetryBudget
-	return retry.WindowConfig{RetryRatio: p.Ratio, FixedRetries: p.Fixed / float64(s.members.count(time.Now())) * fixedRetryPart, Span: p.Window}
+	return retry.WindowConfig{RetryRatio: p.RetryRatio, FixedRetries: p.FixedRetries / float64(s.members.count(time.Now())) * fixedRetryPart, Span: p.Window}
 }
 
 // fixedRetryPart is the part of the fixed number of retries that is shared out among the
--- a/direct/change.go
+++ b/direct/change.go
@@ -81,7 +81,7 @@
 // new requests: a listed notice may be old.
 func (s *Server) recordOrders(n Notice) {
 	for _, change := range n.Orders {
-		if u := s.roster.ByInstance(change.Start); u != nil {
+		if u := s.roster.UpstreamByInstance(change.Start); u != nil {
 			u.Stats.AcceptOrder(uint64(change.Fence))
 		}
 	}
@@ -91,7 +91,7 @@
 // done or should be.
 func (s *Server) applyChanges(now time.Time, n Notice) {
 	for _, change := range n.Orders {
-		u := s.roster.ByInstance(change.Start)
+		u := s.roster.UpstreamByInstance(change.Start)
 		if u == nil || !u.Stats.AcceptOrder(uint64(change.Fence)) {
 			continue
 		}
@@ -101,7 +101,7 @@
 				duration += v.Engine.SwitchTime
 			}
 		}
-		u.Stats.SuspendUntil(now.Add(duration))
+		u.Stats.SuspendForRoleChange(now.Add(duration))
 		if change.To != "" {
 			u.ExpectRole(change.To, now.Add(duration))
 		}
--- a/direct/limit.go
+++ b/direct/limit.go
@@ -247,7 +247,7 @@
 	if n.Stated.Rate < 0 {
 		return struct{}{}, false
 	}
-	if u := s.roster.ByInstance(n.Start); u != nil {
+	if u := s.roster.UpstreamByInstance(n.Start); u != nil {
 		s.observeLimit(u, n.Stated.At(time.Now()), "", string(n.Sender))
 	}
 	return struct{}{}, true
@@ -280,7 +280,7 @@
 	now := time.Now()
 	for _, other := range s.roster.Upstreams(r.service.Name) {
 		m := other.Server()
-		if other != u && other.Eligibility(now).Eligible() && !r.excluded[m.Key()] && !other.Stats.Candidate(now).Excluded {
+		if other != u && other.Eligibility(now).Eligible() && !r.excluded[m.Key()] && !other.Stats.Candidate(now).CoolingDown {
 			return 0
 		}
 	}
--- a/direct/members_test.go
+++ b/direct/members_test.go
@@ -17,7 +17,7 @@
 // allowed retries under faults.
 func TestRetryTermsShareTheFixedNumberAmongAllEntries(t *testing.T) {
 	var s Server
-	s.liveSettings.Store(&conf.Direct{RetryBudget: conf.RetryBudget{Ratio: 0.2, Fixed: 88, Window: 10 * time.Second}})
+	s.liveSettings.Store(&conf.Direct{RetryBudget: conf.RetryBudget{RetryRatio: 0.2, FixedRetries: 88, Window: 10 * time.Second}})
 	require.LessOrEqual(t, s.retryTerms().FixedRetries, 88.0/minMembersAssumed, "before the records are read")
 	now := time.Now()
 	var all []feed.Item[Member]
@@ -64,7 +64,7 @@
 
 // Guards against a write by each entry when all start again after a loss of power.
 func TestRefreshRecordKeepsAValidRecordOfAnEarlierStart(t *testing.T) {
-	s := &Server{Settings: conf.Direct{Name: "e", Zone: "z", Cores: 0.5}}
+	s := &Server{Settings: conf.Direct{Name: "e", Zone: "z", HostCores: 0.5}}
 	now := time.Now()
 	m := Member{Name: "e", Zone: "z", Cores: 0.5, Written: now.Add(-10 * time.Second), Every: memberInterval, Since: now.Add(-time.Hour)}
 	item := feed.Item[Member]{Name: "e", Revision: 7, Value: m}
--- a/direct/quota.go
+++ b/direct/quota.go
@@ -124,7 +124,7 @@
 func (s *Server) applyQuota(now time.Time, a *paths.Account, call quotaRequest, first bool) quota.Decision {
 	allowance := quota.Allowance{Quota: quotaLimit(a)}
 	if first {
-		allowance.Excess = s.liveSettings.Load().Quotas.ExcessLimit(allowance.Quota, overQuotaPart)
+		allowance.Excess = s.liveSettings.Load().QuotaTolerance.ExcessLimit(allowance.Quota, overQuotaPart)
 	} else {
 		allowance.Quota.Burst = min(allowance.Quota.Burst, allowance.Quota.Rate*standbyQuotaAccrual.Seconds())
 	}
--- a/direct/quota_test.go
+++ b/direct/quota_test.go
@@ -20,7 +20,7 @@
 	a := &paths.Account{Name: "studs", Quota: paths.Quota{Rate: 168_000, Burst: 168_000, ByTokens: true}}
 	count := func(first bool) (granted float64) {
 		s := &Server{}
-		s.liveSettings.Store(&conf.Direct{Quotas: quota.Tolerance{Window: 8 * time.Second, Fraction: 0.1, FixedExcess: 140_000}})
+		s.liveSettings.Store(&conf.Direct{QuotaTolerance: quota.Tolerance{Window: 8 * time.Second, Fraction: 0.1, FixedExcess: 140_000}})
 		now := time.Now()
 		s.quotas.shared.Start = now.Add(-time.Hour)
 		for range 200 {
--- a/direct/register.go
+++ b/direct/register.go
@@ -78,7 +78,7 @@
 func (s *Server) adoptRecord(now time.Time, i feed.Item[Member]) {
 	m := i.Value
 	s.ownRecord = ownRecord{version: infra.Version(i.Revision), since: m.Since}
-	same := m.Peer == s.Settings.PeerListen && m.Zone == s.Settings.Zone && m.Cores == s.Settings.Cores
+	same := m.Peer == s.Settings.PeerListen && m.Zone == s.Settings.Zone && m.Cores == s.Settings.HostCores
 	if age := now.Sub(m.Written); same && i.DecodeErr == nil && age >= 0 && age < m.expiry() {
 		s.ownRecord.written, s.ownRecord.every = now.Add(-age), m.Every
 	}
@@ -154,7 +154,7 @@
 	every := memberWriteInterval(s.members.count(now))
 	value, err := json.Marshal(Member{
 		Name: s.Settings.Name, Beat: heartbeat, Written: now, Every: every, Since: s.ownRecord.since,
-		Peer: s.Settings.PeerListen, Zone: s.Settings.Zone, Cores: s.Settings.Cores,
+		Peer: s.Settings.PeerListen, Zone: s.Settings.Zone, Cores: s.Settings.HostCores,
 	})
 	if err != nil {
 		return errors.Wrap(err, "direct: encoding own record")
--- a/direct/reload.go
+++ b/direct/reload.go
@@ -52,7 +52,7 @@
 
 // needsRestart reports whether settings changed that are read only at the start.
 func needsRestart(old, fresh conf.Direct) bool {
-	fresh.RetryBudget, fresh.Quotas, fresh.StopTimeout, fresh.FirstStart = old.RetryBudget, old.Quotas, old.StopTimeout, old.FirstStart
+	fresh.RetryBudget, fresh.QuotaTolerance, fresh.StopTimeout, fresh.FirstStart = old.RetryBudget, old.QuotaTolerance, old.StopTimeout, old.FirstStart
 	fresh.Seeds = old.Seeds // only asked at a start
 	return !reflect.DeepEqual(old, fresh)
 }
--- a/direct/reload_test.go
+++ b/direct/reload_test.go
@@ -19,7 +19,7 @@
 // nothing.
 func TestReloadAppliesValidSettingsOnSIGHUP(t *testing.T) {
 	reloads := make(chan os.Signal, 1)
-	next := conf.Direct{RetryBudget: conf.RetryBudget{Ratio: 0.2, Fixed: 10}}
+	next := conf.Direct{RetryBudget: conf.RetryBudget{RetryRatio: 0.2, FixedRetries: 10}}
 	var failure error
 	read := make(chan struct{}, 1)
 	s := &Server{
@@ -34,16 +34,16 @@
 	ended := make(chan error, 1)
 	go func() { ended <- s.reload(ctx) }()
 
-	next.RetryBudget.Fixed = 20
+	next.RetryBudget.FixedRetries = 20
 	reloads <- syscall.SIGHUP
 	<-read
-	require.Eventually(t, func() bool { return s.liveSettings.Load().RetryBudget.Fixed == 20 }, 5*time.Second, time.Millisecond)
-	next.RetryBudget.Fixed, failure = 30, errors.New("not TOML")
+	require.Eventually(t, func() bool { return s.liveSettings.Load().RetryBudget.FixedRetries == 20 }, 5*time.Second, time.Millisecond)
+	next.RetryBudget.FixedRetries, failure = 30, errors.New("not TOML")
 	reloads <- syscall.SIGHUP
 	<-read
 	cancel()
 	require.NoError(t, <-ended)
-	require.EqualValues(t, 20, s.liveSettings.Load().RetryBudget.Fixed)
+	require.EqualValues(t, 20, s.liveSettings.Load().RetryBudget.FixedRetries)
 }
 
 func TestNeedsRestartIgnoresLiveSettings(t *testing.T) {
--- a/direct/stream.go
+++ b/direct/stream.go
@@ -144,7 +144,7 @@
 		case p.stopped.Load():
 		case err != nil:
 			s.Log.Info("stalled upstream is unreachable", "request", r.id, "upstream", a.start.ID, "silent", p.interval, "err", err)
-			reply.Abort()
+			reply.FailTimedOut()
 		default:
 			p.timer.Reset(p.interval)
 		}
--- a/editor/attempt.go
+++ b/editor/attempt.go
@@ -86,22 +86,22 @@
 // checkMatch refuses an edit that was made for an older version than that of the table t
 // at the platform.
 func (a *attempt) checkMatch(t table.Table) (Outcome, bool) {
-	if a.IfMatch == nil || t.Version() <= *a.IfMatch {
+	if a.BaseVersion == nil || t.Version() <= *a.BaseVersion {
 		return Outcome{}, false
 	}
-	if a.SentBefore && !t.HistoryCovers(*a.IfMatch) {
-		a.base = *a.IfMatch
+	if a.SentBefore && !t.HistoryCovers(*a.BaseVersion) {
+		a.base = *a.BaseVersion
 		return a.historyLost(t)
 	}
 	o := a.refused(ReasonStale, nil)
-	o.Detail = fmt.Sprintf("the edit was made for version %d, the table is at %d", *a.IfMatch, t.Version())
+	o.Detail = fmt.Sprintf("the edit was made for version %d, the table is at %d", *a.BaseVersion, t.Version())
 	return o, true
 }
 
 // behindMatch reports whether the table that was read is older than the version that the
 // edit was made for, and therefore stale.
 func (a *attempt) behindMatch(t table.Table) bool {
-	return a.IfMatch != nil && t.Version() < *a.IfMatch
+	return a.BaseVersion != nil && t.Version() < *a.BaseVersion
 }
 
 // write sends the table with the edit as a conditional update and evaluates the response.
@@ -137,9 +137,9 @@
 		return Outcome{State: Unsettled, Version: a.lastRead, Detail: fmt.Sprintf(
 			"a write of the edit got no answer and may come into force; send it again under id %q: %v", a.Edit.ID, a.lastErr)}
 	}
-	if a.IfMatch != nil && a.lastRead != 0 && a.lastRead < *a.IfMatch {
+	if a.BaseVersion != nil && a.lastRead != 0 && a.lastRead < *a.BaseVersion {
 		o := a.refused(ReasonStale, nil)
-		o.Detail = fmt.Sprintf("the edit was made for version %d, the table is at %d", *a.IfMatch, a.lastRead)
+		o.Detail = fmt.Sprintf("the edit was made for version %d, the table is at %d", *a.BaseVersion, a.lastRead)
 		return o
 	}
 	o := a.refused(ReasonUnavailable, nil)
--- a/editor/editor.go
+++ b/editor/editor.go
@@ -4,7 +4,7 @@
 // # Usage
 //
 //	ed := editor.Editor{Objects: objects, Holder: &holder, Replicate: relay}
-//	o := ed.Submit(ctx, editor.Submission{Edit: edit, Operator: operator, IfMatch: &version})
+//	o := ed.Submit(ctx, editor.Submission{Edit: edit, Operator: operator, BaseVersion: &version})
 //	switch o.State {
 //	case editor.Accepted: // stored by the platform and on another host, at o.Version
 //	case editor.Refused: // not in force and never will be; o.Reason says why
@@ -74,9 +74,9 @@
 type Submission struct {
 	Edit     table.Edit
 	Operator table.Operator
-	// IfMatch is the version that the edit was made for; nil for any. An edit for
+	// BaseVersion is the version that the edit was made for; nil for any. An edit for
 	// any version is applied again, to the new table, after a version conflict.
-	IfMatch *table.Version
+	BaseVersion *table.Version
 	// SentBefore reports whether the edit was sent before and its outcome is unknown.
 	// The edit is then Unsettled, not Refused, unless a read of the table proves
 	// otherwise.
--- a/editor/editor_test.go
+++ b/editor/editor_test.go
@@ -92,7 +92,7 @@
 				// with a try.
 				e := Editor{Objects: p, Timeout: 2950 * time.Millisecond}
 				begin := time.Now()
-				o := e.Submit(t.Context(), Submission{Edit: weightEdit("e-1", "appraisal", "5"), Operator: asha, IfMatch: c.ifMatch})
+				o := e.Submit(t.Context(), Submission{Edit: weightEdit("e-1", "appraisal", "5"), Operator: asha, BaseVersion: c.ifMatch})
 				require.LessOrEqual(t, time.Since(begin), 2950*time.Millisecond)
 				p.pending.Wait()
 				require.Equal(t, c.state, o.State, o.Detail)
@@ -167,7 +167,7 @@
 	require.Equal(t, Unsettled, o.State)
 	require.Zero(t, p.puts)
 
-	resubmission := Submission{Edit: weightEdit("e-1", "appraisal", "5"), Operator: asha, IfMatch: version(1), SentBefore: true}
+	resubmission := Submission{Edit: weightEdit("e-1", "appraisal", "5"), Operator: asha, BaseVersion: version(1), SentBefore: true}
 	require.Equal(t, Unsettled, (&Editor{Objects: p}).Submit(t.Context(), resubmission).State)
 	resubmission.SentBefore = false
 	require.Equal(t, ReasonStale, (&Editor{Objects: p}).Submit(t.Context(), resubmission).Reason)
@@ -202,7 +202,7 @@
 func TestFirstEditCreatesTable(t *testing.T) {
 	p := &platform{history: []table.Table{{}}}
 	e := Editor{Objects: p}
-	o := e.Submit(t.Context(), Submission{Operator: asha, IfMatch: version(0),
+	o := e.Submit(t.Context(), Submission{Operator: asha, BaseVersion: version(0),
 		Edit: table.Edit{ID: "e-1", Changes: []table.Change{table.Add(row("appraisal", "appraisal"))}}})
 	require.Equal(t, Outcome{State: Accepted, Version: 1}, o)
 	now, err := e.Read(t.Context())
--- a/engine/http_app.go
+++ b/engine/http_app.go
@@ -38,7 +38,7 @@
 // status is returned without an error, except that a 503 with NotStartedHeader
 // is ErrNotStarted.
 func (h *HTTPAppServer) Do(ctx context.Context, c Call) (Response, error) {
-	h.once.Do(func() { h.client.Base, h.client.ReadTimeout = h.Addr, h.ReadTimeout })
+	h.once.Do(func() { h.client.Addr, h.client.ReadTimeout = h.Addr, h.ReadTimeout })
 	call := c.Method + " call"
 	if !strings.HasPrefix(c.Path, "/") {
 		return Response{}, &Failure{Call: call, Kind: ErrNotStarted, Cause: errors.New("engine: path does not start with /")}
--- a/engine/http_model.go
+++ b/engine/http_model.go
@@ -173,7 +173,7 @@
 // httpClient returns the HTTP client, which the first call configures.
 func (h *HTTPModel) httpClient() *send.Client {
 	h.once.Do(func() {
-		h.client.Base, h.client.ReadTimeout = h.Addr, h.TokenTimeout
+		h.client.Addr, h.client.ReadTimeout = h.Addr, h.TokenTimeout
 		if h.client.ReadTimeout <= 0 {
 			h.client.ReadTimeout = DefaultTokenTimeout
 		}
--- a/entry/admin.go
+++ b/entry/admin.go
@@ -75,7 +75,7 @@
 // state returns the state that this entry reports of itself.
 func (e *Entry) state() wire.EntryState {
 	return wire.EntryState{
-		Host: e.Settings.Name, Zone: e.Settings.Zone, TableVersion: uint64(e.tables.Version()), InForceSince: e.tables.Since(),
+		Host: e.Settings.Name, Zone: e.Settings.Zone, TableVersion: uint64(e.tables.Version()), InForceSince: e.tables.InForceSince(),
 		Draining: e.draining.Load() || e.leaving.Load(), Stale: !e.tableFresh(time.Now()), InFlight: int(e.recorder.Counts().Open),
 	}
 }
--- a/entry/cache_events_test.go
+++ b/entry/cache_events_test.go
@@ -22,7 +22,7 @@
 	require.NoError(t, err)
 	s := e.schedulers.get(from.Service)
 	job := route.Job{PromptTokens: 500, Prefix: 7, PrefixTokens: 250}
-	require.Zero(t, s.model.Cached(time.Now(), job), "before the event")
+	require.Zero(t, s.model.MaxCachedTokens(time.Now(), job), "before the event")
 	e.handleCacheEvents(from, params)
-	require.InDelta(t, 200, s.model.Cached(time.Now(), job), 2)
+	require.InDelta(t, 200, s.model.MaxCachedTokens(time.Now(), job), 2)
 }
--- a/entry/scheduler.go
+++ b/entry/scheduler.go
@@ -119,7 +119,7 @@
 		s.mu.Unlock()
 		return turnResult{refused: v.Refusal}
 	}
-	s.refuseTurns(v.Shed)
+	s.refuseTurns(v.ShedItems)
 	s.dispatch(now)
 	s.mu.Unlock()
 	select {
@@ -260,15 +260,15 @@
 
 func (s *scheduler) choose(now time.Time, t *turn) (turnResult, bool) {
 	if t.plain {
-		h, g, ok := s.apps.ChooseAmong(now, t.job.Weights, t.job.MayDecode, s.random)
+		h, g, ok := s.apps.ChooseAmong(now, t.job.ZoneWeights, t.job.MayDecode, s.random)
 		if ok {
-			s.apps.Started(now, h)
+			s.apps.CallStarted(now, h)
 		}
 		return turnResult{app: h, apps: g}, ok
 	}
 	p, g, ok := s.model.Choose(now, t.job, s.random)
 	if ok {
-		s.model.Started(now, p, t.job)
+		s.model.JobStarted(now, p, t.job)
 	}
 	return turnResult{pair: p, model: g}, ok
 }
@@ -281,9 +281,9 @@
 	now := time.Now()
 	s.running[t.kind]--
 	if t.plain {
-		s.apps.Ended(now, got.app)
+		s.apps.CallEnded(now, got.app)
 	} else {
-		s.model.Ended(now, got.pair, t.job)
+		s.model.JobEnded(now, got.pair, t.job)
 	}
 	s.dispatch(now)
 }
--- a/entry/tables.go
+++ b/entry/tables.go
@@ -117,7 +117,7 @@
 		}
 		e.updateTable(t.WithVersion(table.Version(got.Version)), asked, s.Member.Host)
 	}
-	e.tables.Confirm(table.Version(got.Version), asked)
+	e.tables.RecordConfirmation(table.Version(got.Version), asked)
 	return true
 }
 
@@ -130,7 +130,7 @@
 	o, err := e.Objects.Watch(ctx, editor.DefaultObjectName, have, 0)
 	switch {
 	case errors.Is(err, infra.ErrUnchanged):
-		e.tables.Confirm(table.Version(have), asked)
+		e.tables.RecordConfirmation(table.Version(have), asked)
 	case err == nil:
 		_ = e.applyObject(o, asked)
 	}
--- a/entry/traces.go
+++ b/entry/traces.go
@@ -44,7 +44,7 @@
 	for ctx.Err() == nil {
 		group.Sleep(ctx, flushInterval)
 		every := time.Duration(len(e.entries.All())) * flushIntervalPerEntry
-		if now := time.Now(); e.recorder.Due(now) && now.Sub(last) >= every {
+		if now := time.Now(); e.recorder.FlushDue(now) && now.Sub(last) >= every {
 			e.pack(&p, &o, now)
 			last = now
 		}
--- a/entry/turn.go
+++ b/entry/turn.go
@@ -44,9 +44,9 @@
 		runRole = domain.RoleApp
 	}
 	t.job = route.Job{
-		Weights:    e.zoneWeights(r),
-		MayPrefill: r.preferUntried(e.sides.HostsWithRole(r.service, domain.RolePrefill), nil),
-		MayDecode:  r.preferUntried(e.sides.HostsWithRole(r.service, runRole), t.mayRunKey),
+		ZoneWeights: e.zoneWeights(r),
+		MayPrefill:  r.preferUntried(e.sides.HostsWithRole(r.service, domain.RolePrefill), nil),
+		MayDecode:   r.preferUntried(e.sides.HostsWithRole(r.service, runRole), t.mayRunKey),
 	}
 	if t.plain {
 		t.item.TotalLatency = first
@@ -131,7 +131,7 @@
 		f.reason = domain.ReasonOf(ctx)
 	}
 	e.Log.Info("decision", "request", r.id, "outcome", "refused", "reason", f.reason, "detail", f.detail,
-		"wait", got.refused.Inputs.Wait, "rate", got.refused.Inputs.Rate, "waiting", got.refused.Inputs.Items)
+		"wait", got.refused.Inputs.Wait, "rate", got.refused.Inputs.DrainRate, "waiting", got.refused.Inputs.WaitingItems)
 	return turnResult{}, f
 }
 
@@ -199,7 +199,7 @@
 	for _, d := range g.Decodes[:g.DecodesDrawn] {
 		evaluation.Candidates = append(evaluation.Candidates, trace.Candidate{Host: d.Host, Cost: d.TokenGap, Note: "decode"})
 	}
-	e.recordEvent(r, trace.Event{Kind: trace.Decided, Upstream: got.pair.Prefill, Decode: got.pair.Decode, Evaluation: evaluation})
+	e.recordEvent(r, trace.Event{Kind: trace.DecisionMade, Upstream: got.pair.Prefill, Decode: got.pair.Decode, Evaluation: evaluation})
 }
 
 // logApp logs the selection of an application server and adds it to the request's trace.
@@ -211,5 +211,5 @@
 	for _, c := range g.Considered {
 		evaluation.Candidates = append(evaluation.Candidates, trace.Candidate{Host: c.Host, Note: "in flight"})
 	}
-	e.recordEvent(r, trace.Event{Kind: trace.Decided, Upstream: got.app, Evaluation: evaluation})
+	e.recordEvent(r, trace.Event{Kind: trace.DecisionMade, Upstream: got.app, Evaluation: evaluation})
 }
--- a/fakes/model/link.go
+++ b/fakes/model/link.go
@@ -94,7 +94,7 @@
 	if kv.Engine == (netip.AddrPort{}) {
 		return e.importOwnKV(ctx, kv)
 	}
-	peer := send.Client{Base: kv.Engine, ReadTimeout: importReadTimeout}
+	peer := send.Client{Addr: kv.Engine, ReadTimeout: importReadTimeout}
 	defer peer.CloseIdleConnections()
 	reply, err := peer.Do(ctx, send.Request{Method: http.MethodGet, Target: "/kv/" + kv.Handle})
 	if err != nil {
--- a/infra/http_hosts.go
+++ b/infra/http_hosts.go
@@ -12,8 +12,8 @@
 // HTTPHosts reads the host list over HTTP, by GET /hosts. The zero value with Base
 // set is ready to use; it must not be copied after first use.
 type HTTPHosts struct {
-	// Base is the platform's address.
-	Base netip.AddrPort
+	// Addr is the platform's address.
+	Addr netip.AddrPort
 	// ReadTimeout is the longest wait for a response; zero means
 	// send.DefaultReadTimeout.
 	ReadTimeout time.Duration
@@ -26,7 +26,7 @@
 
 // Hosts returns the current host list of the platform.
 func (h *HTTPHosts) Hosts(ctx context.Context) ([]ListedHost, error) {
-	h.once.Do(func() { h.client.Base, h.client.ReadTimeout = h.Base, h.ReadTimeout })
+	h.once.Do(func() { h.client.Addr, h.client.ReadTimeout = h.Addr, h.ReadTimeout })
 	var list []ListedHost
 	err := read(ctx, &h.client, "/hosts", &list)
 	return list, err
--- a/infra/http_objects.go
+++ b/infra/http_objects.go
@@ -20,8 +20,8 @@
 // The zero value with Base set is ready to use; it must not be copied after first
 // use.
 type HTTPObjects struct {
-	// Base is the platform's address.
-	Base netip.AddrPort
+	// Addr is the platform's address.
+	Addr netip.AddrPort
 	// ReadTimeout is the longest wait for a response, in addition to the wait time of
 	// a watch; zero means send.DefaultReadTimeout.
 	ReadTimeout time.Duration
@@ -91,7 +91,7 @@
 }
 
 func (h *HTTPObjects) initClient() *send.Client {
-	h.once.Do(func() { h.client.Base, h.client.ReadTimeout = h.Base, h.ReadTimeout })
+	h.once.Do(func() { h.client.Addr, h.client.ReadTimeout = h.Addr, h.ReadTimeout })
 	return &h.client
 }
 
--- a/infra/http_test.go
+++ b/infra/http_test.go
@@ -23,7 +23,7 @@
 	addr, err := s.Start(t.Context(), netip.MustParseAddrPort("127.0.0.1:0"))
 	require.NoError(t, err)
 	t.Cleanup(s.Stop)
-	return &infra.HTTPObjects{Base: addr}
+	return &infra.HTTPObjects{Addr: addr}
 }
 
 func TestPutAndDeleteAreConditional(t *testing.T) {
@@ -76,7 +76,7 @@
 	require.NoError(t, <-failed)
 
 	p.SetFault(store.Fault{WatchSilent: true})
-	silent := &infra.HTTPObjects{Base: o.Base, ReadTimeout: readTimeout}
+	silent := &infra.HTTPObjects{Addr: o.Addr, ReadTimeout: readTimeout}
 	_, err = silent.Watch(ctx, "table", 0, time.Millisecond)
 	require.ErrorIs(t, err, infra.ErrNoReply)
 }
@@ -141,7 +141,7 @@
 		addr, err := s.Start(t.Context(), netip.MustParseAddrPort("127.0.0.1:0"))
 		require.NoError(t, err)
 		s.Stop()
-		_, err = (&infra.HTTPObjects{Base: addr}).Put(t.Context(), "table", nil, 0)
+		_, err = (&infra.HTTPObjects{Addr: addr}).Put(t.Context(), "table", nil, 0)
 		require.ErrorIs(t, err, infra.ErrRefused, "a write that was never sent took no effect")
 	})
 	t.Run("context deadline exceeded", func(t *testing.T) {
@@ -177,7 +177,7 @@
 	require.NoError(t, err)
 	require.Equal(t, "old", string(got.Value))
 
-	hosts := &infra.HTTPHosts{Base: o.Base}
+	hosts := &infra.HTTPHosts{Addr: o.Addr}
 	p.SetHost(infra.ListedHost{Host: "appraiser-1", Zone: "howrah", State: infra.HostLive})
 	p.SetHost(infra.ListedHost{Host: "appraiser-1", Zone: "howrah", State: infra.HostLeaving})
 	list, err := hosts.Hosts(ctx)
@@ -188,7 +188,7 @@
 	require.NoError(t, err)
 	require.Equal(t, []infra.ListedHost{{Host: "appraiser-1", Zone: "howrah", State: infra.HostLeaving}}, list)
 
-	rate, size, err := (&infra.HTTPWeights{Base: o.Base}).Info(ctx, "appraiser-lm")
+	rate, size, err := (&infra.HTTPWeights{Addr: o.Addr}).Info(ctx, "appraiser-lm")
 	require.NoError(t, err)
 	require.Positive(t, rate)
 	require.Positive(t, size)
--- a/infra/http_weights.go
+++ b/infra/http_weights.go
@@ -23,8 +23,8 @@
 // HTTPWeights is the client of the weight store over HTTP. The zero value with Base
 // set is ready to use; it must not be copied after first use.
 type HTTPWeights struct {
-	// Base is the platform's address.
-	Base netip.AddrPort
+	// Addr is the platform's address.
+	Addr netip.AddrPort
 	// ReadTimeout is the longest wait for a response; zero means
 	// send.DefaultReadTimeout.
 	ReadTimeout time.Duration
@@ -38,7 +38,7 @@
 // Info returns the rate limit of the store in bytes per second, and the size of the
 // model's weights in bytes.
 func (h *HTTPWeights) Info(ctx context.Context, model domain.Service) (bytesPerSecond, size int64, err error) {
-	h.once.Do(func() { h.client.Base, h.client.ReadTimeout = h.Base, h.ReadTimeout })
+	h.once.Do(func() { h.client.Addr, h.client.ReadTimeout = h.Addr, h.ReadTimeout })
 	var info WeightsInfo
 	err = read(ctx, &h.client, "/weights/"+url.PathEscape(string(model)), &info)
 	return info.BytesPerSecond, info.Size, err
--- a/load/load.go
+++ b/load/load.go
@@ -130,7 +130,7 @@
 	defer cancel()
 	r := &runner{plan: p, report: newReport()}
 	for _, addr := range p.Entries {
-		r.entries = append(r.entries, &send.Client{Base: addr})
+		r.entries = append(r.entries, &send.Client{Addr: addr})
 	}
 	started := time.Now()
 	r.sendAll(ctx, started)
--- a/queue/decision.go
+++ b/queue/decision.go
@@ -13,12 +13,12 @@
 
 // The details of refusals.
 const (
-	DetailExpectedWait Detail = "the expected wait passes the target"
-	DetailCallerShare  Detail = "the caller's own waiting work passes its share"
-	DetailHotKey       Detail = "too many requests were served with the same key or body"
-	DetailQueueFull    Detail = "the queue is full"
-	DetailShed         Detail = "the queue is full and the place went to a higher priority"
-	DetailExpired      Detail = "the target can no longer be met"
+	DetailExpectedWait          Detail = "the expected wait passes the target"
+	DetailCallerShare           Detail = "the caller's own waiting work passes its share"
+	DetailHotKey                Detail = "too many requests were served with the same key or body"
+	DetailQueueFull             Detail = "the queue is full"
+	DetailShedForHigherPriority Detail = "the queue is full and the place went to a higher priority"
+	DetailExpired               Detail = "the target can no longer be met"
 )
 
 // DecisionInputs are the queue's figures on which the decision to admit or to refuse an
@@ -28,19 +28,19 @@
 	// time for an item of a caller without waiting items.
 	Wait          time.Duration `json:"wait"`
 	NewCallerWait time.Duration `json:"fresh_wait"`
-	// Rate is the drain rate of the item's lane, in cost per second; zero while
+	// DrainRate is the drain rate of the item's lane, in cost per second; zero while
 	// unknown.
-	Rate float64 `json:"rate"`
-	// Items is the number of waiting items, CallerItems the number charged to the
+	DrainRate float64 `json:"rate"`
+	// WaitingItems is the number of waiting items, CallerItems the number charged to the
 	// caller, and CallerLimit the most that may be charged to it.
-	Items       int `json:"items"`
-	CallerItems int `json:"caller_items"`
-	CallerLimit int `json:"caller_limit"`
+	WaitingItems int `json:"items"`
+	CallerItems  int `json:"caller_items"`
+	CallerLimit  int `json:"caller_limit"`
 	// HotKey reports whether the item is charged to its key, as to one caller. Class is
 	// the priority by which the item is served: 0, the lowest, to 9; 0 also for a
 	// caller over its share.
-	HotKey bool `json:"hot_key"`
-	Class  int  `json:"class"`
+	HotKey        bool `json:"hot_key"`
+	PriorityClass int  `json:"class"`
 	// Deferred reports whether the item is in a deferred class, which is served
 	// after the items of priorities 1 and above that may not wait, for the
 	// first half of its time to expiry.
@@ -73,8 +73,8 @@
 	Inputs DecisionInputs
 	// Refusal is nil if the item was admitted.
 	Refusal *Refusal
-	// Shed holds the waiting items that were shed to make room for the arrival.
-	Shed []Refused
+	// ShedItems holds the waiting items that were shed to make room for the arrival.
+	ShedItems []Refused
 }
 
 // chargedCaller returns whom the item is charged to, and whether that caller is
@@ -98,12 +98,12 @@
 	return DecisionInputs{
 		Wait:          q.expectedWait(i, l, l.costAhead(c)),
 		NewCallerWait: q.expectedWait(i, l, l.costAheadOfNewCaller()),
-		Rate:          rate,
-		Items:         len(q.items),
+		DrainRate:     rate,
+		WaitingItems:  len(q.items),
 		CallerItems:   q.callers[c],
 		CallerLimit:   q.callerLimit(),
 		HotKey:        c.key != 0,
-		Class:         i.class % PriorityCount,
+		PriorityClass: i.class % PriorityCount,
 		Deferred:      i.class >= PriorityCount,
 	}
 }
@@ -205,5 +205,5 @@
 func (q *Queue) shed(now time.Time, e *queuedItem, random *rand.Rand) Refused {
 	inputs := q.decisionInputs(now, e.item, e.flow.caller)
 	q.unlink(now, e)
-	return Refused{Item: e.item, Refusal: *q.newRefusal(now, e.item, domain.ReasonNoRoom, DetailShed, inputs, random)}
+	return Refused{Item: e.item, Refusal: *q.newRefusal(now, e.item, domain.ReasonNoRoom, DetailShedForHigherPriority, inputs, random)}
 }
--- a/queue/queue.go
+++ b/queue/queue.go
@@ -196,7 +196,7 @@
 			decision.Refusal = q.newRefusal(now, i, domain.ReasonNoRoom, DetailQueueFull, inputs, random)
 			return decision
 		}
-		decision.Shed = append(decision.Shed, q.shed(now, candidate, random))
+		decision.ShedItems = append(decision.ShedItems, q.shed(now, candidate, random))
 	}
 	q.appendItem(now, i, c)
 	return decision
--- a/queue/queue_test.go
+++ b/queue/queue_test.go
@@ -94,8 +94,8 @@
 				i.FirstTokenDeadline, i.Deadline = now.Add(time.Second), now.Add(3*time.Second)
 				i.MayWait = rapid.Bool().Draw(t, "may wait")
 				v := q.Enqueue(now, i, random())
-				for _, r := range v.Shed {
-					require.Less(t, r.Item.shedPriority(), v.Inputs.Class)
+				for _, r := range v.ShedItems {
+					require.Less(t, r.Item.shedPriority(), v.Inputs.PriorityClass)
 					removeFromModel(r.Item)
 				}
 				if v.Refusal == nil {
@@ -179,10 +179,10 @@
 	highPriority.Priority = 9
 	v := q.Enqueue(start, highPriority, random())
 	require.Nil(t, v.Refusal)
-	require.Len(t, v.Shed, 1)
-	require.Equal(t, domain.RequestID("2"), v.Shed[0].Item.ID)
-	require.Equal(t, domain.ReasonNoRoom, v.Shed[0].Refusal.Reason)
-	require.GreaterOrEqual(t, v.Shed[0].Refusal.RetryAfter, minRetry)
+	require.Len(t, v.ShedItems, 1)
+	require.Equal(t, domain.RequestID("2"), v.ShedItems[0].Item.ID)
+	require.Equal(t, domain.ReasonNoRoom, v.ShedItems[0].Refusal.Reason)
+	require.GreaterOrEqual(t, v.ShedItems[0].Refusal.RetryAfter, minRetry)
 	lowPriority := item(10, "breeder", 100)
 	require.Equal(t, DetailQueueFull, q.Enqueue(start, lowPriority, random()).Refusal.Detail)
 }
@@ -259,9 +259,9 @@
 	hot := Item{ID: "hot", Account: "new", Key: 7, PromptTokens: 100, Priority: 9}
 	v := q.Enqueue(now, hot, random())
 	require.True(t, v.Inputs.HotKey)
-	require.Zero(t, v.Inputs.Class)
+	require.Zero(t, v.Inputs.PriorityClass)
 	hot.ID, hot.Key = "other", 8
-	require.Equal(t, 9, q.Enqueue(now, hot, random()).Inputs.Class)
+	require.Equal(t, 9, q.Enqueue(now, hot, random()).Inputs.PriorityClass)
 	i, _ := q.Dequeue(now, AnyPrompt)
 	require.Equal(t, domain.RequestID("other"), i.ID)
 }
@@ -317,14 +317,14 @@
 	}
 	now := drainAll(&q, start)
 	highPriority := Item{ID: "note", Account: "hot", PromptTokens: 100, Priority: 9}
-	require.Zero(t, q.Enqueue(now, highPriority, random()).Inputs.Class)
+	require.Zero(t, q.Enqueue(now, highPriority, random()).Inputs.PriorityClass)
 	highPriority.ID, highPriority.Account = "other", "caller1"
-	require.Equal(t, 9, q.Enqueue(now, highPriority, random()).Inputs.Class)
+	require.Equal(t, 9, q.Enqueue(now, highPriority, random()).Inputs.PriorityClass)
 	afterDecay := now.Add(10 * shareTimeConstant)
 	q.history.record(afterDecay, caller{account: "caller1"}, 100)
 	q.history.record(afterDecay, caller{account: "caller2"}, 100)
 	highPriority.ID, highPriority.Account = "later", "hot"
-	require.Equal(t, 9, q.Enqueue(afterDecay, highPriority, random()).Inputs.Class)
+	require.Equal(t, 9, q.Enqueue(afterDecay, highPriority, random()).Inputs.PriorityClass)
 }
 
 // Callers refused in the same second would all retry in the same second. Their
--- a/relay/fleet.go
+++ b/relay/fleet.go
@@ -310,7 +310,7 @@
 
 // newPeer returns a new peer with its own client.
 func (f *Fleet) newPeer(m Member) *Peer {
-	p := &Peer{Member: m, client: &send.Client{Base: m.Addr, DialTimeout: peerDialTimeout, IdleTimeout: peerIdleTimeout}}
+	p := &Peer{Member: m, client: &send.Client{Addr: m.Addr, DialTimeout: peerDialTimeout, IdleTimeout: peerIdleTimeout}}
 	if f.onNewPeer != nil {
 		f.onNewPeer(p)
 	}
--- a/roster/roster.go
+++ b/roster/roster.go
@@ -175,8 +175,8 @@
 	return r.members[id]
 }
 
-// ByInstance returns the upstream of an instance; nil if that instance is not a member.
-func (r *Directory) ByInstance(s Start) *Upstream {
+// UpstreamByInstance returns the upstream of an instance; nil if that instance is not a member.
+func (r *Directory) UpstreamByInstance(s Start) *Upstream {
 	if u := r.Upstream(s.ID); u != nil && u.Server().Same(s) {
 		return u
 	}
@@ -269,7 +269,7 @@
 	if u == nil {
 		reinstated := r.reinstate(s)
 		if u = reinstated; u == nil {
-			u = &Upstream{Client: &send.Client{Base: s.Addr, DialTimeout: dialTimeout, UserTimeout: userTimeout, IdleTimeout: defaultIdleTimeout}}
+			u = &Upstream{Client: &send.Client{Addr: s.Addr, DialTimeout: dialTimeout, UserTimeout: userTimeout, IdleTimeout: defaultIdleTimeout}}
 		}
 		r.members[s.ID] = u
 		r.Log.Info("upstream added", "again", reinstated != nil, "upstream", s.ID, "service", s.Service, "addr", s.Addr, "zone", s.Zone, "role", s.Role, "slots", s.Slots, "draining", s.Draining, "born", s.Born)
--- a/roster/roster_test.go
+++ b/roster/roster_test.go
@@ -84,15 +84,15 @@
 	now := time.Now()
 	for _, away := range []time.Duration{time.Second, 2 * time.Second, 4 * time.Second, 8 * time.Second, 8 * time.Second} {
 		s.RecordRefusal(now)
-		require.True(t, s.Candidate(now.Add(away-time.Millisecond)).Excluded)
-		require.False(t, s.Candidate(now.Add(away)).Excluded)
+		require.True(t, s.Candidate(now.Add(away-time.Millisecond)).CoolingDown)
+		require.False(t, s.Candidate(now.Add(away)).CoolingDown)
 		now = now.Add(away)
 	}
 	s.RecordSuccess(now, time.Millisecond, 1)
 	s.RecordRefusal(now)
-	require.False(t, s.Candidate(now.Add(time.Second)).Excluded, "a success resets the backoff")
+	require.False(t, s.Candidate(now.Add(time.Second)).CoolingDown, "a success resets the backoff")
 	s.ExcludeUntil(now.Add(10 * time.Millisecond))
-	require.True(t, s.Candidate(now.Add(20*time.Millisecond)).Excluded, "a shorter exclusion does not end a longer one")
+	require.True(t, s.Candidate(now.Add(20*time.Millisecond)).CoolingDown, "a shorter exclusion does not end a longer one")
 }
 
 func TestFailureRateAndReportedLoadDecay(t *testing.T) {
@@ -126,12 +126,12 @@
 func TestSuspensionEndsAtDeadlineOrOnRoleChange(t *testing.T) {
 	var s Stats
 	now := time.Now()
-	s.SuspendUntil(now.Add(8 * time.Second))
-	require.True(t, s.Candidate(now).Excluded)
-	require.False(t, s.Candidate(now.Add(8*time.Second)).Excluded, "the role change should be complete, whatever the registry says")
-	s.SuspendUntil(now.Add(8 * time.Second))
+	s.SuspendForRoleChange(now.Add(8 * time.Second))
+	require.True(t, s.Candidate(now).CoolingDown)
+	require.False(t, s.Candidate(now.Add(8*time.Second)).CoolingDown, "the role change should be complete, whatever the registry says")
+	s.SuspendForRoleChange(now.Add(8 * time.Second))
 	s.RoleChanged()
-	require.False(t, s.Candidate(now).Excluded)
+	require.False(t, s.Candidate(now).CoolingDown)
 }
 
 // Guards against an engine that is used for its former role because the registry is unreachable and
@@ -194,13 +194,13 @@
 	now := time.Now()
 	for _, away := range []time.Duration{100, 200, 400, 800, 1000, 1000} {
 		s.RecordDialFailure(now)
-		require.True(t, s.Candidate(now.Add(away*time.Millisecond-1)).Excluded)
-		require.False(t, s.Candidate(now.Add(away*time.Millisecond)).Excluded, "eligible again after the backoff")
+		require.True(t, s.Candidate(now.Add(away*time.Millisecond-1)).CoolingDown)
+		require.False(t, s.Candidate(now.Add(away*time.Millisecond)).CoolingDown, "eligible again after the backoff")
 		now = now.Add(away * time.Millisecond)
 	}
 	s.RecordSuccess(now, time.Millisecond, 1)
 	s.RecordDialFailure(now)
-	require.False(t, s.Candidate(now.Add(100*time.Millisecond)).Excluded, "a success resets the backoff")
+	require.False(t, s.Candidate(now.Add(100*time.Millisecond)).CoolingDown, "a success resets the backoff")
 }
 
 // Guards against concurrent prefills at one decode engine, which happen when all prefill engines
--- a/roster/stats.go
+++ b/roster/stats.go
@@ -179,9 +179,9 @@
 	return wait
 }
 
-// SuspendUntil excludes the upstream until the given time, when its role change is due: until then
+// SuspendForRoleChange excludes the upstream until the given time, when its role change is due: until then
 // it accepts no requests.
-func (s *Stats) SuspendUntil(until time.Time) {
+func (s *Stats) SuspendForRoleChange(until time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.suspendedUntil = until
@@ -291,7 +291,7 @@
 }
 
 // Candidate returns the statistics in the form that upstream selection compares. The exclusions by
-// SuspendUntil and SetRateLimitWait appear as Excluded too.
+// SuspendForRoleChange and SetRateLimitWait appear as Excluded too.
 func (s *Stats) Candidate(now time.Time) route.Candidate {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -305,7 +305,7 @@
 		FailureRate:   s.failures / (s.failures + s.successes + failureRatePrior),
 		Responsive:    s.successes >= responsiveMinSuccesses && s.failures+s.refusals < s.successes*responsiveMaxFailureRatio,
 		UnitTime:      s.unitTime,
-		Excluded:      now.Before(s.skipUntil) || now.Before(s.suspendedUntil) || now.Before(s.rateLimitUntil),
+		CoolingDown:   now.Before(s.skipUntil) || now.Before(s.suspendedUntil) || now.Before(s.rateLimitUntil),
 	}
 }
 
--- a/route/app.go
+++ b/route/app.go
@@ -86,11 +86,11 @@
 	return s
 }
 
-// Started counts a call sent to the host, until the host's reports include it.
-func (a *AppSelector) Started(now time.Time, h domain.Host) { a.addRequests(now, h, 1) }
+// CallStarted counts a call sent to the host, until the host's reports include it.
+func (a *AppSelector) CallStarted(now time.Time, h domain.Host) { a.addRequests(now, h, 1) }
 
-// Ended records the end of a call that Started counted.
-func (a *AppSelector) Ended(now time.Time, h domain.Host) { a.addRequests(now, h, -1) }
+// CallEnded records the end of a call that Started counted.
+func (a *AppSelector) CallEnded(now time.Time, h domain.Host) { a.addRequests(now, h, -1) }
 
 func (a *AppSelector) addRequests(now time.Time, h domain.Host, by int) {
 	if m := a.Pool.find(h); m != nil {
--- a/route/bench_test.go
+++ b/route/bench_test.go
@@ -27,7 +27,7 @@
 				if !ok {
 					b.Fatal("no pair")
 				}
-				m.Started(start, p, j)
+				m.JobStarted(start, p, j)
 				m.Prefills.Update(p.Prefill, zone(0), start, PrefillReport{Rate: 20_000})
 				m.Decodes.Update(p.Decode, zone(0), start, DecodeReport{FreeRequests: 4, FreeTokens: 1e6, Batch: 12, GapBase: gapBase, GapStep: gapStep})
 			}
--- a/route/candidate.go
+++ b/route/candidate.go
@@ -32,10 +32,10 @@
 	// UnitTime is the upstream's time per unit of work, which is a call or a prompt
 	// token; zero if unknown.
 	UnitTime time.Duration `json:"speed"`
-	// Excluded reports whether the upstream is to get no requests for some time:
+	// CoolingDown reports whether the upstream is to get no requests for some time:
 	// it refused a request for lack of capacity, accepted no connection, is
 	// changing its role or is at its rate limit.
-	Excluded bool `json:"held"`
+	CoolingDown bool `json:"held"`
 }
 
 // Request is a request to place.
@@ -138,7 +138,7 @@
 // hasCapacity reports whether the candidate is estimated to have capacity for the
 // request.
 func (c Candidate) hasCapacity(r Request) bool {
-	if c.Excluded || c.Slots > 0 && c.inFlight() >= float64(c.Slots) {
+	if c.CoolingDown || c.Slots > 0 && c.inFlight() >= float64(c.Slots) {
 		return false
 	}
 	return c.MemoryTokens == 0 || c.usedMemory(r)+float64(r.Tokens) <= float64(c.MemoryTokens)
@@ -151,7 +151,7 @@
 	best, full = -1, true
 	var lowest float64
 	for i, c := range candidates {
-		if r.SkipExcluded && c.Excluded || r.OnlyResponsive && !c.Responsive {
+		if r.SkipExcluded && c.CoolingDown || r.OnlyResponsive && !c.Responsive {
 			continue
 		}
 		hasRoom := r.SkipExcluded || c.hasCapacity(r)
--- a/route/candidate_test.go
+++ b/route/candidate_test.go
@@ -18,7 +18,7 @@
 	failing.FailureRate = 0.3
 	otherZone.SameZone = false
 	atCapacity.OwnRequests = 6
-	recentlyFull.Excluded = true
+	recentlyFull.CoolingDown = true
 	random := rand.New(rand.NewPCG(1, 2))
 	for name, other := range map[string]route.Candidate{"slow": slow, "failing": failing, "far": otherZone, "full": atCapacity, "held": recentlyFull} {
 		for range 50 {
--- a/route/estimate.go
+++ b/route/estimate.go
@@ -11,7 +11,7 @@
 	if rate <= 0 {
 		rate = defaultPrefillRate
 	}
-	candidate := PrefillCandidate{Host: c.host, Zone: c.zone, Weight: j.Weights.of(c.zone)}
+	candidate := PrefillCandidate{Host: c.host, Zone: c.zone, Weight: j.ZoneWeights.of(c.zone)}
 	processed := rate * now.Sub(c.reportedAt).Seconds()
 	queued := max(0, float64(c.report.QueuedTokens+c.unreportedTotal.tokens)-processed)
 	candidate.Queue = seconds(queued / rate)
@@ -22,9 +22,9 @@
 	case candidate.Weight == 0:
 		return candidate, ExcludedZone
 	case c.shortOnly && uncached >= longPromptTokens:
-		return candidate, ExcludedLong
+		return candidate, ExcludedShortOnly
 	case j.MaxQueueWait > 0 && candidate.Queue > j.MaxQueueWait:
-		return candidate, ExcludedQueue
+		return candidate, ExcludedPrefillQueueFull
 	}
 	return candidate, ""
 }
@@ -37,7 +37,7 @@
 		Zone:         c.zone,
 		FreeRequests: c.report.FreeRequests - c.unreportedTotal.requests,
 		FreeTokens:   c.report.FreeTokens - c.unreportedTotal.tokens,
-		Weight:       j.Weights.of(c.zone),
+		Weight:       j.ZoneWeights.of(c.zone),
 	}
 	batch := max(0, c.report.Batch+c.unreportedTotal.requests) + 1
 	candidate.TokenGap = c.report.GapBase + time.Duration(batch)*c.report.GapStep
@@ -45,9 +45,9 @@
 	case candidate.Weight == 0:
 		return candidate, ExcludedZone
 	case candidate.FreeRequests < 1:
-		return candidate, ExcludedSlots
+		return candidate, ExcludedNoDecodeSlot
 	case candidate.FreeTokens < j.PromptTokens+j.MaxOutputTokens:
-		return candidate, ExcludedMemory
+		return candidate, ExcludedNoDecodeMemory
 	case j.TokenGapTarget > 0 && candidate.TokenGap > j.TokenGapTarget:
 		return candidate, ExcludedTokenGap
 	}
--- a/route/evaluation.go
+++ b/route/evaluation.go
@@ -11,13 +11,13 @@
 
 // The reasons for which a candidate or a pair is excluded.
 const (
-	ExcludedZone      ExclusionReason = "zone_weight_zero"
-	ExcludedLong      ExclusionReason = "short_prompts_only"
-	ExcludedQueue     ExclusionReason = "prefill_queue_full"
-	ExcludedSlots     ExclusionReason = "no_decode_slot"
-	ExcludedMemory    ExclusionReason = "no_decode_memory"
-	ExcludedTokenGap  ExclusionReason = "token_gap_passes_target"
-	ExcludedKVExpires ExclusionReason = "kv_would_be_evicted"
+	ExcludedZone             ExclusionReason = "zone_weight_zero"
+	ExcludedShortOnly        ExclusionReason = "short_prompts_only"
+	ExcludedPrefillQueueFull ExclusionReason = "prefill_queue_full"
+	ExcludedNoDecodeSlot     ExclusionReason = "no_decode_slot"
+	ExcludedNoDecodeMemory   ExclusionReason = "no_decode_memory"
+	ExcludedTokenGap         ExclusionReason = "token_gap_passes_target"
+	ExcludedKVExpires        ExclusionReason = "kv_would_be_evicted"
 )
 
 // ExclusionCounts holds the number of candidates and pairs excluded for each
@@ -27,7 +27,7 @@
 	// had not reported lately.
 	Unusable  int `json:"unusable"`
 	Zone      int `json:"zone_weight_zero"`
-	Long      int `json:"short_prompts_only"`
+	ShortOnly int `json:"short_prompts_only"`
 	Queue     int `json:"prefill_queue_full"`
 	Slots     int `json:"no_decode_slot"`
 	Memory    int `json:"no_decode_memory"`
@@ -39,13 +39,13 @@
 	switch exclusion {
 	case ExcludedZone:
 		x.Zone++
-	case ExcludedLong:
-		x.Long++
-	case ExcludedQueue:
+	case ExcludedShortOnly:
+		x.ShortOnly++
+	case ExcludedPrefillQueueFull:
 		x.Queue++
-	case ExcludedSlots:
+	case ExcludedNoDecodeSlot:
 		x.Slots++
-	case ExcludedMemory:
+	case ExcludedNoDecodeMemory:
 		x.Memory++
 	case ExcludedTokenGap:
 		x.TokenGap++
@@ -68,7 +68,7 @@
 	Decodes       [decodeSampleSize]DecodeCandidate                      `json:"-"`
 	PrefillsDrawn int                                                    `json:"prefills_drawn"`
 	DecodesDrawn  int                                                    `json:"decodes_drawn"`
-	// Excluded counts the rejected candidates and pairs by reason.
+	// CoolingDown counts the rejected candidates and pairs by reason.
 	Excluded ExclusionCounts `json:"excluded"`
 	// Chosen is the estimate for the chosen pair.
 	Chosen Estimate `json:"chosen"`
@@ -104,7 +104,7 @@
 // Estimate is the expected latency of a job on a pair of engines. The pair with the
 // lowest score is chosen.
 type Estimate struct {
-	// Cached is the number of prompt tokens that the prefill engine is expected to
+	// MaxCachedTokens is the number of prompt tokens that the prefill engine is expected to
 	// have cached.
 	Cached     int           `json:"cached"`
 	FirstToken time.Duration `json:"first_token"`
--- a/route/route.go
+++ b/route/route.go
@@ -104,7 +104,7 @@
 	// WastedPrefillWeight is the table row's weight of a wasted prefill token against
 	// a token of goodput, in percent.
 	WastedPrefillWeight int
-	Weights             ZoneWeights
+	ZoneWeights         ZoneWeights
 	// MayPrefill and MayDecode report whether a host may prefill and decode the job;
 	// nil allows all hosts.
 	MayPrefill func(domain.Host) bool
@@ -176,9 +176,9 @@
 	return pair, evaluation, found
 }
 
-// Started counts the load of a job sent to a pair, until the engines' reports include
+// JobStarted counts the load of a job sent to a pair, until the engines' reports include
 // it.
-func (m *EngineSelector) Started(now time.Time, p EnginePair, j Job) {
+func (m *EngineSelector) JobStarted(now time.Time, p EnginePair, j Job) {
 	uncached := j.PromptTokens - m.cached(now, p.Prefill, j)
 	prefill, decode := m.Prefills.find(p.Prefill), m.Decodes.find(p.Decode)
 	if prefill != nil {
@@ -193,16 +193,16 @@
 	}
 }
 
-// Ended records that a job has released its capacity on the decode engine.
-func (m *EngineSelector) Ended(now time.Time, p EnginePair, j Job) {
+// JobEnded records that a job has released its capacity on the decode engine.
+func (m *EngineSelector) JobEnded(now time.Time, p EnginePair, j Job) {
 	if decode := m.Decodes.find(p.Decode); decode != nil {
 		decode.addLoad(load{at: now, requests: -1, tokens: -j.PromptTokens - j.MaxOutputTokens})
 	}
 }
 
-// Cached returns the largest number of the job's prompt tokens that any one engine is
+// MaxCachedTokens returns the largest number of the job's prompt tokens that any one engine is
 // expected to have cached. The job's cost in the queue is reduced by them.
-func (m *EngineSelector) Cached(now time.Time, j Job) int {
+func (m *EngineSelector) MaxCachedTokens(now time.Time, j Job) int {
 	maxTokens := 0
 	for _, h := range m.cache.holders[j.Prefix] {
 		maxTokens = max(maxTokens, m.cached(now, h.host, j))
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -116,7 +116,7 @@
 	for range 24 {
 		p, _, ok := selector.Choose(start, j, source)
 		require.True(t, ok)
-		selector.Started(start, p, j)
+		selector.JobStarted(start, p, j)
 		sent[p.Prefill]++
 		sent[p.Decode]++
 	}
@@ -132,7 +132,7 @@
 func TestUpdateIgnoresReportOlderThanLast(t *testing.T) {
 	selector := newSelector(1, 1, noLoad, noLoad)
 	p := EnginePair{Prefill: host("prefill", 0), Decode: host("decode", 0)}
-	selector.Started(start.Add(time.Second), p, Job{PromptTokens: 100, MaxOutputTokens: 10})
+	selector.JobStarted(start.Add(time.Second), p, Job{PromptTokens: 100, MaxOutputTokens: 10})
 	full := DecodeReport{FreeRequests: 0}
 	free := DecodeReport{FreeRequests: 1, FreeTokens: 1000}
 	selector.Decodes.Update(p.Decode, zone(0), start.Add(2*time.Second), free)
@@ -141,7 +141,7 @@
 	_, evaluation, ok := selector.Choose(start.Add(2*time.Second), Job{PromptTokens: 100, MaxOutputTokens: 10}, random())
 	require.True(t, ok)
 	require.Equal(t, 1, evaluation.Decodes[0].FreeRequests)
-	selector.Ended(start.Add(3*time.Second), p, Job{PromptTokens: 100, MaxOutputTokens: 10})
+	selector.JobEnded(start.Add(3*time.Second), p, Job{PromptTokens: 100, MaxOutputTokens: 10})
 	_, evaluation, _ = selector.Choose(start.Add(3*time.Second), Job{PromptTokens: 100, MaxOutputTokens: 10}, random())
 	require.Equal(t, 2, evaluation.Decodes[0].FreeRequests)
 }
@@ -224,7 +224,7 @@
 	for range 11 {
 		h, _, ok := a.Choose(start, nil, random())
 		require.True(t, ok)
-		a.Started(start, h)
+		a.CallStarted(start, h)
 	}
 	require.Equal(t, 7, a.Pool.find(host("app", 0)).unreportedTotal.requests)
 	_, _, ok := a.Choose(start, ZoneWeights{zone(5): 100}, random())
--- a/search/queue.go
+++ b/search/queue.go
@@ -173,7 +173,7 @@
 	}
 	grant := make(chan *queue.Refusal, 1)
 	q.grants[i.ID] = grant
-	q.sendRefusals(d.Shed)
+	q.sendRefusals(d.ShedItems)
 	if !q.turnHeld {
 		q.grantNext(now)
 	}
--- a/send/reply.go
+++ b/send/reply.go
@@ -57,9 +57,9 @@
 	}
 }
 
-// Abort fails the exchange as TimedOut and closes its connection. Unlike the other methods it may
+// FailTimedOut fails the exchange as TimedOut and closes its connection. Unlike the other methods it may
 // be called from any goroutine.
-func (p *Response) Abort() { p.cancel(errReadTimeout) }
+func (p *Response) FailTimedOut() { p.cancel(errReadTimeout) }
 
 // complete returns the connection to the client after a complete response, if nothing of this
 // exchange is left on it.
--- a/send/send.go
+++ b/send/send.go
@@ -52,8 +52,8 @@
 // Client sends requests to one address. The zero value with a Base is ready to use. A Client must
 // not be copied after first use.
 type Client struct {
-	// Base is the address to which requests are sent.
-	Base netip.AddrPort
+	// Addr is the address to which requests are sent.
+	Addr netip.AddrPort
 	// DialTimeout bounds the time to connect; zero is DefaultDialTimeout.
 	DialTimeout time.Duration
 	// ReadTimeout is how long the upstream may send no data, before the response header and between
@@ -142,7 +142,7 @@
 
 // exchange writes the request and reads the header of its response.
 func (p *Response) exchange(r Request) (*http.Response, error) {
-	q, err := buildRequest(r, p.client.Base)
+	q, err := buildRequest(r, p.client.Addr)
 	if err != nil {
 		return nil, err
 	}
@@ -217,7 +217,7 @@
 		}
 		_ = k.Close()
 	}
-	return dial(ctx, c.Base, firstPositive(c.DialTimeout, DefaultDialTimeout), c.UserTimeout, c.KeepAliveInterval)
+	return dial(ctx, c.Addr, firstPositive(c.DialTimeout, DefaultDialTimeout), c.UserTimeout, c.KeepAliveInterval)
 }
 
 func (c *Client) popIdle() *conn {
--- a/send/send_test.go
+++ b/send/send_test.go
@@ -63,7 +63,7 @@
 	} {
 		t.Run(r.Method, func(t *testing.T) {
 			addr, read := closingServer(t)
-			c := send.Client{Base: addr}
+			c := send.Client{Addr: addr}
 			reply, err := c.Do(t.Context(), send.Request{Method: http.MethodGet, Target: "/first"})
 			require.NoError(t, err)
 			body, err := reply.ReadAll(10)
@@ -100,7 +100,7 @@
 	s.Start()
 	defer s.Close()
 	defer close(release)
-	c := send.Client{Base: netip.MustParseAddrPort(s.Listener.Addr().String())}
+	c := send.Client{Addr: netip.MustParseAddrPort(s.Listener.Addr().String())}
 	get := func(target string, timeout time.Duration) error {
 		reply, err := c.Do(t.Context(), send.Request{Method: http.MethodGet, Target: target, ReadTimeout: timeout})
 		if err == nil {
@@ -127,7 +127,7 @@
 	require.NoError(t, err)
 	addr := l.Addr().(*net.TCPAddr).AddrPort()
 	require.NoError(t, l.Close())
-	client := send.Client{Base: addr}
+	client := send.Client{Addr: addr}
 	_, err = client.Do(t.Context(), send.Request{Method: http.MethodGet, Target: "/"})
 	require.Equal(t, send.NotSent, send.StageOf(err), "the connection is refused")
 
@@ -143,7 +143,7 @@
 		<-r.Context().Done()
 	}))
 	defer s.Close()
-	c := send.Client{Base: netip.MustParseAddrPort(s.Listener.Addr().String())}
+	c := send.Client{Addr: netip.MustParseAddrPort(s.Listener.Addr().String())}
 	reply, err := c.Do(t.Context(), send.Request{Method: http.MethodGet, Target: "/short"})
 	require.NoError(t, err)
 	_, err = reply.ReadAll(100)
@@ -166,7 +166,7 @@
 		_, _ = io.WriteString(w, "second")
 	}))
 	t.Cleanup(s.Close)
-	return &send.Client{Base: netip.MustParseAddrPort(s.Listener.Addr().String())}, second
+	return &send.Client{Addr: netip.MustParseAddrPort(s.Listener.Addr().String())}, second
 }
 
 // Guards against a timeout of a response that arrived in time but is read late, because the host
@@ -225,7 +225,7 @@
 		<-r.Context().Done()
 	}))
 	defer h.Close()
-	c := &send.Client{Base: netip.MustParseAddrPort(h.Listener.Addr().String())}
+	c := &send.Client{Addr: netip.MustParseAddrPort(h.Listener.Addr().String())}
 	ended := make(chan error, 2)
 	go func() {
 		_, err := c.Do(t.Context(), send.Request{Method: "GET", Target: "/silent", ReadTimeout: time.Minute})
--- a/table/edit.go
+++ b/table/edit.go
@@ -31,19 +31,19 @@
 	Base Version `json:"base"`
 }
 
-// Op is the operation of a change on its row.
-type Op string
+// ChangeOp is the operation of a change on its row.
+type ChangeOp string
 
 // The operations of a change on a row.
 const (
 	// OpSet changes cells of an existing row.
-	OpSet Op = "set"
+	OpSet ChangeOp = "set"
 	// OpAdd creates a row; it is an error if the row exists.
-	OpAdd Op = "add"
+	OpAdd ChangeOp = "add"
 	// OpPut changes cells of a row, and creates the row if it does not exist.
-	OpPut Op = "put"
+	OpPut ChangeOp = "put"
 	// OpRemove removes an existing row.
-	OpRemove Op = "remove"
+	OpRemove ChangeOp = "remove"
 )
 
 // Value is the value of a cell as text. In JSON it may be a string, number or boolean.
@@ -68,7 +68,7 @@
 
 // Change is the part of an edit that concerns one row.
 type Change struct {
-	Op Op `json:"op"`
+	Op ChangeOp `json:"op"`
 	Key
 	// Cells are the new values. In a new row the omitted cells are zero; a
 	// change with OpRemove has no cells.
@@ -205,7 +205,7 @@
 func (a *applier) applyChange(at string, c Change) {
 	i := slices.IndexFunc(a.rows, func(r Row) bool { return r.Key() == c.Key })
 	switch {
-	case !slices.Contains([]Op{OpSet, OpAdd, OpPut, OpRemove}, c.Op):
+	case !slices.Contains([]ChangeOp{OpSet, OpAdd, OpPut, OpRemove}, c.Op):
 		a.found.Add(at+" op", "must be set, add, put or remove, not %q", string(c.Op))
 	case c.Op == OpAdd && i >= 0:
 		a.found.Add(at, "there is such a row already")
--- a/table/holder.go
+++ b/table/holder.go
@@ -67,7 +67,7 @@
 	return newer
 }
 
-// Confirm records a response of a source whose newest version is v. The argument
+// RecordConfirmation records a response of a source whose newest version is v. The argument
 // requested is when the request was sent, on this process's clock.
 //
 // A process that was frozen finds old responses in its sockets. Dated by the time
@@ -75,7 +75,7 @@
 // be minutes old; dated by the time of the request, they have expired already. A
 // response with a version newer than the current one confirms nothing: it shows
 // that this host is behind.
-func (h *Holder) Confirm(v Version, requested time.Time) {
+func (h *Holder) RecordConfirmation(v Version, requested time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.confirm(v, requested)
@@ -103,9 +103,9 @@
 // Version returns the current version, or zero before the first update.
 func (h *Holder) Version() Version { return h.Table().version }
 
-// Since returns the time at which the current table came into force in this
+// InForceSince returns the time at which the current table came into force in this
 // process, or the zero time before the first update.
-func (h *Holder) Since() time.Time {
+func (h *Holder) InForceSince() time.Time {
 	if now := h.current.Load(); now != nil {
 		return now.since
 	}
--- a/table/holder_test.go
+++ b/table/holder_test.go
@@ -16,7 +16,7 @@
 	var h Holder
 	require.False(t, h.Fresh(start, staleAfter))
 	require.Zero(t, h.Version())
-	require.True(t, h.Since().IsZero())
+	require.True(t, h.InForceSince().IsZero())
 	_, ok := h.ConfirmationAge(start)
 	require.False(t, ok)
 }
@@ -31,7 +31,7 @@
 	require.False(t, h.Update(sampleTable().WithVersion(7), start.Add(time.Second)))
 	require.False(t, h.Update(sampleTable().WithVersion(8), start.Add(time.Second)))
 	require.Equal(t, Version(8), h.Version())
-	require.Equal(t, start, h.Since())
+	require.Equal(t, start, h.InForceSince())
 }
 
 // An entry that was frozen for a minute reads responses that have waited in its
@@ -41,9 +41,9 @@
 	var h Holder
 	h.Update(sampleTable(), start)
 	woken := start.Add(time.Minute)
-	h.Confirm(7, start.Add(500*time.Millisecond))
+	h.RecordConfirmation(7, start.Add(500*time.Millisecond))
 	require.False(t, h.Fresh(woken, staleAfter))
-	h.Confirm(7, woken)
+	h.RecordConfirmation(7, woken)
 	require.True(t, h.Fresh(woken.Add(time.Second), staleAfter))
 }
 
@@ -53,7 +53,7 @@
 func TestConfirmOfNewerVersionDoesNotMakeHolderFresh(t *testing.T) {
 	var h Holder
 	h.Update(sampleTable(), start)
-	h.Confirm(9, start.Add(4*time.Second))
+	h.RecordConfirmation(9, start.Add(4*time.Second))
 	require.False(t, h.Fresh(start.Add(4*time.Second), staleAfter))
 	h.Update(sampleTable().WithVersion(9), start.Add(5*time.Second))
 	require.True(t, h.Fresh(start.Add(5*time.Second), staleAfter))
@@ -72,7 +72,7 @@
 	made := start.Add(20 * time.Second)
 	h := Holder{Clock: func() time.Time { return made }}
 	h.Update(sampleTable(), start)
-	require.Equal(t, made, h.Since())
+	require.Equal(t, made, h.InForceSince())
 	age, _ := h.ConfirmationAge(made)
 	require.Equal(t, 20*time.Second, age, "the response to the watch may have been delayed")
 }
@@ -80,8 +80,8 @@
 func TestOlderConfirmationDoesNotIncreaseAge(t *testing.T) {
 	var h Holder
 	h.Update(sampleTable(), start)
-	h.Confirm(7, start.Add(2*time.Second))
-	h.Confirm(6, start.Add(time.Second))
+	h.RecordConfirmation(7, start.Add(2*time.Second))
+	h.RecordConfirmation(6, start.Add(time.Second))
 	age, ok := h.ConfirmationAge(start.Add(3 * time.Second))
 	require.True(t, ok)
 	require.Equal(t, time.Second, age)
@@ -141,7 +141,7 @@
 				h.Update(New(m.version, nil), m.requested)
 				n.updates = append(n.updates, m)
 			} else {
-				h.Confirm(m.version, m.requested)
+				h.RecordConfirmation(m.version, m.requested)
 			}
 			if len(n.updates) > 0 && m.version <= n.version() {
 				n.confirmations = append(n.confirmations, m)
--- a/test/slopes/links.go
+++ b/test/slopes/links.go
@@ -257,7 +257,7 @@
 	if err != nil {
 		return err
 	}
-	objects := infra.HTTPObjects{Base: p.Address}
+	objects := infra.HTTPObjects{Addr: p.Address}
 	_, err = objects.Put(ctx, member.RecordName(r.Service), text, 0)
 	return errors.Wrap(err, "slopes: write the member record")
 }
--- a/test/slopes/requests.go
+++ b/test/slopes/requests.go
@@ -198,7 +198,7 @@
 	if err != nil {
 		return err
 	}
-	objects := infra.HTTPObjects{Base: platform.Address}
+	objects := infra.HTTPObjects{Addr: platform.Address}
 	names, err := objects.List(ctx, trace.SegmentPrefix)
 	if err != nil {
 		return err
--- a/trace/event.go
+++ b/trace/event.go
@@ -17,7 +17,7 @@
 const (
 	Accepted       EventKind = "accepted"
 	Queued         EventKind = "queued"
-	Decided        EventKind = "decision"
+	DecisionMade   EventKind = "decision"
 	Claimed        EventKind = "claim"
 	Reserved       EventKind = "reserve"
 	AttemptStarted EventKind = "attempt_started"
@@ -164,7 +164,7 @@
 
 func (k EventKind) valid() bool {
 	switch k {
-	case Accepted, Queued, Decided, Claimed, Reserved, AttemptStarted, PrefillDone,
+	case Accepted, Queued, DecisionMade, Claimed, Reserved, AttemptStarted, PrefillDone,
 		FirstToken, AttemptEnded, Answered, Refused, CallerGone:
 		return true
 	}
--- a/trace/merge.go
+++ b/trace/merge.go
@@ -109,7 +109,7 @@
 		if s.Kind == EntrySpan && e.Attempt > decided {
 			p.step = stepBeforeDecision
 		}
-		if e.Kind == Decided {
+		if e.Kind == DecisionMade {
 			decided = max(decided, e.Attempt)
 		}
 		m.events = append(m.events, p)
--- a/trace/outbox.go
+++ b/trace/outbox.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// Pending returns the number of segments and bytes that are not yet written.
-func (o *Outbox) Pending() (segments, bytes int) { return len(o.pending), o.bytes }
+// PendingSize returns the number of segments and bytes that are not yet written.
+func (o *Outbox) PendingSize() (segments, bytes int) { return len(o.pending), o.bytes }
 
 // Dropped returns the number of spans in the segments that were dropped beyond MaxBytes.
 func (o *Outbox) Dropped() int64 { return o.dropped }
--- a/trace/recorder.go
+++ b/trace/recorder.go
@@ -46,7 +46,7 @@
 	Late int64 `json:"late"`
 	// Dropped counts closed spans that were dropped before they were written.
 	Dropped int64 `json:"dropped"`
-	// Pending is the number of closed spans that wait to be written.
+	// PendingSize is the number of closed spans that wait to be written.
 	Pending int64 `json:"pending"`
 }
 
@@ -130,8 +130,8 @@
 	return Span{}, false
 }
 
-// Latest returns copies of up to n closed spans, the last closed first.
-func (r *Recorder) Latest(n int) []Span {
+// LatestClosed returns copies of up to n closed spans, the last closed first.
+func (r *Recorder) LatestClosed(n int) []Span {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var found []Span
@@ -153,9 +153,9 @@
 	return c
 }
 
-// Due reports whether the pending spans should be packed and written: there are
+// FlushDue reports whether the pending spans should be packed and written: there are
 // FlushSpans of them, or the oldest has been pending for the flush interval.
-func (r *Recorder) Due(now time.Time) bool {
+func (r *Recorder) FlushDue(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	n, age := len(r.pending), r.FlushInterval
--- a/trace/trace_test.go
+++ b/trace/trace_test.go
@@ -32,7 +32,7 @@
 	}
 	accepted := owner
 	accepted.Kind, accepted.Time, accepted.Host, accepted.Request = Accepted, at(0), "entry-1", id
-	decided := ev(Decided, 2, "entry-1", 1)
+	decided := ev(DecisionMade, 2, "entry-1", 1)
 	decided.Upstream, decided.Decode = "side-4", "side-7"
 	decided.Evaluation = &Evaluation{Policy: "pair", Considered: 9, Candidates: []Candidate{{"side-4", 3 * time.Millisecond, ""}}}
 	started := ev(AttemptStarted, 3, "entry-1", 1)
@@ -115,7 +115,7 @@
 			require.True(t, c.Balanced(), "%+v", c)
 			require.Equal(t, [3]int64{want[Accepted], want[Answered], want[Refused]}, [3]int64{c.Open, c.Answered, c.Refused})
 		}
-		require.LessOrEqual(t, len(r.Latest(100)), 4)
+		require.LessOrEqual(t, len(r.LatestClosed(100)), 4)
 	})
 }
 
@@ -127,7 +127,7 @@
 			for n := range 200 {
 				entry, _, _ := appraisalEvents(uint64(w*1000 + n))
 				recordAll(&r, entry)
-				r.Latest(2)
+				r.LatestClosed(2)
 			}
 		})
 	}
@@ -147,12 +147,12 @@
 	batch := r.TakePending()
 	require.Len(t, batch, 1)
 	require.Contains(t, batch[0].Findings[0].Problem, "did not end")
-	require.False(t, r.Due(at(2000).Add(DefaultFlushInterval)), "nothing is pending")
+	require.False(t, r.FlushDue(at(2000).Add(DefaultFlushInterval)), "nothing is pending")
 
 	// A late event does not open a span that would wait for an end.
 	r.Record(Event{Kind: CallerGone, Time: at(2001), Host: "side-4", Request: "entry-1.3.9"})
-	require.False(t, r.Due(at(2002)))
-	require.True(t, r.Due(at(2001).Add(DefaultFlushInterval)))
+	require.False(t, r.FlushDue(at(2002)))
+	require.True(t, r.FlushDue(at(2001).Add(DefaultFlushInterval)))
 	require.Len(t, r.TakePending(), 1)
 }
 
@@ -234,7 +234,7 @@
 	spans := []Span{newSpan(EntrySpan, entry), newSpan(SideSpan, prefill), newSpan(SideSpan, decode)}
 	want := Merge(entry[0].Request, spans...)
 	for i, e := range want.Events { // causal order, although the clock of side-7 is behind
-		if e.Kind == Decided {
+		if e.Kind == DecisionMade {
 			require.Equal(t, 2, i)
 		}
 	}
@@ -355,7 +355,7 @@
 	next, _ := o.Oldest()
 	require.Equal(t, "b", next.Name)
 	o.Remove("b")
-	segments, size := o.Pending()
+	segments, size := o.PendingSize()
 	require.Equal(t, [2]int{1, 4}, [2]int{segments, size})
 }
 
