--- a/admit/admit.go
+++ b/admit/admit.go
@@ -24,7 +24,7 @@
 //	prefill := admit.Ledger{Limits: admit.Limits{Requests: 64, Tokens: 10_000, QueuedOnly: true}}
 //
 // A reservation that is not confirmed expires. A confirmed reservation stands for memory that
-// is in use at the engine: when its time has passed, Overdue returns it for the side to
+// is in use at the engine: when its time has passed, OverdueReservations returns it for the side to
 // cancel at the engine, and its capacity becomes free only with Release. The package reads
 // no clock; every method takes the time, which must have a monotonic reading or come from
 // one clock. A Ledger is not safe for concurrent use; its owner holds a lock.
--- a/claim/claim.go
+++ b/claim/claim.go
@@ -22,7 +22,7 @@
 //	res, err := l.Settle(key, attempt, claim.StateRan, now) // on the runner, at the end
 //	err = l.Resolve(res, now)                               // on the owner
 //
-// A refusal is a *Refusal; errors.As finds it. Its Ran field is what a caller may be told
+// A refusal is a *Refusal; errors.As finds it. Its KeyRan field is what a caller may be told
 // about the key, its AttemptNotRun field reports whether this one attempt certainly did not
 // run.
 package claim
--- a/claim/ledger.go
+++ b/claim/ledger.go
@@ -19,7 +19,7 @@
 	// Limits bounds how many keys each shard remembers, and how long.
 	Limits Limits
 	// Reachable reports whether a process is believed to be reachable. When the record changes,
-	// an owner hands its shard to the rank 0 process if Live reports true for it. May be
+	// an owner hands its shard to the rank 0 process if Reachable reports true for it. May be
 	// nil.
 	Reachable func(Process) bool
 
--- a/claim/record.go
+++ b/claim/record.go
@@ -44,7 +44,7 @@
 }
 
 // Record is the platform's object for one service. It is changed only by conditional
-// update, and each writer puts the generation that it replaces at the front of Past (see
+// update, and each writer puts the generation that it replaces at the front of PastGenerations (see
 // Next).
 type Record struct {
 	Generation
--- a/engine/engine.go
+++ b/engine/engine.go
@@ -4,7 +4,7 @@
 //
 // # Usage
 //
-//	var m engine.Model = &engine.HTTPModel{Base: netip.MustParseAddrPort("127.0.0.1:9001")}
+//	var m engine.Model = &engine.HTTPModel{Addr: netip.MustParseAddrPort("127.0.0.1:9001")}
 //	kv, err := m.Prefill(ctx, engine.PrefillRequest{Request: id, Attempt: 1, Prompt: text, PromptTokens: 812})
 //	err = m.Decode(ctx, engine.DecodeRequest{Request: id, Attempt: 1, KV: kv, MaxTokens: 64}, emit)
 //
--- a/engine/http_app.go
+++ b/engine/http_app.go
@@ -17,7 +17,7 @@
 const DefaultMaxResponseBytes = 8 << 20
 
 // HTTPAppServer is the client of a plain application server over HTTP. It sends
-// each call at most once. The zero value with a Base is ready to use; it must
+// each call at most once. The zero value with an Addr is ready to use; it must
 // not be copied after its first use.
 type HTTPAppServer struct {
 	// Addr is the server's address.
--- a/engine/http_model.go
+++ b/engine/http_model.go
@@ -29,7 +29,7 @@
 )
 
 // HTTPModel is the client of a model engine over HTTP and JSON. The response to
-// a decode has one Token per line. The zero value with a Base is ready to use;
+// a decode has one Token per line. The zero value with an Addr is ready to use;
 // it must not be copied after its first use.
 type HTTPModel struct {
 	// Addr is the engine's address.
--- a/fakes/model/model.go
+++ b/fakes/model/model.go
@@ -153,7 +153,7 @@
 	}
 }
 
-// Crash discards the volatile state, ends all runs in progress with outcome Crashed, and
+// Crash discards the volatile state, ends all runs in progress with outcome OutcomeCrashed, and
 // starts a new incarnation.
 func (e *Engine) Crash() {
 	e.once.Do(e.setup)
--- a/feed/feed.go
+++ b/feed/feed.go
@@ -11,7 +11,7 @@
 //	}
 //	err := f.Run(ctx)
 //
-// The copy is as old as the source's last answer, whose age Age returns. OnDisconnect and
+// The copy is as old as the source's last answer, whose age AnswerAge returns. OnDisconnect and
 // OnReconnect mark the start and the end of the time during which the source does not
 // answer.
 package feed
@@ -185,7 +185,7 @@
 )
 
 // Feed keeps a copy of a collection. The exported fields must be set before Run; Run's
-// goroutine calls all functions except Age.
+// goroutine calls all functions except AnswerAge.
 type Feed[T any] struct {
 	Name   string
 	Source Source[T]
--- a/fence/fence.go
+++ b/fence/fence.go
@@ -114,7 +114,7 @@
 )
 
 // Action is the action that the caller of Next must perform. Record and Version are set for
-// Write, Until for Wait.
+// WriteRecord, Until for WaitUntil.
 type Action struct {
 	Kind    ActionKind
 	Record  Record
--- a/infra/http_hosts.go
+++ b/infra/http_hosts.go
@@ -9,7 +9,7 @@
 	"jacinthworks/send"
 )
 
-// HTTPHosts reads the host list over HTTP, by GET /hosts. The zero value with Base
+// HTTPHosts reads the host list over HTTP, by GET /hosts. The zero value with Addr
 // set is ready to use; it must not be copied after first use.
 type HTTPHosts struct {
 	// Addr is the platform's address.
--- a/infra/http_objects.go
+++ b/infra/http_objects.go
@@ -17,7 +17,7 @@
 
 // HTTPObjects is the client of the object API over HTTP. The version is sent as ETag,
 // the condition of a write as If-Match, or as If-None-Match: * to create an object.
-// The zero value with Base set is ready to use; it must not be copied after first
+// The zero value with Addr set is ready to use; it must not be copied after first
 // use.
 type HTTPObjects struct {
 	// Addr is the platform's address.
--- a/infra/http_weights.go
+++ b/infra/http_weights.go
@@ -20,7 +20,7 @@
 	Size int64 `json:"size"`
 }
 
-// HTTPWeights is the client of the weight store over HTTP. The zero value with Base
+// HTTPWeights is the client of the weight store over HTTP. The zero value with Addr
 // set is ready to use; it must not be copied after first use.
 type HTTPWeights struct {
 	// Addr is the platform's address.
--- a/infra/infra.go
+++ b/infra/infra.go
@@ -4,7 +4,7 @@
 //
 // # Usage
 //
-//	var objects infra.Objects = &infra.HTTPObjects{Base: netip.MustParseAddrPort("127.0.0.1:7000")}
+//	var objects infra.Objects = &infra.HTTPObjects{Addr: netip.MustParseAddrPort("127.0.0.1:7000")}
 //	o, err := objects.Get(ctx, "table")
 //	v, err := objects.Put(ctx, "table", value, o.Version) // conditional
 //
--- a/queue/queue.go
+++ b/queue/queue.go
@@ -31,7 +31,7 @@
 //	var q queue.Queue
 //	d := q.Enqueue(now, item, random)
 //	if d.Refusal != nil { refuse(item, d.Refusal) }
-//	for _, r := range d.Shed { refuse(r.Item, &r.Refusal) }
+//	for _, r := range d.ShedItems { refuse(r.Item, &r.Refusal) }
 //	...
 //	for _, r := range q.RemoveExpired(now, random) { refuse(r.Item, &r.Refusal) }
 //	item, ok := q.Dequeue(now, queue.AnyPrompt)
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -18,7 +18,7 @@
 // # Usage
 //
 //	fleet := relay.Fleet{Self: "front-1", SelfAddr: addr, Seeds: seeds}
-//	fleet.Seed(recorded) // the relays on record, asked until the members are known
+//	fleet.SetSeedPeers(recorded) // the relays on record, asked until the members are known
 //	replica := &relay.Replica[roster.Server]{}
 //	source := relay.Source[roster.Server]{Name: "upstreams", Origin: store, Replica: replica, Fleet: &fleet, Log: log}
 //	mux.Handle("GET "+relay.URLPrefix+"upstreams", relay.Handler(replica)) // serves other processes
--- a/retry/crashes.go
+++ b/retry/crashes.go
@@ -50,7 +50,7 @@
 	return len(c.local.Deaths) > 0
 }
 
-// RequestStarted records that an upstream has a request of this process, until End.
+// RequestStarted records that an upstream has a request of this process, until RequestEnded.
 func (c *Crashes[U, R]) RequestStarted(id U, r R, identity Identity) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -15,7 +15,7 @@
 // # Usage
 //
 //	var p retry.Policy
-//	p.Budget.Accepted()                               // for each accepted request
+//	p.Budget.RequestAccepted()                        // for each accepted request
 //	d := p.Decide(now, retry.Failure{Attempt: 1, Ran: domain.NotRun, Deadline: deadline})
 //	if d == retry.Allowed { ... }
 //
--- a/retry/window.go
+++ b/retry/window.go
@@ -25,7 +25,7 @@
 
 // WindowConfig is the configuration of a Window.
 type WindowConfig struct {
-	// RetryRatio is the number of retries allowed for each request in the window, Fixed this
+	// RetryRatio is the number of retries allowed for each request in the window, FixedRetries this
 	// process's share of the fixed number of retries allowed in addition, and Span the length of
 	// the window.
 	RetryRatio   float64
--- a/roles/profile.go
+++ b/roles/profile.go
@@ -137,7 +137,7 @@
 // ratio after 11 seconds and a sufficient sample after 16, when two bursts were over. The
 // samples of all processes have hundreds of requests in the first second.
 type Sample struct {
-	// Requests is the number of requests sent, Prompts the sum of their prompt tokens, and
+	// Requests is the number of requests sent, PromptTokens the sum of their prompt tokens, and
 	// MemoryTokens the sum of their answer tokens, each weighted by the fraction of an
 	// engine's memory that the request takes. All are sums that decay with age.
 	Requests     float64 `json:"requests"`
--- a/route/app.go
+++ b/route/app.go
@@ -89,7 +89,7 @@
 // CallStarted counts a call sent to the host, until the host's reports include it.
 func (a *AppSelector) CallStarted(now time.Time, h domain.Host) { a.addRequests(now, h, 1) }
 
-// CallEnded records the end of a call that Started counted.
+// CallEnded records the end of a call that CallStarted counted.
 func (a *AppSelector) CallEnded(now time.Time, h domain.Host) { a.addRequests(now, h, -1) }
 
 func (a *AppSelector) addRequests(now time.Time, h domain.Host, by int) {
--- a/route/route.go
+++ b/route/route.go
@@ -23,9 +23,9 @@
 //	m.Decodes.Update(host, zone, sent, route.DecodeReport{FreeRequests: 4, FreeTokens: 100_000, Batch: 12, GapBase: base, GapStep: step})
 //	pair, evaluation, ok := m.Choose(now, job, random)
 //	if !ok { ... } // evaluation.Excluded says why; the request stays in its queue
-//	m.Started(now, pair, job)
+//	m.JobStarted(now, pair, job)
 //	...
-//	m.Ended(now, pair, job)
+//	m.JobEnded(now, pair, job)
 //
 // A choice costs the same at 9 and at 1,000 candidates. The package reads no clock
 // and has no random source of its own. Its types are not safe for concurrent use;
--- a/search/queue.go
+++ b/search/queue.go
@@ -13,7 +13,7 @@
 //	}
 //	defer q.Release()
 //	select {
-//	case <-q.Freed(): // capacity may have been freed: search again
+//	case <-q.FreedSignal(): // capacity may have been freed: search again
 //	case <-ctx.Done():
 //	}
 package search
--- a/send/send.go
+++ b/send/send.go
@@ -4,7 +4,7 @@
 //
 // # Usage
 //
-//	c := send.Client{Base: netip.MustParseAddrPort("127.0.0.1:9001")}
+//	c := send.Client{Addr: netip.MustParseAddrPort("127.0.0.1:9001")}
 //	response, err := c.Do(ctx, send.Request{Method: http.MethodPost, Target: "/prefill", Body: body})
 //	if send.StageOf(err) == send.NotSent {
 //		// no byte of the request left this process
@@ -49,7 +49,7 @@
 // before the connection is closed.
 const maxSkippedResponses = 4
 
-// Client sends requests to one address. The zero value with a Base is ready to use. A Client must
+// Client sends requests to one address. The zero value with an Addr is ready to use. A Client must
 // not be copied after first use.
 type Client struct {
 	// Addr is the address to which requests are sent.
--- a/side/side.go
+++ b/side/side.go
@@ -6,7 +6,7 @@
 //
 // # Usage
 //
-//	s := &side.Side{Settings: settings, Log: log, Model: &engine.HTTPModel{Base: settings.Upstream}}
+//	s := &side.Side{Settings: settings, Log: log, Model: &engine.HTTPModel{Addr: settings.Upstream}}
 //	err := s.Run(ctx) // until ctx ends; then drains, bounded by stop_within
 package side
 
@@ -46,7 +46,7 @@
 )
 
 // Side serves entries and runs their orders on one upstream. The exported fields
-// must be set before Run, with exactly one of Model and App according to the
+// must be set before Run, with exactly one of Model and AppServer according to the
 // role in Settings.
 type Side struct {
 	Settings  conf.Side
--- a/table/holder.go
+++ b/table/holder.go
@@ -10,7 +10,7 @@
 // table and is ready to use. It is safe for concurrent use; reads of the table
 // and of its age take no lock.
 type Holder struct {
-	// Clock returns the current time for Since; default time.Now.
+	// Clock returns the current time for InForceSince; default time.Now.
 	Clock func() time.Time
 
 	mu        sync.Mutex // guards changed, and all writes of current and confirmed
--- a/test/drive/caller.go
+++ b/test/drive/caller.go
@@ -34,7 +34,7 @@
 	Base string
 	// Token is the caller's bearer token.
 	Token string
-	// Path is the path of plain calls; empty means a path of service App at an
+	// Path is the path of plain calls; empty means a path of service AppService at an
 	// entry.
 	Path string
 
--- a/trace/event.go
+++ b/trace/event.go
@@ -81,7 +81,7 @@
 	// started. For a model request it is the prefill side, and Decode the decode side.
 	Upstream domain.Host `json:"upstream,omitempty"`
 	Decode   domain.Host `json:"decode,omitempty"`
-	// Evaluation is set on Decided.
+	// Evaluation is set on DecisionMade.
 	Evaluation *Evaluation `json:"grounds,omitempty"`
 	// Tokens is the number of prompt tokens on Accepted and PrefillDone, of reserved
 	// tokens on Reserved, and of output tokens on ends.
--- a/trace/trace.go
+++ b/trace/trace.go
@@ -16,7 +16,7 @@
 //		Reason: domain.ReasonNoRoom, Execution: domain.NotRun})
 //
 //	p := trace.Packer{Host: host, Incarnation: incarnation}
-//	if r.Due(now) {
+//	if r.FlushDue(now) {
 //		segments, err := p.Pack(now, r.TakePending())
 //		outbox.Add(segments...)              // trace.Outbox, bounded
 //	}
--- a/wire/messages.go
+++ b/wire/messages.go
@@ -152,7 +152,7 @@
 	MethodPushTable = "offer"
 )
 
-// TableRequest asks for the table if it is newer than version Have.
+// TableRequest asks for the table if it is newer than version HaveVersion.
 type TableRequest struct {
 	HaveVersion uint64 `json:"have"`
 }
@@ -185,7 +185,7 @@
 	Wait    time.Duration `json:"wait,omitempty"`
 }
 
-// MethodState requests an entry's state. It takes nothing and returns a State.
+// MethodState requests an entry's state. It takes nothing and returns an EntryState.
 const MethodState = "state"
 
 // EntryState is an entry's report of its own state.
@@ -208,7 +208,7 @@
 // MembersRequest and returns a member.Record.
 const MethodMembers = "members"
 
-// MembersRequest asks for a service's membership record; Have is the version that the requester
+// MembersRequest asks for a service's membership record; HaveVersion is the version that the requester
 // already has.
 type MembersRequest struct {
 	Service     domain.Service `json:"service"`
